--- a/crates/ctl/src/drill.rs
+++ b/crates/ctl/src/crash_drill.rs
@@ -5,11 +5,11 @@
 use crate::ledger::by_society;
 use anyhow::{Context as _, Result};
 use clap::Args;
-use dunlinspread_ledger::{Inbox, Outcome as Billed, UNATTRIBUTED};
-use dunlinspread_standin::{
+use dunlinspread_fakes::{
     Catalog, Collector, Habits, Index, IndexFaults, Load, Outcome, Pool, PoolFaults, Proxies, Site, Tally,
     unix_ms,
 };
+use dunlinspread_ledger::{Inbox, Outcome as Billed, UNATTRIBUTED};
 use dunlinspread_store::RealDisk;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::{RngExt, SeedableRng};
@@ -32,7 +32,7 @@
 
 /// Settings of a drill.
 #[derive(Args)]
-pub struct Drill {
+pub struct CrashDrill {
     /// Round servers.
     #[arg(long, default_value_t = 4)]
     instances: usize,
@@ -69,7 +69,7 @@
     folder: PathBuf,
 }
 
-impl Drill {
+impl CrashDrill {
     /// Runs it; the last line printed is one JSON object.
     pub fn run(&self) -> Result<ExitCode> {
         let own = tempfile::tempdir().context("making a folder")?;
--- a/crates/ctl/src/trial.rs
+++ b/crates/ctl/src/demo.rs
@@ -4,7 +4,7 @@
 use crate::table::table;
 use anyhow::{Context as _, Result};
 use clap::Args;
-use dunlinspread_standin::{
+use dunlinspread_fakes::{
     Catalog, Habits, Index, IndexFaults, Load, Outcome, Pool, PoolFaults, Proxies, Site, Tally,
 };
 use indicatif::{ProgressBar, ProgressStyle};
@@ -27,7 +27,7 @@
 
 /// Settings of a trial.
 #[derive(Args)]
-pub struct Trial {
+pub struct Demo {
     /// For how long to send, seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
@@ -62,7 +62,7 @@
     Strict,
 }
 
-impl Trial {
+impl Demo {
     /// Plays it and prints what came of it.
     pub fn run(&self) -> Result<ExitCode> {
         let site = Site::rounds(self.cores.max(1));
--- a/crates/ctl/src/ledger.rs
+++ b/crates/ctl/src/ledger.rs
@@ -1,8 +1,8 @@
 //! `dunlinspreadctl ledger`: the operators' commands over ledgers and their exports.
 
-use crate::ask::{CloseNow, Correct};
-use crate::drill::Drill;
+use crate::crash_drill::CrashDrill;
 use crate::export::{Export, Reconcile};
+use crate::operator_requests::{CloseNow, Correct};
 use crate::table::table;
 use anyhow::{Context as _, Result, bail};
 use clap::{Args, Subcommand};
@@ -34,7 +34,7 @@
     /// Add up what several servers exported, and say who is awaited and what disagrees.
     Reconcile(Reconcile),
     /// Kill round servers under load and interrupt their exports, then hold every count against the proxies' own.
-    Drill(Drill),
+    Drill(CrashDrill),
 }
 
 impl Command {
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,13 +1,13 @@
 //! The operators' command line: trying the program out, and the subsystems' own commands.
 #![forbid(unsafe_code)]
 
-mod ask;
-mod drill;
+mod crash_drill;
+mod demo;
 mod export;
 mod fleet;
 mod ledger;
+mod operator_requests;
 mod table;
-mod trial;
 
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
 #[derive(Subcommand)]
 enum Command {
     /// Start a round server among played parties, send it a mixed load for some seconds, and show what came of it.
-    Try(trial::Trial),
+    Try(demo::Demo),
     /// The ledger of use by society: look at it, check it, drill it.
     #[command(subcommand)]
     Ledger(ledger::Command),
@@ -38,7 +38,7 @@
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
-        Command::Try(trial) => trial.run(),
+        Command::Try(demo) => demo.run(),
         Command::Ledger(command) => command.run(),
         Command::Serve { arguments } => {
             let program = ["dunlinspread", "serve"].map(Into::into);
--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The operators' commands over the ledger of a round server that runs, and of one that does not.
 
+use dunlinspread_fakes::{Catalog, Habits, Load, Pool, PoolFaults, Proxies, Site};
 use dunlinspread_ledger::witness::Claims;
-use dunlinspread_standin::{Catalog, Habits, Load, Pool, PoolFaults, Proxies, Site};
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
 use prost::Message;
--- a/crates/standin/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,7 +3,7 @@
 //! fault here as well. Each party is a thread; its chance comes from a seed; faults are scripted.
 //!
 //! ```
-//! use dunlinspread_standin::{Catalog, Pool, PoolFaults, Site};
+//! use dunlinspread_fakes::{Catalog, Pool, PoolFaults, Site};
 //!
 //! let site = Site::rounds(6);
 //! let pool = Pool::start(&site, 1, PoolFaults::default()).expect("a free port");
--- a/crates/keyed/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -6,7 +6,7 @@
 //! none is run again, whatever is asked of it; and every try that waits for a result gets it, or its failure, once.
 //!
 //! ```
-//! use dunlinspread_keyed::{Bounds, Ending, Known, Reuse, Span, Table};
+//! use dunlinspread_idempotency::{Bounds, Ending, Known, Reuse, Span, Table};
 //!
 //! let bounds = Bounds { keys: 1000, result_bytes: 1 << 20 };
 //! let mut table: Table<Vec<u8>> = Table::new(bounds, vec![Span { window_ms: 5000.0, read_late_ms: 1000.0 }]);
--- a/crates/keyed/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -1,7 +1,7 @@
 //! The table against a plain record of what was run: any order of arrivals, runs, ends and sweeps, with tries read late
 //! and out of order, keys few enough to meet, and results past the bytes allowed.
 
-use dunlinspread_keyed::{Bounds, Ending, Known, Reuse, SecondRun, Span, Table, TryId};
+use dunlinspread_idempotency::{Bounds, Ending, Known, Reuse, SecondRun, Span, Table, TryId};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/fleet/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use dunlinspread_fleet::{Change, Id, Membership, Millis, Settings, Standing};
+use dunlinspread_membership::{Change, Id, Membership, Millis, Settings, Standing};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/scale/src/capacity/roles/round_server.rs
+++ b/crates/scale/src/capacity/roles/round_server.rs
@@ -115,7 +115,7 @@
             membership,
             "`fleet.churn_bytes_per_second.members`: 44,000 restarts a day",
         )
-        .carried_by("`crates/fleet` (not in the daemon yet)"),
+        .carried_by("`crates/membership` (not in the daemon yet)"),
         Row::new(
             "bytes: reports to the registry",
             When::Steady,
@@ -164,7 +164,7 @@
             membership,
             "`fleet.churn_cpu_ns_per_second.members`, sockets not counted",
         )
-        .carried_by("`crates/fleet`"),
+        .carried_by("`crates/membership`"),
         Row::new(
             "core: configuration",
             When::ChangeBurst,
@@ -233,7 +233,7 @@
             view,
             "`fleet.view_bytes.members`",
         )
-        .carried_by("`crates/fleet`"),
+        .carried_by("`crates/membership`"),
         Row::new(
             "**sum of memory**",
             When::Steady,
@@ -276,7 +276,7 @@
             "`fleet.zone_join_bytes_per_second.members`",
         )
         .limit(target::CONTROL_BYTES_PER_SECOND)
-        .carried_by("`crates/fleet`"),
+        .carried_by("`crates/membership`"),
         Row::new(
             "until 99 in 100 know of a rack that failed",
             When::RackLost,
@@ -284,7 +284,7 @@
             book.at_target("fleet.rack_p99_seconds.members")?,
             "`fleet.rack_p99_seconds.members`",
         )
-        .carried_by("`crates/fleet`"),
+        .carried_by("`crates/membership`"),
         Row::new(
             "until 99 in 100 know of a zone that failed",
             When::ZoneCold,
@@ -292,7 +292,7 @@
             book.at_target("fleet.zone_p99_seconds.members")?,
             "`fleet.zone_p99_seconds.members`",
         )
-        .carried_by("`crates/fleet`"),
+        .carried_by("`crates/membership`"),
         Row::new(
             "work of the machine while all callers reconnect",
             When::CallersReconnect,
--- a/crates/scale/src/probes/daemon_client.rs
+++ b/crates/scale/src/probes/daemon_client.rs
@@ -108,7 +108,7 @@
 pub fn request(id: u64, tenant: Option<&str>) -> Vec<u8> {
     let mut fields = vec![
         ("call", format!("{id:016x}")),
-        ("recv", dunlinspread_standin::unix_ms().to_string()),
+        ("recv", dunlinspread_fakes::unix_ms().to_string()),
         ("src", "1".to_owned()),
         ("heap", HELD_KB.to_owned()),
         ("crit", "0.5000".to_owned()),
--- a/crates/scale/src/probes/daemon_site.rs
+++ b/crates/scale/src/probes/daemon_site.rs
@@ -2,7 +2,7 @@
 //! with as many tenants and classes as wanted.
 
 use anyhow::{Context, Result};
-use dunlinspread_standin::{Catalog, ClassPlan, Pool, PoolFaults, Site};
+use dunlinspread_fakes::{Catalog, ClassPlan, Pool, PoolFaults, Site};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/scale/src/probes/fleet/mod.rs
+++ b/crates/scale/src/probes/fleet/mod.rs
@@ -11,7 +11,7 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Result, anyhow};
-use dunlinspread_fleet::{Id, Membership};
+use dunlinspread_membership::{Id, Membership};
 use network::address;
 use scenarios::{Results, SingleResults, TARGET_MEMBERS, settings};
 use series::{SERIES, SINGLE_SERIES};
@@ -43,7 +43,7 @@
 /// The seed of the large run.
 const LARGE_SEED: u64 = 1;
 
-/// The probe of `crates/fleet`.
+/// The probe of `crates/membership`.
 pub struct FleetProbe;
 
 impl Probe for FleetProbe {
--- a/crates/scale/src/probes/fleet/network.rs
+++ b/crates/scale/src/probes/fleet/network.rs
@@ -1,7 +1,7 @@
 //! A network of members in one process on a virtual clock: an event queue of datagrams under way and of timers.
 
 use anyhow::{Result, anyhow};
-use dunlinspread_fleet::{Change, Id, Membership, Millis, Settings};
+use dunlinspread_membership::{Change, Id, Membership, Millis, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
--- a/crates/scale/src/probes/fleet/scenarios.rs
+++ b/crates/scale/src/probes/fleet/scenarios.rs
@@ -4,7 +4,7 @@
 use super::network::{Network, Traffic};
 use super::watch::{Wanted, Watch};
 use anyhow::{Result, bail};
-use dunlinspread_fleet::{Id, Millis, Settings};
+use dunlinspread_membership::{Id, Millis, Settings};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
--- a/crates/scale/src/probes/fleet/watch.rs
+++ b/crates/scale/src/probes/fleet/watch.rs
@@ -1,7 +1,7 @@
 //! How word of some members spreads: when each running member first knows that each of them is up, or down.
 
 use super::network::{Network, node_of};
-use dunlinspread_fleet::{Change, Id, Millis, Standing};
+use dunlinspread_membership::{Change, Id, Millis, Standing};
 use std::collections::HashMap;
 
 /// What is to be known.
--- a/crates/scale/src/probes/keyed.rs
+++ b/crates/scale/src/probes/keyed.rs
@@ -6,7 +6,7 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Result, ensure};
-use dunlinspread_keyed::{Bounds, Ending, Known, Span, Table};
+use dunlinspread_idempotency::{Bounds, Ending, Known, Span, Table};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::hint::black_box;
@@ -57,7 +57,7 @@
     ..FIRST
 };
 
-/// The probe of `crates/keyed`.
+/// The probe of `crates/idempotency`.
 pub struct KeyedProbe;
 
 impl Probe for KeyedProbe {
--- a/crates/scale/src/probes/quota.rs
+++ b/crates/scale/src/probes/quota.rs
@@ -6,7 +6,7 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Result, anyhow};
-use dunlinspread_fleet::{Id, TAG};
+use dunlinspread_membership::{Id, TAG};
 use dunlinspread_quota::{Allocator, Ask, Config, Fault, Grant, MILLION, Millis, Reach};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -41,7 +41,7 @@
 const ASKS: u64 = 1_000;
 const RUNS: usize = 5;
 
-/// Bytes of payload in a datagram, the tag included, as in `crates/fleet`.
+/// Bytes of payload in a datagram, the tag included, as in `crates/membership`.
 const DATAGRAM: u64 = 1_400;
 
 /// Bytes of the headers of a datagram over IPv4.
--- a/src/policy/mod.rs
+++ b/src/admission/mod.rs
@@ -13,8 +13,11 @@
 mod level;
 mod order;
 
-use crate::fading::FadingCounts;
-use crate::interface::*;
+use crate::decaying_counts::DecayingCounts;
+pub use crate::interface::{
+    Action, AllowanceChange, Arrival, Class, ClassLimitChange, Effect, Event, Gauges, Outcome, Preemption,
+    Reconfiguration, RequestId, Settings, Signal,
+};
 use callers::IDLE_SHORT_MS;
 use std::collections::BTreeMap;
 
@@ -111,7 +114,7 @@
     usual_call: f64,
     learned: Vec<Learned>,
     /// Arrivals of each tenant over the span, fading.
-    tenant_arrivals: FadingCounts,
+    tenant_arrivals: DecayingCounts,
     /// Each tenant's saved part of an arrival within its allowance.
     tenant_credits: Vec<f64>,
     /// The sum of all allowances.
@@ -193,7 +196,7 @@
         };
         Policy {
             learned: set.classes.iter().map(guess).collect(),
-            tenant_arrivals: FadingCounts::new(set.tenants.len()),
+            tenant_arrivals: DecayingCounts::new(set.tenants.len()),
             tenant_credits: vec![0.0; set.tenants.len()],
             all_allowances: set.tenants.iter().sum(),
             born: now,
--- a/src/bin/dunlinspread-wirehost.rs
+++ b/src/bin/dunlinspread-wirehost.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match dunlinspread::wire::serve(io::stdin().lock(), io::stdout().lock()) {
+    match dunlinspread::simulator::serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("dunlinspread-wirehost: {e}");
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,8 +9,8 @@
 pub use bounds::Bounds;
 pub use stated::Pairs;
 
+use crate::admission::{Gauges, Settings};
 use crate::codec::json::{self, Value};
-use crate::interface::{Gauges, Settings};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Fault;
 use super::stated::{Pairs, read};
-use crate::interface::{Class, Effect, Preemption, Settings, Signal};
+use crate::admission::{Class, Effect, Preemption, Settings, Signal};
 
 /// The key of the list of what is kept of each class's worth without its calls.
 const SKIP_WORTHS: &str = "specifics.class_skip_worth";
--- a/src/daemon/config_sync.rs
+++ b/src/daemon/config_sync.rs
@@ -3,11 +3,13 @@
 //! only the state on disk, if there is one, is in force before the first request.
 
 use crate::config::Config;
-use crate::node::distributed::{Capacity, Distributed, InForce, Platform, PutError, ServerJudge, Taken};
-use crate::node::front::Names;
-use crate::node::messages::ToCore;
-use crate::node::wheel::{Clock, Wheel};
 use crate::operator::{ConfigSyncSettings, RelaySettings};
+use crate::server::distributed_config::{
+    Capacity, Distributed, InForce, Platform, PutError, ServerJudge, Taken,
+};
+use crate::server::frontend::Names;
+use crate::server::messages::ToCore;
+use crate::server::timer_wheel::{Clock, Wheel};
 use async_channel::{Receiver, Sender, TryRecvError};
 use dunlinspread_config_sync::client::{Client, ClientSettings, Server, Update};
 use dunlinspread_config_sync::message::{Member, Role};
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -2,13 +2,13 @@
 //! is closed.
 
 use crate::config::Config;
-use crate::node::clerk::Clerk;
-use crate::node::ledger::{Billing, FromLedger, Store};
-use crate::node::messages::ToCore;
-use crate::node::watch;
-use crate::node::wheel::Clock;
-use crate::node::witness::Shared as Witness;
 use crate::operator::LedgerSettings;
+use crate::server::messages::ToCore;
+use crate::server::supervisor;
+use crate::server::timer_wheel::Clock;
+use crate::server::usage::billing::{Billing, FromLedger, Store};
+use crate::server::usage::digest_exchange::Shared as Witness;
+use crate::server::usage::export_worker::Clerk;
 use async_executor::LocalExecutor;
 use slog::{Logger, info, warn};
 
@@ -78,7 +78,7 @@
     // It says itself what it can't go on for, and serving goes on then; a panic is a fault of ours.
     let clerk = move || {
         if let Err(panic) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| clerk.run())) {
-            let _ = dead.send_blocking(watch::obituary("clerk", Err(watch::panic_text(&*panic))));
+            let _ = dead.send_blocking(supervisor::obituary("clerk", Err(supervisor::panic_text(&*panic))));
         }
     };
     let spawned = std::thread::Builder::new().name("clerk".to_owned()).spawn(clerk);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -7,15 +7,15 @@
 
 use crate::config::Config;
 use crate::daemon::config_sync::ConfigSync;
-use crate::node::catalog::Catalog;
-use crate::node::core::{Core, Peers};
-use crate::node::front::{List, Names, Shared};
-use crate::node::index::Index;
-use crate::node::messages::{ToCatalog, ToCore, ToIndex, ToList, ToPool};
-use crate::node::pool::Pool;
-use crate::node::watch;
-use crate::node::wheel::{Clock, Wheel};
 use crate::operator::{LogFormat, LogLevel, Operator};
+use crate::server::dispatcher::{Core, Peers};
+use crate::server::frontend::{List, Names, Shared};
+use crate::server::messages::{ToCatalog, ToCore, ToIndex, ToList, ToPool};
+use crate::server::registry::Catalog;
+use crate::server::supervisor;
+use crate::server::timer_wheel::{Clock, Wheel};
+use crate::server::upstream::Index;
+use crate::server::worker_pool::Pool;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use async_signal::{Signal, Signals};
@@ -225,7 +225,7 @@
 
     let (dead, deaths) = async_channel::unbounded();
     let lasting =
-        |name, work: BoxedLocal<()>| executor.spawn(watch::lasting(name, work, dead.clone())).detach();
+        |name, work: BoxedLocal<()>| executor.spawn(supervisor::lasting(name, work, dead.clone())).detach();
     let index_box = config.index.map(|address| {
         let (index_box, letters) = async_channel::unbounded();
         let (core, own, exe) = (core_box.clone(), index_box.clone(), executor.clone());
@@ -309,9 +309,9 @@
     let (left, (list_ends, list_over)) = (Rc::new(Cell::new(false)), async_channel::bounded(1));
     let (may_end, list_dead) = (left.clone(), dead.clone());
     let list = async move {
-        match watch::guarded(list.run(list_letters)).await {
+        match supervisor::guarded(list.run(list_letters)).await {
             Ok(()) if may_end.get() => drop(list_ends.send(()).await),
-            how => drop(list_dead.send(watch::obituary("list of connections", how)).await),
+            how => drop(list_dead.send(supervisor::obituary("list of connections", how)).await),
         }
     };
     executor.spawn(list).detach();
--- a/src/fading.rs
+++ b/src/decaying_counts.rs
@@ -66,7 +66,7 @@
 
 /// Fading counts of the members `0..n`.
 #[derive(Clone, Debug)]
-pub struct FadingCounts {
+pub struct DecayingCounts {
     /// The weight of an arrival now.
     weight: f64,
     /// How often all was scaled down.
@@ -75,16 +75,16 @@
     total: CompensatedSum,
 }
 
-impl Default for FadingCounts {
+impl Default for DecayingCounts {
     fn default() -> Self {
-        FadingCounts::new(0)
+        DecayingCounts::new(0)
     }
 }
 
-impl FadingCounts {
+impl DecayingCounts {
     /// So many members, all with a count of zero.
-    pub fn new(members: usize) -> FadingCounts {
-        FadingCounts {
+    pub fn new(members: usize) -> DecayingCounts {
+        DecayingCounts {
             weight: 1.0,
             scalings: 0,
             counts: vec![Count::default(); members],
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,18 +21,17 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod admission;
 pub mod codec;
 pub mod config;
 pub mod daemon;
-pub mod fading;
-pub mod interface;
-pub mod node;
+pub mod decaying_counts;
+mod interface;
 pub mod operator;
-pub mod policy;
-pub mod wire;
+pub mod server;
+pub mod simulator;
 
-pub use interface::{
-    Action, AllowanceChange, Arrival, Class, ClassLimitChange, Effect, Event, Gauges, Outcome, Preemption,
-    Reconfiguration, RequestId, Settings, Signal,
+pub use admission::{
+    Action, AllowanceChange, Arrival, Class, ClassLimitChange, Effect, Event, Gauges, Outcome, Policy,
+    Preemption, Reconfiguration, RequestId, Settings, Signal,
 };
-pub use policy::Policy;
--- a/src/node/distributed/in_force.rs
+++ b/src/server/distributed_config/in_force.rs
@@ -6,8 +6,8 @@
 //! given back is not used again before [`InForce::settle`] says that no request read before the change is still on its
 //! way.
 
-use crate::interface::{AllowanceChange, ClassLimitChange, Reconfiguration};
-use crate::node::front::Names;
+use crate::admission::{AllowanceChange, ClassLimitChange, Reconfiguration};
+use crate::server::frontend::Names;
 use dunlinspread_config_sync::resource::{Change, Key, Resource};
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/src/node/distributed/serving.rs
+++ b/src/server/distributed_config/serving.rs
@@ -3,9 +3,9 @@
 //! before the change from those read after it.
 
 use super::InForce;
-use crate::interface::Reconfiguration;
-use crate::node::messages::{Reconfigured, ToCore};
-use crate::node::wheel::Wheel;
+use crate::admission::Reconfiguration;
+use crate::server::messages::{Reconfigured, ToCore};
+use crate::server::timer_wheel::Wheel;
 use async_channel::{Receiver, Sender};
 use dunlinspread_config_sync::resource::Change;
 use std::cell::{Cell, RefCell};
--- a/src/node/front/list.rs
+++ b/src/server/frontend/listener.rs
@@ -1,9 +1,9 @@
 //! The list of connections: accepts them, keeps their number within its part of the descriptors, and closes idle
 //! ones. It must never read what a connection carries.
 
-use super::life::{CROSSING_MS, Wish};
+use super::connection_state::{CROSSING_MS, Wish};
 use super::{COMPLAIN_MS, Connection, FULL_MS, MAILBOX, Shared};
-use crate::node::messages::ToList;
+use crate::server::messages::ToList;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
--- a/src/node/front/mod.rs
+++ b/src/server/frontend/mod.rs
@@ -3,26 +3,26 @@
 //! bytes into the core's messages and its answers into bytes. It must never decide about a request, never answer
 //! one by itself, and never let one connection's faults or slowness reach another.
 
-mod answer;
-pub mod life;
-mod list;
+pub mod connection_state;
+mod listener;
 mod names;
-mod request;
+mod request_decoder;
+mod response_encoder;
 
-pub use list::List;
+pub use listener::List;
 pub use names::Names;
 
-use super::messages::{Handle, ToCaller, ToCore};
-use super::wheel::{Clock, Wheel};
+use crate::admission::{Class, RequestId};
 use crate::codec::msgpack::{self, Value};
-use crate::interface::{Class, RequestId};
-use crate::node::distributed::Distributed;
-use crate::node::watch::guarded;
+use crate::server::distributed_config::Distributed;
+use crate::server::messages::{Handle, ToCaller, ToCore};
+use crate::server::supervisor::guarded;
+use crate::server::timer_wheel::{Clock, Wheel};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
+use connection_state::{LINGER_MS, Life, Step, Wish};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, StreamExt};
-use life::{LINGER_MS, Life, Step, Wish};
 use slog::{Logger, error, warn};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/src/node/front/request.rs
+++ b/src/server/frontend/request_decoder.rs
@@ -2,9 +2,9 @@
 //! read.
 
 use super::{Connection, MAX_OPEN, Method, Shared};
+use crate::admission::Effect;
 use crate::codec::msgpack::Value;
-use crate::interface::Effect;
-use crate::node::messages::Incoming;
+use crate::server::messages::Incoming;
 use dunlinspread_ledger::Account;
 use std::rc::Rc;
 
--- a/src/node/front/answer.rs
+++ b/src/server/frontend/response_encoder.rs
@@ -2,7 +2,7 @@
 
 use super::Connection;
 use crate::codec::msgpack;
-use crate::node::messages::{Answer, ToCaller};
+use crate::server::messages::{Answer, ToCaller};
 
 impl Connection {
     pub(super) fn put(&self, letter: ToCaller, out: &mut Vec<u8>) {
--- a/src/node/messages.rs
+++ b/src/server/messages.rs
@@ -2,8 +2,8 @@
 //! one can be replaced, or a second front set beside the first, without touching the rest. It holds no behaviour, and
 //! must never come to name a protocol's words.
 
-use super::ledger::FromLedger;
-use crate::interface::{Outcome, Reconfiguration, RequestId};
+use crate::admission::{Outcome, Reconfiguration, RequestId};
+use crate::server::usage::billing::FromLedger;
 use async_channel::Sender;
 use dunlinspread_store::Writer;
 use std::net::SocketAddr;
--- /dev/null
+++ b/src/server/mod.rs
@@ -0,0 +1,14 @@
+//! The server around the admission controller: one thread, a task with a mailbox for each peer, for the listener and
+//! for the dispatcher. The dispatcher alone owns what becomes of a request; the other tasks carry bytes and decide
+//! nothing about one.
+
+pub mod dispatcher;
+pub mod distributed_config;
+pub mod frontend;
+pub mod messages;
+pub mod registry;
+pub mod supervisor;
+pub mod timer_wheel;
+pub mod upstream;
+pub mod usage;
+pub mod worker_pool;
--- a/src/node/catalog.rs
+++ b/src/server/registry.rs
@@ -3,9 +3,9 @@
 //! for one that hangs. It must never let a catalog that is down, slow or talking nonsense do more than delay the next
 //! report.
 
-use super::messages::ToCatalog;
-use super::wheel::{Clock, Wheel};
 use crate::codec::http;
+use crate::server::messages::ToCatalog;
+use crate::server::timer_wheel::{Clock, Wheel};
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::future::{or, poll_fn};
--- a/src/node/index.rs
+++ b/src/server/upstream.rs
@@ -2,11 +2,11 @@
 //! those connections and their number; it must never say that a call never ran unless that is proved, and never
 //! make a call twice.
 
-use super::messages::{Call, ToCore, ToIndex};
-use super::watch::guarded;
-use super::wheel::{Clock, Wheel};
+use crate::admission::{Outcome, RequestId};
 use crate::codec::http;
-use crate::interface::{Outcome, RequestId};
+use crate::server::messages::{Call, ToCore, ToIndex};
+use crate::server::supervisor::guarded;
+use crate::server::timer_wheel::{Clock, Wheel};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
--- a/src/node/ledger.rs
+++ b/src/server/usage/billing.rs
@@ -2,8 +2,8 @@
 //! not leave yet wait here. It decides nothing about a request; it must never wait for the disk, and never let an answer
 //! go that the book holds.
 
-use super::messages::{Answer, Handle};
 use crate::operator::LedgerSettings;
+use crate::server::messages::{Answer, Handle};
 use dunlinspread_ledger::{
     Account, Action, Book, Figures, Kind, Line, Note, Outcome, Rules, State, Use, Verdict,
 };
--- a/src/node/clerk.rs
+++ b/src/server/usage/export_worker.rs
@@ -5,10 +5,10 @@
 //! `dunlinspread_ledger::deliver`. It must never send a batch that is not entered, never change one that is, never enter
 //! a request twice, and never hold up serving.
 
-use super::ledger::{FromLedger, Opened, ToClerk};
-use super::witness::Shared as Witness;
+use super::digest_exchange::Shared as Witness;
 use crate::codec::http;
 use crate::operator::ExportTo;
+use crate::server::usage::billing::{FromLedger, Opened, ToClerk};
 use async_channel::Sender as ToCore;
 use dunlinspread_ledger::batch::{self, Making, hex};
 use dunlinspread_ledger::deliver::{Next, Reply, Sender};
--- a/src/node/pool.rs
+++ b/src/server/worker_pool/link.rs
@@ -3,9 +3,9 @@
 //! the core only once all that the pool kept has been read. It must never end for what the pool writes, and never
 //! change a body.
 
-use super::messages::{Command, End, Report, ToCore, ToPool};
-use super::wheel::Wheel;
 use crate::codec::json::{self, Line, Lines, Value};
+use crate::server::messages::{Command, End, Report, ToCore, ToPool};
+use crate::server::timer_wheel::Wheel;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use base64::Engine as _;
--- /dev/null
+++ b/src/server/worker_pool/mod.rs
@@ -0,0 +1,5 @@
+//! The link to the worker pool.
+
+mod link;
+
+pub use link::Pool;
--- a/src/wire.rs
+++ b/src/simulator/mod.rs
@@ -1,9 +1,9 @@
 //! The simulator's text wire: parses rounds of events, prints actions, one [`Policy`] per instance.
 //! No judgement here: what is read goes to the module, what it answers is printed.
 
+use crate::admission::Policy;
+use crate::admission::*;
 use crate::config::{Fault, Pairs, set_gauge};
-use crate::interface::*;
-use crate::policy::Policy;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
--- a/tests/allowances.rs
+++ b/tests/allowances.rs
@@ -11,22 +11,22 @@
 mod common;
 
 mod interface {
-    pub use dunlinspread::interface::*;
+    pub use dunlinspread::*;
 }
 
-/// The old computation, which walks through all members, in place of `src/fading.rs`.
-mod fading {
+/// The old computation, which walks through all members, in place of `src/decaying_counts.rs`.
+mod decaying_counts {
     #[derive(Default)]
-    pub struct FadingCounts(Vec<f64>);
+    pub struct DecayingCounts(Vec<f64>);
 
     pub struct Added {
         pub own: f64,
         pub others: f64,
     }
 
-    impl FadingCounts {
+    impl DecayingCounts {
         pub fn new(members: usize) -> Self {
-            FadingCounts(vec![0.0; members])
+            DecayingCounts(vec![0.0; members])
         }
 
         pub fn fade(&mut self, part: f64) {
@@ -51,8 +51,8 @@
 }
 
 #[allow(dead_code, reason = "the module's file as it stands, of which a part is called here")]
-#[path = "../src/policy/mod.rs"]
-mod policy;
+#[path = "../src/admission/mod.rs"]
+mod admission;
 
 /// What a play is made of.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
     plan: Plan,
     rng: ChaCha8Rng,
     new: Policy,
-    old: policy::Policy,
+    old: admission::Policy,
     now: f64,
     next: RequestId,
     running: VecDeque<RequestId>,
@@ -103,7 +103,7 @@
         };
         Play {
             new: Policy::new(0.0, set.clone()),
-            old: policy::Policy::new(0.0, set),
+            old: admission::Policy::new(0.0, set),
             plan,
             rng,
             now: 0.0,
--- a/tests/life.rs
+++ b/tests/connection_state.rs
@@ -1,7 +1,7 @@
 //! The life of a connection in any order of what can happen to it: reads, answers, half messages, time, eviction, the
 //! notice to leave and the end. A plain record beside it says what is owed and what was told.
 
-use dunlinspread::node::front::life::{LEAVE_MS, Life, Step, WHOLE_MS, Wish};
+use dunlinspread::server::frontend::connection_state::{LEAVE_MS, Life, Step, WHOLE_MS, Wish};
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
--- a/tests/fading.rs
+++ b/tests/decaying_counts.rs
@@ -1,6 +1,6 @@
 //! Fading counts against counts that are all faded with every step.
 
-use dunlinspread::fading::FadingCounts;
+use dunlinspread::decaying_counts::DecayingCounts;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -30,7 +30,7 @@
         ),
     ) {
         let steps: Vec<Step> = steps;
-        let (mut counts, mut each) = (FadingCounts::new(members), vec![0.0_f64; members]);
+        let (mut counts, mut each) = (DecayingCounts::new(members), vec![0.0_f64; members]);
         for (member, rest) in steps {
             for _ in 0..rest {
                 counts.fade(PART);
@@ -54,7 +54,7 @@
 /// some 10^-15 of the flood, which a plain sum loses far earlier.
 #[test]
 fn the_rest_beside_a_flood_is_no_rounding_error() {
-    let (mut counts, mut other) = (FadingCounts::new(2), 1.0);
+    let (mut counts, mut other) = (DecayingCounts::new(2), 1.0);
     assert!(counts.add(1).is_some());
     for _ in 0..5000 {
         counts.fade(PART);
@@ -70,7 +70,7 @@
 /// Where there is only one member, all others together have exactly nothing.
 #[test]
 fn one_member_alone_has_no_others() {
-    let mut counts = FadingCounts::new(1);
+    let mut counts = DecayingCounts::new(1);
     for step in 0..200_000_u32 {
         if step % 7 == 0 {
             counts.fade(PART);
@@ -83,7 +83,7 @@
 /// Nothing is left after a long time, and absurd parts are brought into range.
 #[test]
 fn counts_end_at_zero() {
-    let mut counts = FadingCounts::new(2);
+    let mut counts = DecayingCounts::new(2);
     assert!(counts.add(0).is_some() && counts.add(2).is_none());
     for part in [0.0, -1.0, 2.0, f64::INFINITY] {
         counts.fade(part);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -4,8 +4,8 @@
 #[allow(dead_code)]
 mod play;
 
-use dunlinspread::node::watch;
-use dunlinspread::node::wheel::{Clock, Wheel};
+use dunlinspread::server::supervisor;
+use dunlinspread::server::timer_wheel::{Clock, Wheel};
 use play::alone::Alone;
 use play::{Client, config};
 use std::collections::BTreeSet;
@@ -105,8 +105,8 @@
 fn what_dies_is_named() {
     let (dead, deaths) = async_channel::unbounded();
     let told = async_io::block_on(async {
-        watch::lasting("index", async { panic!("a fault") }, dead.clone()).await;
-        watch::lasting("catalog", async {}, dead.clone()).await;
+        supervisor::lasting("index", async { panic!("a fault") }, dead.clone()).await;
+        supervisor::lasting("catalog", async {}, dead.clone()).await;
         [deaths.recv().await.expect("told"), deaths.recv().await.expect("told")]
     });
     assert_eq!(told, ["actor died: index panicked: a fault", "actor died: catalog ended by itself"]);
@@ -114,7 +114,7 @@
     let wheel = Wheel::new(Clock::start(), 5.0);
     let turned = async_io::block_on(futures_lite::future::or(
         async {
-            watch::lasting("wheel", wheel.clone().turn(), dead.clone()).await;
+            supervisor::lasting("wheel", wheel.clone().turn(), dead.clone()).await;
             false
         },
         async {
--- a/tests/names.rs
+++ b/tests/name_tables.rs
@@ -1,6 +1,6 @@
 //! Positions by name: the same as a walk through the list finds.
 
-use dunlinspread::node::front::Names;
+use dunlinspread::server::frontend::Names;
 use proptest::prelude::*;
 
 proptest! {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_fleet_key_of_a_wrong_length_is_refused_and_not_printed() {
-    let path = std::env::temp_dir().join(format!("dunlinspread-fleet-key-{}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("dunlinspread-membership-key-{}", std::process::id()));
     let text = CONFIG_SYNC.replace("/etc/dunlinspread/fleet.key", &path.display().to_string());
     let settings = Operator::read(&text, "op.hcl").expect("good").config_sync.expect("the block");
     let missing = settings.fleet_key().expect_err("there is no file");
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -7,7 +7,7 @@
     let policy = deploy.lines().find_map(|l| l.strip_prefix("policy = ")).expect("its policy files");
     let named: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     // A file of the module that is not named would be left out of what is printed and bounded.
-    let files = std::fs::read_dir(root.join("src/policy")).expect("the module's folder").count();
+    let files = std::fs::read_dir(root.join("src/admission")).expect("the module's folder").count();
     assert_eq!(files, named.len(), "named: {named:?}");
     let mut total = 0;
     for name in named {
--- a/tests/swap.rs
+++ b/tests/swap.rs
@@ -2,10 +2,10 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use dunlinspread::node::distributed::{Distributed, InForce, Platform};
-use dunlinspread::node::front::Names;
-use dunlinspread::node::messages::{Handle, Incoming, ToCore};
-use dunlinspread::node::wheel::{Clock, Wheel};
+use dunlinspread::server::distributed_config::{Distributed, InForce, Platform};
+use dunlinspread::server::frontend::Names;
+use dunlinspread::server::messages::{Handle, Incoming, ToCore};
+use dunlinspread::server::timer_wheel::{Clock, Wheel};
 use dunlinspread_config_sync::resource::{Change, Resource};
 use futures_lite::future::{block_on, yield_now};
 use rand::{RngExt as _, SeedableRng as _};
