--- a/tests/allowances.rs
+++ b/tests/allowances.rs
@@ -10,6 +10,7 @@
 
 mod common;
 
+#[allow(unused_imports, reason = "the module re-exports the whole interface, of which a part is used here")]
 mod interface {
     pub use dunlinspread::*;
 }
