--- a/tests/progress.rs
+++ b/tests/progress.rs
@@ -4,7 +4,7 @@
 use dunlinspread::*;
 
 fn healths(actions: &[Action]) -> Vec<bool> {
-    actions.iter().filter_map(|a| if let Action::Health(good) = a { Some(*good) } else { None }).collect()
+    actions.iter().filter_map(|a| if let Action::SetHealth(good) = a { Some(*good) } else { None }).collect()
 }
 
 /// An instance that served for ten seconds, and a run that goes on.
@@ -30,11 +30,11 @@
     assert!(!runs(&out, held));
     let until = d.now + 1500.0;
     let out = d.run_until(until);
-    let told = Action::Refuse { id: held, retry_after_ms: 800.0, last: false };
+    let told = Action::Reject { id: held, retry_after_ms: 800.0, do_not_retry: false };
     assert!(out.contains(&told), "{out:?}");
     assert_eq!(healths(&out), vec![false]);
     let (id, out) = d.arrive(0);
-    assert!(out.contains(&Action::Refuse { id, retry_after_ms: 800.0, last: false }));
+    assert!(out.contains(&Action::Reject { id, retry_after_ms: 800.0, do_not_retry: false }));
     let mut out = d.end(running, Outcome::Ok);
     out.extend(d.tick(1.0, 2.0));
     assert_eq!(healths(&out), vec![true], "the first progress ends it");
@@ -64,15 +64,15 @@
 #[test]
 fn a_call_that_a_tier_refused_is_made_again_in_time_and_one_to_a_shared_dependency_is_left_out() {
     for (share, again) in [(None, true), (Some(5.0), false)] {
-        let mut set = Settings { dependency: true, calls_share: share, ..settings() };
-        set.classes[0].skip_worth = 0.5;
+        let mut set = Settings { has_upstream: true, upstream_call_share: share, ..settings() };
+        set.classes[0].degraded_weight = 0.5;
         let mut d = Driver::new(set);
         let (id, _) = d.arrive(0);
-        d.send(Event::CallNeeded(id));
-        let mut out = d.send(Event::CallEnded { id, outcome: Outcome::Refused, took_ms: 5.0 });
-        assert_eq!(out.contains(&Action::SkipCall(id)), !again, "{share:?}");
+        d.send(Event::UpstreamCallNeeded(id));
+        let mut out = d.send(Event::UpstreamCallEnded { id, outcome: Outcome::Rejected, took_ms: 5.0 });
+        assert_eq!(out.contains(&Action::SkipUpstreamCall(id)), !again, "{share:?}");
         out.extend(d.run_until(500.0));
-        assert_eq!(out.iter().any(|a| matches!(a, Action::Call { .. })), again, "{share:?}");
+        assert_eq!(out.iter().any(|a| matches!(a, Action::CallUpstream { .. })), again, "{share:?}");
     }
 }
 
@@ -84,10 +84,11 @@
     d.end(running, Outcome::Ok);
     let (mut out, mut tried, mut elsewhere) = (Vec::new(), 0, 0);
     for _ in 0..80 {
-        let a = Arrival { rank: 0.99, ..d.arrival(0) };
+        let a = Arrival { priority: 0.99, ..d.arrival(0) };
         let id = a.id;
-        let told = d.send(Event::Arrive(a));
-        elsewhere += usize::from(told.contains(&Action::Refuse { id, retry_after_ms: 800.0, last: false }));
+        let told = d.send(Event::Arrival(a));
+        elsewhere +=
+            usize::from(told.contains(&Action::Reject { id, retry_after_ms: 800.0, do_not_retry: false }));
         if runs(&told, id) {
             tried += 1;
             d.now += 5.0;
@@ -119,9 +120,9 @@
     for _ in 0..40 {
         d.now += 50.0;
         let out = d.send(Event::Timer { token: 1, gauges: Gauges::default() });
-        assert!(!out.contains(&Action::Health(false)));
+        assert!(!out.contains(&Action::SetHealth(false)));
     }
     let mut bad = false;
-    (0..40).for_each(|_| bad |= d.tick(1.0, 2.0).contains(&Action::Health(false)));
+    (0..40).for_each(|_| bad |= d.tick(1.0, 2.0).contains(&Action::SetHealth(false)));
     assert!(bad, "with gauges it is one");
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{class, settings};
-use dunlinspread::{Action, Arrival, Effect, Event, Gauges, Outcome, Policy, Settings};
+use dunlinspread::{Action, AdmissionController, Arrival, Event, Gauges, Outcome, RetrySafety, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 const STEP_MS: f64 = 5.0;
 
 struct Server {
-    policy: Policy,
+    policy: AdmissionController,
     share: f64,
     /// Runs under way: until when, and whose.
     runs: Vec<(f64, f64, u64)>,
@@ -41,22 +41,22 @@
 impl Fleet {
     fn new(seed: u64, servers: usize, callers: usize, heeding: f64) -> Fleet {
         let set = Settings {
-            servers: servers as f64,
-            callers: callers as f64,
+            server_count: servers as f64,
+            client_count: callers as f64,
             cores: 6.0,
-            cold: true,
-            cold_share: 0.3,
-            cold_ms: 12_000.0,
-            survivable_per_core: 8.0,
-            crowd_window_ms: 3000.0,
+            cold_start: true,
+            cold_start_speed: 0.3,
+            warm_up_ms: 12_000.0,
+            survivable_runs_per_core: 8.0,
+            overload_window_ms: 3000.0,
             memory_kb: 60_000.0,
-            classes: vec![class(Effect::Safe)],
+            classes: vec![class(RetrySafety::Idempotent)],
             ..settings()
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let heeds = (0..callers).map(|_| rng.random_bool(heeding)).collect();
         let server = |at: usize| Server {
-            policy: Policy::new(0.0, Settings { seed: seed + at as u64, ..set.clone() }),
+            policy: AdmissionController::new(0.0, Settings { seed: seed + at as u64, ..set.clone() }),
             share: 1.0,
             runs: Vec::new(),
             timers: Vec::new(),
@@ -80,12 +80,13 @@
     }
 
     fn speed(&self) -> f64 {
-        self.set.cold_share + (1.0 - self.set.cold_share) * (self.now / self.set.cold_ms).min(1.0)
+        self.set.cold_start_speed
+            + (1.0 - self.set.cold_start_speed) * (self.now / self.set.warm_up_ms).min(1.0)
     }
 
     /// N: the crowd that the settings let a server survive now.
     fn budget(&self) -> f64 {
-        self.set.cores * (1.0 + (self.set.survivable_per_core - 1.0) * self.speed())
+        self.set.cores * (1.0 + (self.set.survivable_runs_per_core - 1.0) * self.speed())
     }
 
     /// Hands an event to a server. Whoever gets an answer hears the share with it.
@@ -94,15 +95,15 @@
         self.servers[at].policy.on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Say(share) => self.servers[at].share = share,
-                Action::Timer { token, delay_ms } => {
+                Action::AdvertiseShare(share) => self.servers[at].share = share,
+                Action::SetTimer { token, delay_ms } => {
                     self.servers[at].timers.push((self.now + delay_ms, token))
                 }
                 Action::Run(id) => {
                     let took = self.rng.random_range(150.0..450.0) / self.speed();
                     self.servers[at].runs.push((self.now + took, took, id));
                 }
-                Action::Refuse { .. } | Action::Fail(_) => {
+                Action::Reject { .. } | Action::Fail(_) => {
                     if let Some(caller) = caller {
                         self.heard[caller][at] = (self.servers[at].share, self.now);
                     }
@@ -125,18 +126,18 @@
             self.next += 1;
             let arrival = Arrival {
                 id: self.next,
-                held_kb: 20.0,
-                rank: self.rng.random_range(0.0..1.0),
+                request_kb: 20.0,
+                priority: self.rng.random_range(0.0..1.0),
                 ..Arrival::default()
             };
             self.servers[at].came.push_back((self.now, self.heeds[caller]));
-            self.tell(at, Event::Arrive(arrival), Some(caller));
+            self.tell(at, Event::Arrival(arrival), Some(caller));
             return;
         }
     }
 
     fn play(&mut self, rate_per_s: f64) {
-        while self.now < self.set.cold_ms {
+        while self.now < self.set.warm_up_ms {
             self.now += STEP_MS;
             let mut due = rate_per_s * self.servers.len() as f64 * STEP_MS / 1000.0;
             while due > 0.0 {
@@ -153,7 +154,7 @@
                 self.servers[at].runs = runs;
                 let over: Vec<(f64, f64, u64)> = over;
                 for (_, took_ms, id) in over {
-                    self.tell(at, Event::Ended { id, outcome: Outcome::Ok, took_ms }, None);
+                    self.tell(at, Event::RunEnded { id, outcome: Outcome::Ok, took_ms }, None);
                 }
                 let (timers, later) = std::mem::take(&mut self.servers[at].timers)
                     .into_iter()
@@ -177,7 +178,7 @@
     fn judge(&mut self, at: usize) {
         let n = self.budget();
         let bound = n + 2.0 * n.sqrt() + 2.0;
-        let since = self.now - self.set.crowd_window_ms;
+        let since = self.now - self.set.overload_window_ms;
         let came = &mut self.servers[at].came;
         while came.front().is_some_and(|(when, _)| *when < since) {
             came.pop_front();
@@ -205,8 +206,9 @@
             let mut most = (0.0f64, 0.0f64);
             for seed in 1..=10 {
                 let mut fleet = Fleet::new(seed, servers, callers, 0.6);
-                let warm =
-                    fleet.set.cores * fleet.set.survivable_per_core / fleet.set.crowd_window_ms * 1000.0;
+                let warm = fleet.set.cores * fleet.set.survivable_runs_per_core
+                    / fleet.set.overload_window_ms
+                    * 1000.0;
                 fleet.play(part * warm);
                 most = (most.0.max(fleet.most.0), most.1.max(fleet.most.1));
             }
@@ -226,7 +228,7 @@
     let mut fleet = Fleet::new(1, 1, 1, 1.0);
     assert_eq!(fleet.servers[0].share, 0.3);
     let mut told = vec![fleet.servers[0].share];
-    while fleet.now < fleet.set.cold_ms + 100.0 {
+    while fleet.now < fleet.set.warm_up_ms + 100.0 {
         fleet.now += 50.0;
         let gauges = Gauges { busy: Some(0.1), run_queue: Some(0.0), ..Gauges::default() };
         fleet.tell(0, Event::Timer { token: 1, gauges }, None);
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -15,11 +15,10 @@
 }
 
 fn allowances(changes: &[(usize, Option<f64>)]) -> Event {
-    let allowances = changes
-        .iter()
-        .map(|(tenant, per_second)| AllowanceChange { tenant: *tenant, per_second: *per_second });
+    let allowances =
+        changes.iter().map(|(tenant, per_second)| QuotaChange { tenant: *tenant, per_second: *per_second });
     let allowances = allowances.collect();
-    Event::Reconfigured(Box::new(Reconfiguration { allowances, ..Reconfiguration::default() }))
+    Event::Reconfigured(Box::new(Reconfiguration { quotas: allowances, ..Reconfiguration::default() }))
 }
 
 fn runs(actions: &[Action]) -> Vec<u64> {
@@ -49,13 +48,13 @@
 
 #[test]
 fn a_request_at_a_call_counts_to_its_class() {
-    let mut d = Driver::new(Settings { dependency: true, calls_share: Some(1.0), ..roomy() });
+    let mut d = Driver::new(Settings { has_upstream: true, upstream_call_share: Some(1.0), ..roomy() });
     d.send(limit(SAFE, Some(1)));
     let (first, _) = d.arrive(SAFE);
-    d.send(Event::CallNeeded(first));
+    d.send(Event::UpstreamCallNeeded(first));
     let (second, actions) = d.arrive(SAFE);
     assert_eq!(runs(&actions), NONE);
-    let answered = d.send(Event::CallEnded { id: first, outcome: Outcome::Ok, took_ms: 5.0 });
+    let answered = d.send(Event::UpstreamCallEnded { id: first, outcome: Outcome::Ok, took_ms: 5.0 });
     assert_eq!(runs(&answered), NONE);
     assert_eq!(runs(&d.end(first, Outcome::Ok)), [second]);
 }
@@ -114,7 +113,7 @@
         d.now += 1.0;
         let tenant = if at % 4 == 0 { other } else { flood };
         let arrival = Arrival { tenant, ..d.arrival(SAFE) };
-        assert_eq!(d.send(Event::Arrive(arrival)), [], "it is held");
+        assert_eq!(d.send(Event::Arrival(arrival)), [], "it is held");
     }
     let mut order = Vec::new();
     while let Some(id) = running.pop() {
@@ -132,8 +131,8 @@
     order.len() - within
 }
 
-fn with_tenants(tenants: Vec<f64>) -> Driver {
-    Driver::new(Settings { tenants, over_share_worth: 0.0, memory_kb: 1e6, ..settings() })
+fn with_tenants(tenant_quotas: Vec<f64>) -> Driver {
+    Driver::new(Settings { tenant_quotas, over_quota_weight: 0.0, memory_kb: 1e6, ..settings() })
 }
 
 #[test]
@@ -158,7 +157,7 @@
     for _ in 0..50 {
         let arrival = Arrival { tenant: 2, ..reused.arrival(SAFE) };
         let id = arrival.id;
-        reused.send(Event::Arrive(arrival));
+        reused.send(Event::Arrival(arrival));
         reused.end(id, Outcome::Ok);
     }
     reused.send(allowances(&[(2, None)]));
@@ -166,7 +165,7 @@
     // What no list has is judged by no allowance, and does not end the program.
     let arrival = Arrival { tenant: usize::MAX, ..reused.arrival(SAFE) };
     let id = arrival.id;
-    assert_eq!(runs(&reused.send(Event::Arrive(arrival))), [id]);
+    assert_eq!(runs(&reused.send(Event::Arrival(arrival))), [id]);
 }
 
 /// Many changes leave no error behind in what the module computes from all allowances.
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -38,29 +38,33 @@
 struct Kind {
     preemption: Preemption,
     share: Option<f64>,
-    fresh_ms: f64,
+    shared_result_ttl_ms: f64,
     cores: f64,
 }
 
 fn play(seed: u64, kind: Kind) -> Vec<Action> {
-    let Kind { preemption, share, fresh_ms, cores } = kind;
-    let classes = vec![class(Effect::Safe), class(Effect::Keyed), class(Effect::Unsafe)];
+    let Kind { preemption, share, shared_result_ttl_ms, cores } = kind;
+    let classes = vec![
+        class(RetrySafety::Idempotent),
+        class(RetrySafety::IdempotencyKey),
+        class(RetrySafety::AtMostOnce),
+    ];
     let set = Settings {
         preemption,
-        dependency: true,
-        calls_share: share,
-        calls_window_ms: 5000.0,
-        fresh_ms,
+        has_upstream: true,
+        upstream_call_share: share,
+        upstream_window_ms: 5000.0,
+        shared_result_ttl_ms,
         cores,
-        survivable_per_core: 3.0,
+        survivable_runs_per_core: 3.0,
         memory_kb: 2500.0,
-        tenants: vec![10.0, 100.0],
-        over_share_worth: 0.1,
+        tenant_quotas: vec![10.0, 100.0],
+        over_quota_weight: 0.1,
         classes,
         ..settings()
     };
     let memory = set.memory_kb;
-    let mut policy = Policy::new(0.0, set);
+    let mut policy = AdmissionController::new(0.0, set);
     let mut random = Random(seed);
     let mut world: BTreeMap<u64, Model> = BTreeMap::new();
     let mut ran: BTreeMap<u64, u32> = BTreeMap::new();
@@ -94,7 +98,7 @@
                         }
                         m.at = At::Running;
                     }
-                    Action::Refuse { id, .. } => {
+                    Action::Reject { id, .. } => {
                         let m = world.get_mut(id).expect("a known request");
                         assert!(
                             m.class == 0 || m.at == At::Held && !ran.contains_key(&m.root),
@@ -112,25 +116,25 @@
                             m.at = At::Over;
                         }
                     }
-                    Action::Keep { id, ttl_ms } => {
+                    Action::ReserveKey { id, ttl_ms } => {
                         // Keeping a newer try of the same request hands its entry on.
                         let root = world.get(id).expect("a known request").root;
                         kept.retain(|k, _| world.get(k).is_none_or(|m| m.root != root));
                         kept.insert(*id, now + ttl_ms);
                     }
-                    Action::Forget(id) => drop(kept.remove(id)),
-                    Action::Call { id, limit_ms } => calls.push((*id, now, now + limit_ms, true)),
-                    Action::Reuse(id) => {
+                    Action::ReleaseKey(id) => drop(kept.remove(id)),
+                    Action::CallUpstream { id, timeout_ms } => calls.push((*id, now, now + timeout_ms, true)),
+                    Action::ReuseResult(id) => {
                         shared += u32::from(world[id].class == 0);
                         // The stand-in for the machine's copy of the result: it ends at once.
                         let m = world.get_mut(id).expect("a known request");
                         m.at = At::Over;
-                        let told = |a: &Action| matches!(a, Action::Fail(x) | Action::Refuse { id: x, .. } if x == id);
+                        let told = |a: &Action| matches!(a, Action::Fail(x) | Action::Reject { id: x, .. } if x == id);
                         m.answers += u32::from(!out.iter().any(told));
-                        events.push_back(Event::Ended { id: *id, outcome: Outcome::Ok, took_ms: 1.0 });
+                        events.push_back(Event::RunEnded { id: *id, outcome: Outcome::Ok, took_ms: 1.0 });
                     }
-                    Action::Timer { delay_ms, .. } => timer = now + delay_ms,
-                    Action::SkipCall(_) => panic!("no class may leave a call out"),
+                    Action::SetTimer { delay_ms, .. } => timer = now + delay_ms,
+                    Action::SkipUpstreamCall(_) => panic!("no class may leave a call out"),
                     _ => {}
                 }
             }
@@ -166,7 +170,11 @@
         }
         if let Some(c) = calls.iter_mut().find(|c| c.3 && c.2 <= now) {
             (c.2, c.3) = (c.2 + 200.0, false);
-            events.push_back(Event::CallEnded { id: c.0, outcome: Outcome::TimedOut, took_ms: now - c.1 });
+            events.push_back(Event::UpstreamCallEnded {
+                id: c.0,
+                outcome: Outcome::TimedOut,
+                took_ms: now - c.1,
+            });
             continue;
         }
         calls.retain(|c| c.2 > now - 5000.0);
@@ -189,7 +197,7 @@
                     let open = world.get(id).is_some_and(|m| m.class == 0);
                     open || ended.get(id).is_some_and(|at| now - at < 1000.0)
                 };
-                let reads = tries.iter().copied().filter(|id| fresh_ms > 0.0 && fresh(id));
+                let reads = tries.iter().copied().filter(|id| shared_result_ttl_ms > 0.0 && fresh(id));
                 let writes = tries
                     .iter()
                     .copied()
@@ -205,16 +213,16 @@
                 let m =
                     Model { class, root, arrived: now - age_ms, due, at: At::Held, answers: 0, gone: false };
                 world.insert(next, m);
-                events.push_back(Event::Arrive(Arrival {
+                events.push_back(Event::Arrival(Arrival {
                     id: next,
                     class,
                     tenant: random.below(3) as usize,
                     deadline,
-                    held_kb: 20.0,
-                    rank: random.below(100) as f64 / 100.0,
+                    request_kb: 20.0,
+                    priority: random.below(100) as f64 / 100.0,
                     age_ms,
-                    prior,
-                    subject: class == 0,
+                    duplicate_of: prior,
+                    shareable: class == 0,
                     ..Arrival::default()
                 }));
             }
@@ -224,31 +232,35 @@
                     m.at = At::Over;
                     m.answers = 1;
                     ended.insert(*id, now);
-                    events.push_back(Event::Ended { id: *id, outcome: Outcome::Ok, took_ms: 50.0 });
+                    events.push_back(Event::RunEnded { id: *id, outcome: Outcome::Ok, took_ms: 50.0 });
                 }
             }
             (3, Some(id)) => {
                 let m = world.get_mut(id).expect("picked from it");
                 if m.at == At::Running && m.answers == 0 {
                     m.at = At::Call;
-                    events.push_back(Event::CallNeeded(*id));
+                    events.push_back(Event::UpstreamCallNeeded(*id));
                 } else if let Some(c) = calls.iter_mut().find(|c| c.3 && c.0 == *id && m.at == At::Call) {
                     (c.2, c.3) = (now, false);
                     m.at = At::Running;
-                    events.push_back(Event::CallEnded { id: *id, outcome: Outcome::Ok, took_ms: 10.0 });
+                    events.push_back(Event::UpstreamCallEnded {
+                        id: *id,
+                        outcome: Outcome::Ok,
+                        took_ms: 10.0,
+                    });
                 }
             }
             (4, Some(id)) if random.below(10) == 0 => {
                 let m = world.get_mut(id).expect("picked from it");
                 m.gone = true;
-                events.push_back(Event::Gone(*id));
+                events.push_back(Event::ClientGone(*id));
             }
             _ => {}
         }
     }
     assert!(world.values().all(|m| m.answers == 1 || m.gone), "unanswered at the stop");
     assert!(next > 1000 && ran.len() > 2, "{next} {}", ran.len());
-    assert_eq!(shared > 0, fresh_ms > 0.0, "{shared} reads shared an answer");
+    assert_eq!(shared > 0, shared_result_ttl_ms > 0.0, "{shared} reads shared an answer");
     log
 }
 
@@ -257,7 +269,7 @@
     for preemption in [Preemption::Off, Preemption::Abort, Preemption::Suspend] {
         for share in [None, Some(2.0), Some(0.4)] {
             for (fresh_ms, cores) in [(0.0, 2.0), (1000.0, 1.0), (1000.0, 8.0)] {
-                let kind = Kind { preemption, share, fresh_ms, cores };
+                let kind = Kind { preemption, share, shared_result_ttl_ms: fresh_ms, cores };
                 play(1, kind);
             }
         }
@@ -266,6 +278,7 @@
 
 #[test]
 fn the_same_events_give_the_same_actions() {
-    let kind = Kind { preemption: Preemption::Off, share: Some(2.0), fresh_ms: 1000.0, cores: 2.0 };
+    let kind =
+        Kind { preemption: Preemption::Off, share: Some(2.0), shared_result_ttl_ms: 1000.0, cores: 2.0 };
     assert_eq!(play(77, kind), play(77, kind));
 }
--- a/tests/swap.rs
+++ b/tests/swap.rs
@@ -3,9 +3,9 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use dunlinspread::server::distributed_config::{Distributed, InForce, Platform};
-use dunlinspread::server::frontend::Names;
-use dunlinspread::server::messages::{Handle, Incoming, ToCore};
-use dunlinspread::server::timer_wheel::{Clock, Wheel};
+use dunlinspread::server::frontend::NameTable;
+use dunlinspread::server::messages::{DispatcherMessage, IncomingRequest, ReplyHandle};
+use dunlinspread::server::timer_wheel::{Clock, TimerWheel};
 use dunlinspread_config_sync::resource::{Change, Resource};
 use futures_lite::future::{block_on, yield_now};
 use rand::{RngExt as _, SeedableRng as _};
@@ -24,9 +24,9 @@
 fn platform() -> Arc<Platform> {
     let classes: Vec<String> = (0..CLASSES).map(|class| format!("c{class}")).collect();
     Arc::new(Platform {
-        classes: Arc::new(Names::new(&classes)),
-        tenants: Arc::new(Names::new(&["own".to_owned()])),
-        allowances: vec![1.0],
+        classes: Arc::new(NameTable::new(&classes)),
+        tenants: Arc::new(NameTable::new(&["own".to_owned()])),
+        quotas: vec![1.0],
     })
 }
 
@@ -48,8 +48,8 @@
 
 struct Parties {
     distributed: Rc<Distributed>,
-    core: Sender<ToCore>,
-    wheel: Rc<Wheel>,
+    core: Sender<DispatcherMessage>,
+    wheel: Rc<TimerWheel>,
     fronts_left: Rc<Cell<u64>>,
 }
 
@@ -61,23 +61,23 @@
         parties.distributed.may_look_up(&parties.wheel).await;
         let class = parties.distributed.route(b"r").expect("the route is there");
         let tenant = parties.distributed.tenant(Some("t")).expect("the tenant is there");
-        let incoming = Incoming {
+        let incoming = IncomingRequest {
             id,
-            call: 0,
+            attempt: 0,
             class,
-            reached: 0.0,
-            held_kb: 1.0,
-            rank: 0.5,
+            received_at: 0.0,
+            request_kb: 1.0,
+            priority: 0.5,
             key: None,
-            waits: None,
+            timeout_ms: None,
             tenant,
             account: None,
-            subject: false,
+            shareable: false,
             body: Vec::new(),
-            handle: Handle { mailbox: mailbox.clone(), tag: id },
+            reply: ReplyHandle { mailbox: mailbox.clone(), tag: id },
         };
         let pass = parties.distributed.pass();
-        parties.core.send(ToCore::Arrive(Box::new(incoming))).await.expect("the core is there");
+        parties.core.send(DispatcherMessage::Request(Box::new(incoming))).await.expect("the core is there");
         drop(pass);
         while random.random_bool(0.3) {
             yield_now().await;
@@ -87,20 +87,20 @@
 }
 
 /// Checks that each request has the class that goes with the allowance in force; counts the requests.
-async fn core(inbox: Receiver<ToCore>, seed: u64) -> (u64, u64) {
+async fn core(inbox: Receiver<DispatcherMessage>, seed: u64) -> (u64, u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mut requests, mut changes) = (0, 0);
     let mut allowance = 0.0;
     while let Ok(message) = inbox.recv().await {
         match message {
-            ToCore::Arrive(incoming) => {
+            DispatcherMessage::Request(incoming) => {
                 requests += 1;
                 assert_eq!(incoming.class, allowance as usize % CLASSES, "seed {seed}: half a change");
                 assert_eq!(incoming.tenant, 1, "seed {seed}");
             }
-            ToCore::Reconfigured(reconfigured) => {
+            DispatcherMessage::Reconfigured(reconfigured) => {
                 changes += 1;
-                let new = reconfigured.changes.allowances.iter().find(|change| change.tenant == 1);
+                let new = reconfigured.changes.quotas.iter().find(|change| change.tenant == 1);
                 allowance = new.and_then(|change| change.per_second).expect("its allowance");
                 reconfigured.done.try_send(()).expect("it is awaited");
             }
@@ -121,8 +121,8 @@
 fn crossings(seed: u64) {
     let executor = Rc::new(LocalExecutor::new());
     let (sender, inbox) = async_channel::bounded(MAILBOX);
-    let wheel = Wheel::new(Clock::start(), 1.0);
-    executor.spawn(wheel.clone().turn()).detach();
+    let wheel = TimerWheel::new(Clock::start(), 1.0);
+    executor.spawn(wheel.clone().advance()).detach();
     let counted = executor.spawn(core(inbox, seed));
     let parties = Rc::new(Parties {
         distributed: Rc::new(Distributed::new(InForce::new(platform()))),
