--- a/crates/ctl/src/crash_drill.rs
+++ b/crates/ctl/src/crash_drill.rs
@@ -9,7 +9,7 @@
     Catalog, Collector, Habits, Index, IndexFaults, Load, Outcome, Pool, PoolFaults, Proxies, Site, Tally,
     unix_ms,
 };
-use dunlinspread_ledger::{Inbox, Outcome as Billed, UNATTRIBUTED};
+use dunlinspread_ledger::{BatchReceiver, Outcome as Billed, UNATTRIBUTED};
 use dunlinspread_store::RealDisk;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::{RngExt, SeedableRng};
@@ -199,7 +199,7 @@
     // The numbers in the names go up; only the last file can be the furthest.
     let last = names.filter(|n| n.ends_with(&own)).max();
     let batch = last.and_then(|name| std::fs::read(exports.join(name)).ok());
-    let batch = batch.and_then(|bytes| dunlinspread_ledger::batch::Batch::read(&bytes).ok());
+    let batch = batch.and_then(|bytes| dunlinspread_ledger::batch::Batch::parse(&bytes).ok());
     batch.filter(|b| b.last).map_or(0, |b| b.close.to)
 }
 
@@ -239,17 +239,17 @@
 /// Holds the ledgers against the proxies' counts, and the exports against the ledgers.
 fn compare(instances: &[Instance], exports: &Path, tally: &Tally) -> Result<Found> {
     let mut found = Found { wrong: tally.wrong + tally.doubled, ..Found::default() };
-    let inbox = Inbox::open(Arc::new(RealDisk::new(exports)?))?;
+    let inbox = BatchReceiver::open(Arc::new(RealDisk::new(exports)?))?;
     let mut billed: BTreeMap<String, u64> = BTreeMap::new();
     for instance in instances {
         let name = &instance.server.name;
         let (lines, walked) = by_society(&RealDisk::new(&instance.folder)?, name)?;
         let mut exported: BTreeMap<(String, Billed), u64> = BTreeMap::new();
-        inbox.read(&(name.clone(), walked.state.born), |batch, _| {
+        inbox.read(&(name.clone(), walked.state.ledger_id), |batch, _| {
             for item in batch.items {
                 let outcome = Billed::try_from(item.outcome).unwrap_or(Billed::Unknown);
                 let requests = u64::try_from(item.requests).unwrap_or(0);
-                *exported.entry((item.society, outcome)).or_default() += requests;
+                *exported.entry((item.tenant, outcome)).or_default() += requests;
             }
         })?;
         found.exported += exported.values().sum::<u64>();
--- a/crates/ctl/src/export.rs
+++ b/crates/ctl/src/export.rs
@@ -4,8 +4,8 @@
 use crate::table::table;
 use anyhow::{Context as _, Result, bail, ensure};
 use clap::Args;
-use dunlinspread_ledger::reconcile::{Alive, Reconciler};
-use dunlinspread_ledger::{Inbox, Net, Outcome, Sum, read_lines, totals};
+use dunlinspread_ledger::reconcile::{ListedSpans, Reconciler};
+use dunlinspread_ledger::{BatchReceiver, NetUsage, Outcome, UsageGroup, read_lines, totals};
 use dunlinspread_store::RealDisk;
 use indicatif::ProgressBar;
 use parquet::basic::{Compression, Repetition, Type as Physical};
@@ -46,8 +46,8 @@
 /// One row of a file.
 struct Row {
     server: String,
-    sum: Sum,
-    net: Net,
+    sum: UsageGroup,
+    net: NetUsage,
 }
 
 impl Export {
@@ -93,21 +93,21 @@
     }
 
     fn rows_of_batches(&self, put: &mut impl FnMut(Row) -> Result<()>) -> Result<()> {
-        let inbox = Inbox::open(Arc::new(RealDisk::new(&self.place.directory)?))?;
+        let inbox = BatchReceiver::open(Arc::new(RealDisk::new(&self.place.directory)?))?;
         let sources: Vec<_> = inbox.sources().map(|(source, _)| source.clone()).collect();
         for source in sources {
             let mut failed = None;
             inbox.read(&source, |batch, _| {
                 let corrected = batch.corrections.iter().map(|c| &c.item);
                 for item in batch.items.iter().chain(corrected).filter(|i| self.picks(i.period)) {
-                    let sum = Sum {
-                        society: item.society.clone(),
+                    let sum = UsageGroup {
+                        tenant: item.tenant.clone(),
                         period: item.period,
-                        of: item.of,
+                        original_period: item.original_period,
                         class: item.class.clone(),
                         outcome: Outcome::try_from(item.outcome).unwrap_or(Outcome::Unknown),
                     };
-                    let net = Net {
+                    let net = NetUsage {
                         requests: item.requests.into(),
                         pool_us: item.pool_us.into(),
                         bytes_in: item.bytes_in.into(),
@@ -199,7 +199,7 @@
         let number = |n: i128| i64::try_from(n).context("a sum is out of range");
         let mut group = self.writer.next_row_group()?;
         let texts: [fn(&Row) -> &str; 4] =
-            [|r| &r.server, |r| &r.sum.society, |r| &r.sum.class, |r| r.sum.outcome.word()];
+            [|r| &r.server, |r| &r.sum.tenant, |r| &r.sum.class, |r| r.sum.outcome.as_str()];
         // In the order of the schema.
         for column in
             [Some(0), Some(1), None, None, Some(2), Some(3), None, None, None, None].into_iter().enumerate()
@@ -212,8 +212,10 @@
                     writer.typed::<ByteArrayType>().write_batch(&values, None, None)?;
                 }
                 (3, None) => {
-                    let values: Vec<i64> = rows.iter().filter_map(|r| r.sum.of).map(|of| of as i64).collect();
-                    let there: Vec<i16> = rows.iter().map(|r| i16::from(r.sum.of.is_some())).collect();
+                    let values: Vec<i64> =
+                        rows.iter().filter_map(|r| r.sum.original_period).map(|of| of as i64).collect();
+                    let there: Vec<i16> =
+                        rows.iter().map(|r| i16::from(r.sum.original_period.is_some())).collect();
                     writer.typed::<Int64Type>().write_batch(&values, Some(&there), None)?;
                 }
                 (at, None) => {
@@ -262,24 +264,24 @@
     /// Adds up and tells; ends with 1 if something disagrees or someone is awaited.
     pub fn run(&self) -> Result<ExitCode> {
         ensure!(self.exports.is_dir(), "{} is no directory", self.exports.display());
-        let alive: Alive = match &self.catalog {
+        let alive: ListedSpans = match &self.catalog {
             Some(path) => {
                 let text = std::fs::read(path).with_context(|| format!("reading {}", path.display()))?;
                 serde_json::from_slice(&text).with_context(|| {
                     format!("{}: not an object from names to lists of pairs of Unix ms", path.display())
                 })?
             }
-            None => Alive::new(),
+            None => ListedSpans::new(),
         };
-        let inbox = Inbox::open(Arc::new(RealDisk::new(&self.exports)?))?;
+        let inbox = BatchReceiver::open(Arc::new(RealDisk::new(&self.exports)?))?;
         let mut reconciler = Reconciler::new(&alive);
         let sources: Vec<_> = inbox.sources().map(|(source, _)| source.clone()).collect();
         for source in &sources {
-            inbox.read(source, |batch, _| reconciler.take(&batch))?;
+            inbox.read(source, |batch, _| reconciler.add_batch(&batch))?;
         }
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         let report = reconciler.finish(self.period.as_millis() as u64, now.as_millis() as u64);
-        let good = report.awaited.is_empty() && report.disagreements.is_empty();
+        let good = report.awaited.is_empty() && report.discrepancies.is_empty();
         if self.json {
             let accounts: Vec<_> = report
                 .accounts
@@ -291,7 +293,7 @@
                     })
                 })
                 .collect();
-            let disagreements: Vec<String> = report.disagreements.iter().map(ToString::to_string).collect();
+            let disagreements: Vec<String> = report.discrepancies.iter().map(ToString::to_string).collect();
             let awaited: Vec<_> = report
                 .awaited
                 .iter()
@@ -317,7 +319,7 @@
                 let servers: Vec<&str> = servers.iter().map(String::as_str).collect();
                 println!("awaited in {}: {}", period_text(*period), servers.join(", "));
             }
-            report.disagreements.iter().for_each(|d| println!("disagrees: {d}"));
+            report.discrepancies.iter().for_each(|d| println!("disagrees: {d}"));
             if good {
                 println!("all adds up");
             }
--- a/crates/ctl/src/ledger.rs
+++ b/crates/ctl/src/ledger.rs
@@ -7,7 +7,9 @@
 use anyhow::{Context as _, Result, bail};
 use clap::{Args, Subcommand};
 use dunlinspread_ledger::batch::hex;
-use dunlinspread_ledger::{Kind, Line, LineId, LineIdText, Net, Outcome, State, Sum, read_lines, totals};
+use dunlinspread_ledger::{
+    LedgerState, Line, LineId, LineIdText, LineKind, NetUsage, Outcome, UsageGroup, read_lines, totals,
+};
 use dunlinspread_store::{Disk as _, Log, RealDisk, Visit};
 use indicatif::ProgressBar;
 use serde_json::json;
@@ -93,7 +95,7 @@
 #[derive(Default)]
 pub struct Walked {
     /// The sum of all lines.
-    pub state: State,
+    pub state: LedgerState,
     /// The number of the first line that is there.
     pub first: u64,
     /// Lines by kind.
@@ -113,16 +115,16 @@
                     prost::Message::decode(bytes).map_err(|e: prost::DecodeError| e.to_string())?;
             }
             Visit::Record(number, bytes) => {
-                let line = Line::read(bytes).map_err(|e| e.to_string())?;
+                let line = Line::parse(bytes).map_err(|e| e.to_string())?;
                 walked.state.apply(number, &line).map_err(|e| e.to_string())?;
                 walked.first = if walked.first == 0 { number } else { walked.first };
                 let word = match &line.kind {
-                    Some(Kind::Start(_)) => "start",
-                    Some(Kind::Usage(_)) => "usage",
-                    Some(Kind::Correction(_)) => "correction",
-                    Some(Kind::Close(_)) => "close",
-                    Some(Kind::Export(_)) => "export",
-                    Some(Kind::Unbilled(u)) => {
+                    Some(LineKind::Start(_)) => "start",
+                    Some(LineKind::Usage(_)) => "usage",
+                    Some(LineKind::Correction(_)) => "correction",
+                    Some(LineKind::Close(_)) => "close",
+                    Some(LineKind::Export(_)) => "export",
+                    Some(LineKind::Unbilled(u)) => {
                         walked.unbilled.0 += u.requests;
                         walked.unbilled.1 += u.at_most;
                         "unbilled"
@@ -171,14 +173,14 @@
         let first = walk(&disk, &server, |number, _| end = number)?.first.max(1);
         let mut rows =
             table(&["society", "period", "class", "outcome", "requests", "pool s", "kB in", "kB out"]);
-        let mut all = Net::default();
+        let mut all = NetUsage::default();
         totals(
             &[],
             CELLS,
             |show| read_lines(&disk, &server, first..end + 1, show),
             |period| period >= self.from && period < self.to,
             |sum, net| {
-                if self.society.as_ref().is_some_and(|s| *s != sum.society) {
+                if self.society.as_ref().is_some_and(|s| *s != sum.tenant) {
                     return;
                 }
                 all.requests += net.requests;
@@ -187,10 +189,10 @@
                     println!("{}", sum_json(&sum, &net));
                 } else {
                     rows.add_row([
-                        sum.society.clone(),
+                        sum.tenant.clone(),
                         period_text(sum.period),
                         sum.class.clone(),
-                        sum.outcome.word().to_owned(),
+                        sum.outcome.as_str().to_owned(),
                         net.requests.to_string(),
                         format!("{:.3}", net.pool_us as f64 / 1e6),
                         format!("{:.1}", net.bytes_in as f64 / 1e3),
@@ -210,10 +212,10 @@
     }
 }
 
-pub fn sum_json(sum: &Sum, net: &Net) -> serde_json::Value {
+pub fn sum_json(sum: &UsageGroup, net: &NetUsage) -> serde_json::Value {
     json!({
-        "society": sum.society, "period_ms": sum.period, "of_ms": sum.of, "class": sum.class,
-        "outcome": sum.outcome.word(), "requests": net.requests as i64, "pool_us": net.pool_us as i64,
+        "society": sum.tenant, "period_ms": sum.period, "of_ms": sum.original_period, "class": sum.class,
+        "outcome": sum.outcome.as_str(), "requests": net.requests as i64, "pool_us": net.pool_us as i64,
         "bytes_in": net.bytes_in as i64, "bytes_out": net.bytes_out as i64,
     })
 }
@@ -223,7 +225,7 @@
     fn show_lines(&self, disk: &RealDisk, server: &str) -> Result<ExitCode> {
         let (mut start, mut classes) = (0, Vec::new());
         walk(disk, server, |number, line| {
-            if let Some(Kind::Start(s)) = &line.kind {
+            if let Some(LineKind::Start(s)) = &line.kind {
                 (start, classes) = (s.start, s.classes.clone());
             }
             if line.at_ms < self.from || line.at_ms >= self.to {
@@ -244,37 +246,37 @@
     /// A line's content; none if it is not of the society that is looked for.
     fn describe(&self, line: &Line, classes: &[String]) -> Option<serde_json::Value> {
         let class = |at: u32| classes.get(at as usize).map_or("?", String::as_str);
-        let outcome = |o: i32| Outcome::try_from(o).unwrap_or(Outcome::Unknown).word();
+        let outcome = |o: i32| Outcome::try_from(o).unwrap_or(Outcome::Unknown).as_str();
         let wanted = |society: &str| self.society.as_ref().is_none_or(|s| s == society);
         let what = match line.kind.as_ref()? {
-            Kind::Start(s) => json!({"start": s.start, "period_ms": s.period_ms, "classes": s.classes,
-                "at_risk": s.at_risk, "serves_on": s.serves_on}),
-            Kind::Usage(usage) => {
+            LineKind::Start(s) => json!({"start": s.start, "period_ms": s.period_ms, "classes": s.classes,
+                "at_risk": s.at_risk, "serves_on": s.continues_on_failure}),
+            LineKind::Usage(usage) => {
                 let entries: Vec<_> = usage
                     .entries
                     .iter()
-                    .filter(|e| wanted(&e.society))
+                    .filter(|e| wanted(&e.tenant))
                     .map(|e| {
-                        json!({"society": e.society, "class": class(e.class), "outcome": outcome(e.outcome),
+                        json!({"society": e.tenant, "class": class(e.class), "outcome": outcome(e.outcome),
                             "requests": e.amount.requests, "pool_us": e.amount.pool_us})
                     })
                     .collect();
                 if entries.is_empty() {
                     return None;
                 }
-                json!({"usage": entries, "period_ms": usage.period, "of_ms": usage.of})
+                json!({"usage": entries, "period_ms": usage.period, "of_ms": usage.original_period})
             }
-            Kind::Correction(c) if !wanted(&c.society) => return None,
-            Kind::Correction(c) => json!({"correction": {"corrects": LineIdText(&c.corrects).to_string(),
-                "society": c.society, "class": c.class, "outcome": outcome(c.outcome), "requests": c.requests,
+            LineKind::Correction(c) if !wanted(&c.tenant) => return None,
+            LineKind::Correction(c) => json!({"correction": {"corrects": LineIdText(&c.corrects).to_string(),
+                "society": c.tenant, "class": c.class, "outcome": outcome(c.outcome), "requests": c.requests,
                 "pool_us": c.pool_us, "reason": c.reason, "token": c.token}, "period_ms": c.period}),
-            Kind::Close(c) => json!({"close": {"from_ms": c.from, "to_ms": c.to, "late": c.late}}),
-            Kind::Export(e) => {
+            LineKind::Close(c) => json!({"close": {"from_ms": c.from, "to_ms": c.to, "late": c.late}}),
+            LineKind::Export(e) => {
                 json!({"export": {"batch": e.batch, "digest": hex(&e.digest), "close": e.close,
                 "last": e.last, "acknowledged": e.acknowledged}})
             }
-            Kind::Unbilled(u) => json!({"unbilled": {"requests": u.requests, "at_most": u.at_most,
-                "unbounded": u.unbounded, "from_ms": u.from_ms, "to_ms": u.to_ms, "why": u.why}}),
+            LineKind::Unbilled(u) => json!({"unbilled": {"requests": u.requests, "at_most": u.at_most,
+                "unbounded": u.unbounded, "from_ms": u.from_ms, "to_ms": u.to_ms, "why": u.reason}}),
         };
         Some(what)
     }
@@ -323,9 +325,9 @@
             println!(
                 "{}",
                 json!({
-                    "ok": true, "server": server, "born": state.born, "first": walked.first, "lines": walked.lines,
-                    "closed_to_ms": state.closed_to, "batches": state.batches,
-                    "acknowledged": state.batches - u64::from(state.prepared.is_some()),
+                    "ok": true, "server": server, "born": state.ledger_id, "first": walked.first, "lines": walked.lines,
+                    "closed_to_ms": state.closed_to, "batches": state.last_batch,
+                    "acknowledged": state.last_batch - u64::from(state.prepared_batch.is_some()),
                     "unbilled": walked.unbilled.0, "unbilled_at_most": walked.unbilled.1,
                 })
             );
@@ -337,8 +339,8 @@
             println!("{rows}\nserver {server}: in order; closed to {}", period_text(state.closed_to));
             println!(
                 "batches prepared {}, acknowledged {}; requests known to be in no line {}, possibly up to {} more",
-                state.batches,
-                state.batches - u64::from(state.prepared.is_some()),
+                state.last_batch,
+                state.last_batch - u64::from(state.prepared_batch.is_some()),
                 walked.unbilled.0,
                 walked.unbilled.1
             );
@@ -354,10 +356,10 @@
 pub fn by_society(disk: &RealDisk, server: &str) -> Result<(BySociety, Walked)> {
     let mut sums = BTreeMap::new();
     let walked = walk(disk, server, |_, line| {
-        if let Some(Kind::Usage(usage)) = &line.kind {
+        if let Some(LineKind::Usage(usage)) = &line.kind {
             for entry in &usage.entries {
                 let outcome = Outcome::try_from(entry.outcome).unwrap_or(Outcome::Unknown);
-                *sums.entry((entry.society.clone(), outcome)).or_insert(0) += entry.amount.requests;
+                *sums.entry((entry.tenant.clone(), outcome)).or_insert(0) += entry.amount.requests;
             }
         }
     })?;
--- a/crates/ctl/src/operator_requests.rs
+++ b/crates/ctl/src/operator_requests.rs
@@ -4,9 +4,10 @@
 use crate::ledger::{Place, walk};
 use anyhow::{Context as _, Result, bail, ensure};
 use clap::Args;
-use dunlinspread_ledger::request::{self, Request, Wish};
+use dunlinspread_ledger::operator_request::{self, OperatorRequest, RequestFile};
 use dunlinspread_ledger::{
-    Action, Book, Correction, Kind, Line, LineId, LineIdText, Mode, OnFailure, Outcome, Rules, State,
+    Action, Correction, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineId, LineIdText,
+    LineKind, Outcome, UsageAccumulator,
 };
 use dunlinspread_store::{Disk as _, Log, Options, RealDisk, StoreError, Visit};
 use prost::Message as _;
@@ -57,16 +58,16 @@
     /// Checks it against the line that it names, and enters it.
     pub fn run(&self) -> Result<ExitCode> {
         let (disk, server) = self.place.open()?;
-        let id = LineId::read(&self.line).with_context(|| {
+        let id = LineId::parse(&self.line).with_context(|| {
             format!("--line: {} is no line id such as {server}/1764576000000/17", self.line)
         })?;
         ensure!(id.server == server, "--line: this ledger is {server}'s; correct {} in its own", id.server);
-        let outcome = Outcome::read(&self.outcome).with_context(|| {
-            format!("--outcome: {} is none of {}", self.outcome, Outcome::ALL.map(Outcome::word).join(", "))
+        let outcome = Outcome::parse(&self.outcome).with_context(|| {
+            format!("--outcome: {} is none of {}", self.outcome, Outcome::ALL.map(Outcome::as_str).join(", "))
         })?;
         let (mut start, mut classes, mut found) = (0, Vec::new(), None);
         walk(&disk, &server, |number, line| {
-            if let Some(Kind::Start(s)) = &line.kind {
+            if let Some(LineKind::Start(s)) = &line.kind {
                 (start, classes) = (s.start, s.classes.clone());
             }
             if number == id.number && start == id.start {
@@ -87,7 +88,7 @@
         let correction = Correction {
             period: 0,
             corrects: id,
-            society: self.society.clone(),
+            tenant: self.society.clone(),
             class: self.class.clone(),
             outcome: outcome as i32,
             requests: self.requests,
@@ -95,19 +96,26 @@
             reason: self.reason.clone(),
             token: String::new(),
         };
-        ask(&self.place, &disk, &server, Wish::Correct(correction), self.token.as_deref(), self.json)
+        ask(
+            &self.place,
+            &disk,
+            &server,
+            OperatorRequest::Correct(correction),
+            self.token.as_deref(),
+            self.json,
+        )
     }
 
     /// Whether the line has what is corrected.
     fn is_in(&self, line: &Line, classes: &[String], outcome: Outcome) -> bool {
         match &line.kind {
-            Some(Kind::Usage(usage)) => usage.entries.iter().any(|e| {
-                e.society == self.society
+            Some(LineKind::Usage(usage)) => usage.entries.iter().any(|e| {
+                e.tenant == self.society
                     && classes.get(e.class as usize) == Some(&self.class)
                     && e.outcome == outcome as i32
             }),
-            Some(Kind::Correction(c)) => {
-                c.society == self.society && c.class == self.class && c.outcome == outcome as i32
+            Some(LineKind::Correction(c)) => {
+                c.tenant == self.society && c.class == self.class && c.outcome == outcome as i32
             }
             _ => false,
         }
@@ -128,7 +136,7 @@
     /// Closes.
     pub fn run(&self) -> Result<ExitCode> {
         let (disk, server) = self.place.open()?;
-        ask(&self.place, &disk, &server, Wish::Close(now_ms()), None, self.json)
+        ask(&self.place, &disk, &server, OperatorRequest::Close(now_ms()), None, self.json)
     }
 }
 
@@ -147,16 +155,16 @@
     place: &Place,
     disk: &RealDisk,
     server: &str,
-    wish: Wish,
+    wish: OperatorRequest,
     token: Option<&str>,
     as_json: bool,
 ) -> Result<ExitCode> {
     let token = token.map_or_else(new_token, str::to_owned);
-    let (name, _) = Request::names(&token);
-    ensure!(Request::token(&name).is_some(), "--token: {token} is not made of letters and digits");
-    let request = Request { wish: Some(wish) };
+    let (name, _) = RequestFile::file_names(&token);
+    ensure!(RequestFile::token(&name).is_some(), "--token: {token} is not made of letters and digits");
+    let request = RequestFile { request: Some(wish) };
     // What the round server would refuse is refused here, with the same words.
-    let wish = Request::read(&request.encode_to_vec())?;
+    let wish = RequestFile::parse(&request.encode_to_vec())?;
     let answer = match disk.lock() {
         Ok(()) => {
             disk.unlock();
@@ -175,9 +183,9 @@
 }
 
 /// Leaves a request for the round server that has the ledger open, and waits for its answer.
-fn by_request(directory: &Path, request: &Request, token: &str) -> Result<String> {
-    let folder = directory.join(request::FOLDER);
-    let (name, answer) = Request::names(token);
+fn by_request(directory: &Path, request: &RequestFile, token: &str) -> Result<String> {
+    let folder = directory.join(operator_request::REQUESTS_FOLDER);
+    let (name, answer) = RequestFile::file_names(token);
     let (path, answer) = (folder.join(name), folder.join(answer));
     let making = path.with_extension("tmp");
     std::fs::write(&making, request.encode_to_vec())
@@ -195,22 +203,22 @@
 }
 
 /// Does it without a round server, as a start of its own.
-fn by_hand(directory: &Path, server: &str, wish: Wish, token: &str) -> Result<String> {
+fn by_hand(directory: &Path, server: &str, wish: OperatorRequest, token: &str) -> Result<String> {
     let disk = Arc::new(RealDisk::new(directory)?);
     let now = now_ms();
-    let (mut state, mut start, mut entered) = (State::default(), 0, None);
+    let (mut state, mut start, mut entered) = (LedgerState::default(), 0, None);
     let options = Options { now_ms: now, max_record: 2 << 20, ..Options::new(server) };
     let (mut log, recovery) = Log::open(disk, options, |visit| {
         match visit {
             Visit::Snapshot(_, bytes) => {
-                state = State::decode(bytes).map_err(|e| e.to_string())?;
+                state = LedgerState::decode(bytes).map_err(|e| e.to_string())?;
             }
             Visit::Record(number, bytes) => {
-                let line = Line::read(bytes).map_err(|e| e.to_string())?;
+                let line = Line::parse(bytes).map_err(|e| e.to_string())?;
                 state.apply(number, &line).map_err(|e| e.to_string())?;
                 match line.kind {
-                    Some(Kind::Start(s)) => start = s.start,
-                    Some(Kind::Correction(c)) if c.token == token => {
+                    Some(LineKind::Start(s)) => start = s.start,
+                    Some(LineKind::Correction(c)) if c.token == token => {
                         entered = Some(LineId { server: server.to_owned(), start, number });
                     }
                     _ => {}
@@ -224,23 +232,24 @@
         return Ok(format!("done {}", LineIdText(&line)));
     }
     let before = state.start.clone().context("this ledger was never used")?;
-    let rules = Rules {
+    let settings = LedgerSettings {
         period_ms: before.period_ms,
         grace_ms: 0,
-        mode: Mode::Strict,
-        on_failure: OnFailure::Refuse,
+        mode: DurabilityMode::Strict,
+        on_failure: FailurePolicy::Reject,
         classes: before.classes,
         cells: 1,
         records: 64,
     };
     let mut actions = Vec::new();
-    let mut book = Book::start(now, rules, state, recovery.next, recovery.clean, &mut actions);
+    let mut accumulator =
+        UsageAccumulator::start(now, settings, state, recovery.next, recovery.clean, &mut actions);
     let accepted = match wish {
-        Wish::Correct(mut correction) => {
+        OperatorRequest::Correct(mut correction) => {
             token.clone_into(&mut correction.token);
-            book.enter(now, Kind::Correction(correction), 1, &mut actions)
+            accumulator.append_entry(now, LineKind::Correction(correction), 1, &mut actions)
         }
-        Wish::Close(_) => book.close_early(now, &mut actions),
+        OperatorRequest::Close(_) => accumulator.close_early(now, &mut actions),
     };
     let mut line = None;
     while !actions.is_empty() {
@@ -248,7 +257,7 @@
             .drain(..)
             .filter_map(|action| match action {
                 Action::Append(record) => Some(record),
-                Action::Entered { number, .. } | Action::Closed(number) => {
+                Action::EntryDurable { number, .. } | Action::PeriodsClosed(number) => {
                     line = Some(number);
                     None
                 }
@@ -257,11 +266,11 @@
             .collect();
         if !records.is_empty() {
             log.commit(&records)?;
-            book.durable(now, records.len(), &mut actions);
+            accumulator.durable(now, records.len(), &mut actions);
         }
     }
     log.close()?;
-    let start = book.state().start.as_ref().map_or(0, |s| s.start);
+    let start = accumulator.state().start.as_ref().map_or(0, |s| s.start);
     match line.filter(|_| accepted) {
         Some(number) => {
             let id = LineId { server: server.to_owned(), start, number };
--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The operators' commands over the ledger of a round server that runs, and of one that does not.
 
 use dunlinspread_fakes::{Catalog, Habits, Load, Pool, PoolFaults, Proxies, Site};
-use dunlinspread_ledger::witness::Claims;
+use dunlinspread_ledger::digest_comparison::DigestClaims;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
 use prost::Message;
@@ -313,12 +313,12 @@
 /// The last batch of `n1` that the server which answers there knows.
 fn heard_of(peer: &str) -> u64 {
     let mut stream = std::net::TcpStream::connect(peer).expect("it answers");
-    let ask = Claims { by: "test".to_owned(), claims: Vec::new() }.encode_to_vec();
+    let ask = DigestClaims { by: "test".to_owned(), claims: Vec::new() }.encode_to_vec();
     let head = [&b"DLSPWIT1"[..], &(ask.len() as u32).to_le_bytes(), &ask].concat();
     stream.write_all(&head).expect("it takes");
     let mut all = Vec::new();
     stream.read_to_end(&mut all).expect("it tells");
-    let told = Claims::decode(&all[12..]).expect("claims");
+    let told = DigestClaims::decode(&all[12..]).expect("claims");
     told.claims.iter().filter(|c| c.server == "n1").map(|c| c.batch).max().unwrap_or(0)
 }
 
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -4,9 +4,9 @@
 use crate::http;
 use crate::party::Party;
 use async_io::Timer;
-use dunlinspread_ledger::Inbox;
+use dunlinspread_ledger::BatchReceiver;
 use dunlinspread_ledger::batch::hex;
-use dunlinspread_ledger::deliver::{Reply, Verdict};
+use dunlinspread_ledger::export_protocol::{CollectorReply, OfferDecision};
 use dunlinspread_store::RealDisk;
 use futures_lite::AsyncWriteExt;
 use rand::{RngExt, SeedableRng};
@@ -46,8 +46,8 @@
     /// # Errors
     /// If there is no port or thread, or the folder can't be opened.
     pub fn start(folder: &Path, seed: u64, faulty: f64) -> io::Result<Collector> {
-        let open = || -> Result<Inbox, Box<dyn std::error::Error + Send + Sync>> {
-            Ok(Inbox::open(Arc::new(RealDisk::new(folder)?))?)
+        let open = || -> Result<BatchReceiver, Box<dyn std::error::Error + Send + Sync>> {
+            Ok(BatchReceiver::open(Arc::new(RealDisk::new(folder)?))?)
         };
         let inbox = open().map_err(io::Error::other)?;
         let counts = Arc::new(CollectorCounts::default());
@@ -104,20 +104,20 @@
     }
 }
 
-fn judge(inbox: &mut Inbox, request: &http::Request, counts: &CollectorCounts) -> Vec<u8> {
+fn judge(inbox: &mut BatchReceiver, request: &http::Request, counts: &CollectorCounts) -> Vec<u8> {
     let parts: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
     let reply = match (request.method.as_str(), &parts[..]) {
         ("GET", ["batches", server, born]) => match born.parse() {
             Ok(born) => inbox.watermark(server, born),
             Err(_) => return http::reply(400, "", b""),
         },
-        ("PUT", ["batches", ..]) => match inbox.offer(&request.body) {
+        ("PUT", ["batches", ..]) => match inbox.receive(&request.body) {
             Ok((verdict, reply)) => {
                 let count = match verdict {
-                    Verdict::Take => Some(&counts.taken),
-                    Verdict::Again => Some(&counts.again),
-                    Verdict::Conflict => Some(&counts.conflicts),
-                    Verdict::TooEarly => None,
+                    OfferDecision::Accept => Some(&counts.taken),
+                    OfferDecision::Duplicate => Some(&counts.again),
+                    OfferDecision::Conflict => Some(&counts.conflicts),
+                    OfferDecision::OutOfOrder => None,
                 };
                 if let Some(count) = count {
                     count.fetch_add(1, Ordering::Relaxed);
@@ -128,7 +128,7 @@
         },
         _ => return http::reply(404, "", b""),
     };
-    let Reply { watermark, digest, conflict } = reply;
+    let CollectorReply { watermark, digest, conflict } = reply;
     let headers = format!("X-Watermark: {watermark}\r\nX-Digest: {}\r\n", hex(&digest));
     http::reply(if conflict { 409 } else { 200 }, &headers, b"")
 }
--- a/crates/ledger/benches/table.rs
+++ b/crates/ledger/benches/table.rs
@@ -2,7 +2,7 @@
 //! the growth of the process) and ns an addition, at 100, 10,000 and 1,000,000 societies. The figures are in
 //! `docs/measurements/ledger.md`.
 
-use dunlinspread_ledger::{Amount, Key, Outcome, Table};
+use dunlinspread_ledger::{Amount, Outcome, UsageKey, UsageTable};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, HashMap};
@@ -20,32 +20,32 @@
 }
 
 /// Additions to cells of so many societies, drawn ahead; two classes with two outcomes each.
-fn draw(societies: usize) -> (Vec<String>, Vec<(u32, u16, Outcome)>) {
+fn draw(tenants: usize) -> (Vec<String>, Vec<(u32, u16, Outcome)>) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let names = (0..societies).map(|n| format!("society-{n}-of-the-rounds")).collect();
-    let outcomes = [Outcome::Served, Outcome::Refused];
+    let names = (0..tenants).map(|n| format!("society-{n}-of-the-rounds")).collect();
+    let outcomes = [Outcome::Completed, Outcome::Rejected];
     let adds = (0..ADDS)
         .map(|_| {
-            (rng.random_range(0..societies as u32), rng.random_range(0..2), outcomes[rng.random_range(0..2)])
+            (rng.random_range(0..tenants as u32), rng.random_range(0..2), outcomes[rng.random_range(0..2)])
         })
         .collect();
     (names, adds)
 }
 
-fn run(name: &str, societies: usize, mut add: impl FnMut(&str, u16, Outcome), cells: impl FnOnce() -> usize) {
-    let (names, adds) = draw(societies);
+fn run(name: &str, tenants: usize, mut add: impl FnMut(&str, u16, Outcome), cells: impl FnOnce() -> usize) {
+    let (names, adds) = draw(tenants);
     let before = memory_kb();
     // The first round makes the cells, the second only adds.
     let mut took = [0.0; 2];
     for took in &mut took {
         let began = Instant::now();
-        adds.iter().for_each(|(society, class, outcome)| add(&names[*society as usize], *class, *outcome));
+        adds.iter().for_each(|(tenant, class, outcome)| add(&names[*tenant as usize], *class, *outcome));
         *took = began.elapsed().as_secs_f64() * 1e9 / ADDS as f64;
     }
     let grown = memory_kb().saturating_sub(before) * 1024;
     let cells = cells();
     println!(
-        "{name:<10} {societies:>9} {cells:>9} {:>9.1} {:>9.1} {:>9.0}",
+        "{name:<10} {tenants:>9} {cells:>9} {:>9.1} {:>9.1} {:>9.0}",
         took[0],
         took[1],
         grown as f64 / cells as f64
@@ -62,36 +62,36 @@
         );
         let own = std::env::current_exe().expect("this program");
         for what in ["table", "HashMap", "BTreeMap"] {
-            for societies in ["100", "10000", "1000000"] {
-                let ran = std::process::Command::new(&own).args([what, societies]).status();
+            for tenants in ["100", "10000", "1000000"] {
+                let ran = std::process::Command::new(&own).args([what, tenants]).status();
                 assert!(ran.expect("it runs").success());
             }
         }
         return;
     }
-    let societies = std::env::args().nth(2).and_then(|n| n.parse().ok()).expect("how many");
-    let key = |society: &str, class, outcome| -> Plain { (1000, society.into(), class, outcome) };
+    let tenants = std::env::args().nth(2).and_then(|n| n.parse().ok()).expect("how many");
+    let key = |tenant: &str, class, outcome| -> Plain { (1000, tenant.into(), class, outcome) };
     match only.as_deref() {
         Some("table") => {
-            let table = std::cell::RefCell::new(Table::new(1 << 28));
-            let add = |society: &str, class, outcome| {
-                table.borrow_mut().add(Key { period: 1000, society, class, outcome }, &AMOUNT);
+            let table = std::cell::RefCell::new(UsageTable::new(1 << 28));
+            let add = |tenant: &str, class, outcome| {
+                table.borrow_mut().add(UsageKey { period: 1000, tenant, class, outcome }, &AMOUNT);
             };
-            run("table", societies, add, || table.borrow().len());
+            run("table", tenants, add, || table.borrow().len());
         }
         Some("HashMap") => {
             let map = std::cell::RefCell::new(HashMap::<Plain, Amount>::new());
-            let add = |society: &str, class, outcome| {
-                map.borrow_mut().entry(key(society, class, outcome)).or_default().add(&AMOUNT);
+            let add = |tenant: &str, class, outcome| {
+                map.borrow_mut().entry(key(tenant, class, outcome)).or_default().add(&AMOUNT);
             };
-            run("HashMap", societies, add, || map.borrow().len());
+            run("HashMap", tenants, add, || map.borrow().len());
         }
         _ => {
             let map = std::cell::RefCell::new(BTreeMap::<Plain, Amount>::new());
-            let add = |society: &str, class, outcome| {
-                map.borrow_mut().entry(key(society, class, outcome)).or_default().add(&AMOUNT);
+            let add = |tenant: &str, class, outcome| {
+                map.borrow_mut().entry(key(tenant, class, outcome)).or_default().add(&AMOUNT);
             };
-            run("BTreeMap", societies, add, || map.borrow().len());
+            run("BTreeMap", tenants, add, || map.borrow().len());
         }
     }
 }
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account_name.rs
@@ -6,16 +6,16 @@
 /// The account of requests that name none.
 pub const UNATTRIBUTED: &str = "unattributed";
 /// The longest name, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_ACCOUNT_NAME_BYTES: usize = 64;
 
 /// Why something is no account's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotAName {
+pub enum AccountNameError {
     /// Empty.
     #[error("an account's name can't be empty")]
     Empty,
-    /// Longer than [`MAX_NAME`].
-    #[error("an account's name is at most {MAX_NAME} bytes")]
+    /// Longer than [`MAX_ACCOUNT_NAME_BYTES`].
+    #[error("an account's name is at most {MAX_ACCOUNT_NAME_BYTES} bytes")]
     TooLong,
     /// It has a character that may not stand there.
     #[error(
@@ -29,29 +29,29 @@
 
 /// A good name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Account<'a>(&'a str);
+pub struct AccountName<'a>(&'a str);
 
-impl Account<'static> {
+impl AccountName<'static> {
     /// The account of those who name none.
-    pub fn unattributed() -> Account<'static> {
-        Account(UNATTRIBUTED)
+    pub fn unattributed() -> AccountName<'static> {
+        AccountName(UNATTRIBUTED)
     }
 }
 
-impl<'a> Account<'a> {
+impl<'a> AccountName<'a> {
     /// Checks a name that someone states.
     ///
     /// # Errors
     /// If it is none.
-    pub fn named(name: &'a str) -> Result<Account<'a>, NotAName> {
+    pub fn parse(name: &'a str) -> Result<AccountName<'a>, AccountNameError> {
         let good = |b: u8| b.is_ascii_alphanumeric() || b"._-:".contains(&b);
         match name.as_bytes() {
-            [] => Err(NotAName::Empty),
-            all if all.len() > MAX_NAME => Err(NotAName::TooLong),
-            [first, ..] if !first.is_ascii_alphanumeric() => Err(NotAName::Character),
-            all if !all.iter().all(|b| good(*b)) => Err(NotAName::Character),
-            _ if name == UNATTRIBUTED => Err(NotAName::Reserved),
-            _ => Ok(Account(name)),
+            [] => Err(AccountNameError::Empty),
+            all if all.len() > MAX_ACCOUNT_NAME_BYTES => Err(AccountNameError::TooLong),
+            [first, ..] if !first.is_ascii_alphanumeric() => Err(AccountNameError::Character),
+            all if !all.iter().all(|b| good(*b)) => Err(AccountNameError::Character),
+            _ if name == UNATTRIBUTED => Err(AccountNameError::Reserved),
+            _ => Ok(AccountName(name)),
         }
     }
 
@@ -61,7 +61,7 @@
     }
 }
 
-impl fmt::Display for Account<'_> {
+impl fmt::Display for AccountName<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
@@ -73,23 +73,23 @@
 
     #[test]
     fn names_are_bounded_and_plain() {
-        let longest = "a".repeat(MAX_NAME);
+        let longest = "a".repeat(MAX_ACCOUNT_NAME_BYTES);
         for good in ["kochi-7", "A", "0.x_y:z", longest.as_str()] {
-            assert_eq!(Account::named(good).map(|a| a.as_str()), Ok(good));
+            assert_eq!(AccountName::parse(good).map(|a| a.as_str()), Ok(good));
         }
-        let longer = "a".repeat(MAX_NAME + 1);
+        let longer = "a".repeat(MAX_ACCOUNT_NAME_BYTES + 1);
         let bad = [
-            ("", NotAName::Empty),
-            (longer.as_str(), NotAName::TooLong),
-            ("-a", NotAName::Character),
-            ("../x", NotAName::Character),
-            ("a b", NotAName::Character),
-            ("a\u{e9}", NotAName::Character),
-            ("a\0", NotAName::Character),
-            ("unattributed", NotAName::Reserved),
+            ("", AccountNameError::Empty),
+            (longer.as_str(), AccountNameError::TooLong),
+            ("-a", AccountNameError::Character),
+            ("../x", AccountNameError::Character),
+            ("a b", AccountNameError::Character),
+            ("a\u{e9}", AccountNameError::Character),
+            ("a\0", AccountNameError::Character),
+            ("unattributed", AccountNameError::Reserved),
         ];
         for (name, why) in bad {
-            assert_eq!(Account::named(name), Err(why), "{name:?}");
+            assert_eq!(AccountName::parse(name), Err(why), "{name:?}");
         }
     }
 }
--- a/crates/ledger/src/batch.rs
+++ b/crates/ledger/src/batch.rs
@@ -1,9 +1,9 @@
 //! Batches: what goes out of a closed period. A batch's content follows from the lines up to the close, the batch's
 //! number and its size alone; made again after a crash, it is the same to the byte, which its digest shows.
 
-use crate::line::{BadLine, Close, Kind, Line, LineId, Outcome, Unbilled};
-use crate::state::State;
-use crate::totals::{Net, Sum, totals};
+use crate::line::{Close, Line, LineError, LineId, LineKind, Outcome, Unbilled};
+use crate::state::LedgerState;
+use crate::totals::{NetUsage, UsageGroup, totals};
 use dunlinspread_store::StoreError;
 use prost::Message;
 use sha2::{Digest as _, Sha256};
@@ -16,7 +16,7 @@
     pub server: String,
     /// The mark of its ledger: a server whose ledger was lost begins another.
     #[prost(uint64, tag = "2")]
-    pub born: u64,
+    pub ledger_id: u64,
     /// The batch's number in that ledger, from 1.
     #[prost(uint64, tag = "3")]
     pub number: u64,
@@ -28,13 +28,13 @@
     pub close: Close,
     /// The number of the close line.
     #[prost(uint64, tag = "6")]
-    pub closed_by: u64,
+    pub close_line: u64,
     /// It is the last of these periods.
     #[prost(bool, tag = "7")]
     pub last: bool,
     /// Use.
     #[prost(message, repeated, tag = "8")]
-    pub items: Vec<Item>,
+    pub items: Vec<UsageItem>,
     /// Corrections that people entered.
     #[prost(message, repeated, tag = "9")]
     pub corrections: Vec<CorrectionItem>,
@@ -45,16 +45,16 @@
 
 /// Use of one society in one class with one outcome in one period.
 #[derive(Clone, PartialEq, Message)]
-pub struct Item {
+pub struct UsageItem {
     /// The period, by its first ms.
     #[prost(uint64, tag = "1")]
     pub period: u64,
     /// The closed period that it corrects, if it does.
     #[prost(uint64, optional, tag = "2")]
-    pub of: Option<u64>,
+    pub original_period: Option<u64>,
     /// The society.
     #[prost(string, tag = "3")]
-    pub society: String,
+    pub tenant: String,
     /// The class.
     #[prost(string, tag = "4")]
     pub class: String,
@@ -86,7 +86,7 @@
     pub corrects: LineId,
     /// What it changes; its period is the one it was entered in.
     #[prost(message, required, tag = "3")]
-    pub item: Item,
+    pub item: UsageItem,
     /// Why.
     #[prost(string, tag = "4")]
     pub reason: String,
@@ -97,7 +97,7 @@
 
 impl Batch {
     /// Its bytes and their digest.
-    pub fn seal(&self) -> (Vec<u8>, Digest) {
+    pub fn encode_with_digest(&self) -> (Vec<u8>, Digest) {
         let bytes = self.encode_to_vec();
         let digest = digest(&bytes);
         (bytes, digest)
@@ -107,14 +107,14 @@
     ///
     /// # Errors
     /// If they are none.
-    pub fn read(bytes: &[u8]) -> Result<Batch, BadLine> {
-        let batch = Batch::decode(bytes).map_err(|e| BadLine::Encoding(e.to_string()))?;
+    pub fn parse(bytes: &[u8]) -> Result<Batch, LineError> {
+        let batch = Batch::decode(bytes).map_err(|e| LineError::Encoding(e.to_string()))?;
         if batch.server.is_empty() || batch.number == 0 || batch.close.from >= batch.close.to {
-            return Err(BadLine::Content("the batch names no server, number or period"));
+            return Err(LineError::Invalid("the batch names no server, number or period"));
         }
         let outcomes = batch.items.iter().chain(batch.corrections.iter().map(|c| &c.item)).map(|i| i.outcome);
         if outcomes.into_iter().any(|o| !Outcome::ALL.iter().any(|known| *known as i32 == o)) {
-            return Err(BadLine::Content("an item has no outcome"));
+            return Err(LineError::Invalid("an item has no outcome"));
         }
         Ok(batch)
     }
@@ -134,11 +134,11 @@
     n.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64
 }
 
-fn item(sum: Sum, net: &Net) -> Item {
-    Item {
+fn item(sum: UsageGroup, net: &NetUsage) -> UsageItem {
+    UsageItem {
         period: sum.period,
-        of: sum.of,
-        society: sum.society,
+        original_period: sum.original_period,
+        tenant: sum.tenant,
         class: sum.class,
         outcome: sum.outcome as i32,
         requests: clamp(net.requests),
@@ -150,13 +150,13 @@
 
 /// What a batch is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Making<'a> {
+pub struct BatchPlan<'a> {
     /// The server.
     pub server: &'a str,
     /// The mark of its ledger.
-    pub born: u64,
+    pub ledger_id: u64,
     /// The ledger's state before the first line that is walked.
-    pub before: &'a State,
+    pub before: &'a LedgerState,
     /// The number of the close line.
     pub close: u64,
     /// Which batch of that close, from 0.
@@ -172,36 +172,36 @@
 }
 
 /// Makes a batch from the lines up to its close, which `walk` shows from any line on that is not after the close
-/// before; at least that of `making.before`. None if the close has no such part.
+/// before; at least that of `plan.before`. None if the close has no such part.
 ///
 /// # Errors
 /// Of `walk`.
 pub fn make(
-    making: &Making<'_>,
+    plan: &BatchPlan<'_>,
     mut walk: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
 ) -> Result<Option<Batch>, StoreError> {
-    let mut start = making.before.start.as_ref().map_or(0, |s| s.start);
-    let classes = making.before.start.as_ref().map_or(Vec::new(), |s| s.classes.clone());
+    let mut start = plan.before.start.as_ref().map_or(0, |s| s.start);
+    let classes = plan.before.start.as_ref().map_or(Vec::new(), |s| s.classes.clone());
     let (mut close, mut previous_close) = (None, 0);
     walk(&mut |number, line| {
-        if let Some(Kind::Close(found)) = &line.kind {
-            match number == making.close {
+        if let Some(LineKind::Close(found)) = &line.kind {
+            match number == plan.close {
                 true => close = Some(found.clone()),
-                false if number < making.close => previous_close = number,
+                false if number < plan.close => previous_close = number,
                 false => {}
             }
         }
     })?;
     let Some(close) = close else { return Ok(None) };
     let of_close = |period: u64| period >= close.from && period < close.to;
-    let (from, to) = (making.part as usize * making.items, (making.part as usize + 1) * making.items);
+    let (from, to) = (plan.part as usize * plan.items, (plan.part as usize + 1) * plan.items);
     let (mut at, mut items) = (0, Vec::new());
     totals(
         &classes,
-        making.cells,
+        plan.cells,
         |show| {
             walk(&mut |number, line| {
-                if number < making.close {
+                if number < plan.close {
                     show(number, line);
                 }
             })
@@ -214,22 +214,22 @@
             at += 1;
         },
     )?;
-    let parts = at.div_ceil(making.items).max(1);
-    if making.part as usize >= parts {
+    let parts = at.div_ceil(plan.items).max(1);
+    if plan.part as usize >= parts {
         return Ok(None);
     }
-    let last = making.part as usize + 1 == parts;
+    let last = plan.part as usize + 1 == parts;
     let (mut corrections, mut unbilled) = (Vec::new(), Vec::new());
     // What people entered goes with the last part; it is seldom and small.
     walk(&mut |number, line| {
-        let id = |start| LineId { server: making.server.to_owned(), start, number };
+        let id = |start| LineId { server: plan.server.to_owned(), start, number };
         match &line.kind {
-            Some(Kind::Start(s)) => start = s.start,
-            Some(Kind::Correction(c)) if last && number < making.close && of_close(c.period) => {
-                let item = Item {
+            Some(LineKind::Start(s)) => start = s.start,
+            Some(LineKind::Correction(c)) if last && number < plan.close && of_close(c.period) => {
+                let item = UsageItem {
                     period: c.period,
-                    of: None,
-                    society: c.society.clone(),
+                    original_period: None,
+                    tenant: c.tenant.clone(),
                     class: c.class.clone(),
                     outcome: c.outcome,
                     requests: c.requests,
@@ -240,19 +240,19 @@
                 let (corrects, reason) = (c.corrects.clone(), c.reason.clone());
                 corrections.push(CorrectionItem { line: id(start), corrects, item, reason });
             }
-            Some(Kind::Unbilled(u)) if last && number > previous_close && number < making.close => {
+            Some(LineKind::Unbilled(u)) if last && number > previous_close && number < plan.close => {
                 unbilled.push(u.clone());
             }
             _ => {}
         }
     })?;
     Ok(Some(Batch {
-        server: making.server.to_owned(),
-        born: making.born,
-        number: making.number,
-        previous: making.previous.to_vec(),
+        server: plan.server.to_owned(),
+        ledger_id: plan.ledger_id,
+        number: plan.number,
+        previous: plan.previous.to_vec(),
         close,
-        closed_by: making.close,
+        close_line: plan.close,
         last,
         items,
         corrections,
--- a/crates/ledger/src/inbox.rs
+++ b/crates/ledger/src/batch_receiver.rs
@@ -1,20 +1,20 @@
 //! A collector that keeps batches in a folder, for a folder as the place of export and for collectors of any other kind
-//! to stand on: [`Inbox::offer`] is the whole of the collecting side. What was acknowledged is there after any crash;
+//! to stand on: [`BatchReceiver::receive`] is the whole of the collecting side. What was acknowledged is there after any crash;
 //! nothing is overwritten.
 
 use crate::batch::{Batch, Digest, digest};
-use crate::deliver::{Collector, Reply, Verdict};
-use crate::line::BadLine;
+use crate::export_protocol::{CollectorReply, ExportCollector, OfferDecision};
+use crate::line::LineError;
 use dunlinspread_store::{Disk, StoreError, place};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Why an offer could not be judged.
 #[derive(Debug, thiserror::Error)]
-pub enum InboxError {
+pub enum BatchReceiverError {
     /// The bytes are no batch.
     #[error("this is no batch: {0}")]
-    NoBatch(#[from] BadLine),
+    InvalidBatch(#[from] LineError),
     /// The folder failed. Nothing was acknowledged; the inbox has to be opened anew unless it was full.
     #[error("the collector's folder: {0}")]
     Store(#[from] StoreError),
@@ -32,35 +32,35 @@
 pub type Source = (String, u64);
 
 /// The folder.
-pub struct Inbox {
+pub struct BatchReceiver {
     disk: Arc<dyn Disk>,
-    sources: BTreeMap<Source, Collector>,
+    sources: BTreeMap<Source, ExportCollector>,
 }
 
 /// The name of a batch's file.
-pub fn file_name(server: &str, born: u64, number: u64) -> String {
-    format!("{number:016x}@{born:016x}@{server}.batch")
+pub fn file_name(server: &str, ledger_id: u64, number: u64) -> String {
+    format!("{number:016x}@{ledger_id:016x}@{server}.batch")
 }
 
 fn read_name(name: &str) -> Option<(Source, u64)> {
     let mut parts = name.strip_suffix(".batch")?.splitn(3, '@');
     let mut hex = || u64::from_str_radix(parts.next()?, 16).ok();
-    let (number, born) = (hex()?, hex()?);
-    Some(((parts.next()?.to_owned(), born), number))
+    let (number, ledger_id) = (hex()?, hex()?);
+    Some(((parts.next()?.to_owned(), ledger_id), number))
 }
 
-impl Inbox {
+impl BatchReceiver {
     /// Opens the folder and finds out how far each source is.
     ///
     /// # Errors
     /// If it can't be read, another process has it, or what is in it is not in order.
-    pub fn open(disk: Arc<dyn Disk>) -> Result<Inbox, InboxError> {
+    pub fn open(disk: Arc<dyn Disk>) -> Result<BatchReceiver, BatchReceiverError> {
         disk.lock()?;
-        let mut inbox = Inbox { disk, sources: BTreeMap::new() };
+        let mut receiver = BatchReceiver { disk, sources: BTreeMap::new() };
         // A name that a killed process gave and did not sync may not last.
-        let listing = |source| StoreError::Io { what: "listing", file: inbox.disk.name(), source };
-        inbox.disk.sync_dir().map_err(listing)?;
-        let names = inbox.disk.list().map_err(listing)?;
+        let listing = |source| StoreError::Io { what: "listing", file: receiver.disk.name(), source };
+        receiver.disk.sync_dir().map_err(listing)?;
+        let names = receiver.disk.list().map_err(listing)?;
         let mut found: BTreeMap<Source, BTreeSet<u64>> = BTreeMap::new();
         for (source, number) in names.iter().filter_map(|n| read_name(n)) {
             found.entry(source).or_default().insert(number);
@@ -70,30 +70,33 @@
             if numbers.last() != Some(&watermark) {
                 let missing = (1..).find(|n| !numbers.contains(n)).unwrap_or(0);
                 let file = file_name(&source.0, source.1, missing);
-                return Err(InboxError::Damaged {
+                return Err(BatchReceiverError::Damaged {
                     file,
                     what: "is missing, and later ones are there".to_owned(),
                 });
             }
-            let last = inbox.kept(&source, watermark)?;
-            inbox.sources.insert(source, Collector::new(watermark, last));
+            let last = receiver.kept(&source, watermark)?;
+            receiver.sources.insert(source, ExportCollector::new(watermark, last));
         }
-        Ok(inbox)
+        Ok(receiver)
     }
 
     /// The digest of a batch that is there.
-    fn kept(&self, source: &Source, number: u64) -> Result<Digest, InboxError> {
+    fn kept(&self, source: &Source, number: u64) -> Result<Digest, BatchReceiverError> {
         let (bytes, file) = self.bytes(source, number)?;
-        let batch = Batch::read(&bytes);
+        let batch = Batch::parse(&bytes);
         let named =
-            batch.is_ok_and(|b| (b.server.as_str(), b.born, b.number) == (&source.0, source.1, number));
+            batch.is_ok_and(|b| (b.server.as_str(), b.ledger_id, b.number) == (&source.0, source.1, number));
         if !named {
-            return Err(InboxError::Damaged { file, what: "is not the batch that its name says".to_owned() });
+            return Err(BatchReceiverError::Damaged {
+                file,
+                what: "is not the batch that its name says".to_owned(),
+            });
         }
         Ok(digest(&bytes))
     }
 
-    fn bytes(&self, source: &Source, number: u64) -> Result<(Vec<u8>, String), InboxError> {
+    fn bytes(&self, source: &Source, number: u64) -> Result<(Vec<u8>, String), BatchReceiverError> {
         let name = file_name(&source.0, source.1, number);
         let failed = |source| StoreError::Io { what: "reading", file: name.clone(), source };
         let file = self.disk.open(&name).map_err(failed)?;
@@ -110,14 +113,14 @@
     }
 
     /// How far a source is.
-    pub fn watermark(&self, server: &str, born: u64) -> Reply {
-        let collector = self.sources.get(&(server.to_owned(), born)).cloned().unwrap_or_default();
-        collector.reply(Verdict::Again)
+    pub fn watermark(&self, server: &str, ledger_id: u64) -> CollectorReply {
+        let collector = self.sources.get(&(server.to_owned(), ledger_id)).cloned().unwrap_or_default();
+        collector.reply(OfferDecision::Duplicate)
     }
 
     /// All sources, and how far each is.
-    pub fn sources(&self) -> impl Iterator<Item = (&Source, Reply)> {
-        self.sources.iter().map(|(source, collector)| (source, collector.reply(Verdict::Again)))
+    pub fn sources(&self) -> impl Iterator<Item = (&Source, CollectorReply)> {
+        self.sources.iter().map(|(source, collector)| (source, collector.reply(OfferDecision::Duplicate)))
     }
 
     /// Judges a batch's bytes, keeps them if they are new, and says what to reply. When this returns, what the reply
@@ -125,34 +128,38 @@
     ///
     /// # Errors
     /// If the bytes are no batch, or the folder fails; nothing is acknowledged then.
-    pub fn offer(&mut self, bytes: &[u8]) -> Result<(Verdict, Reply), InboxError> {
-        let batch = Batch::read(bytes)?;
-        let (sum, source) = (digest(bytes), (batch.server.clone(), batch.born));
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<(OfferDecision, CollectorReply), BatchReceiverError> {
+        let batch = Batch::parse(bytes)?;
+        let (sum, source) = (digest(bytes), (batch.server.clone(), batch.ledger_id));
         let collector = self.sources.get(&source).cloned().unwrap_or_default();
         // One that can't be read any more counts as another content: better an alarm than an overwrite.
         let kept = |number| Some(self.kept(&source, number).unwrap_or([0; 32]));
-        let verdict = collector.on_offer(batch.number, &sum, &batch.previous, kept);
-        if verdict == Verdict::Take {
-            place(&*self.disk, &file_name(&batch.server, batch.born, batch.number), &[bytes])?;
-            self.sources.entry(source.clone()).or_default().took(sum);
+        let decision = collector.on_offer(batch.number, &sum, &batch.previous, kept);
+        if decision == OfferDecision::Accept {
+            place(&*self.disk, &file_name(&batch.server, batch.ledger_id, batch.number), &[bytes])?;
+            self.sources.entry(source.clone()).or_default().batch_accepted(sum);
         }
         let collector = self.sources.get(&source).cloned().unwrap_or_default();
-        Ok((verdict, collector.reply(verdict)))
+        Ok((decision, collector.reply(decision)))
     }
 
     /// Shows every batch of a source, in order.
     ///
     /// # Errors
     /// If one is not what was acknowledged.
-    pub fn read(&self, source: &Source, mut show: impl FnMut(Batch, Digest)) -> Result<(), InboxError> {
+    pub fn read(
+        &self,
+        source: &Source,
+        mut show: impl FnMut(Batch, Digest),
+    ) -> Result<(), BatchReceiverError> {
         let watermark = self.watermark(&source.0, source.1).watermark;
         let mut previous = Vec::new();
         for number in 1..=watermark {
             let (bytes, file) = self.bytes(source, number)?;
-            let batch = Batch::read(&bytes)?;
+            let batch = Batch::parse(&bytes)?;
             if batch.number != number || batch.previous != previous {
                 let what = "does not follow the batch before it".to_owned();
-                return Err(InboxError::Damaged { file, what });
+                return Err(BatchReceiverError::Damaged { file, what });
             }
             let sum = digest(&bytes);
             previous = sum.to_vec();
@@ -162,7 +169,7 @@
     }
 }
 
-impl Drop for Inbox {
+impl Drop for BatchReceiver {
     fn drop(&mut self) {
         self.disk.unlock();
     }
--- a/crates/ledger/src/witness.rs
+++ b/crates/ledger/src/digest_comparison.rs
@@ -15,13 +15,13 @@
 
 /// A batch of a ledger has this digest.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Claim {
+pub struct DigestClaim {
     /// The server.
     #[prost(string, tag = "1")]
     pub server: String,
     /// The mark of its ledger.
     #[prost(uint64, tag = "2")]
-    pub born: u64,
+    pub ledger_id: u64,
     /// The batch.
     #[prost(uint64, tag = "3")]
     pub batch: u64,
@@ -38,18 +38,18 @@
 
 /// What one server tells another.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Claims {
+pub struct DigestClaims {
     /// Who tells.
     #[prost(string, tag = "1")]
     pub by: String,
     /// What it knows.
     #[prost(message, repeated, tag = "2")]
-    pub claims: Vec<Claim>,
+    pub claims: Vec<DigestClaim>,
 }
 
 /// What does not agree.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Unlike {
+pub enum DigestMismatch {
     /// A batch has two digests.
     Digest {
         /// The server whose batch it is.
@@ -71,26 +71,26 @@
     /// Another server knows another ledger of this server.
     OtherLedger {
         /// Its mark.
-        born: u64,
+        ledger_id: u64,
         /// Who told.
         by: String,
     },
 }
 
-impl std::fmt::Display for Unlike {
+impl std::fmt::Display for DigestMismatch {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unlike::Digest { server, batch, by: (one, other) } => {
+            DigestMismatch::Digest { server, batch, by: (one, other) } => {
                 write!(f, "batch {batch} of {server} has one content by {one} and another by {other}")
             }
-            Unlike::Ahead { batch, known, by } => write!(
+            DigestMismatch::Ahead { batch, known, by } => write!(
                 f,
                 "{by} knows batch {batch} of this ledger, which knows {known}: it is an old copy, or another runs beside it"
             ),
-            Unlike::OtherLedger { born, by } => {
+            DigestMismatch::OtherLedger { ledger_id, by } => {
                 write!(
                     f,
-                    "{by} knows a ledger of this server begun at {born}: it was lost, or lies elsewhere"
+                    "{by} knows a ledger of this server begun at {ledger_id}: it was lost, or lies elsewhere"
                 )
             }
         }
@@ -98,53 +98,64 @@
 }
 
 struct Known {
-    claim: Claim,
+    claim: DigestClaim,
     by: String,
 }
 
 /// What a server knows.
-pub struct Witness {
+pub struct DigestComparison {
     server: String,
-    born: u64,
+    ledger_id: u64,
     /// The last batch that this server made.
     made: u64,
     known: BTreeMap<(String, u64), BTreeMap<u64, Known>>,
-    told: BTreeSet<Unlike>,
+    told: BTreeSet<DigestMismatch>,
 }
 
-impl Witness {
+impl DigestComparison {
     /// A server that knows its own ledger so far.
-    pub fn new(server: &str, born: u64, made: u64) -> Witness {
-        Witness { server: server.to_owned(), born, made, known: BTreeMap::new(), told: BTreeSet::new() }
+    pub fn new(server: &str, ledger_id: u64, made: u64) -> DigestComparison {
+        DigestComparison {
+            server: server.to_owned(),
+            ledger_id,
+            made,
+            known: BTreeMap::new(),
+            told: BTreeSet::new(),
+        }
     }
 
     /// This server made a batch, durably.
-    pub fn made(&mut self, batch: u64, digest: &[u8], from: u64, to: u64) -> Vec<Unlike> {
+    pub fn made(&mut self, batch: u64, digest: &[u8], from: u64, to: u64) -> Vec<DigestMismatch> {
         self.made = self.made.max(batch);
         let (server, by) = (self.server.clone(), self.server.clone());
-        let claim = Claim { server, born: self.born, batch, digest: digest.to_vec(), from, to };
-        self.hear(&Claims { by, claims: vec![claim] })
+        let claim =
+            DigestClaim { server, ledger_id: self.ledger_id, batch, digest: digest.to_vec(), from, to };
+        self.hear(&DigestClaims { by, claims: vec![claim] })
     }
 
     /// Another server tells. What disagrees is given once.
-    pub fn hear(&mut self, told: &Claims) -> Vec<Unlike> {
+    pub fn hear(&mut self, told: &DigestClaims) -> Vec<DigestMismatch> {
         let mut unlike = Vec::new();
         for claim in &told.claims {
             let by = told.by.clone();
             if claim.server == self.server {
-                if claim.born != self.born {
-                    unlike.push(Unlike::OtherLedger { born: claim.born, by: by.clone() });
+                if claim.ledger_id != self.ledger_id {
+                    unlike.push(DigestMismatch::OtherLedger { ledger_id: claim.ledger_id, by: by.clone() });
                 } else if claim.batch > self.made {
-                    unlike.push(Unlike::Ahead { batch: claim.batch, known: self.made, by: by.clone() });
+                    unlike.push(DigestMismatch::Ahead {
+                        batch: claim.batch,
+                        known: self.made,
+                        by: by.clone(),
+                    });
                 }
             }
-            let key = (claim.server.clone(), claim.born);
+            let key = (claim.server.clone(), claim.ledger_id);
             if !self.known.contains_key(&key) && self.known.len() >= MAX_LEDGERS {
                 continue;
             }
             let batches = self.known.entry(key).or_default();
             match batches.get(&claim.batch) {
-                Some(known) if known.claim.digest != claim.digest => unlike.push(Unlike::Digest {
+                Some(known) if known.claim.digest != claim.digest => unlike.push(DigestMismatch::Digest {
                     server: claim.server.clone(),
                     batch: claim.batch,
                     by: (known.by.clone(), by),
@@ -163,9 +174,9 @@
     }
 
     /// What this server tells others.
-    pub fn tell(&self) -> Claims {
+    pub fn tell(&self) -> DigestClaims {
         let all = self.known.values().flat_map(|batches| batches.values().map(|k| k.claim.clone()));
-        Claims { by: self.server.clone(), claims: all.collect() }
+        DigestClaims { by: self.server.clone(), claims: all.collect() }
     }
 }
 
@@ -175,7 +186,7 @@
 
     #[test]
     fn servers_that_agree_say_nothing() {
-        let (mut a, mut b) = (Witness::new("a", 1, 0), Witness::new("b", 2, 0));
+        let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
         for batch in 1..=100 {
             assert_eq!(a.made(batch, &[batch as u8], batch, batch + 1), []);
             assert_eq!(b.hear(&a.tell()), []);
@@ -186,40 +197,57 @@
 
     #[test]
     fn an_old_copy_is_noticed_by_what_others_know_of_it() {
-        let (mut a, mut b) = (Witness::new("a", 1, 0), Witness::new("b", 2, 0));
+        let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
         a.made(1, &[1], 0, 1);
         a.made(2, &[2], 1, 2);
         b.hear(&a.tell());
         // Restored from when it had made one batch, it hears at once; and when it makes the second anew, all do.
-        let mut old = Witness::new("a", 1, 1);
-        let ahead = Unlike::Ahead { batch: 2, known: 1, by: "b".to_owned() };
+        let mut old = DigestComparison::new("a", 1, 1);
+        let ahead = DigestMismatch::Ahead { batch: 2, known: 1, by: "b".to_owned() };
         assert_eq!(old.hear(&b.tell()), [ahead]);
         assert_eq!(old.hear(&b.tell()), [], "told once");
         let by = ("b".to_owned(), "a".to_owned());
-        assert_eq!(old.made(2, &[9], 1, 2), [Unlike::Digest { server: "a".to_owned(), batch: 2, by }]);
-        let mut fresh = Witness::new("a", 1, 1);
+        assert_eq!(
+            old.made(2, &[9], 1, 2),
+            [DigestMismatch::Digest { server: "a".to_owned(), batch: 2, by }]
+        );
+        let mut fresh = DigestComparison::new("a", 1, 1);
         fresh.made(2, &[9], 1, 2);
         let by = ("a".to_owned(), "a".to_owned());
-        assert_eq!(b.hear(&fresh.tell()), [Unlike::Digest { server: "a".to_owned(), batch: 2, by }]);
+        assert_eq!(b.hear(&fresh.tell()), [DigestMismatch::Digest { server: "a".to_owned(), batch: 2, by }]);
     }
 
     #[test]
     fn a_lost_ledger_is_noticed() {
-        let (mut a, mut b) = (Witness::new("a", 1, 0), Witness::new("b", 2, 0));
+        let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
         a.made(1, &[1], 0, 1);
         b.hear(&a.tell());
-        let mut new = Witness::new("a", 7, 0);
-        assert_eq!(new.hear(&b.tell()), [Unlike::OtherLedger { born: 1, by: "b".to_owned() }]);
+        let mut new = DigestComparison::new("a", 7, 0);
+        assert_eq!(new.hear(&b.tell()), [DigestMismatch::OtherLedger { ledger_id: 1, by: "b".to_owned() }]);
     }
 
     #[test]
     fn a_flood_of_claims_is_bounded() {
-        let mut a = Witness::new("a", 1, 0);
+        let mut a = DigestComparison::new("a", 1, 0);
         for n in 0..10_000u64 {
-            let claim = Claim { server: format!("s{n}"), born: n, batch: n, digest: vec![], from: 0, to: 0 };
-            a.hear(&Claims { by: "x".to_owned(), claims: vec![claim; 3] });
-            let own = Claim { server: "a".to_owned(), born: 5 + n, batch: 1, digest: vec![], from: 0, to: 0 };
-            a.hear(&Claims { by: "x".to_owned(), claims: vec![own] });
+            let claim = DigestClaim {
+                server: format!("s{n}"),
+                ledger_id: n,
+                batch: n,
+                digest: vec![],
+                from: 0,
+                to: 0,
+            };
+            a.hear(&DigestClaims { by: "x".to_owned(), claims: vec![claim; 3] });
+            let own = DigestClaim {
+                server: "a".to_owned(),
+                ledger_id: 5 + n,
+                batch: 1,
+                digest: vec![],
+                from: 0,
+                to: 0,
+            };
+            a.hear(&DigestClaims { by: "x".to_owned(), claims: vec![own] });
         }
         assert!(a.known.len() <= MAX_LEDGERS && a.told.len() <= MAX_TOLD);
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,31 +1,39 @@
-//! A ledger of use: what each society used, in which class, with which outcome, in which period. Lines are only ever
-//! added; corrections are lines; closed periods go out in numbered batches, exactly once. It knows no protocol and makes
-//! no connection; its store is a `dunlinspread-store`.
+//! The usage ledger: what each tenant used, by class, outcome and period, as an append-only sequence of lines.
 //!
-//! [`Book`] makes the lines, [`State`] sums them up for the next line,.
+//! Lines are never changed; a correction is a line of its own. Closed periods are exported in numbered batches, each
+//! counted exactly once by the collector. The crate opens no connections and knows no protocol beyond
+//! [`export_protocol`]; its lines are kept in a `dunlinspread-store`.
+//!
+//! - [`UsageAccumulator`] decides which lines are written when, and when a reply may be sent;
+//! - [`LedgerState`] is the state that the lines so far imply for the next one;
+//! - [`totals`] adds up lines; [`batch`] makes the batches of a closed period from them;
+//! - [`BatchReceiver`] is a collector that keeps batches in a directory;
+//! - [`reconcile`] and [`digest_comparison`] compare what several servers exported.
 #![forbid(unsafe_code)]
 
-mod account;
+mod account_name;
+mod accumulator;
 pub mod batch;
-mod book;
-pub mod deliver;
-mod inbox;
+mod batch_receiver;
+pub mod digest_comparison;
+pub mod export_protocol;
 mod line;
+pub mod operator_request;
 pub mod reconcile;
-pub mod request;
 mod state;
-mod table;
 mod totals;
-pub mod witness;
+mod usage_table;
 
-pub use account::{Account, MAX_NAME, NotAName, UNATTRIBUTED};
-pub use book::{Action, Book, Figures, Mode, Note, OnFailure, Rules, Use, Verdict};
-pub use inbox::{Inbox, InboxError};
+pub use account_name::{AccountName, AccountNameError, MAX_ACCOUNT_NAME_BYTES, UNATTRIBUTED};
+pub use accumulator::{
+    Action, DurabilityMode, FailurePolicy, LedgerGauges, LedgerSettings, Notice, ReplyDecision,
+    UsageAccumulator, UsageRecord,
+};
+pub use batch_receiver::{BatchReceiver, BatchReceiverError};
 pub use line::{
-    Amount, BadLine, Close, Correction, Entry, Export, Kind, Line, LineId, LineIdText, Outcome, Start,
+    Amount, Close, Correction, Entry, Export, Line, LineError, LineId, LineIdText, LineKind, Outcome, Start,
     Unbilled, Usage,
 };
-pub use request::{Request, Wish};
-pub use state::State;
-pub use table::{Key, Table};
-pub use totals::{Net, Sum, read_lines, totals};
+pub use state::LedgerState;
+pub use totals::{NetUsage, UsageGroup, read_lines, totals};
+pub use usage_table::{UsageKey, UsageTable};
--- a/crates/ledger/src/line.rs
+++ b/crates/ledger/src/line.rs
@@ -10,46 +10,46 @@
     /// Not stated; never written.
     Unknown = 0,
     /// Served within the aim.
-    Served = 1,
+    Completed = 1,
     /// Served after it.
-    Late = 2,
+    CompletedLate = 2,
     /// Served without a call that belongs to it.
-    Poorer = 3,
+    Degraded = 3,
     /// Turned away unrun.
-    Refused = 4,
+    Rejected = 4,
     /// Answered with an error.
     Failed = 5,
     /// Its caller gave up: no answer was owed any more.
-    Withdrawn = 6,
+    Cancelled = 6,
 }
 
 impl Outcome {
     /// All that are billed.
     pub const ALL: [Outcome; 6] = [
-        Outcome::Served,
-        Outcome::Late,
-        Outcome::Poorer,
-        Outcome::Refused,
+        Outcome::Completed,
+        Outcome::CompletedLate,
+        Outcome::Degraded,
+        Outcome::Rejected,
         Outcome::Failed,
-        Outcome::Withdrawn,
+        Outcome::Cancelled,
     ];
 
     /// As a word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Unknown => "unknown",
-            Outcome::Served => "served",
-            Outcome::Late => "late",
-            Outcome::Poorer => "poorer",
-            Outcome::Refused => "refused",
+            Outcome::Completed => "served",
+            Outcome::CompletedLate => "late",
+            Outcome::Degraded => "poorer",
+            Outcome::Rejected => "refused",
             Outcome::Failed => "failed",
-            Outcome::Withdrawn => "withdrawn",
+            Outcome::Cancelled => "withdrawn",
         }
     }
 
     /// The outcome of that word.
-    pub fn read(word: &str) -> Option<Outcome> {
-        Outcome::ALL.into_iter().find(|o| o.word() == word)
+    pub fn parse(word: &str) -> Option<Outcome> {
+        Outcome::ALL.into_iter().find(|o| o.as_str() == word)
     }
 }
 
@@ -60,13 +60,13 @@
     #[prost(uint64, tag = "1")]
     pub at_ms: u64,
     /// What it says.
-    #[prost(oneof = "Kind", tags = "2, 3, 4, 5, 6, 7")]
-    pub kind: Option<Kind>,
+    #[prost(oneof = "LineKind", tags = "2, 3, 4, 5, 6, 7")]
+    pub kind: Option<LineKind>,
 }
 
 /// What a line says.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Kind {
+pub enum LineKind {
     /// A server began to write.
     #[prost(message, tag = "2")]
     Start(Start),
@@ -104,7 +104,7 @@
     pub at_risk: u64,
     /// While the disk fails, answers go on leaving, and nothing bounds their number.
     #[prost(bool, tag = "5")]
-    pub serves_on: bool,
+    pub continues_on_failure: bool,
 }
 
 /// Use in one period.
@@ -118,7 +118,7 @@
     pub entries: Vec<Entry>,
     /// The period in which it was used, if that was closed before this line was written.
     #[prost(uint64, optional, tag = "3")]
-    pub of: Option<u64>,
+    pub original_period: Option<u64>,
 }
 
 /// Use by one society in one class with one outcome.
@@ -126,7 +126,7 @@
 pub struct Entry {
     /// The society.
     #[prost(string, tag = "1")]
-    pub society: String,
+    pub tenant: String,
     /// The class, by position in the [`Start`] before.
     #[prost(uint32, tag = "2")]
     pub class: u32,
@@ -190,7 +190,7 @@
 
 impl LineId {
     /// Reads an id as people write it.
-    pub fn read(text: &str) -> Option<LineId> {
+    pub fn parse(text: &str) -> Option<LineId> {
         let mut parts = text.rsplitn(3, '/');
         let (number, start, server) = (parts.next()?, parts.next()?, parts.next()?);
         if server.is_empty() {
@@ -211,7 +211,7 @@
     pub corrects: LineId,
     /// The society.
     #[prost(string, tag = "3")]
-    pub society: String,
+    pub tenant: String,
     /// The class, by name.
     #[prost(string, tag = "4")]
     pub class: String,
@@ -289,21 +289,21 @@
     pub to_ms: u64,
     /// Why.
     #[prost(string, tag = "6")]
-    pub why: String,
+    pub reason: String,
 }
 
 /// A line that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadLine {
+pub enum LineError {
     /// It is no message.
     #[error("the line can't be read: {0}")]
     Encoding(String),
     /// It is of a kind not known here.
     #[error("the line is of a kind that this program does not know: it was written by a newer one")]
-    Kind,
+    UnknownKind,
     /// It says what a line can't say.
     #[error("the line can't be true: {0}")]
-    Content(&'static str),
+    Invalid(&'static str),
 }
 
 impl Line {
@@ -311,22 +311,22 @@
     ///
     /// # Errors
     /// If it is no line that this program can have written.
-    pub fn read(bytes: &[u8]) -> Result<Line, BadLine> {
-        let line = Line::decode(bytes).map_err(|e| BadLine::Encoding(e.to_string()))?;
+    pub fn parse(bytes: &[u8]) -> Result<Line, LineError> {
+        let line = Line::decode(bytes).map_err(|e| LineError::Encoding(e.to_string()))?;
         match &line.kind {
-            None => Err(BadLine::Kind),
-            Some(Kind::Usage(usage)) => {
+            None => Err(LineError::UnknownKind),
+            Some(LineKind::Usage(usage)) => {
                 let good = |e: &Entry| Outcome::ALL.iter().any(|o| *o as i32 == e.outcome);
                 if !usage.entries.iter().all(good) {
-                    return Err(BadLine::Content("an entry has no outcome"));
+                    return Err(LineError::Invalid("an entry has no outcome"));
                 }
                 Ok(line)
             }
-            Some(Kind::Start(start)) if start.period_ms == 0 => {
-                Err(BadLine::Content("periods have no length"))
+            Some(LineKind::Start(start)) if start.period_ms == 0 => {
+                Err(LineError::Invalid("periods have no length"))
             }
-            Some(Kind::Close(close)) if close.from >= close.to => {
-                Err(BadLine::Content("no period is closed"))
+            Some(LineKind::Close(close)) if close.from >= close.to => {
+                Err(LineError::Invalid("no period is closed"))
             }
             Some(_) => Ok(line),
         }
--- a/crates/ledger/src/request.rs
+++ b/crates/ledger/src/operator_request.rs
@@ -1,23 +1,23 @@
 //! What operators ask of a ledger that a round server has open: left as files in its folder `requests`, whole or not at
 //! all, and answered beside them. A file's name is its token; asked twice, it is done once.
 
-use crate::line::{BadLine, Correction};
+use crate::line::{Correction, LineError};
 use prost::Message;
 
 /// The folder, within that of the ledger.
-pub const FOLDER: &str = "requests";
+pub const REQUESTS_FOLDER: &str = "requests";
 
 /// A request, as it stands in a file.
 #[derive(Clone, PartialEq, Message)]
-pub struct Request {
+pub struct RequestFile {
     /// What is asked for.
-    #[prost(oneof = "Wish", tags = "1, 2")]
-    pub wish: Option<Wish>,
+    #[prost(oneof = "OperatorRequest", tags = "1, 2")]
+    pub request: Option<OperatorRequest>,
 }
 
 /// What is asked for.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Wish {
+pub enum OperatorRequest {
     /// Enter this correction; its period is set as it is entered.
     #[prost(message, tag = "1")]
     Correct(Correction),
@@ -29,22 +29,22 @@
 /// The longest reason of a correction, in bytes.
 const MAX_REASON: usize = 1000;
 
-impl Request {
+impl RequestFile {
     /// Reads a file's bytes.
     ///
     /// # Errors
     /// If they are no request.
-    pub fn read(bytes: &[u8]) -> Result<Wish, BadLine> {
-        let request = Request::decode(bytes).map_err(|e| BadLine::Encoding(e.to_string()))?;
-        let wish = request.wish.ok_or(BadLine::Kind)?;
-        if let Wish::Correct(correction) = &wish {
+    pub fn parse(bytes: &[u8]) -> Result<OperatorRequest, LineError> {
+        let file = RequestFile::decode(bytes).map_err(|e| LineError::Encoding(e.to_string()))?;
+        let request = file.request.ok_or(LineError::UnknownKind)?;
+        if let OperatorRequest::Correct(correction) = &request {
             check(correction)?;
         }
-        Ok(wish)
+        Ok(request)
     }
 
     /// The name of a request's file and of the answer's.
-    pub fn names(token: &str) -> (String, String) {
+    pub fn file_names(token: &str) -> (String, String) {
         (format!("{token}.request"), format!("{token}.answer"))
     }
 
@@ -56,16 +56,16 @@
 }
 
 /// What a correction has to have, whoever enters it.
-fn check(correction: &Correction) -> Result<(), BadLine> {
+fn check(correction: &Correction) -> Result<(), LineError> {
     let named =
-        correction.society == crate::UNATTRIBUTED || crate::Account::named(&correction.society).is_ok();
+        correction.tenant == crate::UNATTRIBUTED || crate::AccountName::parse(&correction.tenant).is_ok();
     let outcome = crate::Outcome::ALL.iter().any(|o| *o as i32 == correction.outcome);
     match correction {
-        _ if !named => Err(BadLine::Content("the society is no account's name")),
-        _ if !outcome => Err(BadLine::Content("there is no such outcome")),
-        c if c.reason.trim().is_empty() => Err(BadLine::Content("a correction needs a reason")),
-        c if c.reason.len() > MAX_REASON => Err(BadLine::Content("the reason is too long")),
-        c if c.requests == 0 && c.pool_us == 0 => Err(BadLine::Content("it changes nothing")),
+        _ if !named => Err(LineError::Invalid("the society is no account's name")),
+        _ if !outcome => Err(LineError::Invalid("there is no such outcome")),
+        c if c.reason.trim().is_empty() => Err(LineError::Invalid("a correction needs a reason")),
+        c if c.reason.len() > MAX_REASON => Err(LineError::Invalid("the reason is too long")),
+        c if c.requests == 0 && c.pool_us == 0 => Err(LineError::Invalid("it changes nothing")),
         _ => Ok(()),
     }
 }
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -6,17 +6,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Spans of Unix ms in which each server was listed as taking work; ends are the last report seen.
-pub type Alive = BTreeMap<String, Vec<(u64, u64)>>;
+pub type ListedSpans = BTreeMap<String, Vec<(u64, u64)>>;
 
 /// Something that does not fit.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Disagreement {
+pub enum Discrepancy {
     /// A server began a new ledger: the one before was lost, or lies elsewhere.
     NewLedger {
         /// The server.
         server: String,
         /// The marks of its ledgers, oldest first.
-        born: Vec<u64>,
+        ledger_id: Vec<u64>,
     },
     /// A server closed a period as one in which it was down when it ended, yet it was listed then.
     ClosedLateWhileAlive {
@@ -46,7 +46,7 @@
     /// A correction takes more than there was.
     BelowZero {
         /// The society.
-        society: String,
+        tenant: String,
         /// The period it was corrected in.
         period: u64,
         /// What is left.
@@ -70,28 +70,28 @@
     },
 }
 
-impl std::fmt::Display for Disagreement {
+impl std::fmt::Display for Discrepancy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let id = LineIdText;
         match self {
-            Disagreement::NewLedger { server, born } => {
+            Discrepancy::NewLedger { server, ledger_id } => {
                 write!(
                     f,
-                    "{server} has {} ledgers, begun at {born:?}: account for what the older ones held",
-                    born.len()
+                    "{server} has {} ledgers, begun at {ledger_id:?}: account for what the older ones held",
+                    ledger_id.len()
                 )
             }
-            Disagreement::ClosedLateWhileAlive { by, span: (from, to) } => {
+            Discrepancy::ClosedLateWhileAlive { by, span: (from, to) } => {
                 write!(f, "line {} closed {from} to {to} late, yet the server was listed then", id(by))
             }
-            Disagreement::UsedWhileNotListed { by, period, requests } => {
+            Discrepancy::UsedWhileNotListed { by, period, requests } => {
                 write!(
                     f,
                     "line {} has {requests} requests in period {period}, in which the server was not listed",
                     id(by)
                 )
             }
-            Disagreement::Unbilled { by, requests, at_most } => {
+            Discrepancy::Unbilled { by, requests, at_most } => {
                 let more = at_most.map_or("any number".to_owned(), |n| n.to_string());
                 write!(
                     f,
@@ -99,13 +99,13 @@
                     id(by)
                 )
             }
-            Disagreement::BelowZero { society, period, requests } => {
-                write!(f, "{society} comes to {requests} requests in period {period}")
+            Discrepancy::BelowZero { tenant, period, requests } => {
+                write!(f, "{tenant} comes to {requests} requests in period {period}")
             }
-            Disagreement::CorrectsUnknown { line, corrects } => {
+            Discrepancy::CorrectsUnknown { line, corrects } => {
                 write!(f, "line {} corrects {}, of whose ledger nothing is here", id(line), id(corrects))
             }
-            Disagreement::SpansDoNotMeet { by, before_to, from } => {
+            Discrepancy::SpansDoNotMeet { by, before_to, from } => {
                 write!(f, "line {} closes from {from} on, the close before ended at {before_to}", id(by))
             }
         }
@@ -114,7 +114,7 @@
 
 /// The sum for one society in one period over all servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct AccountTotals {
     /// Requests by outcome.
     pub requests: BTreeMap<Outcome, i64>,
     /// Time in the worker pool, µs.
@@ -123,7 +123,7 @@
     pub servers: BTreeMap<String, i64>,
 }
 
-impl Account {
+impl AccountTotals {
     /// All requests.
     pub fn total(&self) -> i64 {
         self.requests.values().sum()
@@ -132,19 +132,19 @@
 
 /// What came of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct ReconciliationReport {
     /// By period and society.
-    pub accounts: BTreeMap<(u64, String), Account>,
+    pub accounts: BTreeMap<(u64, String), AccountTotals>,
     /// Servers that were listed in a period and have not closed it yet, by period.
     pub awaited: BTreeMap<u64, BTreeSet<String>>,
     /// What does not fit.
-    pub disagreements: Vec<Disagreement>,
+    pub discrepancies: Vec<Discrepancy>,
 }
 
 /// Takes batches and makes a report of them.
 pub struct Reconciler<'a> {
-    alive: &'a Alive,
-    report: Report,
+    listed_spans: &'a ListedSpans,
+    report: ReconciliationReport,
     /// The spans that each ledger closed, in order.
     covered: BTreeMap<(String, u64), Vec<(u64, u64)>>,
     corrections: Vec<(LineId, LineId)>,
@@ -155,56 +155,61 @@
 
 impl<'a> Reconciler<'a> {
     /// A reconciler for servers that were listed then.
-    pub fn new(alive: &'a Alive) -> Reconciler<'a> {
-        Reconciler { alive, report: Report::default(), covered: BTreeMap::new(), corrections: Vec::new() }
+    pub fn new(listed_spans: &'a ListedSpans) -> Reconciler<'a> {
+        Reconciler {
+            listed_spans,
+            report: ReconciliationReport::default(),
+            covered: BTreeMap::new(),
+            corrections: Vec::new(),
+        }
     }
 
     fn listed(&self, server: &str, from: u64, to: u64) -> bool {
-        let spans = self.alive.get(server).map_or(&[][..], Vec::as_slice);
+        let spans = self.listed_spans.get(server).map_or(&[][..], Vec::as_slice);
         spans.iter().any(|(a, b)| *a < to && b + LAPSE_MS >= from)
     }
 
     /// Takes a batch. Those of one ledger come in the order of their numbers.
-    pub fn take(&mut self, batch: &Batch) {
-        let Batch { server, born, close, closed_by, .. } = batch;
+    pub fn add_batch(&mut self, batch: &Batch) {
+        let Batch { server, ledger_id, close, close_line, .. } = batch;
         // A start's mark is the time at which it began; the line's own is not in the batch, the ledger's is.
-        let by = LineId { server: server.clone(), start: *born, number: *closed_by };
-        let key = (server.clone(), *born);
+        let by = LineId { server: server.clone(), start: *ledger_id, number: *close_line };
+        let key = (server.clone(), *ledger_id);
         let before = self.covered.get(&key).and_then(|spans| spans.last().copied());
         if before.is_none_or(|span| span != (close.from, close.to)) {
             if let Some((_, to)) = before.filter(|(_, to)| *to != close.from) {
                 let (before_to, from) = (to, close.from);
                 let by = by.clone();
-                self.report.disagreements.push(Disagreement::SpansDoNotMeet { by, before_to, from });
+                self.report.discrepancies.push(Discrepancy::SpansDoNotMeet { by, before_to, from });
             }
             self.covered.entry(key).or_default().push((close.from, close.to));
             let listed_at_end = self
-                .alive
+                .listed_spans
                 .get(server)
                 .is_some_and(|spans| spans.iter().any(|(a, b)| *a < close.to && *b >= close.to));
             if close.late && listed_at_end {
                 let (by, span) = (by.clone(), (close.from, close.to));
-                self.report.disagreements.push(Disagreement::ClosedLateWhileAlive { by, span });
+                self.report.discrepancies.push(Discrepancy::ClosedLateWhileAlive { by, span });
             }
         }
         let mut not_listed: BTreeMap<u64, i64> = BTreeMap::new();
         for item in &batch.items {
-            let account = self.report.accounts.entry((item.period, item.society.clone())).or_default();
+            let account = self.report.accounts.entry((item.period, item.tenant.clone())).or_default();
             let outcome = Outcome::try_from(item.outcome).unwrap_or(Outcome::Unknown);
             *account.requests.entry(outcome).or_default() += item.requests;
             account.pool_us += item.pool_us;
             *account.servers.entry(server.clone()).or_default() += item.requests;
-            if !self.alive.is_empty() && !self.listed(server, item.period, close.to) {
+            if !self.listed_spans.is_empty() && !self.listed(server, item.period, close.to) {
                 *not_listed.entry(item.period).or_default() += item.requests;
             }
         }
         for (period, requests) in not_listed {
             let by = by.clone();
-            self.report.disagreements.push(Disagreement::UsedWhileNotListed { by, period, requests });
+            self.report.discrepancies.push(Discrepancy::UsedWhileNotListed { by, period, requests });
         }
         for correction in &batch.corrections {
             let item = &correction.item;
-            let account = self.report.accounts.entry((item.period, item.society.clone())).or_default();
+            let account = self.report.accounts.entry((item.period, item.tenant.clone())).or_default();
             let outcome = Outcome::try_from(item.outcome).unwrap_or(Outcome::Unknown);
             *account.requests.entry(outcome).or_default() += item.requests;
             account.pool_us += item.pool_us;
@@ -214,34 +219,34 @@
         for unbilled in &batch.unbilled {
             let at_most = (!unbilled.unbounded).then_some(unbilled.at_most);
             let (by, requests) = (by.clone(), unbilled.requests);
-            self.report.disagreements.push(Disagreement::Unbilled { by, requests, at_most });
+            self.report.discrepancies.push(Discrepancy::Unbilled { by, requests, at_most });
         }
     }
 
     /// All batches were taken; `period_ms` is the length in which awaited servers are told.
-    pub fn finish(mut self, period_ms: u64, now_ms: u64) -> Report {
-        let mut born: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
+    pub fn finish(mut self, period_ms: u64, now_ms: u64) -> ReconciliationReport {
+        let mut ledger_id: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
         for (server, mark) in self.covered.keys() {
-            born.entry(server).or_default().push(*mark);
+            ledger_id.entry(server).or_default().push(*mark);
         }
-        for (server, born) in born.into_iter().filter(|(_, marks)| marks.len() > 1) {
-            self.report.disagreements.push(Disagreement::NewLedger { server: server.to_owned(), born });
+        for (server, ledger_id) in ledger_id.into_iter().filter(|(_, marks)| marks.len() > 1) {
+            self.report.discrepancies.push(Discrepancy::NewLedger { server: server.to_owned(), ledger_id });
         }
         for (line, corrects) in std::mem::take(&mut self.corrections) {
             if !self.covered.keys().any(|(server, _)| *server == corrects.server) {
-                self.report.disagreements.push(Disagreement::CorrectsUnknown { line, corrects });
+                self.report.discrepancies.push(Discrepancy::CorrectsUnknown { line, corrects });
             }
         }
-        for ((period, society), account) in &self.report.accounts {
+        for ((period, tenant), account) in &self.report.accounts {
             let (requests, period) = (account.total(), *period);
             if requests < 0 {
-                let society = society.clone();
-                self.report.disagreements.push(Disagreement::BelowZero { society, period, requests });
+                let tenant = tenant.clone();
+                self.report.discrepancies.push(Discrepancy::BelowZero { tenant, period, requests });
             }
         }
         // A server is awaited in each period in which it was listed and up to which its closes do not reach.
         let length = period_ms.max(1);
-        for (server, spans) in self.alive {
+        for (server, spans) in self.listed_spans {
             for (from, to) in spans {
                 let mut period = from - from % length;
                 while period <= *to && period + length <= now_ms {
@@ -264,22 +269,32 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::batch::{CorrectionItem, Item};
+    use crate::batch::{CorrectionItem, UsageItem};
     use crate::line::{Close, Unbilled};
 
-    fn item(period: u64, society: &str, requests: i64) -> Item {
-        let (society, class, outcome) = (society.to_owned(), "a".to_owned(), Outcome::Served as i32);
-        Item { period, of: None, society, class, outcome, requests, pool_us: 5, bytes_in: 0, bytes_out: 0 }
+    fn item(period: u64, tenant: &str, requests: i64) -> UsageItem {
+        let (tenant, class, outcome) = (tenant.to_owned(), "a".to_owned(), Outcome::Completed as i32);
+        UsageItem {
+            period,
+            original_period: None,
+            tenant,
+            class,
+            outcome,
+            requests,
+            pool_us: 5,
+            bytes_in: 0,
+            bytes_out: 0,
+        }
     }
 
-    fn batch(server: &str, born: u64, number: u64, span: (u64, u64), items: Vec<Item>) -> Batch {
+    fn batch(server: &str, ledger_id: u64, number: u64, span: (u64, u64), items: Vec<UsageItem>) -> Batch {
         Batch {
             server: server.to_owned(),
-            born,
+            ledger_id,
             number,
             previous: Vec::new(),
             close: Close { from: span.0, to: span.1, late: false },
-            closed_by: number * 10,
+            close_line: number * 10,
             last: true,
             items,
             corrections: Vec::new(),
@@ -287,23 +302,24 @@
         }
     }
 
-    fn alive(spans: &[(&str, u64, u64)]) -> Alive {
-        let mut alive = Alive::new();
+    fn listed_spans(spans: &[(&str, u64, u64)]) -> ListedSpans {
+        let mut listed_spans = ListedSpans::new();
         for (server, from, to) in spans {
-            alive.entry((*server).to_owned()).or_default().push((*from, *to));
+            listed_spans.entry((*server).to_owned()).or_default().push((*from, *to));
         }
-        alive
+        listed_spans
     }
 
     #[test]
     fn servers_add_up_and_the_missing_one_is_awaited() {
-        let alive = alive(&[("n1", 10_000, 29_999), ("n2", 10_000, 29_999), ("n3", 21_000, 29_000)]);
-        let mut all = Reconciler::new(&alive);
-        all.take(&batch("n1", 1, 1, (10_000, 20_000), vec![item(10_000, "x", 3), item(10_000, "y", 1)]));
-        all.take(&batch("n1", 1, 2, (20_000, 30_000), vec![item(20_000, "x", 2)]));
-        all.take(&batch("n2", 2, 1, (10_000, 20_000), vec![item(10_000, "x", 4)]));
+        let listed_spans =
+            listed_spans(&[("n1", 10_000, 29_999), ("n2", 10_000, 29_999), ("n3", 21_000, 29_000)]);
+        let mut all = Reconciler::new(&listed_spans);
+        all.add_batch(&batch("n1", 1, 1, (10_000, 20_000), vec![item(10_000, "x", 3), item(10_000, "y", 1)]));
+        all.add_batch(&batch("n1", 1, 2, (20_000, 30_000), vec![item(20_000, "x", 2)]));
+        all.add_batch(&batch("n2", 2, 1, (10_000, 20_000), vec![item(10_000, "x", 4)]));
         let report = all.finish(10_000, 100_000);
-        assert_eq!(report.disagreements, []);
+        assert_eq!(report.discrepancies, []);
         let account = &report.accounts[&(10_000, "x".to_owned())];
         assert_eq!((account.total(), account.servers["n1"], account.servers["n2"]), (7, 3, 4));
         let awaited: Vec<_> = report.awaited.iter().collect();
@@ -313,12 +329,12 @@
 
     #[test]
     fn what_disagrees_is_named_by_its_line() {
-        let alive = alive(&[("n1", 10_000, 40_000), ("n2", 10_000, 12_000)]);
-        let mut all = Reconciler::new(&alive);
+        let listed_spans = listed_spans(&[("n1", 10_000, 40_000), ("n2", 10_000, 12_000)]);
+        let mut all = Reconciler::new(&listed_spans);
         let mut late = batch("n1", 1, 1, (10_000, 20_000), vec![]);
         late.close.late = true;
         late.unbilled.push(Unbilled { requests: 4, at_most: 9, ..Unbilled::default() });
-        all.take(&late);
+        all.add_batch(&late);
         let mut gap = batch("n1", 1, 2, (25_000, 30_000), vec![item(25_000, "x", 1)]);
         let id = |server: &str, number| LineId { server: server.to_owned(), start: 1, number };
         gap.corrections.push(CorrectionItem {
@@ -327,20 +343,20 @@
             item: item(25_000, "x", -2),
             reason: "twice".to_owned(),
         });
-        all.take(&gap);
-        all.take(&batch("n2", 2, 1, (10_000, 40_000), vec![item(30_000, "y", 5)]));
-        all.take(&batch("n2", 3, 1, (40_000, 50_000), vec![]));
-        let found = all.finish(10_000, 100_000).disagreements;
+        all.add_batch(&gap);
+        all.add_batch(&batch("n2", 2, 1, (10_000, 40_000), vec![item(30_000, "y", 5)]));
+        all.add_batch(&batch("n2", 3, 1, (40_000, 50_000), vec![]));
+        let found = all.finish(10_000, 100_000).discrepancies;
         let by = |number| id("n1", number);
         let n2 = LineId { server: "n2".to_owned(), start: 2, number: 10 };
         for expected in [
-            Disagreement::ClosedLateWhileAlive { by: by(10), span: (10_000, 20_000) },
-            Disagreement::Unbilled { by: by(10), requests: 4, at_most: Some(9) },
-            Disagreement::SpansDoNotMeet { by: by(20), before_to: 20_000, from: 25_000 },
-            Disagreement::CorrectsUnknown { line: by(15), corrects: id("n9", 3) },
-            Disagreement::UsedWhileNotListed { by: n2, period: 30_000, requests: 5 },
-            Disagreement::NewLedger { server: "n2".to_owned(), born: vec![2, 3] },
-            Disagreement::BelowZero { society: "x".to_owned(), period: 25_000, requests: -1 },
+            Discrepancy::ClosedLateWhileAlive { by: by(10), span: (10_000, 20_000) },
+            Discrepancy::Unbilled { by: by(10), requests: 4, at_most: Some(9) },
+            Discrepancy::SpansDoNotMeet { by: by(20), before_to: 20_000, from: 25_000 },
+            Discrepancy::CorrectsUnknown { line: by(15), corrects: id("n9", 3) },
+            Discrepancy::UsedWhileNotListed { by: n2, period: 30_000, requests: 5 },
+            Discrepancy::NewLedger { server: "n2".to_owned(), ledger_id: vec![2, 3] },
+            Discrepancy::BelowZero { tenant: "x".to_owned(), period: 25_000, requests: -1 },
         ] {
             assert!(found.contains(&expected), "{expected:?} in {found:#?}");
             assert!(!expected.to_string().is_empty());
--- a/crates/ledger/src/state.rs
+++ b/crates/ledger/src/state.rs
@@ -2,15 +2,15 @@
 //! periods are closed, how far batches are exported. It is of constant size; amounts are read from the lines when they
 //! are needed (`totals`). The same walk that recovers a ledger verifies it.
 
-use crate::line::{BadLine, Export, Kind, Line, Start};
+use crate::line::{Export, Line, LineError, LineKind, Start};
 use prost::Message;
 
 /// The sum of the lines so far.
 #[derive(Clone, PartialEq, Message)]
-pub struct State {
+pub struct LedgerState {
     /// The ledger's time: the latest of any line, Unix ms.
     #[prost(uint64, tag = "1")]
-    pub high_ms: u64,
+    pub latest_ms: u64,
     /// All before this time is closed, Unix ms.
     #[prost(uint64, tag = "2")]
     pub closed_to: u64,
@@ -19,57 +19,57 @@
     pub start: Option<Start>,
     /// The first start there was: the mark of this ledger, as distinct from one of the same server that was lost.
     #[prost(uint64, tag = "4")]
-    pub born: u64,
+    pub ledger_id: u64,
     /// The number of the last batch that was prepared.
     #[prost(uint64, tag = "5")]
-    pub batches: u64,
+    pub last_batch: u64,
     /// That batch, as long as it is not acknowledged.
     #[prost(message, optional, tag = "6")]
-    pub prepared: Option<Export>,
+    pub prepared_batch: Option<Export>,
     /// The digest of the last batch, empty before the first: each batch names that of the one before.
     #[prost(bytes = "vec", tag = "7")]
-    pub digest: Vec<u8>,
+    pub last_digest: Vec<u8>,
     /// The number of the last close line all batches of which are acknowledged.
     #[prost(uint64, tag = "8")]
-    pub exported: u64,
+    pub last_exported_close: u64,
     /// Batches of the next close that are acknowledged.
     #[prost(uint64, tag = "9")]
-    pub part: u64,
+    pub exported_parts: u64,
     /// The number of the last close line.
     #[prost(uint64, tag = "10")]
     pub last_close: u64,
 }
 
-impl State {
+impl LedgerState {
     /// Adds the line with that number.
     ///
     /// # Errors
     /// If it contradicts the lines before it: no program that keeps the rules has written it.
-    pub fn apply(&mut self, number: u64, line: &Line) -> Result<(), BadLine> {
-        let wrong = |what| Err(BadLine::Content(what));
-        if line.at_ms < self.high_ms {
+    pub fn apply(&mut self, number: u64, line: &Line) -> Result<(), LineError> {
+        let wrong = |what| Err(LineError::Invalid(what));
+        if line.at_ms < self.latest_ms {
             return wrong("its time is before that of an earlier line");
         }
-        let kind = line.kind.as_ref().ok_or(BadLine::Kind)?;
-        if self.start.is_none() && !matches!(kind, Kind::Start(_)) {
+        let kind = line.kind.as_ref().ok_or(LineError::UnknownKind)?;
+        if self.start.is_none() && !matches!(kind, LineKind::Start(_)) {
             return wrong("it stands before the first start");
         }
         match kind {
-            Kind::Start(start) => {
+            LineKind::Start(start) => {
                 if self.start.as_ref().is_some_and(|s| s.start >= start.start) {
                     return wrong("its start is not after the one before");
                 }
-                if self.born == 0 {
-                    self.born = start.start;
+                if self.ledger_id == 0 {
+                    self.ledger_id = start.start;
                     self.closed_to = line.at_ms - line.at_ms % start.period_ms;
                 }
                 self.start = Some(start.clone());
             }
-            Kind::Usage(usage) => {
+            LineKind::Usage(usage) => {
                 if usage.period < self.closed_to {
                     return wrong("it adds to a closed period");
                 }
-                if usage.of.is_some_and(|of| of >= self.closed_to) {
+                if usage.original_period.is_some_and(|of| of >= self.closed_to) {
                     return wrong("it corrects a period that is open");
                 }
                 let classes = self.start.as_ref().map_or(0, |s| s.classes.len());
@@ -77,50 +77,50 @@
                     return wrong("it names a class that its start does not have");
                 }
             }
-            Kind::Correction(correction) => {
+            LineKind::Correction(correction) => {
                 if correction.period < self.closed_to {
                     return wrong("it adds to a closed period");
                 }
-                if correction.corrects.number >= number && correction.corrects.start >= self.born {
+                if correction.corrects.number >= number && correction.corrects.start >= self.ledger_id {
                     return wrong("it corrects a later line");
                 }
             }
-            Kind::Close(close) => {
+            LineKind::Close(close) => {
                 if close.from != self.closed_to || close.to > line.at_ms {
                     return wrong("it closes other than the next periods that are over");
                 }
                 (self.closed_to, self.last_close) = (close.to, number);
             }
-            Kind::Export(export) => self.export(export)?,
-            Kind::Unbilled(_) => {}
+            LineKind::Export(export) => self.export(export)?,
+            LineKind::Unbilled(_) => {}
         }
-        self.high_ms = line.at_ms;
+        self.latest_ms = line.at_ms;
         Ok(())
     }
 
-    fn export(&mut self, export: &Export) -> Result<(), BadLine> {
-        match &self.prepared {
+    fn export(&mut self, export: &Export) -> Result<(), LineError> {
+        match &self.prepared_batch {
             None if !export.acknowledged
-                && export.batch == self.batches + 1
-                && export.close > self.exported =>
+                && export.batch == self.last_batch + 1
+                && export.close > self.last_exported_close =>
             {
-                self.batches = export.batch;
-                self.prepared = Some(export.clone());
+                self.last_batch = export.batch;
+                self.prepared_batch = Some(export.clone());
                 Ok(())
             }
             Some(prepared) if export.acknowledged => {
                 if (export.batch, &export.digest) != (prepared.batch, &prepared.digest) {
-                    return Err(BadLine::Content("it acknowledges a batch that was not prepared"));
+                    return Err(LineError::Invalid("it acknowledges a batch that was not prepared"));
                 }
-                self.digest = export.digest.clone();
-                self.part += 1;
+                self.last_digest = export.digest.clone();
+                self.exported_parts += 1;
                 if prepared.last {
-                    (self.exported, self.part) = (prepared.close, 0);
+                    (self.last_exported_close, self.exported_parts) = (prepared.close, 0);
                 }
-                self.prepared = None;
+                self.prepared_batch = None;
                 Ok(())
             }
-            _ => Err(BadLine::Content("batches are out of order")),
+            _ => Err(LineError::Invalid("batches are out of order")),
         }
     }
 
--- a/crates/ledger/src/totals.rs
+++ b/crates/ledger/src/totals.rs
@@ -2,7 +2,7 @@
 //! time for the societies that come next in the order of names. So the order of the result follows from the lines alone,
 //! and a batch made a second time is the same to the byte.
 
-use crate::line::{Amount, Correction, Kind, Line, Outcome};
+use crate::line::{Amount, Correction, Line, LineKind, Outcome};
 use dunlinspread_store::{Disk, Log, StoreError};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -18,14 +18,14 @@
     show: &mut dyn FnMut(u64, &Line),
 ) -> Result<(), StoreError> {
     Log::range(disk, server, numbers, |number, bytes| {
-        show(number, &Line::read(bytes).map_err(|e| e.to_string())?);
+        show(number, &Line::parse(bytes).map_err(|e| e.to_string())?);
         Ok(())
     })
 }
 
 /// Amounts that can go below what was billed: use less what was corrected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Net {
+pub struct NetUsage {
     /// Requests.
     pub requests: i128,
     /// Time in the worker pool, µs.
@@ -36,7 +36,7 @@
     pub bytes_out: i128,
 }
 
-impl Net {
+impl NetUsage {
     /// Adds use.
     pub fn add(&mut self, amount: &Amount) {
         self.requests += i128::from(amount.requests);
@@ -54,13 +54,13 @@
 
 /// What is added up by.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Sum {
+pub struct UsageGroup {
     /// The society.
-    pub society: String,
+    pub tenant: String,
     /// The period, by its first ms.
     pub period: u64,
     /// The period it was used in, if that was closed before.
-    pub of: Option<u64>,
+    pub original_period: Option<u64>,
     /// The class.
     pub class: String,
     /// The outcome.
@@ -80,26 +80,26 @@
     cells: usize,
     mut walk: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
     which: impl Fn(u64) -> bool,
-    mut take: impl FnMut(Sum, Net),
+    mut take: impl FnMut(UsageGroup, NetUsage),
 ) -> Result<(), StoreError> {
     let mut after: Option<String> = None;
     loop {
         // The first societies in order of names, as many as fit: for one too many the last goes, and all behind it.
-        let mut sums: BTreeMap<Sum, Net> = BTreeMap::new();
+        let mut sums: BTreeMap<UsageGroup, NetUsage> = BTreeMap::new();
         let (mut before, mut names): (Option<String>, _) = (None, classes.to_vec());
         walk(&mut |_, line| match &line.kind {
-            Some(Kind::Start(start)) => names.clone_from(&start.classes),
-            Some(Kind::Usage(usage)) if which(usage.period) => {
+            Some(LineKind::Start(start)) => names.clone_from(&start.classes),
+            Some(LineKind::Usage(usage)) if which(usage.period) => {
                 for entry in &usage.entries {
-                    let society = entry.society.as_str();
-                    let done = after.as_deref().is_some_and(|a| society <= a);
-                    if done || before.as_deref().is_some_and(|b| society >= b) {
+                    let tenant = entry.tenant.as_str();
+                    let done = after.as_deref().is_some_and(|a| tenant <= a);
+                    if done || before.as_deref().is_some_and(|b| tenant >= b) {
                         continue;
                     }
-                    let sum = Sum {
-                        society: entry.society.clone(),
+                    let sum = UsageGroup {
+                        tenant: entry.tenant.clone(),
                         period: usage.period,
-                        of: usage.of,
+                        original_period: usage.original_period,
                         class: names.get(entry.class as usize).cloned().unwrap_or_default(),
                         outcome: Outcome::try_from(entry.outcome).unwrap_or(Outcome::Unknown),
                     };
@@ -111,7 +111,7 @@
             }
             _ => {}
         })?;
-        after = sums.last_key_value().map(|(sum, _)| sum.society.clone());
+        after = sums.last_key_value().map(|(sum, _)| sum.tenant.clone());
         sums.into_iter().for_each(|(sum, net)| take(sum, net));
         if before.is_none() {
             return Ok(());
@@ -120,12 +120,12 @@
 }
 
 /// Takes out the last society, unless it is the only one.
-fn drop_last(sums: &mut BTreeMap<Sum, Net>, before: &mut Option<String>) {
-    let Some(last) = sums.last_key_value().map(|(sum, _)| sum.society.clone()) else { return };
-    if sums.first_key_value().is_some_and(|(first, _)| first.society == last) {
+fn drop_last(sums: &mut BTreeMap<UsageGroup, NetUsage>, before: &mut Option<String>) {
+    let Some(last) = sums.last_key_value().map(|(sum, _)| sum.tenant.clone()) else { return };
+    if sums.first_key_value().is_some_and(|(first, _)| first.tenant == last) {
         return;
     }
-    while sums.last_key_value().is_some_and(|(sum, _)| sum.society == last) {
+    while sums.last_key_value().is_some_and(|(sum, _)| sum.tenant == last) {
         sums.pop_last();
     }
     *before = Some(last);
@@ -138,11 +138,11 @@
     use proptest::prelude::*;
 
     fn lines(uses: &[(u64, u32, u32, u64)]) -> Vec<Line> {
-        let line = |(period, society, class, requests): &(u64, u32, u32, u64)| {
+        let line = |(period, tenant, class, requests): &(u64, u32, u32, u64)| {
             let amount = Amount { requests: *requests, pool_us: 1, bytes_in: 2, bytes_out: 3 };
-            let entry = Entry { society: format!("s{society}"), class: *class, outcome: 1, amount };
-            let usage = Usage { period: *period, entries: vec![entry], of: None };
-            Line { at_ms: 0, kind: Some(Kind::Usage(usage)) }
+            let entry = Entry { tenant: format!("s{tenant}"), class: *class, outcome: 1, amount };
+            let usage = Usage { period: *period, entries: vec![entry], original_period: None };
+            Line { at_ms: 0, kind: Some(LineKind::Usage(usage)) }
         };
         uses.iter().map(line).collect()
     }
@@ -158,8 +158,8 @@
         ) {
             let (lines, classes) = (lines(&uses), ["a".to_owned(), "b".to_owned()]);
             let mut expected = BTreeMap::new();
-            for (period, society, class, requests) in uses.iter().filter(|u| u.0 != 1) {
-                let key = (*period, format!("s{society}"), classes[*class as usize].clone());
+            for (period, tenant, class, requests) in uses.iter().filter(|u| u.0 != 1) {
+                let key = (*period, format!("s{tenant}"), classes[*class as usize].clone());
                 *expected.entry(key).or_insert(0) += i128::from(*requests);
             }
             let run = |cells| {
@@ -175,7 +175,7 @@
             prop_assert_eq!(&sums, &run(usize::MAX), "the order depends on the memory");
             let mut seen = BTreeMap::new();
             for (sum, net) in sums {
-                prop_assert!(seen.insert((sum.period, sum.society, sum.class), net.requests).is_none(), "twice");
+                prop_assert!(seen.insert((sum.period, sum.tenant, sum.class), net.requests).is_none(), "twice");
             }
             prop_assert_eq!(seen, expected);
         }
--- a/crates/ledger/src/table.rs
+++ b/crates/ledger/src/usage_table.rs
@@ -9,11 +9,11 @@
 
 /// A key as its owner sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key<'a> {
+pub struct UsageKey<'a> {
     /// The period, by its first ms.
     pub period: u64,
     /// The society.
-    pub society: &'a str,
+    pub tenant: &'a str,
     /// The class, by position.
     pub class: u16,
     /// The outcome.
@@ -37,7 +37,7 @@
 }
 
 /// The table.
-pub struct Table {
+pub struct UsageTable {
     chance: RandomState,
     names: String,
     spans: Vec<Span>,
@@ -49,16 +49,16 @@
     most: usize,
 }
 
-impl std::fmt::Debug for Table {
+impl std::fmt::Debug for UsageTable {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "Table of {} cells", self.cells.len())
     }
 }
 
-impl Table {
+impl UsageTable {
     /// An empty one for at most that many cells.
-    pub fn new(most: usize) -> Table {
-        Table {
+    pub fn new(most: usize) -> UsageTable {
+        UsageTable {
             chance: RandomState::new(),
             names: String::new(),
             spans: Vec::new(),
@@ -70,7 +70,7 @@
     }
 
     /// Adds to a cell; false, and nothing is added, if it would be a new one and the table is full.
-    pub fn add(&mut self, key: Key<'_>, amount: &Amount) -> bool {
+    pub fn add(&mut self, key: UsageKey<'_>, amount: &Amount) -> bool {
         let hash = self.cell_hash(&key);
         if let Some(at) = self.find_cell(&key, hash) {
             self.cells[at].amount.add(amount);
@@ -79,8 +79,8 @@
         if self.cells.len() >= self.most {
             return false;
         }
-        let name = self.name_of(key.society);
-        let Key { period, class, outcome, .. } = key;
+        let name = self.name_of(key.tenant);
+        let UsageKey { period, class, outcome, .. } = key;
         self.cells.push(Cell { period, name, class, outcome, amount: *amount });
         if self.cells.len() * 4 > self.cell_slots.len() * 3 {
             self.cell_slots = vec![(0, 0); self.cell_slots.len() * 2];
@@ -115,7 +115,7 @@
 
     /// All cells in the order of their keys; the table is empty afterwards and keeps no more memory than `keep` cells
     /// need.
-    pub fn drain(&mut self, keep: usize, mut take: impl FnMut(Key<'_>, &Amount)) {
+    pub fn drain(&mut self, keep: usize, mut take: impl FnMut(UsageKey<'_>, &Amount)) {
         let mut order: Vec<u32> = (0..self.cells.len() as u32).collect();
         order.sort_unstable_by_key(|at| self.key(*at as usize));
         for at in order {
@@ -126,16 +126,16 @@
         self.names.clear();
         if self.cells.capacity() > keep.max(16) {
             let most = self.most;
-            *self = Table { chance: self.chance.clone(), ..Table::new(most) };
+            *self = UsageTable { chance: self.chance.clone(), ..UsageTable::new(most) };
         } else {
             self.name_slots.fill(0);
             self.cell_slots.fill((0, 0));
         }
     }
 
-    fn key(&self, at: usize) -> Key<'_> {
+    fn key(&self, at: usize) -> UsageKey<'_> {
         let Cell { period, name, class, outcome, .. } = self.cells[at];
-        Key { period, society: self.name(name), class, outcome }
+        UsageKey { period, tenant: self.name(name), class, outcome }
     }
 
     fn name(&self, Span { at, len }: Span) -> &str {
@@ -143,19 +143,19 @@
     }
 
     /// Where a name lies, put there if it is new.
-    fn name_of(&mut self, society: &str) -> Span {
+    fn name_of(&mut self, tenant: &str) -> Span {
         let mask = self.name_slots.len() - 1;
-        let mut slot = self.chance.hash_one(society) as usize & mask;
+        let mut slot = self.chance.hash_one(tenant) as usize & mask;
         while self.name_slots[slot] != 0 {
             let span = self.spans[self.name_slots[slot] as usize - 1];
-            if self.name(span) == society {
+            if self.name(span) == tenant {
                 return span;
             }
             slot = (slot + 1) & mask;
         }
-        let span = Span { at: self.names.len() as u32, len: society.len() as u16 };
+        let span = Span { at: self.names.len() as u32, len: tenant.len() as u16 };
         self.spans.push(span);
-        self.names.push_str(society);
+        self.names.push_str(tenant);
         if self.spans.len() * 4 > self.name_slots.len() * 3 {
             self.name_slots = vec![0; self.name_slots.len() * 2];
             (0..self.spans.len()).for_each(|name| self.place_name(name));
@@ -174,14 +174,14 @@
         self.name_slots[slot] = name as u32 + 1;
     }
 
-    fn cell_hash(&self, key: &Key<'_>) -> u64 {
+    fn cell_hash(&self, key: &UsageKey<'_>) -> u64 {
         let mut hasher = self.chance.build_hasher();
-        hasher.write(key.society.as_bytes());
+        hasher.write(key.tenant.as_bytes());
         hasher.write_u64(key.period << 24 ^ u64::from(key.class) << 8 ^ key.outcome as u64 ^ 1 << 63);
         hasher.finish()
     }
 
-    fn find_cell(&self, key: &Key<'_>, hash: u64) -> Option<usize> {
+    fn find_cell(&self, key: &UsageKey<'_>, hash: u64) -> Option<usize> {
         let mask = self.cell_slots.len() - 1;
         let mut slot = hash as usize & mask;
         loop {
@@ -220,14 +220,14 @@
             adds in proptest::collection::vec((0u64..3, 0u32..40, 0u16..4, 0usize..6, 1u64..100), 0..400),
             most in 1usize..200,
         ) {
-            let (mut table, mut map) = (Table::new(most), BTreeMap::new());
-            for (period, society, class, outcome, requests) in adds {
-                let society = format!("s{society}");
+            let (mut table, mut map) = (UsageTable::new(most), BTreeMap::new());
+            for (period, tenant, class, outcome, requests) in adds {
+                let tenant = format!("s{tenant}");
                 let outcome = Outcome::ALL[outcome];
                 let amount = Amount { requests, pool_us: requests * 3, bytes_in: 1, bytes_out: 2 };
-                let fits = table.add(Key { period, society: &society, class, outcome }, &amount);
+                let fits = table.add(UsageKey { period, tenant: &tenant, class, outcome }, &amount);
                 let full = map.len() >= most;
-                let entry = map.entry((period, society, class, outcome));
+                let entry = map.entry((period, tenant, class, outcome));
                 let known = matches!(entry, std::collections::btree_map::Entry::Occupied(_));
                 prop_assert_eq!(fits, known || !full);
                 if fits {
@@ -237,11 +237,11 @@
             prop_assert_eq!(table.len(), map.len());
             for again in 0..2 {
                 let mut seen = Vec::new();
-                table.drain(again * 1000, |k, a| seen.push(((k.period, k.society.to_owned(), k.class, k.outcome), *a)));
+                table.drain(again * 1000, |k, a| seen.push(((k.period, k.tenant.to_owned(), k.class, k.outcome), *a)));
                 prop_assert_eq!(&seen, &map.clone().into_iter().collect::<Vec<_>>());
                 prop_assert!(table.is_empty());
-                for ((period, society, class, outcome), amount) in &map {
-                    let key = Key { period: *period, society, class: *class, outcome: *outcome };
+                for ((period, tenant, class, outcome), amount) in &map {
+                    let key = UsageKey { period: *period, tenant, class: *class, outcome: *outcome };
                     prop_assert!(table.add(key, amount));
                 }
             }
--- a/crates/ledger/tests/book.rs
+++ b/crates/ledger/tests/accumulator.rs
@@ -2,15 +2,16 @@
 //! is durable (or more than the stated number), nothing is counted twice or dropped, periods close in order.
 
 use dunlinspread_ledger::{
-    Account, Action, Book, Kind, Line, Mode, Note, OnFailure, Outcome, Rules, State, Use, Verdict,
+    AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineKind, Notice,
+    Outcome, ReplyDecision, UsageAccumulator, UsageRecord,
 };
 use proptest::prelude::*;
 use std::collections::VecDeque;
 
 const PERIOD: u64 = 1000;
 
-fn rules(mode: Mode, on_failure: OnFailure, cells: usize) -> Rules {
-    Rules {
+fn settings(mode: DurabilityMode, on_failure: FailurePolicy, cells: usize) -> LedgerSettings {
+    LedgerSettings {
         period_ms: PERIOD,
         grace_ms: 100,
         mode,
@@ -23,14 +24,14 @@
 
 /// A server's ledger with a store in memory, and the truth about what it answered.
 struct World {
-    rules: Rules,
+    settings: LedgerSettings,
     /// Durable records.
     store: Vec<Vec<u8>>,
     /// With the store, not durable.
     pending: VecDeque<Vec<u8>>,
     /// The store takes nothing until it is told to resume.
     stopped: bool,
-    book: Book,
+    accumulator: UsageAccumulator,
     now: u64,
     /// Marks of answers that are held.
     held: Vec<u64>,
@@ -39,28 +40,29 @@
     out: u64,
     /// Answers that were held when a server died.
     cut: u64,
-    notes: Vec<Note>,
+    notes: Vec<Notice>,
 }
 
-fn open(store: &[Vec<u8>]) -> State {
-    let mut state = State::default();
+fn open(store: &[Vec<u8>]) -> LedgerState {
+    let mut state = LedgerState::default();
     for (record, number) in store.iter().zip(1..) {
-        let line = Line::read(record).expect("a line");
+        let line = Line::parse(record).expect("a line");
         state.apply(number, &line).expect("lines that follow from one another");
     }
     state
 }
 
 impl World {
-    fn new(rules: Rules) -> World {
+    fn new(settings: LedgerSettings) -> World {
         let (now, mut actions) = (10_000_050, Vec::new());
-        let book = Book::start(now, rules.clone(), State::default(), 1, true, &mut actions);
+        let accumulator =
+            UsageAccumulator::start(now, settings.clone(), LedgerState::default(), 1, true, &mut actions);
         let mut world = World {
-            rules,
+            settings,
             store: Vec::new(),
             pending: VecDeque::new(),
             stopped: false,
-            book,
+            accumulator,
             now,
             held: Vec::new(),
             billed: 0,
@@ -82,23 +84,24 @@
                     self.held.retain(|held| *held > mark);
                     self.out += (before - self.held.len()) as u64;
                 }
-                Action::Note(note) => self.notes.push(note),
-                Action::Serving(_) | Action::Closed(_) | Action::Entered { .. } => {}
+                Action::Notify(note) => self.notes.push(note),
+                Action::AcceptRequests(_) | Action::PeriodsClosed(_) | Action::EntryDurable { .. } => {}
             }
         }
     }
 
-    fn bill(&mut self, society: u8, class: u16, outcome: usize) {
-        let (name, mut actions) = (format!("s{society}"), Vec::new());
-        let account = Account::named(&name).expect("a name");
+    fn bill(&mut self, tenant: u8, class: u16, outcome: usize) {
+        let (name, mut actions) = (format!("s{tenant}"), Vec::new());
+        let account = AccountName::parse(&name).expect("a name");
         let outcome = Outcome::ALL[outcome];
-        let used = Use { requests: 1, account, class, outcome, pool_us: 10, bytes_in: 1, bytes_out: 2 };
-        match self.book.bill(self.now, &used, &mut actions) {
-            Verdict::Send => self.out += 1,
-            Verdict::Hold(mark) => self.held.push(mark),
+        let used =
+            UsageRecord { requests: 1, account, class, outcome, pool_us: 10, bytes_in: 1, bytes_out: 2 };
+        match self.accumulator.bill(self.now, &used, &mut actions) {
+            ReplyDecision::SendNow => self.out += 1,
+            ReplyDecision::HoldUntil(mark) => self.held.push(mark),
         }
         self.billed += 1;
-        self.book.turn(self.now, &mut actions);
+        self.accumulator.flush_if_due(self.now, &mut actions);
         self.carry_out(actions);
     }
 
@@ -110,7 +113,7 @@
         self.store.extend(self.pending.drain(..count));
         let mut actions = Vec::new();
         if count > 0 {
-            self.book.durable(self.now, count, &mut actions);
+            self.accumulator.durable(self.now, count, &mut actions);
         }
         self.carry_out(actions);
     }
@@ -120,7 +123,7 @@
         self.pending.clear();
         if count > 0 {
             self.stopped = true;
-            self.book.failed("no space", count, &mut actions);
+            self.accumulator.failed("no space", count, &mut actions);
         }
         self.carry_out(actions);
     }
@@ -128,7 +131,7 @@
     fn tick(&mut self, ms: u64) {
         self.now += ms;
         let mut actions = Vec::new();
-        self.book.tick(self.now, &mut actions);
+        self.accumulator.tick(self.now, &mut actions);
         self.carry_out(actions);
     }
 
@@ -148,7 +151,8 @@
         let (state, mut actions) = (open(&self.store), Vec::new());
         let next = self.store.len() as u64 + 1;
         self.stopped = false;
-        self.book = Book::start(self.now, self.rules.clone(), state, next, clean, &mut actions);
+        self.accumulator =
+            UsageAccumulator::start(self.now, self.settings.clone(), state, next, clean, &mut actions);
         self.carry_out(actions);
     }
 
@@ -156,11 +160,11 @@
     fn durable(&self) -> (u64, u64) {
         let (mut billed, mut unbilled) = (0, 0);
         for record in &self.store {
-            match Line::read(record).expect("a line").kind {
-                Some(Kind::Usage(usage)) => {
+            match Line::parse(record).expect("a line").kind {
+                Some(LineKind::Usage(usage)) => {
                     billed += usage.entries.iter().map(|e| e.amount.requests).sum::<u64>();
                 }
-                Some(Kind::Unbilled(u)) => unbilled += u.requests,
+                Some(LineKind::Unbilled(u)) => unbilled += u.requests,
                 _ => {}
             }
         }
@@ -174,7 +178,7 @@
             self.sync(usize::MAX);
         }
         assert!(self.held.is_empty(), "answers are held for ever");
-        assert_eq!(self.book.figures().at_risk, 0);
+        assert_eq!(self.accumulator.gauges().at_risk, 0);
     }
 }
 
@@ -203,7 +207,7 @@
     for step in steps {
         match step {
             // While it refuses, only what it has already taken on comes to an end.
-            Step::Bill(s, c, o) if world.book.serving() => world.bill(s, c, o),
+            Step::Bill(s, c, o) if world.accumulator.serving() => world.bill(s, c, o),
             Step::Bill(..) => {}
             Step::Sync(count) => world.sync(count),
             Step::Fail => world.fail(),
@@ -219,7 +223,7 @@
 
     #[test]
     fn strict_loses_and_doubles_nothing(steps in steps(true), cells in 1usize..12) {
-        let mut world = World::new(rules(Mode::Strict, OnFailure::Refuse, cells));
+        let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, cells));
         play(&mut world, steps, |w| {
             let (billed, _) = w.durable();
             assert!(billed >= w.out, "{} answers are out, {billed} in lines", w.out);
@@ -230,14 +234,14 @@
         prop_assert_eq!(unbilled, 0);
         // What was held when a server died may have got there or not; each at most once.
         prop_assert!(billed >= world.out && billed <= world.out + world.cut, "{billed} {} {}", world.out, world.cut);
-        let unclean = world.notes.iter().any(|n| matches!(n, Note::Unclean { .. }));
+        let unclean = world.notes.iter().any(|n| matches!(n, Notice::UncleanShutdown { .. }));
         prop_assert!(!unclean);
     }
 
     #[test]
     fn interval_risks_no_more_than_it_says(steps in steps(true), cells in 1usize..12, at_risk in 1u64..9) {
-        let mode = Mode::Interval { every_ms: 150, at_risk };
-        let mut world = World::new(rules(mode, OnFailure::Refuse, cells));
+        let mode = DurabilityMode::Interval { every_ms: 150, at_risk };
+        let mut world = World::new(settings(mode, FailurePolicy::Reject, cells));
         let mut crashes = 0;
         for step in steps {
             crashes += u64::from(matches!(step, Step::Crash(..)));
@@ -256,8 +260,8 @@
     /// Without a crash, every answer is in a line or in the count of those that are in none.
     #[test]
     fn serving_on_counts_what_it_can_not_bill(steps in steps(false), cells in 1usize..12) {
-        let mut world = World::new(rules(Mode::Strict, OnFailure::Continue, cells));
-        play(&mut world, steps, |w| assert!(w.book.serving()));
+        let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Continue, cells));
+        play(&mut world, steps, |w| assert!(w.accumulator.serving()));
         world.settle();
         let (billed, unbilled) = world.durable();
         prop_assert_eq!(billed + unbilled, world.billed);
@@ -268,23 +272,23 @@
     /// period (the state's own checks), and all that is over is closed in the end.
     #[test]
     fn periods_close_in_order_whatever_the_clock(steps in steps(true)) {
-        let mut world = World::new(rules(Mode::Strict, OnFailure::Refuse, 8));
+        let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 8));
         play(&mut world, steps, |_| {});
         world.settle();
         world.tick(2 * PERIOD + 200);
         world.sync(usize::MAX);
         let state = open(&world.store);
-        prop_assert!(state.closed_to + PERIOD + 100 > state.high_ms, "{} {}", state.closed_to, state.high_ms);
+        prop_assert!(state.closed_to + PERIOD + 100 > state.latest_ms, "{} {}", state.closed_to, state.latest_ms);
     }
 }
 
-fn kinds(world: &World) -> Vec<Kind> {
-    world.store.iter().filter_map(|r| Line::read(r).expect("a line").kind).collect()
+fn kinds(world: &World) -> Vec<LineKind> {
+    world.store.iter().filter_map(|r| Line::parse(r).expect("a line").kind).collect()
 }
 
 #[test]
 fn answers_wait_for_their_line_and_share_commits() {
-    let mut world = World::new(rules(Mode::Strict, OnFailure::Refuse, 100));
+    let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 100));
     world.sync(9);
     for _ in 0..5 {
         world.bill(1, 0, 0);
@@ -303,34 +307,34 @@
 
 #[test]
 fn a_period_is_closed_after_its_grace_with_all_that_belongs_to_it() {
-    let mut world = World::new(rules(Mode::Strict, OnFailure::Refuse, 100));
+    let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 100));
     world.sync(9);
     world.bill(1, 0, 0);
     world.tick(PERIOD);
     world.bill(2, 0, 0);
     world.sync(9);
-    assert!(!kinds(&world).iter().any(|k| matches!(k, Kind::Close(_))), "the grace is not over");
+    assert!(!kinds(&world).iter().any(|k| matches!(k, LineKind::Close(_))), "the grace is not over");
     world.tick(60);
     world.sync(9);
-    let Some(Kind::Close(close)) = kinds(&world).pop() else { panic!("not closed") };
+    let Some(LineKind::Close(close)) = kinds(&world).pop() else { panic!("not closed") };
     assert_eq!((close.from, close.to, close.late), (10_000_000, 10_001_000, false));
 }
 
 #[test]
 fn what_ended_while_the_server_was_down_is_closed_late_in_one_line() {
-    let mut world = World::new(rules(Mode::Strict, OnFailure::Refuse, 100));
+    let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 100));
     world.bill(1, 0, 0);
     world.sync(9);
     world.crash(0, 5 * PERIOD as i64);
     world.sync(9);
-    assert!(kinds(&world).iter().any(|k| matches!(k, Kind::Close(c)
+    assert!(kinds(&world).iter().any(|k| matches!(k, LineKind::Close(c)
         if (c.from, c.to, c.late) == (10_000_000, 10_005_000, true))));
-    assert!(world.notes.contains(&Note::ClosedLate { from: 10_000_000, to: 10_005_000 }));
+    assert!(world.notes.contains(&Notice::ClosedLate { from: 10_000_000, to: 10_005_000 }));
 }
 
 #[test]
 fn a_clock_that_steps_back_reopens_nothing() {
-    let mut world = World::new(rules(Mode::Strict, OnFailure::Refuse, 100));
+    let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 100));
     world.sync(9);
     world.tick(PERIOD + 200);
     world.sync(9);
@@ -338,21 +342,21 @@
     world.sync(9);
     world.bill(1, 0, 0);
     world.sync(9);
-    assert!(world.notes.iter().any(|n| matches!(n, Note::ClockBehind(_))));
-    let Some(Kind::Usage(usage)) = kinds(&world).pop() else { panic!("not billed") };
+    assert!(world.notes.iter().any(|n| matches!(n, Notice::ClockBehind(_))));
+    let Some(LineKind::Usage(usage)) = kinds(&world).pop() else { panic!("not billed") };
     assert_eq!(usage.period, 10_001_000);
 }
 
 #[test]
 fn an_unclean_end_in_interval_mode_is_said_in_a_line() {
-    let mode = Mode::Interval { every_ms: 1000, at_risk: 7 };
-    let mut world = World::new(rules(mode, OnFailure::Refuse, 100));
+    let mode = DurabilityMode::Interval { every_ms: 1000, at_risk: 7 };
+    let mut world = World::new(settings(mode, FailurePolicy::Reject, 100));
     world.sync(9);
     world.bill(1, 0, 0);
     assert_eq!(world.out, 1);
     world.crash(0, 10);
     world.sync(9);
-    let said = |k: &Kind| matches!(k, Kind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
+    let said = |k: &LineKind| matches!(k, LineKind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
     assert!(kinds(&world).iter().any(said));
     // A good end leaves none.
     let before = world.store.len();
@@ -363,17 +367,20 @@
 
 #[test]
 fn a_failing_disk_stops_what_is_new_or_not_as_set() {
-    for on_failure in [OnFailure::Refuse, OnFailure::Continue] {
-        let mut world = World::new(rules(Mode::Strict, on_failure, 100));
+    for on_failure in [FailurePolicy::Reject, FailurePolicy::Continue] {
+        let mut world = World::new(settings(DurabilityMode::Strict, on_failure, 100));
         world.sync(9);
         world.bill(1, 0, 0);
         world.fail();
-        let serves_on = on_failure == OnFailure::Continue;
-        assert_eq!((world.book.serving(), world.out), (serves_on, u64::from(serves_on)));
+        let continues_on_failure = on_failure == FailurePolicy::Continue;
+        assert_eq!(
+            (world.accumulator.serving(), world.out),
+            (continues_on_failure, u64::from(continues_on_failure))
+        );
         // Room again: the same line is written, once.
         world.tick(10);
         world.sync(9);
-        assert!(world.book.serving());
+        assert!(world.accumulator.serving());
         assert_eq!((world.durable(), world.out), ((1, 0), 1));
     }
 }
--- a/crates/ledger/tests/inbox.rs
+++ b/crates/ledger/tests/batch_receiver.rs
@@ -1,8 +1,8 @@
 //! The collector's folder: whatever dies when, what was acknowledged is there once and unchanged.
 
 use dunlinspread_ledger::batch::Batch;
-use dunlinspread_ledger::deliver::Verdict;
-use dunlinspread_ledger::{Close, Inbox};
+use dunlinspread_ledger::export_protocol::OfferDecision;
+use dunlinspread_ledger::{BatchReceiver, Close};
 use dunlinspread_store::Disk;
 use dunlinspread_store::sim::{Faults, SimDisk};
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 fn batch(number: u64, previous: &[u8], salt: u64) -> Batch {
     Batch {
         server: "n1".to_owned(),
-        born: 7,
+        ledger_id: 7,
         number,
         previous: previous.to_vec(),
         close: Close { from: 0, to: 10 + salt, late: false },
-        closed_by: number,
+        close_line: number,
         last: true,
         items: Vec::new(),
         corrections: Vec::new(),
@@ -26,7 +26,7 @@
 fn chain(count: u64) -> Vec<Vec<u8>> {
     let (mut previous, mut all) = (Vec::new(), Vec::new());
     for number in 1..=count {
-        let (bytes, digest) = batch(number, &previous, 0).seal();
+        let (bytes, digest) = batch(number, &previous, 0).encode_with_digest();
         previous = digest.to_vec();
         all.push(bytes);
     }
@@ -36,22 +36,22 @@
 #[test]
 fn batches_are_taken_once_and_in_order() {
     let (disk, chain) = (SimDisk::new(1), chain(3));
-    let mut inbox = Inbox::open(Arc::new(disk.clone())).expect("opens");
-    let mut verdict = |bytes: &[u8]| inbox.offer(bytes).expect("judged").0;
-    assert_eq!(verdict(&chain[1]), Verdict::TooEarly);
-    assert_eq!(verdict(&chain[0]), Verdict::Take);
-    assert_eq!(verdict(&chain[0]), Verdict::Again);
-    assert_eq!(verdict(&chain[1]), Verdict::Take);
-    assert_eq!(verdict(&chain[0]), Verdict::Again, "an old one");
+    let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
+    let mut decision = |bytes: &[u8]| receiver.receive(bytes).expect("judged").0;
+    assert_eq!(decision(&chain[1]), OfferDecision::OutOfOrder);
+    assert_eq!(decision(&chain[0]), OfferDecision::Accept);
+    assert_eq!(decision(&chain[0]), OfferDecision::Duplicate);
+    assert_eq!(decision(&chain[1]), OfferDecision::Accept);
+    assert_eq!(decision(&chain[0]), OfferDecision::Duplicate, "an old one");
     // Another content under a number that is taken, old or newest, or one that follows another batch.
-    assert_eq!(verdict(&batch(1, &[], 5).seal().0), Verdict::Conflict);
-    assert_eq!(verdict(&batch(2, &[], 5).seal().0), Verdict::Conflict);
-    assert_eq!(verdict(&batch(3, &[1; 32], 0).seal().0), Verdict::Conflict);
-    assert_eq!(verdict(&chain[2]), Verdict::Take);
+    assert_eq!(decision(&batch(1, &[], 5).encode_with_digest().0), OfferDecision::Conflict);
+    assert_eq!(decision(&batch(2, &[], 5).encode_with_digest().0), OfferDecision::Conflict);
+    assert_eq!(decision(&batch(3, &[1; 32], 0).encode_with_digest().0), OfferDecision::Conflict);
+    assert_eq!(decision(&chain[2]), OfferDecision::Accept);
     let mut numbers = Vec::new();
-    inbox.read(&("n1".to_owned(), 7), |b, _| numbers.push(b.number)).expect("in order");
+    receiver.read(&("n1".to_owned(), 7), |b, _| numbers.push(b.number)).expect("in order");
     assert_eq!(numbers, [1, 2, 3]);
-    assert!(inbox.offer(b"nonsense").is_err());
+    assert!(receiver.receive(b"nonsense").is_err());
 }
 
 #[test]
@@ -62,9 +62,9 @@
             let disk = SimDisk::new(seed * 100 + at);
             disk.set(Faults { crash_at: Some(at), short: seed % 2 == 0, ..Faults::default() });
             let mut acknowledged = 0;
-            if let Ok(mut inbox) = Inbox::open(Arc::new(disk.clone())) {
+            if let Ok(mut receiver) = BatchReceiver::open(Arc::new(disk.clone())) {
                 for bytes in &chain {
-                    match inbox.offer(bytes) {
+                    match receiver.receive(bytes) {
                         Ok((_, reply)) => acknowledged = reply.watermark,
                         Err(_) => break,
                     }
@@ -79,18 +79,18 @@
             } else {
                 disk.power_cycle()
             }
-            let inbox = Inbox::open(Arc::new(disk.clone())).expect("opens");
-            let watermark = inbox.watermark("n1", 7).watermark;
+            let receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
+            let watermark = receiver.watermark("n1", 7).watermark;
             assert!(watermark >= acknowledged, "seed {seed}, operation {at}");
-            drop(inbox);
+            drop(receiver);
             // What this process saw is there for the next one too.
             disk.power_cycle();
-            let mut inbox = Inbox::open(Arc::new(disk.clone())).expect("opens");
-            assert!(inbox.watermark("n1", 7).watermark >= watermark, "seed {seed}, operation {at}");
+            let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
+            assert!(receiver.watermark("n1", 7).watermark >= watermark, "seed {seed}, operation {at}");
             for bytes in &chain {
-                assert_ne!(inbox.offer(bytes).expect("judged").0, Verdict::Conflict);
+                assert_ne!(receiver.receive(bytes).expect("judged").0, OfferDecision::Conflict);
             }
-            assert_eq!(inbox.watermark("n1", 7).watermark, 4);
+            assert_eq!(receiver.watermark("n1", 7).watermark, 4);
         }
     }
 }
@@ -98,18 +98,18 @@
 #[test]
 fn a_lost_or_changed_file_is_named() {
     let (disk, chain) = (SimDisk::new(1), chain(3));
-    let mut inbox = Inbox::open(Arc::new(disk.clone())).expect("opens");
+    let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
     for bytes in &chain {
-        inbox.offer(bytes).expect("taken");
+        receiver.receive(bytes).expect("taken");
     }
-    drop(inbox);
+    drop(receiver);
     let names = disk.list().expect("a list");
     let bytes = disk.bytes(&names[1]).expect("it is there");
     disk.lose(&names[1]);
-    let e = Inbox::open(Arc::new(disk.clone())).err().expect("refused");
+    let e = BatchReceiver::open(Arc::new(disk.clone())).err().expect("refused");
     assert!(e.to_string().contains(&names[1]), "{e}");
     disk.put(&names[1], &[&bytes[..], &[0x52, 0]].concat());
-    let inbox = Inbox::open(Arc::new(disk.clone())).expect("only the last is read when it opens");
-    let e = inbox.read(&("n1".to_owned(), 7), |_, _| {}).expect_err("the next does not follow it");
+    let receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("only the last is read when it opens");
+    let e = receiver.read(&("n1".to_owned(), 7), |_, _| {}).expect_err("the next does not follow it");
     assert!(e.to_string().contains(&names[2]), "{e}");
 }
--- a/crates/ledger/tests/model.rs
+++ b/crates/ledger/tests/export_protocol_model.rs
@@ -2,7 +2,9 @@
 //! two steps, over the very functions that the program uses. Every state is explored. A variant that acknowledges before
 //! it has made a batch durable has to be found out.
 
-use dunlinspread_ledger::deliver::{Collector, Next, Reply, Sender, Verdict};
+use dunlinspread_ledger::export_protocol::{
+    CollectorReply, ExportCollector, ExportSender, OfferDecision, SenderAction,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -19,16 +21,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Offer(u64),
-    Reply(Reply),
+    Reply(CollectorReply),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    sender: Sender,
+    sender: ExportSender,
     /// What of the sender is durable: batches acknowledged, and whether the next is prepared.
     sender_disk: (u64, bool),
     /// None while it is down.
-    collector: Option<Collector>,
+    collector: Option<ExportCollector>,
     /// What of the collector is durable: each batch that was counted, in order.
     counted: Vec<u64>,
     /// A broken collector replies before this is durable.
@@ -45,7 +47,7 @@
     Settle,
     Lose(Message),
     OfferArrives(u64),
-    ReplyArrives(Reply),
+    ReplyArrives(CollectorReply),
     TakingIsDurable,
     SenderCrashes,
     CollectorCrashes,
@@ -57,8 +59,10 @@
     acknowledges_early: bool,
 }
 
-fn collector_from(counted: &[u64]) -> Collector {
-    counted.last().map_or(Collector::default(), |last| Collector::new(counted.len() as u64, digest(*last)))
+fn collector_from(counted: &[u64]) -> ExportCollector {
+    counted
+        .last()
+        .map_or(ExportCollector::default(), |last| ExportCollector::new(counted.len() as u64, digest(*last)))
 }
 
 impl Model for Delivery {
@@ -67,9 +71,9 @@
 
     fn init_states(&self) -> Vec<World> {
         vec![World {
-            sender: Sender::new(0, None),
+            sender: ExportSender::new(0, None),
             sender_disk: (0, false),
-            collector: Some(Collector::default()),
+            collector: Some(ExportCollector::default()),
             counted: Vec::new(),
             taking: None,
             way: BTreeSet::new(),
@@ -79,9 +83,9 @@
 
     fn actions(&self, w: &World, steps: &mut Vec<Step>) {
         match w.sender.next() {
-            Next::Wait if w.sender_disk.0 < BATCHES => steps.push(Step::Prepare),
-            Next::Send(_) if w.way.len() < UNDER_WAY => steps.push(Step::Send),
-            Next::Settle(_) => steps.push(Step::Settle),
+            SenderAction::Idle if w.sender_disk.0 < BATCHES => steps.push(Step::Prepare),
+            SenderAction::Send(_) if w.way.len() < UNDER_WAY => steps.push(Step::Send),
+            SenderAction::RecordAcknowledgement(_) => steps.push(Step::Settle),
             _ => {}
         }
         for message in &w.way {
@@ -112,24 +116,24 @@
         match step {
             Step::Prepare => {
                 w.sender_disk.1 = true;
-                w.sender.prepared(digest(w.sender_disk.0 + 1));
+                w.sender.batch_prepared(digest(w.sender_disk.0 + 1));
             }
             Step::Send => {
-                let Next::Send(n) = w.sender.next() else { return None };
+                let SenderAction::Send(n) = w.sender.next() else { return None };
                 w.way.insert(Message::Offer(n));
             }
             Step::Settle => {
                 w.sender_disk = (w.sender_disk.0 + 1, false);
-                w.sender.settled();
+                w.sender.acknowledgement_recorded();
             }
             Step::Lose(message) => drop(w.way.remove(&message)),
             Step::OfferArrives(n) => {
                 let collector = w.collector.as_mut()?;
                 let previous = if n == 1 { Vec::new() } else { digest(n - 1).to_vec() };
                 let kept = |n: u64| w.counted.contains(&n).then(|| digest(n));
-                let verdict = collector.on_offer(n, &digest(n), &previous, kept);
-                if verdict == Verdict::Take {
-                    collector.took(digest(n));
+                let decision = collector.on_offer(n, &digest(n), &previous, kept);
+                if decision == OfferDecision::Accept {
+                    collector.batch_accepted(digest(n));
                     if self.acknowledges_early {
                         // One write at a time: the one before is done by now.
                         w.counted.extend(w.taking.replace(n));
@@ -137,14 +141,14 @@
                         w.counted.push(n);
                     }
                 }
-                let reply = collector.reply(verdict);
+                let reply = collector.reply(decision);
                 w.way.insert(Message::Reply(reply));
             }
             Step::ReplyArrives(reply) => w.sender.on_reply(&reply),
             Step::TakingIsDurable => w.counted.extend(w.taking.take()),
             Step::SenderCrashes => {
                 let (acknowledged, prepared) = w.sender_disk;
-                w.sender = Sender::new(acknowledged, prepared.then(|| digest(acknowledged + 1)));
+                w.sender = ExportSender::new(acknowledged, prepared.then(|| digest(acknowledged + 1)));
                 w.crashes.0 += 1;
             }
             Step::CollectorCrashes => {
@@ -166,7 +170,7 @@
                 w.taking.is_some() || w.counted.len() as u64 >= w.sender_disk.0
             }),
             Property::always("no alarm without a cause", |_, w: &World| {
-                !matches!(w.sender.next(), Next::Alarm(_))
+                !matches!(w.sender.next(), SenderAction::Fault(_))
             }),
             Property::sometimes("all are delivered", |_, w: &World| w.sender_disk.0 == BATCHES),
             Property::sometimes("all are delivered after all the crashes", |_, w: &World| {
@@ -208,10 +212,10 @@
                     go(&mut w, Step::ReplyArrives(reply));
                 }
                 None => match w.sender.next() {
-                    Next::Wait => go(&mut w, Step::Prepare),
-                    Next::Send(_) => go(&mut w, Step::Send),
-                    Next::Settle(_) => go(&mut w, Step::Settle),
-                    Next::Alarm(_) => return false,
+                    SenderAction::Idle => go(&mut w, Step::Prepare),
+                    SenderAction::Send(_) => go(&mut w, Step::Send),
+                    SenderAction::RecordAcknowledgement(_) => go(&mut w, Step::Settle),
+                    SenderAction::Fault(_) => return false,
                 },
             }
         }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -1,9 +1,10 @@
 //! The written form of the lines and the code hold together, arbitrary bytes are read or refused, and ledgers of older
 //! versions are read.
 
-use dunlinspread_ledger::batch::{Batch, CorrectionItem, Item};
+use dunlinspread_ledger::batch::{Batch, CorrectionItem, UsageItem};
+use dunlinspread_ledger::operator_request::RequestFile;
 use dunlinspread_ledger::{
-    Amount, Close, Correction, Entry, Export, Kind, Line, LineId, Outcome, Request, Start, State, Unbilled,
+    Amount, Close, Correction, Entry, Export, LedgerState, Line, LineId, LineKind, Outcome, Start, Unbilled,
     Usage,
 };
 use dunlinspread_store::{Log, Options, RealDisk, Visit};
@@ -20,41 +21,42 @@
 /// One line of each kind, every field set, following from one another.
 fn lines() -> Vec<Line> {
     let amount = Amount { requests: 3, pool_us: 4, bytes_in: 5, bytes_out: 6 };
-    let entry = Entry { society: "aluva".to_owned(), class: 1, outcome: Outcome::Late as i32, amount };
+    let entry =
+        Entry { tenant: "aluva".to_owned(), class: 1, outcome: Outcome::CompletedLate as i32, amount };
     let kinds = vec![
-        Kind::Start(Start {
+        LineKind::Start(Start {
             start: 1_700_000_000_000,
             period_ms: 1000,
             classes: vec!["a".to_owned(), "b".to_owned()],
             at_risk: 9,
-            serves_on: true,
+            continues_on_failure: true,
         }),
-        Kind::Usage(Usage {
+        LineKind::Usage(Usage {
             period: 1_700_000_000_000,
             entries: vec![entry.clone()],
-            of: Some(1_600_000_000_000),
+            original_period: Some(1_600_000_000_000),
         }),
-        Kind::Unbilled(Unbilled {
+        LineKind::Unbilled(Unbilled {
             requests: 1,
             at_most: 2,
             unbounded: true,
             from_ms: 3,
             to_ms: 4,
-            why: "a test".to_owned(),
+            reason: "a test".to_owned(),
         }),
-        Kind::Correction(Correction {
+        LineKind::Correction(Correction {
             period: 1_700_000_000_000,
             corrects: id(2),
-            society: "aluva".to_owned(),
+            tenant: "aluva".to_owned(),
             class: "b".to_owned(),
-            outcome: Outcome::Late as i32,
+            outcome: Outcome::CompletedLate as i32,
             requests: -1,
             pool_us: -2,
             reason: "twice".to_owned(),
             token: "t1".to_owned(),
         }),
-        Kind::Close(Close { from: 1_700_000_000_000, to: 1_700_000_001_000, late: true }),
-        Kind::Export(Export {
+        LineKind::Close(Close { from: 1_700_000_000_000, to: 1_700_000_001_000, late: true }),
+        LineKind::Export(Export {
             batch: 1,
             digest: vec![7; 32],
             close: 5,
@@ -62,7 +64,7 @@
             lines: 10,
             acknowledged: false,
         }),
-        Kind::Export(Export {
+        LineKind::Export(Export {
             batch: 1,
             digest: vec![7; 32],
             close: 5,
@@ -71,15 +73,15 @@
             acknowledged: true,
         }),
     ];
-    let at = |(n, kind): (u64, Kind)| Line { at_ms: 1_700_000_000_500 + n * 1000, kind: Some(kind) };
+    let at = |(n, kind): (u64, LineKind)| Line { at_ms: 1_700_000_000_500 + n * 1000, kind: Some(kind) };
     (0..).zip(kinds).map(at).collect()
 }
 
 fn batch() -> Batch {
-    let item = Item {
+    let item = UsageItem {
         period: 1,
-        of: Some(2),
-        society: "s".to_owned(),
+        original_period: Some(2),
+        tenant: "s".to_owned(),
         class: "a".to_owned(),
         outcome: 1,
         requests: 3,
@@ -91,11 +93,11 @@
         CorrectionItem { line: id(3), corrects: id(2), item: item.clone(), reason: "twice".to_owned() };
     Batch {
         server: "n1".to_owned(),
-        born: 1,
+        ledger_id: 1,
         number: 2,
         previous: vec![1; 32],
         close: Close { from: 1, to: 2, late: true },
-        closed_by: 9,
+        close_line: 9,
         last: true,
         items: vec![item],
         corrections: vec![correction],
@@ -105,7 +107,7 @@
             unbounded: true,
             from_ms: 1,
             to_ms: 1,
-            why: "w".to_owned(),
+            reason: "w".to_owned(),
         }],
     }
 }
@@ -147,7 +149,7 @@
     let outcomes = pool.get_enum_by_name("dunlinspread.ledger.Outcome").expect("it is written down");
     for outcome in Outcome::ALL {
         let written = outcomes.get_value(outcome as i32).expect("written down");
-        assert_eq!(written.name().to_lowercase(), outcome.word());
+        assert_eq!(written.name().to_lowercase(), outcome.as_str());
     }
 }
 
@@ -159,10 +161,10 @@
 #[test]
 fn every_version_is_read() {
     let (disk, mut seen, mut state) =
-        (RealDisk::new(&data(1)).expect("a disk"), Vec::new(), State::default());
+        (RealDisk::new(&data(1)).expect("a disk"), Vec::new(), LedgerState::default());
     Log::read(&disk, "n1", |visit| {
         if let Visit::Record(number, bytes) = visit {
-            let line = Line::read(bytes).map_err(|e| e.to_string())?;
+            let line = Line::parse(bytes).map_err(|e| e.to_string())?;
             state.apply(number, &line).map_err(|e| e.to_string())?;
             seen.push(line);
         }
@@ -170,7 +172,7 @@
     })
     .expect("it reads");
     assert_eq!(seen, lines());
-    assert_eq!((state.exported, state.closed_to, state.batches), (5, 1_700_000_001_000, 1));
+    assert_eq!((state.last_exported_close, state.closed_to, state.last_batch), (5, 1_700_000_001_000, 1));
 }
 
 #[test]
@@ -189,15 +191,15 @@
 }
 
 fn try_all(bytes: &[u8]) {
-    if let Ok(line) = Line::read(bytes) {
+    if let Ok(line) = Line::parse(bytes) {
         // What reads is taken or refused by the state, and written as it was understood.
-        let _ = State::default().apply(1, &line);
-        assert_eq!(Line::read(&line.encode_to_vec()), Ok(line));
+        let _ = LedgerState::default().apply(1, &line);
+        assert_eq!(Line::parse(&line.encode_to_vec()), Ok(line));
     }
-    if let Ok(batch) = Batch::read(bytes) {
-        assert_eq!(Batch::read(&batch.seal().0), Ok(batch));
+    if let Ok(batch) = Batch::parse(bytes) {
+        assert_eq!(Batch::parse(&batch.encode_with_digest().0), Ok(batch));
     }
-    let _ = Request::read(bytes);
+    let _ = RequestFile::parse(bytes);
 }
 
 proptest! {
--- a/crates/scale/src/probes/ledger.rs
+++ b/crates/scale/src/probes/ledger.rs
@@ -5,9 +5,10 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::Slope;
 use anyhow::{Result, ensure};
-use dunlinspread_ledger::batch::{Batch, Item};
+use dunlinspread_ledger::batch::{Batch, UsageItem};
 use dunlinspread_ledger::{
-    Account, Action, Amount, Book, Close, Key, Mode, OnFailure, Outcome, Rules, State, Table, Use,
+    AccountName, Action, Amount, Close, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Outcome,
+    UsageAccumulator, UsageKey, UsageRecord, UsageTable,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -95,10 +96,12 @@
     fn run(&self, options: &ProbeOptions) -> Result<Vec<Slope>> {
         let sizes = options.sizes(SIZES, QUICK_SIZES);
         let seeds = options.seeds();
-        let interval = Mode::Interval { every_ms: COMMIT_MS, at_risk: 1_000 };
+        let interval = DurabilityMode::Interval { every_ms: COMMIT_MS, at_risk: 1_000 };
         Ok(vec![
             BILL.slope(points(sizes, seeds, |size, seed| bill_ns(options, size, seed, interval))?),
-            STRICT_BILL.slope(points(sizes, seeds, |size, seed| bill_ns(options, size, seed, Mode::Strict))?),
+            STRICT_BILL.slope(points(sizes, seeds, |size, seed| {
+                bill_ns(options, size, seed, DurabilityMode::Strict)
+            })?),
             DISK.slope(points(sizes, seeds, |size, seed| Ok(vec![disk_rate(size, seed, interval)?]))?),
             ADD.slope(points(sizes, seeds, |size, seed| Ok(add_ns(options, size, seed)))?),
             MEMORY.slope(points(sizes, seeds, |size, _| Ok(vec![table_of(&names(size)).bytes() as f64]))?),
@@ -111,13 +114,13 @@
     (0..tenants).map(|tenant| format!("tenant-{tenant:06}")).collect()
 }
 
-fn key(name: &str) -> Key<'_> {
-    Key { period: START_MS, society: name, class: 0, outcome: Outcome::Served }
+fn key(name: &str) -> UsageKey<'_> {
+    UsageKey { period: START_MS, tenant: name, class: 0, outcome: Outcome::Completed }
 }
 
 /// A table with an aggregate for each tenant.
-fn table_of(names: &[String]) -> Table {
-    let mut table = Table::new(1 << 24);
+fn table_of(names: &[String]) -> UsageTable {
+    let mut table = UsageTable::new(1 << 24);
     for name in names {
         table.add(key(name), &AMOUNT);
     }
@@ -147,7 +150,7 @@
 
 /// A ledger whose store is done at once.
 struct Load {
-    book: Book,
+    accumulator: UsageAccumulator,
     names: Vec<String>,
     actions: Vec<Action>,
     now: u64,
@@ -157,37 +160,38 @@
 }
 
 impl Load {
-    fn new(tenants: u64, mode: Mode) -> Load {
-        let rules = Rules {
+    fn new(tenants: u64, mode: DurabilityMode) -> Load {
+        let settings = LedgerSettings {
             period_ms: PERIOD_MS,
             grace_ms: 5_000,
             mode,
-            on_failure: OnFailure::Refuse,
+            on_failure: FailurePolicy::Reject,
             classes: vec!["a".to_owned()],
             cells: 1 << 20,
             records: 64,
         };
         let mut actions = Vec::new();
-        let book = Book::start(START_MS, rules, State::default(), 1, true, &mut actions);
+        let accumulator =
+            UsageAccumulator::start(START_MS, settings, LedgerState::default(), 1, true, &mut actions);
         let names = names(tenants);
-        let mut load = Load { book, names, actions, now: START_MS, records: 0, commits: 0, bytes: 0 };
+        let mut load = Load { accumulator, names, actions, now: START_MS, records: 0, commits: 0, bytes: 0 };
         load.store();
         load
     }
 
     /// An answer is billed at once.
     fn bill(&mut self, pick: usize) {
-        let used = Use {
+        let used = UsageRecord {
             requests: 1,
-            account: Account::named(&self.names[pick]).unwrap_or(Account::unattributed()),
+            account: AccountName::parse(&self.names[pick]).unwrap_or(AccountName::unattributed()),
             class: 0,
-            outcome: Outcome::Served,
+            outcome: Outcome::Completed,
             pool_us: AMOUNT.pool_us,
             bytes_in: AMOUNT.bytes_in,
             bytes_out: AMOUNT.bytes_out,
         };
-        black_box(self.book.bill(self.now, &used, &mut self.actions));
-        self.book.turn(self.now, &mut self.actions);
+        black_box(self.accumulator.bill(self.now, &used, &mut self.actions));
+        self.accumulator.flush_if_due(self.now, &mut self.actions);
         self.store();
     }
 
@@ -206,12 +210,12 @@
             }
             self.records += records;
             self.commits += 1;
-            self.book.durable(self.now, records as usize, &mut self.actions);
+            self.accumulator.durable(self.now, records as usize, &mut self.actions);
         }
     }
 }
 
-fn bill_ns(options: &ProbeOptions, tenants: u64, seed: u64, mode: Mode) -> Result<Vec<f64>> {
+fn bill_ns(options: &ProbeOptions, tenants: u64, seed: u64, mode: DurabilityMode) -> Result<Vec<f64>> {
     let mut load = Load::new(tenants, mode);
     let picks = picks(answers(options), tenants, seed);
     let mut billed = 0;
@@ -227,7 +231,7 @@
 }
 
 /// Bytes a second to the disk.
-fn disk_rate(tenants: u64, seed: u64, mode: Mode) -> Result<f64> {
+fn disk_rate(tenants: u64, seed: u64, mode: DurabilityMode) -> Result<f64> {
     let mut load = Load::new(tenants, mode);
     (load.bytes, load.records, load.commits) = (0, 0, 0);
     let picks = picks(DISK_SECONDS * REQUESTS_PER_SECOND, tenants, seed);
@@ -243,12 +247,12 @@
 /// Bytes of the batches of a period in which each tenant had as much use as its share of the target's rate.
 fn batch_bytes(names: &[String]) -> f64 {
     let requests = (REQUESTS_PER_SECOND * PERIOD_MS / 1000 / names.len() as u64).max(1) as i64;
-    let item = |name: &String| Item {
+    let item = |name: &String| UsageItem {
         period: START_MS,
-        of: None,
-        society: name.clone(),
+        original_period: None,
+        tenant: name.clone(),
         class: "a".to_owned(),
-        outcome: Outcome::Served as i32,
+        outcome: Outcome::Completed as i32,
         requests,
         pool_us: AMOUNT.pool_us as i64 * requests,
         bytes_in: AMOUNT.bytes_in as i64 * requests,
@@ -256,15 +260,15 @@
     };
     let batch = Batch {
         server: "round-server-0001".to_owned(),
-        born: START_MS,
+        ledger_id: START_MS,
         number: 1,
         previous: vec![0; 32],
         close: Close { from: START_MS, to: START_MS + PERIOD_MS, late: false },
-        closed_by: 1,
+        close_line: 1,
         last: true,
         items: names.iter().map(item).collect(),
         corrections: Vec::new(),
         unbilled: Vec::new(),
     };
-    batch.seal().0.len() as f64
+    batch.encode_with_digest().0.len() as f64
 }
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -2,7 +2,7 @@
 //! is closed.
 
 use crate::config::Config;
-use crate::operator::LedgerSettings;
+use crate::operator::LedgerConfig;
 use crate::server::messages::ToCore;
 use crate::server::supervisor;
 use crate::server::timer_wheel::Clock;
@@ -18,7 +18,7 @@
 /// Opens the ledger, which waits for the disk, and starts its threads. Nothing is served before: an answer that can't be
 /// billed may not be given.
 pub fn open(
-    settings: &LedgerSettings,
+    settings: &LedgerConfig,
     config: &Config,
     clock: Clock,
     core: async_channel::Sender<ToCore>,
@@ -53,14 +53,15 @@
     billing.clerk_is(tell);
     let witness = match &settings.peers {
         Some(peers) => {
-            let shared = Witness::new(&config.name, billing.born(), opened.state.batches, log.clone());
+            let shared =
+                Witness::new(&config.name, billing.ledger_id(), opened.state.last_batch, log.clone());
             shared.start(peers)?;
             Some(shared)
         }
         None => None,
     };
     let clerk = Clerk {
-        born: billing.born(),
+        ledger_id: billing.ledger_id(),
         witness,
         server: config.name.clone(),
         directory: settings.directory.clone(),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -20,7 +20,7 @@
 use async_io::Async;
 use async_signal::{Signal, Signals};
 use clap::{Args, Parser, Subcommand};
-use dunlinspread_ledger::Mode;
+use dunlinspread_ledger::DurabilityMode;
 use futures_lite::StreamExt;
 use futures_lite::future::{BoxedLocal, or};
 use slog::{Drain, Logger, info, o, warn};
@@ -258,8 +258,8 @@
     if let Some(settings) = &links.operator.ledger {
         let ledger = ledger::open(settings, &config, clock, core_box.clone(), &executor, &log, dead.clone())?;
         let tick_ms = match settings.mode {
-            Mode::Strict => LEDGER_TICK_MS,
-            Mode::Interval { every_ms, .. } => LEDGER_TICK_MS.min(every_ms as f64),
+            DurabilityMode::Strict => LEDGER_TICK_MS,
+            DurabilityMode::Interval { every_ms, .. } => LEDGER_TICK_MS.min(every_ms as f64),
         };
         core.bill_by(ledger, tick_ms);
     }
--- a/src/operator/ledger.rs
+++ b/src/operator/ledger.rs
@@ -1,7 +1,7 @@
 //! The block `ledger`: where and how use is billed.
 
 use super::duration::{humantime_text, range_ms, text};
-use dunlinspread_ledger::{Mode, OnFailure};
+use dunlinspread_ledger::{DurabilityMode, FailurePolicy};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 /// Where closed periods are exported to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ExportTo {
+pub enum ExportTarget {
     /// A folder.
     Folder(String),
     /// A collector that listens there.
@@ -29,7 +29,7 @@
 
 /// The block `ledger`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LedgerSettings {
+pub struct LedgerConfig {
     /// The block's label.
     pub name: String,
     /// Where its store lies.
@@ -39,11 +39,11 @@
     /// How long after its end a period is closed, ms.
     pub grace_ms: u64,
     /// When answers may leave.
-    pub mode: Mode,
+    pub mode: DurabilityMode,
     /// What happens while the disk fails.
-    pub on_failure: OnFailure,
+    pub on_failure: FailurePolicy,
     /// Where closed periods go; they stay in the store without one.
-    pub export: Option<ExportTo>,
+    pub export: Option<ExportTarget>,
     /// Lines in one batch at most.
     pub batch_lines: usize,
     /// How long lines are kept, ms, once they are exported (or closed, if nothing is).
@@ -110,7 +110,7 @@
 
 impl RawLedger {
     /// The settings, or the key that is faulty and why.
-    pub(super) fn check(self, name: &str) -> Result<LedgerSettings, (&'static str, String)> {
+    pub(super) fn check(self, name: &str) -> Result<LedgerConfig, (&'static str, String)> {
         let period_ms = range_ms("period", self.period, 900_000, 100, 31 * 86_400_000)?;
         let grace_ms = range_ms("grace", self.grace, period_ms.min(5000), 0, period_ms)?;
         let keep_ms = range_ms("keep", self.keep, 400 * 86_400_000, 1000, 20 * 366 * 86_400_000)?;
@@ -121,7 +121,7 @@
             RawMode::Strict if self.at_risk.is_some() => {
                 return Err(("at_risk", "belongs to mode \"interval\"".to_owned()));
             }
-            RawMode::Strict => Mode::Strict,
+            RawMode::Strict => DurabilityMode::Strict,
             RawMode::Interval => {
                 let every_ms = range_ms("interval", self.interval, 50, 1, 60_000)?;
                 let at_risk = self.at_risk.unwrap_or(1000);
@@ -131,13 +131,13 @@
                         "with 0 no answer could leave; mode \"strict\" is that".to_owned(),
                     ));
                 }
-                Mode::Interval { every_ms, at_risk }
+                DurabilityMode::Interval { every_ms, at_risk }
             }
         };
         let export = match self.export.map(|e| (e.folder, e.collector)) {
             None => None,
-            Some((Some(folder), None)) => Some(ExportTo::Folder(folder)),
-            Some((None, Some(address))) => Some(ExportTo::Collector(address)),
+            Some((Some(folder), None)) => Some(ExportTarget::Folder(folder)),
+            Some((None, Some(address))) => Some(ExportTarget::Collector(address)),
             Some(_) => return Err(("export", "takes either `folder` or `collector`".to_owned())),
         };
         let peers = match self.peers {
@@ -158,15 +158,15 @@
         if self.directory.is_empty() {
             return Err(("directory", "is empty".to_owned()));
         }
-        Ok(LedgerSettings {
+        Ok(LedgerConfig {
             name: name.to_owned(),
             directory: self.directory,
             period_ms,
             grace_ms,
             mode,
             on_failure: match self.on_failure {
-                RawOnFailure::Refuse => OnFailure::Refuse,
-                RawOnFailure::Continue => OnFailure::Continue,
+                RawOnFailure::Refuse => FailurePolicy::Reject,
+                RawOnFailure::Continue => FailurePolicy::Continue,
             },
             export,
             batch_lines: batch_lines as usize,
@@ -176,7 +176,7 @@
     }
 }
 
-impl fmt::Display for LedgerSettings {
+impl fmt::Display for LedgerConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "ledger \"{}\" {{\n  directory   = {:?}", self.name, self.directory)?;
         writeln!(
@@ -186,20 +186,20 @@
             text(self.grace_ms)
         )?;
         match self.mode {
-            Mode::Strict => writeln!(f, "  mode        = \"strict\"")?,
-            Mode::Interval { every_ms, at_risk } => writeln!(
+            DurabilityMode::Strict => writeln!(f, "  mode        = \"strict\"")?,
+            DurabilityMode::Interval { every_ms, at_risk } => writeln!(
                 f,
                 "  mode        = \"interval\"\n  interval    = \"{}\"\n  at_risk     = {at_risk}",
                 text(every_ms)
             )?,
         }
-        let on_failure = if self.on_failure == OnFailure::Refuse { "refuse" } else { "continue" };
+        let on_failure = if self.on_failure == FailurePolicy::Reject { "refuse" } else { "continue" };
         writeln!(f, "  on_failure  = \"{on_failure}\"\n  batch_lines = {}", self.batch_lines)?;
         writeln!(f, "  keep        = \"{}\"", text(self.keep_ms))?;
         match &self.export {
             None => {}
-            Some(ExportTo::Folder(folder)) => writeln!(f, "  export {{\n    folder = {folder:?}\n  }}")?,
-            Some(ExportTo::Collector(at)) => writeln!(f, "  export {{\n    collector = \"{at}\"\n  }}")?,
+            Some(ExportTarget::Folder(folder)) => writeln!(f, "  export {{\n    folder = {folder:?}\n  }}")?,
+            Some(ExportTarget::Collector(at)) => writeln!(f, "  export {{\n    collector = \"{at}\"\n  }}")?,
         }
         if let Some(peers) = &self.peers {
             writeln!(f, "  peers {{")?;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,7 +10,7 @@
 
 pub use config_sync::{ConfigSyncSettings, RelaySettings};
 pub use fault::OperatorFault;
-pub use ledger::{ExportTo, LedgerSettings, PeerSettings};
+pub use ledger::{ExportTarget, LedgerConfig, PeerSettings};
 pub use log::{LogFormat, LogLevel, LogSettings};
 
 use fault::Source;
@@ -26,7 +26,7 @@
     /// The daemon's log.
     pub log: LogSettings,
     /// The ledger; off without one.
-    pub ledger: Option<LedgerSettings>,
+    pub ledger: Option<LedgerConfig>,
     /// Distributed configuration; off without it.
     pub config_sync: Option<ConfigSyncSettings>,
 }
@@ -108,7 +108,7 @@
     Err(source.fault(block.span(), Some(block), None, "takes no label".to_owned()))
 }
 
-fn read_ledger(source: &Source, block: &Block) -> Result<LedgerSettings, OperatorFault> {
+fn read_ledger(source: &Source, block: &Block) -> Result<LedgerConfig, OperatorFault> {
     let [label] = &block.labels[..] else {
         let what = "takes one label, its name: ledger \"rounds\" {".to_owned();
         return Err(source.fault(block.span(), Some(block), None, what));
--- a/src/server/dispatcher/billing.rs
+++ b/src/server/dispatcher/billing.rs
@@ -12,10 +12,10 @@
         let Some(request) = self.requests.get_mut(&id) else { return self.send(handle, answer) };
         let late = now - request.reached > self.set.classes[request.class].aim_ms;
         let (outcome, bytes_out) = match &answer {
-            Answer::Served(body) if request.poorer => (Billed::Poorer, body.len()),
-            Answer::Served(body) if late => (Billed::Late, body.len()),
-            Answer::Served(body) => (Billed::Served, body.len()),
-            Answer::Refused { .. } => (Billed::Refused, 0),
+            Answer::Served(body) if request.poorer => (Billed::Degraded, body.len()),
+            Answer::Served(body) if late => (Billed::CompletedLate, body.len()),
+            Answer::Served(body) => (Billed::Completed, body.len()),
+            Answer::Refused { .. } => (Billed::Rejected, 0),
             Answer::Failed | Answer::Invalid | Answer::Health(_) => (Billed::Failed, 0),
         };
         request.billed = Some(outcome);
@@ -40,7 +40,7 @@
     pub(super) fn bill_silent(&mut self, id: RequestId, withdrawn: bool, pool_ms: f64) {
         let (now, Some(ledger)) = (self.clock.now(), &mut self.ledger) else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let outcome = if withdrawn { Billed::Withdrawn } else { request.billed.unwrap_or(Billed::Withdrawn) };
+        let outcome = if withdrawn { Billed::Cancelled } else { request.billed.unwrap_or(Billed::Cancelled) };
         request.billed = Some(outcome);
         let bytes_in = if withdrawn { request.body.len() } else { 0 };
         let used = Used { class: request.class, outcome, pool_ms, bytes_in, bytes_out: 0 };
--- a/src/server/dispatcher/events.rs
+++ b/src/server/dispatcher/events.rs
@@ -39,7 +39,7 @@
             let known = key.as_ref().is_some_and(|k| self.keys.look(k, print, reached) != Known::New);
             let (outcome, answer) = match known {
                 true => (Billed::Failed, Answer::Failed),
-                false => (Billed::Refused, Answer::Refused { retry_after_ms, last: false }),
+                false => (Billed::Rejected, Answer::Refused { retry_after_ms, last: false }),
             };
             let used = Used { class, outcome, pool_ms: 0.0, bytes_in: body.len(), bytes_out: 0 };
             return self.bill(account.as_ref(), &used, handle, answer);
--- a/src/server/frontend/request_decoder.rs
+++ b/src/server/frontend/request_decoder.rs
@@ -5,7 +5,7 @@
 use crate::admission::Effect;
 use crate::codec::msgpack::Value;
 use crate::server::messages::Incoming;
-use dunlinspread_ledger::Account;
+use dunlinspread_ledger::AccountName;
 use std::rc::Rc;
 
 /// The longest body of a request, in bytes.
@@ -47,7 +47,7 @@
             return None;
         }
         let billed = shared.accounts && named("org").is_some();
-        let account = if billed { Some(Account::named(field("org")?).ok()?) } else { None };
+        let account = if billed { Some(AccountName::parse(field("org")?).ok()?) } else { None };
         let reached = number("recv").filter(|r| *r > 0.0)?;
         let longest = MAX_WAITS * shared.classes[class].give_up_ms;
         let ttl = match (named("ttl").is_some(), shared.passes_deadline) {
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -2,10 +2,11 @@
 //! not leave yet wait here. It decides nothing about a request; it must never wait for the disk, and never let an answer
 //! go that the book holds.
 
-use crate::operator::LedgerSettings;
+use crate::operator::LedgerConfig;
 use crate::server::messages::{Answer, Handle};
 use dunlinspread_ledger::{
-    Account, Action, Book, Figures, Kind, Line, Note, Outcome, Rules, State, Use, Verdict,
+    AccountName, Action, LedgerGauges, LedgerSettings, LedgerState, Line, LineKind, Notice, Outcome,
+    ReplyDecision, UsageAccumulator, UsageRecord,
 };
 use dunlinspread_store::{Failure, Gauges, Log, Options, Progress, RealDisk, Visit, Writer, WriterOptions};
 use slog::{Logger, error, info, warn};
@@ -45,7 +46,7 @@
     /// The clerk has a line to be entered.
     Enter {
         /// The line.
-        kind: Kind,
+        kind: LineKind,
         /// Comes back once it is durable.
         tag: u64,
     },
@@ -83,16 +84,16 @@
 #[derive(Clone, Debug)]
 pub struct Opened {
     /// The sum of all lines at the opening.
-    pub state: State,
+    pub state: LedgerState,
     /// The number of the first line that is there.
     pub first: u64,
     /// The sum of all lines before that.
-    pub base: State,
+    pub base: LedgerState,
 }
 
 /// The ledger of one server.
 pub struct Billing {
-    book: Book,
+    accumulator: UsageAccumulator,
     writer: Writer,
     /// The last ticket whose fate was told.
     told: u64,
@@ -120,11 +121,11 @@
     ///
     /// # Errors
     /// As text that names the file and what to do.
-    pub fn open(settings: &LedgerSettings, server: &str, now_ms: u64, log: &Logger) -> Result<Store, String> {
+    pub fn open(settings: &LedgerConfig, server: &str, now_ms: u64, log: &Logger) -> Result<Store, String> {
         let what = |e: &dyn std::fmt::Display| format!("ledger \"{}\": {e}", settings.name);
         let disk = RealDisk::new(Path::new(&settings.directory)).map_err(|e| what(&e))?;
         let options = Options { max_record: MAX_RECORD, now_ms, ..Options::new(server) };
-        let (mut state, mut base, mut first) = (State::default(), State::default(), 1);
+        let (mut state, mut base, mut first) = (LedgerState::default(), LedgerState::default(), 1);
         let opening = Log::open(Arc::new(disk), options, |visit| match visit {
             Visit::Snapshot(before, bytes) => {
                 state = prost::Message::decode(bytes).map_err(|e: prost::DecodeError| e.to_string())?;
@@ -132,7 +133,7 @@
                 Ok(())
             }
             Visit::Record(number, bytes) => {
-                let line = Line::read(bytes).map_err(|e| e.to_string())?;
+                let line = Line::parse(bytes).map_err(|e| e.to_string())?;
                 state.apply(number, &line).map_err(|e| e.to_string())
             }
         });
@@ -155,14 +156,14 @@
     /// If there can be no thread.
     pub fn start(
         store: Store,
-        settings: &LedgerSettings,
+        settings: &LedgerConfig,
         classes: &[String],
         cells: usize,
         now_ms: u64,
         told: impl FnMut(Progress) + Send + 'static,
         log: Logger,
     ) -> Result<Billing, String> {
-        let rules = Rules {
+        let settings = LedgerSettings {
             period_ms: settings.period_ms,
             grace_ms: settings.grace_ms,
             mode: settings.mode,
@@ -172,7 +173,14 @@
             records: RECORDS,
         };
         let mut actions = Vec::new();
-        let book = Book::start(now_ms, rules, store.opened.state, store.next, store.clean, &mut actions);
+        let accumulator = UsageAccumulator::start(
+            now_ms,
+            settings,
+            store.opened.state,
+            store.next,
+            store.clean,
+            &mut actions,
+        );
         let broken = acknowledges_early();
         let interval = std::time::Duration::from_millis(if broken { 400 } else { 0 });
         let options = WriterOptions {
@@ -183,7 +191,7 @@
         };
         let writer = Writer::start(store.log, options, told).map_err(|e| format!("ledger: {e}"))?;
         let mut billing = Billing {
-            book,
+            accumulator,
             writer,
             told: 0,
             era: 0,
@@ -200,8 +208,8 @@
     }
 
     /// The mark of the ledger: its first start, which a new one has by now.
-    pub fn born(&self) -> u64 {
-        self.book.state().born
+    pub fn ledger_id(&self) -> u64 {
+        self.accumulator.state().ledger_id
     }
 
     /// Where the clerk listens.
@@ -219,8 +227,8 @@
         answer: Answer,
     ) -> Option<(Handle, Answer)> {
         match self.enter_use(now_ms, account, used, 1) {
-            Verdict::Send => Some((to, answer)),
-            Verdict::Hold(mark) => {
+            ReplyDecision::SendNow => Some((to, answer)),
+            ReplyDecision::HoldUntil(mark) => {
                 self.held.push_back((mark, to, answer));
                 None
             }
@@ -232,10 +240,16 @@
         self.enter_use(now_ms, account, used, requests);
     }
 
-    fn enter_use(&mut self, now_ms: f64, account: Option<&Rc<str>>, used: &Used, requests: u64) -> Verdict {
+    fn enter_use(
+        &mut self,
+        now_ms: f64,
+        account: Option<&Rc<str>>,
+        used: &Used,
+        requests: u64,
+    ) -> ReplyDecision {
         // The front lets no other names through.
-        let account = account.and_then(|a| Account::named(a).ok()).unwrap_or(Account::unattributed());
-        let used = Use {
+        let account = account.and_then(|a| AccountName::parse(a).ok()).unwrap_or(AccountName::unattributed());
+        let used = UsageRecord {
             requests,
             account,
             class: used.class as u16,
@@ -244,7 +258,7 @@
             bytes_in: used.bytes_in as u64,
             bytes_out: used.bytes_out as u64,
         };
-        let verdict = self.book.bill(now_ms as u64, &used, &mut self.actions);
+        let verdict = self.accumulator.bill(now_ms as u64, &used, &mut self.actions);
         if !self.actions.is_empty() {
             self.carry_out();
         }
@@ -253,13 +267,13 @@
 
     /// After the answers of one event were billed: has the store work if it has none.
     pub fn turn(&mut self, now_ms: f64) {
-        self.book.turn(now_ms as u64, &mut self.actions);
+        self.accumulator.flush_if_due(now_ms as u64, &mut self.actions);
         self.carry_out();
     }
 
     /// Time passes.
     pub fn tick(&mut self, now_ms: f64) {
-        self.book.tick(now_ms as u64, &mut self.actions);
+        self.accumulator.tick(now_ms as u64, &mut self.actions);
         self.carry_out();
     }
 
@@ -271,7 +285,7 @@
             Progress::Durable { through, .. } => {
                 let count = through - self.told;
                 self.told = through;
-                self.book.durable(now_ms as u64, count as usize, &mut self.actions);
+                self.accumulator.durable(now_ms as u64, count as usize, &mut self.actions);
             }
             Progress::Failed { through, why, era, .. } => {
                 let count = through - self.told;
@@ -285,7 +299,7 @@
                     self.reported = true;
                     error!(self.log, "ledger: the disk failed; only a restart can tell what is there"; "why" => why.as_str());
                 }
-                self.book.failed(&why, count as usize, &mut self.actions);
+                self.accumulator.failed(&why, count as usize, &mut self.actions);
             }
             Progress::Snapshot { before, failed: None } => {
                 info!(self.log, "ledger: old lines may go"; "before" => before);
@@ -298,8 +312,8 @@
     }
 
     /// Enters a line for the clerk, which hears of it.
-    pub fn enter(&mut self, now_ms: f64, kind: Kind, tag: u64) {
-        if !self.book.enter(now_ms as u64, kind, tag, &mut self.actions) {
+    pub fn enter(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
+        if !self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions) {
             self.tell_clerk(ToClerk::Entered { tag, line: None });
         }
         self.carry_out();
@@ -314,7 +328,7 @@
 
     /// Closes all up to now before its time, or tells the thread that it can't be.
     pub fn close_early(&mut self, now_ms: f64, tag: u64) {
-        if !self.book.close_early(now_ms as u64, &mut self.actions) {
+        if !self.accumulator.close_early(now_ms as u64, &mut self.actions) {
             self.tell_clerk(ToClerk::Entered { tag, line: None });
         }
         self.carry_out();
@@ -327,17 +341,17 @@
 
     /// Whether new requests may be taken on.
     pub fn serving(&self) -> bool {
-        self.book.serving()
+        self.accumulator.serving()
     }
 
     /// The figures now.
-    pub fn figures(&self) -> (Figures, Gauges) {
-        (self.book.figures(), self.writer.gauges())
+    pub fn figures(&self) -> (LedgerGauges, Gauges) {
+        (self.accumulator.gauges(), self.writer.gauges())
     }
 
     /// Has all written that waits, and gives the writer, to be closed where waiting is allowed.
     pub fn end(mut self, now_ms: f64) -> Writer {
-        self.book.finish(now_ms as u64, &mut self.actions);
+        self.accumulator.finish(now_ms as u64, &mut self.actions);
         self.carry_out();
         self.tell_clerk(ToClerk::Stop);
         self.writer
@@ -368,13 +382,15 @@
                         self.free.extend(self.held.pop_front().map(|(_, to, answer)| (to, answer)));
                     }
                 }
-                Action::Serving(good) => info!(self.log, "ledger: taking on new requests"; "good" => good),
-                Action::Closed(number) => self.tell_clerk(ToClerk::Closed(number)),
-                Action::Entered { tag, number } => {
-                    let start = self.book.state().start.as_ref().map_or(0, |s| s.start);
+                Action::AcceptRequests(good) => {
+                    info!(self.log, "ledger: taking on new requests"; "good" => good)
+                }
+                Action::PeriodsClosed(number) => self.tell_clerk(ToClerk::Closed(number)),
+                Action::EntryDurable { tag, number } => {
+                    let start = self.accumulator.state().start.as_ref().map_or(0, |s| s.start);
                     self.tell_clerk(ToClerk::Entered { tag, line: Some((start, number)) });
                 }
-                Action::Note(note) => self.say(&note),
+                Action::Notify(note) => self.say(&note),
             }
         }
         self.actions = actions;
@@ -383,22 +399,24 @@
         }
     }
 
-    fn say(&self, note: &Note) {
+    fn say(&self, note: &Notice) {
         match note {
-            Note::Failing(why) => warn!(self.log, "ledger: lines can't be written"; "why" => why.as_str()),
-            Note::Recovered { unbilled } => {
+            Notice::StoreFailing(why) => {
+                warn!(self.log, "ledger: lines can't be written"; "why" => why.as_str())
+            }
+            Notice::StoreRecovered { unbilled } => {
                 info!(self.log, "ledger: lines are written again"; "unbilled" => unbilled);
             }
-            Note::Unclean { at_most } => {
+            Notice::UncleanShutdown { at_most } => {
                 let at_most = at_most.map_or("unknown".to_owned(), |n| n.to_string());
                 warn!(self.log, "ledger: the last end was not a good one, answers may be unbilled";
                     "at_most" => at_most);
             }
-            Note::ClosedLate { from, to } => {
+            Notice::ClosedLate { from, to } => {
                 warn!(self.log, "ledger: closing periods that ended while the server was down";
                     "from_ms" => from, "to_ms" => to);
             }
-            Note::ClockBehind(ms) => {
+            Notice::ClockBehind(ms) => {
                 warn!(self.log, "ledger: the clock is behind the last line"; "ms" => ms);
             }
         }
--- a/src/server/usage/digest_exchange.rs
+++ b/src/server/usage/digest_exchange.rs
@@ -3,7 +3,7 @@
 //! nothing else; what it says is only ever held against what is known, and told to people.
 
 use crate::operator::PeerSettings;
-use dunlinspread_ledger::witness::{Claims, Witness};
+use dunlinspread_ledger::digest_comparison::{DigestClaims, DigestComparison};
 use prost::Message;
 use slog::{Logger, error, info, warn};
 use std::io::{self, Read, Write};
@@ -21,17 +21,17 @@
 /// What is known, shared with the clerk.
 #[derive(Clone)]
 pub struct Shared {
-    witness: Arc<Mutex<Witness>>,
+    witness: Arc<Mutex<DigestComparison>>,
     log: Logger,
 }
 
 impl Shared {
     /// What this server's ledger is so far.
-    pub fn new(server: &str, born: u64, made: u64, log: Logger) -> Shared {
-        Shared { witness: Arc::new(Mutex::new(Witness::new(server, born, made))), log }
+    pub fn new(server: &str, ledger_id: u64, made: u64, log: Logger) -> Shared {
+        Shared { witness: Arc::new(Mutex::new(DigestComparison::new(server, ledger_id, made))), log }
     }
 
-    fn witness(&self) -> MutexGuard<'_, Witness> {
+    fn witness(&self) -> MutexGuard<'_, DigestComparison> {
         self.witness.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -41,12 +41,12 @@
         unlike.iter().for_each(|u| self.say(u));
     }
 
-    fn hear(&self, claims: &Claims) {
+    fn hear(&self, claims: &DigestClaims) {
         let unlike = self.witness().hear(claims);
         unlike.iter().for_each(|u| self.say(u));
     }
 
-    fn say(&self, unlike: &dunlinspread_ledger::witness::Unlike) {
+    fn say(&self, unlike: &dunlinspread_ledger::digest_comparison::DigestMismatch) {
         error!(self.log, "ledger: servers disagree about exports"; "what" => unlike.to_string());
     }
 
@@ -121,7 +121,7 @@
     }
 }
 
-fn read(stream: &mut impl Read) -> io::Result<Claims> {
+fn read(stream: &mut impl Read) -> io::Result<DigestClaims> {
     let wrong = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
     let mut head = [0; 12];
     stream.read_exact(&mut head)?;
@@ -138,7 +138,7 @@
     if bytes.len() < len {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    Claims::decode(&bytes[..]).map_err(|_| wrong("its message can't be read"))
+    DigestClaims::decode(&bytes[..]).map_err(|_| wrong("its message can't be read"))
 }
 
 #[cfg(test)]
@@ -149,7 +149,7 @@
     fn nonsense_is_an_error() {
         let mut good = MAGIC.to_vec();
         good.extend_from_slice(&[0; 4]);
-        assert_eq!(read(&mut &good[..]).expect("empty claims"), Claims::default());
+        assert_eq!(read(&mut &good[..]).expect("empty claims"), DigestClaims::default());
         let long = [&MAGIC[..], &[255; 4]].concat();
         let cut = [&MAGIC[..], &[9, 0, 0, 0, 1]].concat();
         let other = [&MAGIC[..], &[2, 0, 0, 0, 255, 255]].concat();
