--- a/src/server/usage/export_worker.rs
+++ b/src/server/usage/export_worker.rs
@@ -2,18 +2,20 @@
 //!
 //! It makes batches from the ledger's lines, has them entered as prepared before they are sent and as acknowledged before
 //! the next is made, and sends until they are acknowledged. What settles the order of that is
-//! `dunlinspread_ledger::deliver`. It must never send a batch that is not entered, never change one that is, never enter
+//! `dunlinspread_ledger::export_protocol`. It must never send a batch that is not entered, never change one that is, never enter
 //! a request twice, and never hold up serving.
 
 use super::digest_exchange::Shared as Witness;
 use crate::codec::http;
-use crate::operator::ExportTo;
+use crate::operator::ExportTarget;
 use crate::server::usage::billing::{FromLedger, Opened, ToClerk};
 use async_channel::Sender as ToCore;
-use dunlinspread_ledger::batch::{self, Making, hex};
-use dunlinspread_ledger::deliver::{Next, Reply, Sender};
-use dunlinspread_ledger::request::{self, Request, Wish};
-use dunlinspread_ledger::{Export as ExportLine, Inbox, Kind, Line, LineId, LineIdText, State, read_lines};
+use dunlinspread_ledger::batch::{self, BatchPlan, hex};
+use dunlinspread_ledger::export_protocol::{CollectorReply, ExportSender, SenderAction};
+use dunlinspread_ledger::operator_request::{self, OperatorRequest, RequestFile};
+use dunlinspread_ledger::{
+    BatchReceiver, Export as ExportLine, LedgerState, Line, LineId, LineIdText, LineKind, read_lines,
+};
 use dunlinspread_store::{Log, RealDisk, StoreError, Visit};
 use prost::Message as _;
 use slog::{Logger, error, info, warn};
@@ -44,7 +46,7 @@
     /// Where the ledger's store lies.
     pub directory: String,
     /// Where batches go, if anywhere.
-    pub to: Option<ExportTo>,
+    pub to: Option<ExportTarget>,
     /// Lines in a batch at most.
     pub batch_lines: usize,
     /// How long lines are kept, ms.
@@ -52,7 +54,7 @@
     /// Sums held at a time.
     pub cells: usize,
     /// The mark of the ledger: its first start.
-    pub born: u64,
+    pub ledger_id: u64,
     /// What opening the ledger found.
     pub opened: Opened,
     /// Other servers, where they may talk.
@@ -82,7 +84,7 @@
 /// The ways to a collector.
 enum Carrier {
     Nowhere,
-    Folder(Option<Inbox>, String),
+    Folder(Option<BatchReceiver>, String),
     Collector(SocketAddr, Option<TcpStream>),
 }
 
@@ -90,7 +92,7 @@
     set: Clerk,
     disk: RealDisk,
     carrier: Carrier,
-    sender: Sender,
+    sender: ExportSender,
     /// The number of the last close line that is durable.
     latest: u64,
     /// The number of the last close line whose batches are all acknowledged, and how many of the next are.
@@ -100,9 +102,9 @@
     digest: Vec<u8>,
     prepared: Option<ExportLine>,
     /// From this line on, with the sum of all before it, lines may belong to periods that are not exported.
-    from: (u64, State),
+    from: (u64, LedgerState),
     /// Lines before this one are older than they need to be kept, and their sum.
-    old: (u64, State),
+    old: (u64, LedgerState),
     /// The first line that the store was last told to keep.
     kept_from: u64,
     /// When old lines were last looked for.
@@ -126,23 +128,23 @@
         let disk = RealDisk::new(Path::new(&self.directory)).map_err(|e| e.to_string())?;
         let carrier = match &self.to {
             None => Carrier::Nowhere,
-            Some(ExportTo::Folder(folder)) => Carrier::Folder(None, folder.clone()),
-            Some(ExportTo::Collector(address)) => Carrier::Collector(*address, None),
+            Some(ExportTarget::Folder(folder)) => Carrier::Folder(None, folder.clone()),
+            Some(ExportTarget::Collector(address)) => Carrier::Collector(*address, None),
         };
-        let asked = Path::new(&self.directory).join(request::FOLDER);
+        let asked = Path::new(&self.directory).join(operator_request::REQUESTS_FOLDER);
         std::fs::create_dir_all(&asked).map_err(|e| format!("{}: {e}", asked.display()))?;
         let state = &self.opened.state;
-        let acknowledged = state.batches - u64::from(state.prepared.is_some());
+        let acknowledged = state.last_batch - u64::from(state.prepared_batch.is_some());
         let digest = |p: &ExportLine| p.digest.clone().try_into().unwrap_or_default();
         let mut work = Work {
             disk,
             carrier,
-            sender: Sender::new(acknowledged, state.prepared.as_ref().map(digest)),
+            sender: ExportSender::new(acknowledged, state.prepared_batch.as_ref().map(digest)),
             latest: state.last_close,
-            exported: state.exported,
-            part: state.part,
-            digest: state.digest.clone(),
-            prepared: state.prepared.clone(),
+            exported: state.last_exported_close,
+            part: state.exported_parts,
+            digest: state.last_digest.clone(),
+            prepared: state.prepared_batch.clone(),
             from: (self.opened.first, self.opened.base.clone()),
             old: (self.opened.first, self.opened.base.clone()),
             kept_from: self.opened.first,
@@ -199,7 +201,7 @@
     }
 
     /// Has a line entered and waits until it is durable; its start and number.
-    fn enter(&mut self, kind: Kind) -> Step<(u64, u64)> {
+    fn enter(&mut self, kind: LineKind) -> Step<(u64, u64)> {
         self.tags += 1;
         let entering = FromLedger::Enter { kind, tag: self.tags };
         self.set.core.send_blocking(entering).map_err(|_| Stop::End)?;
@@ -235,7 +237,7 @@
         let before_ms = (since.as_millis() as u64).saturating_sub(self.set.keep_ms);
         let mut done = false;
         let walked = Log::range(&self.disk, &self.set.server, number..needed, |at, bytes| {
-            let line = Line::read(bytes).map_err(|e| e.to_string())?;
+            let line = Line::parse(bytes).map_err(|e| e.to_string())?;
             done |= line.at_ms >= before_ms;
             if !done {
                 state.apply(at, &line).map_err(|e| e.to_string())?;
@@ -257,15 +259,16 @@
     fn requests(&mut self) -> Step<()> {
         let entries = std::fs::read_dir(&self.requests).map_err(later)?;
         let names = entries.flatten().filter_map(|e| e.file_name().into_string().ok());
-        let mut tokens: Vec<String> = names.filter_map(|n| Request::token(&n).map(str::to_owned)).collect();
+        let mut tokens: Vec<String> =
+            names.filter_map(|n| RequestFile::token(&n).map(str::to_owned)).collect();
         tokens.sort_unstable();
         for token in tokens {
-            let (name, answer) = Request::names(&token);
+            let (name, answer) = RequestFile::file_names(&token);
             let (path, answer) = (self.requests.join(name), self.requests.join(answer));
             let said = match std::fs::read(&path).map_err(|e| e.to_string()).and_then(|bytes| {
                 if bytes.len() > MAX_REQUEST { Err("the request is too long".to_owned()) } else { Ok(bytes) }
             }) {
-                Ok(bytes) => match Request::read(&bytes) {
+                Ok(bytes) => match RequestFile::parse(&bytes) {
                     Ok(wish) => self.grant(wish, &token)?,
                     Err(e) => format!("error: {e}"),
                 },
@@ -284,16 +287,16 @@
     }
 
     /// Does one thing that is asked; the answer.
-    fn grant(&mut self, wish: Wish, token: &str) -> Step<String> {
+    fn grant(&mut self, wish: OperatorRequest, token: &str) -> Step<String> {
         let done = |line: LineId| format!("done {}", LineIdText(&line));
         match wish {
-            Wish::Correct(mut correction) => {
+            OperatorRequest::Correct(mut correction) => {
                 token.clone_into(&mut correction.token);
                 // Corrections are seldom: a walk over the ledger for each is what entering one only once costs.
                 if let Some(line) = self.entered(token)? {
                     return Ok(done(line));
                 }
-                match self.enter(Kind::Correction(correction)) {
+                match self.enter(LineKind::Correction(correction)) {
                     Ok((start, number)) => {
                         Ok(done(LineId { server: self.set.server.clone(), start, number }))
                     }
@@ -301,7 +304,7 @@
                     Err(end) => Err(end),
                 }
             }
-            Wish::Close(_) => {
+            OperatorRequest::Close(_) => {
                 self.tags += 1;
                 let closing = FromLedger::Close { tag: self.tags };
                 self.set.core.send_blocking(closing).map_err(|_| Stop::End)?;
@@ -327,9 +330,9 @@
         let (mut start, mut found) = (0, None);
         let walked = Log::read(&self.disk, &self.set.server, |visit| {
             let Visit::Record(number, bytes) = visit else { return Ok(()) };
-            match Line::read(bytes).map_err(|e| e.to_string())?.kind {
-                Some(Kind::Start(s)) => start = s.start,
-                Some(Kind::Correction(c)) if c.token == token => {
+            match Line::parse(bytes).map_err(|e| e.to_string())?.kind {
+                Some(LineKind::Start(s)) => start = s.start,
+                Some(LineKind::Correction(c)) if c.token == token => {
                     found = Some(LineId { server: self.set.server.clone(), start, number });
                 }
                 _ => {}
@@ -342,7 +345,7 @@
 
     /// Asks the collector how far it is.
     fn ask(&mut self) -> Step<()> {
-        let reply = self.carrier.watermark(&self.set.server, self.set.born)?;
+        let reply = self.carrier.watermark(&self.set.server, self.set.ledger_id)?;
         self.sender.on_watermark(&reply);
         Ok(())
     }
@@ -350,28 +353,31 @@
     /// The next thing to do; false if there is none.
     fn step(&mut self) -> Step<bool> {
         match self.sender.next() {
-            Next::Wait if self.latest <= self.exported => Ok(false),
-            Next::Wait => self.prepare(),
-            Next::Send(number) => {
+            SenderAction::Idle if self.latest <= self.exported => Ok(false),
+            SenderAction::Idle => self.prepare(),
+            SenderAction::Send(number) => {
                 let Some(prepared) = self.prepared.clone() else { return Err(later("no batch is prepared")) };
-                let (bytes, digest) = self.make(prepared.close, number)?.seal();
+                let (bytes, digest) = self.make(prepared.close, number)?.encode_with_digest();
                 if digest[..] != prepared.digest {
                     error!(self.set.log, "ledger: a batch can't be made as it was; nothing is sent";
                         "batch" => number, "was" => hex(&prepared.digest), "is" => hex(&digest));
                     return Err(later("a batch differs from what was prepared"));
                 }
-                let reply = self.carrier.offer(&bytes, number, self.set.born, &self.set.server)?;
+                let reply = self.carrier.offer(&bytes, number, self.set.ledger_id, &self.set.server)?;
                 self.sender.on_reply(&reply);
-                if !matches!(self.sender.next(), Next::Settle(_) | Next::Alarm(_)) {
+                if !matches!(
+                    self.sender.next(),
+                    SenderAction::RecordAcknowledgement(_) | SenderAction::Fault(_)
+                ) {
                     return Err(later(format!("the collector is at batch {}", reply.watermark)));
                 }
                 Ok(true)
             }
-            Next::Settle(number) => {
+            SenderAction::RecordAcknowledgement(number) => {
                 let Some(mut line) = self.prepared.clone() else { return Err(later("no batch is prepared")) };
                 line.acknowledged = true;
-                self.enter(Kind::Export(line.clone()))?;
-                self.sender.settled();
+                self.enter(LineKind::Export(line.clone()))?;
+                self.sender.acknowledgement_recorded();
                 (self.digest, self.prepared) = (line.digest, None);
                 self.part += 1;
                 if line.last {
@@ -381,7 +387,7 @@
                 info!(self.set.log, "ledger: a batch is exported"; "batch" => number, "last" => line.last);
                 Ok(true)
             }
-            Next::Alarm(alarm) => {
+            SenderAction::Fault(alarm) => {
                 if !std::mem::replace(&mut self.alarmed, true) {
                     error!(self.set.log, "ledger: ALARM, exports have stopped"; "why" => alarm.to_string());
                 }
@@ -395,7 +401,7 @@
         let close = self.next_close()?;
         let number = self.sender.acknowledged() + 1;
         let batch = self.make(close, number)?;
-        let (_, digest) = batch.seal();
+        let (_, digest) = batch.encode_with_digest();
         let line = ExportLine {
             batch: number,
             digest: digest.to_vec(),
@@ -404,8 +410,8 @@
             lines: self.set.batch_lines as u64,
             acknowledged: false,
         };
-        self.enter(Kind::Export(line.clone()))?;
-        self.sender.prepared(digest);
+        self.enter(LineKind::Export(line.clone()))?;
+        self.sender.batch_prepared(digest);
         self.prepared = Some(line);
         self.bear_witness(&batch, &digest);
         Ok(true)
@@ -426,7 +432,7 @@
     fn next_close(&self) -> Step<u64> {
         let mut next = None;
         let walked = self.walk(&mut |number, line| {
-            if matches!(line.kind, Some(Kind::Close(_))) && number > self.exported {
+            if matches!(line.kind, Some(LineKind::Close(_))) && number > self.exported {
                 next.get_or_insert(number);
             }
         });
@@ -437,9 +443,9 @@
     fn make(&self, close: u64, number: u64) -> Step<batch::Batch> {
         // A batch that is prepared keeps its size whatever the settings say since.
         let items = self.prepared.as_ref().map_or(self.set.batch_lines, |p| p.lines as usize);
-        let making = Making {
+        let making = BatchPlan {
             server: &self.set.server,
-            born: self.set.born,
+            ledger_id: self.set.ledger_id,
             before: &self.from.1,
             close,
             part: self.part,
@@ -456,7 +462,7 @@
     fn advance(&mut self) -> Step<()> {
         let (mut to, mut done) = (None, false);
         let walked = self.walk(&mut |number, line| {
-            if let (Some(Kind::Close(close)), true) = (&line.kind, number == self.exported) {
+            if let (Some(LineKind::Close(close)), true) = (&line.kind, number == self.exported) {
                 to = Some(close.to);
             }
         });
@@ -478,42 +484,42 @@
 }
 
 impl Carrier {
-    fn inbox<'a>(open: &'a mut Option<Inbox>, folder: &str) -> Step<&'a mut Inbox> {
+    fn inbox<'a>(open: &'a mut Option<BatchReceiver>, folder: &str) -> Step<&'a mut BatchReceiver> {
         if open.is_none() {
             let disk = RealDisk::new(Path::new(folder)).map_err(later)?;
-            *open = Some(Inbox::open(Arc::new(disk)).map_err(later)?);
+            *open = Some(BatchReceiver::open(Arc::new(disk)).map_err(later)?);
         }
         open.as_mut().ok_or_else(|| later("the folder is not open"))
     }
 
     /// How far the collector is with this ledger.
-    fn watermark(&mut self, server: &str, born: u64) -> Step<Reply> {
+    fn watermark(&mut self, server: &str, ledger_id: u64) -> Step<CollectorReply> {
         match self {
             Carrier::Nowhere => Err(later("nothing is exported")),
             Carrier::Folder(open, folder) => {
-                let reply = Carrier::inbox(open, folder)?.watermark(server, born);
+                let reply = Carrier::inbox(open, folder)?.watermark(server, ledger_id);
                 // Others export into the same folder: it is held only for a moment.
                 *open = None;
                 Ok(reply)
             }
             Carrier::Collector(address, kept) => {
-                let path = format!("/batches/{server}/{born}");
+                let path = format!("/batches/{server}/{ledger_id}");
                 exchange(*address, kept, "GET", &path, &[], b"")
             }
         }
     }
 
     /// Offers a batch.
-    fn offer(&mut self, bytes: &[u8], number: u64, born: u64, server: &str) -> Step<Reply> {
+    fn offer(&mut self, bytes: &[u8], number: u64, ledger_id: u64, server: &str) -> Step<CollectorReply> {
         match self {
             Carrier::Nowhere => Err(later("nothing is exported")),
             Carrier::Folder(open, folder) => {
-                let offered = Carrier::inbox(open, folder)?.offer(bytes).map_err(later);
+                let offered = Carrier::inbox(open, folder)?.receive(bytes).map_err(later);
                 *open = None;
                 offered.map(|(_, reply)| reply)
             }
             Carrier::Collector(address, kept) => {
-                let path = format!("/batches/{server}/{born}/{number}");
+                let path = format!("/batches/{server}/{ledger_id}/{number}");
                 let digest = hex(&batch::digest(bytes));
                 exchange(*address, kept, "PUT", &path, &[("X-Digest", &digest)], bytes)
             }
@@ -530,7 +536,7 @@
     path: &str,
     headers: &[(&str, &str)],
     body: &[u8],
-) -> Step<Reply> {
+) -> Step<CollectorReply> {
     let mut stream = match kept.take() {
         Some(stream) => stream,
         None => {
@@ -567,7 +573,7 @@
     if reply.keep_alive && decoder.is_empty() {
         *kept = Some(stream);
     }
-    Ok(Reply { watermark, digest, conflict })
+    Ok(CollectorReply { watermark, digest, conflict })
 }
 
 fn read_hex(text: &str) -> Option<[u8; 32]> {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operator file: what it sets reads back, and faults name file, line, block and key.
 
 use dunlinspread::operator::{LogFormat, LogLevel, LogSettings, Operator};
-use dunlinspread_ledger::Mode;
+use dunlinspread_ledger::DurabilityMode;
 
 fn fault(text: &str) -> String {
     Operator::read(text, "op.hcl").expect_err("it is faulty").to_string()
@@ -28,7 +28,7 @@
     let operator = Operator::read(text, "op.hcl").expect("good");
     let ledger = operator.ledger.as_ref().expect("a ledger");
     assert_eq!((ledger.period_ms, ledger.grace_ms), (3_600_000, 5000));
-    assert_eq!(ledger.mode, Mode::Interval { every_ms: 50, at_risk: 1000 });
+    assert_eq!(ledger.mode, DurabilityMode::Interval { every_ms: 50, at_risk: 1000 });
     assert_eq!(Operator::read(&operator.to_string(), "printed"), Ok(operator));
 }
 
