--- a/crates/config-sync/src/net/publisher_core.rs
+++ b/crates/config-sync/src/net/publisher_core.rs
@@ -14,7 +14,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, block_on};
-use dunlinspread_store::{Failure, Progress};
+use dunlinspread_store::{Progress, WriteFailure};
 use futures_lite::future::or;
 use slog::{Logger, error, info, warn};
 use std::cell::{Cell, RefCell};
@@ -201,10 +201,10 @@
     fn on_report(&self, report: DiskReport) {
         match report {
             DiskReport::Progress(Progress::Durable { through, next }) => self.on_durable(through, next),
-            DiskReport::Progress(Progress::Failed { through, why, era, .. }) => {
-                self.on_failed(through, &why, era);
+            DiskReport::Progress(Progress::Failed { through, reason, generation, .. }) => {
+                self.on_failed(through, &reason, generation);
             }
-            DiskReport::Progress(Progress::Snapshot { before, failed }) => self.on_snapshot(before, failed),
+            DiskReport::Progress(Progress::Snapshot { before, failure }) => self.on_snapshot(before, failure),
             DiskReport::Encoded { before, content } => {
                 if !self.store.borrow_mut().snapshot(before, content) {
                     self.compaction.borrow_mut().under_way = false;
@@ -231,25 +231,25 @@
         self.resume_if_settled(None);
     }
 
-    fn on_failed(&self, through: u64, why: &Failure, era: u64) {
+    fn on_failed(&self, through: u64, why: &WriteFailure, generation: u64) {
         let what = match why {
-            Failure::NoSpace => "the disk is full, this was not written".to_owned(),
-            Failure::NotTried => "an earlier one failed, this was not written".to_owned(),
-            Failure::Poisoned(why) => format!("{why}; no change is taken until a restart"),
+            WriteFailure::NoSpace => "the disk is full, this was not written".to_owned(),
+            WriteFailure::NotAttempted => "an earlier one failed, this was not written".to_owned(),
+            WriteFailure::Poisoned(why) => format!("{why}; no change is taken until a restart"),
         };
         error!(self.log, "config: a change can't be stored and is not published"; "why" => &what);
         self.publisher.borrow_mut().on_persist_failed();
         for reply in self.store.borrow_mut().failed(through) {
             let _ = reply.try_send(Err(ProposeFailure::NotDurable(what.clone())));
         }
-        if matches!(why, Failure::Poisoned(_)) {
+        if matches!(why, WriteFailure::Poisoned(_)) {
             self.poisoned.set(true);
         }
-        self.resume_if_settled(Some(era));
+        self.resume_if_settled(Some(generation));
     }
 
     /// Takes changes again once it is known that none of those under way was written.
-    fn resume_if_settled(&self, era: Option<u64>) {
+    fn resume_if_settled(&self, generation: Option<u64>) {
         let settled = self.publisher.borrow().halted() && self.store.borrow().is_idle();
         if !settled || self.poisoned.get() {
             return;
@@ -259,8 +259,8 @@
         let resumed = self.publisher.borrow_mut().resume(self.now(), head, &mut actions);
         match resumed {
             Ok(_) => {
-                if let Some(era) = era {
-                    self.store.borrow_mut().resume(era);
+                if let Some(generation) = generation {
+                    self.store.borrow_mut().resume(generation);
                 }
             }
             Err(why) => error!(self.log, "config: the publisher can't go on"; "why" => %why),
@@ -290,9 +290,9 @@
         }
     }
 
-    fn on_snapshot(&self, before: u64, failed: Option<Failure>) {
+    fn on_snapshot(&self, before: u64, failure: Option<WriteFailure>) {
         self.compaction.borrow_mut().under_way = false;
-        match failed {
+        match failure {
             None => info!(self.log, "config: the publisher's log was compacted"; "before" => before),
             Some(why) => {
                 warn!(self.log, "config: the publisher's log can't be compacted, tried again later";
--- a/crates/config-sync/src/net/publisher_store.rs
+++ b/crates/config-sync/src/net/publisher_store.rs
@@ -7,7 +7,7 @@
 use crate::state_store::{StateError, owner_of, read_snapshot, replay};
 use crate::subscriber::PersistedState;
 use async_channel::Sender;
-use dunlinspread_store::{Disk, Log, Options, Progress, StoreError, Visit, Writer, WriterOptions};
+use dunlinspread_store::{Disk, Log, Options, Progress, ReplayItem, StoreError, Writer, WriterOptions};
 use std::collections::VecDeque;
 use std::io;
 use std::sync::Arc;
@@ -24,15 +24,15 @@
 }
 
 impl History {
-    fn visit(&mut self, visited: Visit<'_>) -> Result<(), StateError> {
+    fn visit(&mut self, visited: ReplayItem<'_>) -> Result<(), StateError> {
         self.began = true;
         match visited {
-            Visit::Snapshot(_, bytes) => {
+            ReplayItem::Snapshot(_, bytes) => {
                 let (header, mirror) = read_snapshot(bytes)?;
                 let (position, published_unix_ms) = (header.position, header.published_unix_ms);
                 self.base = PersistedState { position, published_unix_ms, mirror, held_back: Vec::new() };
             }
-            Visit::Record(_, bytes) => match decode_record(bytes)? {
+            ReplayItem::Record(_, bytes) => match decode_record(bytes)? {
                 Record::Transaction { transaction, .. } => self.transactions.push(transaction),
                 Record::Epoch(epoch) => self.begin_epoch(epoch)?,
             },
@@ -95,8 +95,8 @@
         log.commit(&[encode_record(&Record::Epoch(epoch))])?;
         history.begin_epoch(epoch).map_err(|error| StoreError::Rejected {
             file: "the store".to_owned(),
-            number: log.next(),
-            what: error.to_string(),
+            number: log.next_record(),
+            reason: error.to_string(),
         })?;
     }
     let appended = history.transactions.len() as u64;
@@ -138,7 +138,7 @@
 impl PublisherStore {
     /// Starts the writer's thread; `told` hears of progress there.
     pub(super) fn start(log: Log, told: impl FnMut(Progress) + Send + 'static) -> io::Result<PublisherStore> {
-        let options = WriterOptions { mailbox_bytes: MAILBOX_BYTES, ..WriterOptions::default() };
+        let options = WriterOptions { queue_bytes: MAILBOX_BYTES, ..WriterOptions::default() };
         Ok(PublisherStore { writer: Writer::start(log, options, told)?, under_way: VecDeque::new() })
     }
 
@@ -187,8 +187,8 @@
     }
 
     /// What is appended from now on is written again.
-    pub(super) fn resume(&mut self, era: u64) {
-        self.writer.resume(era);
+    pub(super) fn resume(&mut self, generation: u64) {
+        self.writer.resume(generation);
     }
 
     /// Asks for a snapshot; false if there is no room.
--- a/crates/config-sync/src/state_store.rs
+++ b/crates/config-sync/src/state_store.rs
@@ -6,7 +6,7 @@
 use crate::resource::{Change, Digest, Position, Transaction};
 use crate::subscriber::{Persist, PersistedState};
 use crate::table::Table;
-use dunlinspread_store::{Disk, Log, Options, StoreError, Visit};
+use dunlinspread_store::{Disk, Log, Options, ReplayItem, StoreError};
 use std::sync::Arc;
 
 /// Resources of a snapshot that are put into the table together.
@@ -106,15 +106,15 @@
     format!("{kept}#{:032x}", xxhash_rust::xxh3::xxh3_128(name.as_bytes()))
 }
 
-fn visit(state: &mut Option<PersistedState>, visited: Visit<'_>) -> Result<(), StateError> {
+fn visit(state: &mut Option<PersistedState>, visited: ReplayItem<'_>) -> Result<(), StateError> {
     match visited {
-        Visit::Snapshot(_, bytes) => {
+        ReplayItem::Snapshot(_, bytes) => {
             let (header, mirror) = read_snapshot(bytes)?;
             let SnapshotHeader { position, published_unix_ms, held_back, .. } = header;
             *state = Some(PersistedState { position, published_unix_ms, mirror, held_back });
             Ok(())
         }
-        Visit::Record(_, bytes) => {
+        ReplayItem::Record(_, bytes) => {
             let state = state.get_or_insert_default();
             match decode_record(bytes)? {
                 Record::Transaction { transaction, refused } => replay(state, transaction, refused),
@@ -159,7 +159,7 @@
         if let Some(Persist::Replace(state)) = whole.and_then(|at| records.get(at)) {
             let content =
                 write_snapshot(state.position, state.published_unix_ms, &state.mirror, &state.held_back);
-            self.log.snapshot(self.log.next(), &content)?;
+            self.log.snapshot(self.log.next_record(), &content)?;
         }
         let appended: Vec<Vec<u8>> =
             records[whole.map_or(0, |at| at + 1)..].iter().filter_map(append).collect();
--- a/crates/config-sync/tests/publisher_restart.rs
+++ b/crates/config-sync/tests/publisher_restart.rs
@@ -130,13 +130,13 @@
         PublisherNode::open_on(publisher_settings(any_port()), Arc::new(disk.clone()), log.logger())
             .expect("opens");
     let first = running.propose(vec![tenant("a", 1)]).expect("accepted");
-    disk.set(Faults { capacity: Some(0), ..Faults::default() });
+    disk.set_faults(Faults { capacity_bytes: Some(0), ..Faults::default() });
     for _ in 0..3 {
         let refused = running.propose(vec![tenant("b", 2)]);
         assert!(matches!(refused, Err(ProposeFailure::NotDurable(_))), "{refused:?}");
     }
     assert_eq!(running.head(), first);
-    disk.set(Faults::default());
+    disk.set_faults(Faults::default());
     let second = running.propose(vec![tenant("c", 3)]).expect("accepted again");
     assert_eq!(second, first.next());
     let digest = running.status().digest;
@@ -181,10 +181,10 @@
     for at in 0..400 {
         let what = format!("power cut at operation {at}");
         let disk = SimDisk::new(at);
-        disk.set(Faults { crash_at: Some(at), ..Faults::default() });
+        disk.set_faults(Faults { crash_at: Some(at), ..Faults::default() });
         let (mut subscribers, mut told) = (Subscribers::new(), Told::default());
         scenario(&disk, &mut subscribers, &what, &mut told);
-        let crashed = disk.is_off();
+        let crashed = disk.is_powered_off();
         disk.power_cycle();
 
         let log = Lines::default();
@@ -226,7 +226,7 @@
         || PublisherNode::open_on(publisher_settings(any_port()), Arc::new(disk.clone()), log.logger());
     let running = open().expect("it opens");
     let first = running.propose(vec![tenant("a", 1)]).expect("accepted");
-    disk.set(Faults { failing_syncs: vec![0], ..Faults::default() });
+    disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     let refused = running.propose(vec![tenant("b", 2)]);
     assert!(matches!(refused, Err(ProposeFailure::NotDurable(_))), "{refused:?}");
     let halted = running.propose(vec![tenant("c", 3)]);
--- a/crates/config-sync/tests/state_store.rs
+++ b/crates/config-sync/tests/state_store.rs
@@ -78,10 +78,10 @@
     for at in 0..1_000 {
         let what = format!("power cut at operation {at}");
         let disk = SimDisk::new(at);
-        disk.set(Faults { crash_at: Some(at), short: at % 2 == 1, ..Faults::default() });
+        disk.set_faults(Faults { crash_at: Some(at), short_transfers: at % 2 == 1, ..Faults::default() });
         let mut trace = Trace { states: vec![PersistedState::default()], kept: 0 };
         let ended = scenario(&disk, &mut trace);
-        let crashed = disk.is_off();
+        let crashed = disk.is_powered_off();
         assert!(crashed || ended.is_ok(), "{what}: {ended:?}");
         disk.power_cycle();
         let (_, found) = StateStore::open(Arc::new(disk), "round-server").expect(&what);
--- a/crates/ctl/src/ledger.rs
+++ b/crates/ctl/src/ledger.rs
@@ -8,7 +8,7 @@
 use clap::{Args, Subcommand};
 use dunlinspread_ledger::batch::hex;
 use dunlinspread_ledger::{Kind, Line, LineId, LineIdText, Net, Outcome, State, Sum, read_lines, totals};
-use dunlinspread_store::{Disk as _, Log, RealDisk, Visit};
+use dunlinspread_store::{Disk as _, Log, RealDisk, ReplayItem};
 use indicatif::ProgressBar;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -80,10 +80,10 @@
 /// Whose store it is, by the header of one of its files.
 fn owner(disk: &RealDisk, directory: &Path) -> Result<String> {
     let names = disk.list().with_context(|| format!("listing {}", directory.display()))?;
-    let name = names.iter().find(|n| dunlinspread_store::frame::read_name(n).is_some());
+    let name = names.iter().find(|n| dunlinspread_store::frame::parse_file_name(n).is_some());
     let name = name.with_context(|| format!("{} holds no ledger", directory.display()))?;
     let bytes = std::fs::read(directory.join(name)).with_context(|| format!("reading {name}"))?;
-    match dunlinspread_store::frame::Header::decode(&bytes) {
+    match dunlinspread_store::frame::FileHeader::decode(&bytes) {
         Ok(header) => Ok(header.owner),
         Err(e) => bail!("{name}: {e:?}"),
     }
@@ -107,12 +107,12 @@
     let mut walked = Walked::default();
     Log::read(disk, server, |visit| {
         match visit {
-            Visit::Snapshot(before, bytes) => {
+            ReplayItem::Snapshot(before, bytes) => {
                 walked.first = before;
                 walked.state =
                     prost::Message::decode(bytes).map_err(|e: prost::DecodeError| e.to_string())?;
             }
-            Visit::Record(number, bytes) => {
+            ReplayItem::Record(number, bytes) => {
                 let line = Line::read(bytes).map_err(|e| e.to_string())?;
                 walked.state.apply(number, &line).map_err(|e| e.to_string())?;
                 walked.first = if walked.first == 0 { number } else { walked.first };
--- a/crates/ctl/src/operator_requests.rs
+++ b/crates/ctl/src/operator_requests.rs
@@ -8,7 +8,7 @@
 use dunlinspread_ledger::{
     Action, Book, Correction, Kind, Line, LineId, LineIdText, Mode, OnFailure, Outcome, Rules, State,
 };
-use dunlinspread_store::{Disk as _, Log, Options, RealDisk, StoreError, Visit};
+use dunlinspread_store::{Disk as _, Log, Options, RealDisk, ReplayItem, StoreError};
 use prost::Message as _;
 use serde_json::json;
 use std::path::Path;
@@ -202,10 +202,10 @@
     let options = Options { now_ms: now, max_record: 2 << 20, ..Options::new(server) };
     let (mut log, recovery) = Log::open(disk, options, |visit| {
         match visit {
-            Visit::Snapshot(_, bytes) => {
+            ReplayItem::Snapshot(_, bytes) => {
                 state = State::decode(bytes).map_err(|e| e.to_string())?;
             }
-            Visit::Record(number, bytes) => {
+            ReplayItem::Record(number, bytes) => {
                 let line = Line::read(bytes).map_err(|e| e.to_string())?;
                 state.apply(number, &line).map_err(|e| e.to_string())?;
                 match line.kind {
@@ -234,7 +234,8 @@
         records: 64,
     };
     let mut actions = Vec::new();
-    let mut book = Book::start(now, rules, state, recovery.next, recovery.clean, &mut actions);
+    let mut book =
+        Book::start(now, rules, state, recovery.next_record, recovery.closed_cleanly, &mut actions);
     let accepted = match wish {
         Wish::Correct(mut correction) => {
             token.clone_into(&mut correction.token);
--- a/crates/ledger/src/inbox.rs
+++ b/crates/ledger/src/inbox.rs
@@ -5,7 +5,7 @@
 use crate::batch::{Batch, Digest, digest};
 use crate::deliver::{Collector, Reply, Verdict};
 use crate::line::BadLine;
-use dunlinspread_store::{Disk, StoreError, place};
+use dunlinspread_store::{Disk, StoreError, write_file_atomically};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
         disk.lock()?;
         let mut inbox = Inbox { disk, sources: BTreeMap::new() };
         // A name that a killed process gave and did not sync may not last.
-        let listing = |source| StoreError::Io { what: "listing", file: inbox.disk.name(), source };
+        let listing = |source| StoreError::Io { operation: "listing", file: inbox.disk.name(), source };
         inbox.disk.sync_dir().map_err(listing)?;
         let names = inbox.disk.list().map_err(listing)?;
         let mut found: BTreeMap<Source, BTreeSet<u64>> = BTreeMap::new();
@@ -95,7 +95,7 @@
 
     fn bytes(&self, source: &Source, number: u64) -> Result<(Vec<u8>, String), InboxError> {
         let name = file_name(&source.0, source.1, number);
-        let failed = |source| StoreError::Io { what: "reading", file: name.clone(), source };
+        let failed = |source| StoreError::Io { operation: "reading", file: name.clone(), source };
         let file = self.disk.open(&name).map_err(failed)?;
         let mut bytes = vec![0; file.size().map_err(failed)? as usize];
         let mut at = 0;
@@ -133,7 +133,11 @@
         let kept = |number| Some(self.kept(&source, number).unwrap_or([0; 32]));
         let verdict = collector.on_offer(batch.number, &sum, &batch.previous, kept);
         if verdict == Verdict::Take {
-            place(&*self.disk, &file_name(&batch.server, batch.born, batch.number), &[bytes])?;
+            write_file_atomically(
+                &*self.disk,
+                &file_name(&batch.server, batch.born, batch.number),
+                &[bytes],
+            )?;
             self.sources.entry(source.clone()).or_default().took(sum);
         }
         let collector = self.sources.get(&source).cloned().unwrap_or_default();
--- a/crates/ledger/src/totals.rs
+++ b/crates/ledger/src/totals.rs
@@ -17,7 +17,7 @@
     numbers: Range<u64>,
     show: &mut dyn FnMut(u64, &Line),
 ) -> Result<(), StoreError> {
-    Log::range(disk, server, numbers, |number, bytes| {
+    Log::read_range(disk, server, numbers, |number, bytes| {
         show(number, &Line::read(bytes).map_err(|e| e.to_string())?);
         Ok(())
     })
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -6,7 +6,7 @@
     Amount, Close, Correction, Entry, Export, Kind, Line, LineId, Outcome, Request, Start, State, Unbilled,
     Usage,
 };
-use dunlinspread_store::{Log, Options, RealDisk, Visit};
+use dunlinspread_store::{Log, Options, RealDisk, ReplayItem};
 use proptest::prelude::*;
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage, ReflectMessage as _, Value};
@@ -161,7 +161,7 @@
     let (disk, mut seen, mut state) =
         (RealDisk::new(&data(1)).expect("a disk"), Vec::new(), State::default());
     Log::read(&disk, "n1", |visit| {
-        if let Visit::Record(number, bytes) = visit {
+        if let ReplayItem::Record(number, bytes) = visit {
             let line = Line::read(bytes).map_err(|e| e.to_string())?;
             state.apply(number, &line).map_err(|e| e.to_string())?;
             seen.push(line);
--- a/crates/ledger/tests/inbox.rs
+++ b/crates/ledger/tests/inbox.rs
@@ -60,7 +60,11 @@
     for seed in 0..40 {
         for at in 0.. {
             let disk = SimDisk::new(seed * 100 + at);
-            disk.set(Faults { crash_at: Some(at), short: seed % 2 == 0, ..Faults::default() });
+            disk.set_faults(Faults {
+                crash_at: Some(at),
+                short_transfers: seed % 2 == 0,
+                ..Faults::default()
+            });
             let mut acknowledged = 0;
             if let Ok(mut inbox) = Inbox::open(Arc::new(disk.clone())) {
                 for bytes in &chain {
@@ -70,12 +74,12 @@
                     }
                 }
             }
-            if !disk.is_off() {
+            if !disk.is_powered_off() {
                 assert_eq!(acknowledged, 4);
                 break;
             }
             if seed % 3 == 0 {
-                disk.kill()
+                disk.restart_process()
             } else {
                 disk.power_cycle()
             }
@@ -104,11 +108,11 @@
     }
     drop(inbox);
     let names = disk.list().expect("a list");
-    let bytes = disk.bytes(&names[1]).expect("it is there");
-    disk.lose(&names[1]);
+    let bytes = disk.file_bytes(&names[1]).expect("it is there");
+    disk.remove_durable(&names[1]);
     let e = Inbox::open(Arc::new(disk.clone())).err().expect("refused");
     assert!(e.to_string().contains(&names[1]), "{e}");
-    disk.put(&names[1], &[&bytes[..], &[0x52, 0]].concat());
+    disk.insert_durable(&names[1], &[&bytes[..], &[0x52, 0]].concat());
     let inbox = Inbox::open(Arc::new(disk.clone())).expect("only the last is read when it opens");
     let e = inbox.read(&("n1".to_owned(), 7), |_, _| {}).expect_err("the next does not follow it");
     assert!(e.to_string().contains(&names[2]), "{e}");
--- a/crates/store/benches/commit.rs
+++ b/crates/store/benches/commit.rs
@@ -120,7 +120,7 @@
     let took = began.elapsed().as_secs_f64();
     println!(
         "recovery of {seen} records of 32 bytes, {} MB: {took:.2} s, {:.0} ns a record, memory {} kB more at its end",
-        found.bytes >> 20,
+        found.bytes_read >> 20,
         took * 1e9 / seen as f64,
         memory_kb("VmRSS").saturating_sub(before)
     );
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -6,10 +6,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The system gave an error.
-    #[error("{what} {file}: {source}")]
+    #[error("{operation} {file}: {source}")]
     Io {
         /// What was tried.
-        what: &'static str,
+        operation: &'static str,
         /// On which file.
         file: String,
         /// What came of it.
@@ -27,7 +27,7 @@
     },
     /// Bytes that had been durable are not what was written. Nothing was changed.
     #[error(
-        "{file}: damaged at byte {offset}: {what}; what follows is intact or unknown, so nothing is cut: restore \
+        "{file}: damaged at byte {offset}: {fault}; what follows is intact or unknown, so nothing is cut: restore \
              the file from a copy, or move the store away and account for what it held"
     )]
     Damaged {
@@ -36,7 +36,7 @@
         /// The first byte that is wrong.
         offset: u64,
         /// What is wrong with it.
-        what: String,
+        fault: String,
     },
     /// A file that the log needs is not there.
     #[error("records {expected} to {found} are missing before {file}: a file of the store was lost", found = found - 1)]
@@ -83,33 +83,33 @@
         file: String,
     },
     /// An earlier error left it unknown what is durable; nothing is claimed to be any more. Open the store anew.
-    #[error("the log is closed to writing since: {why}")]
+    #[error("the log is closed to writing since: {cause}")]
     Poisoned {
         /// The error.
-        why: String,
+        cause: String,
     },
     /// The visitor of [`crate::Log::open`] did not accept a record.
-    #[error("{file}: record {number}: {what}")]
+    #[error("{file}: record {number}: {reason}")]
     Rejected {
         /// The file.
         file: String,
         /// The record's number.
         number: u64,
         /// Why.
-        what: String,
+        reason: String,
     },
 }
 
 impl StoreError {
     /// Wraps an error of the system; a full disk has a kind of its own.
-    pub(crate) fn io(what: &'static str, file: &str) -> impl FnOnce(io::Error) -> StoreError {
+    pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> StoreError {
         let file = file.to_owned();
         move |source| match source.kind() {
             // A limit on the size of files is lifted as a full disk is emptied.
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
                 StoreError::NoSpace { file }
             }
-            _ => StoreError::Io { what, file, source },
+            _ => StoreError::Io { operation, file, source },
         }
     }
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -4,17 +4,17 @@
 use crc32c::{crc32c, crc32c_append};
 
 /// The newest version of the format, and the one that is written.
-pub const VERSION: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// The length of a segment's header.
-pub const HEADER: usize = 128;
+pub const FILE_HEADER_BYTES: usize = 128;
 /// The length of a frame's header.
-pub const FRAME: usize = 36;
+pub const FRAME_HEADER_BYTES: usize = 36;
 /// What stands before each record.
-pub const RECORD: usize = 8;
+pub const RECORD_HEADER_BYTES: usize = 8;
 /// The longest name of an owner, in bytes.
-pub const MAX_OWNER: usize = 79;
+pub const MAX_OWNER_BYTES: usize = 79;
 /// The flag of a frame that was written as the store was closed in good order.
-pub const CLOSED: u32 = 1;
+pub const FLAG_CLOSED_CLEANLY: u32 = 1;
 
 const SEGMENT_MAGIC: &[u8; 8] = b"DLSPSEG\n";
 const SNAPSHOT_MAGIC: &[u8; 8] = b"DLSPSNP\n";
@@ -22,7 +22,7 @@
 
 /// What kind of file a header begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FileKind {
     /// A segment of the log.
     Segment,
     /// A snapshot.
@@ -31,9 +31,9 @@
 
 /// A file's header.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Header {
+pub struct FileHeader {
     /// What the file is.
-    pub kind: Kind,
+    pub kind: FileKind,
     /// The version of the format.
     pub version: u32,
     /// In a segment, the number of its first record; in a snapshot, of the first record after it.
@@ -50,7 +50,7 @@
 
 /// Why a header can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadHeader {
+pub enum HeaderError {
     /// It is not one, or is damaged.
     Damaged(&'static str),
     /// It is of a version not known here.
@@ -65,24 +65,24 @@
     bytes.get(at..at + 8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_le_bytes)
 }
 
-impl Header {
+impl FileHeader {
     /// The header's bytes. An owner's name over the limit is cut, which [`crate::Log::open`] never lets happen.
-    pub fn encode(&self) -> [u8; HEADER] {
-        let mut out = [0; HEADER];
+    pub fn encode(&self) -> [u8; FILE_HEADER_BYTES] {
+        let mut out = [0; FILE_HEADER_BYTES];
         out[..8].copy_from_slice(match self.kind {
-            Kind::Segment => SEGMENT_MAGIC,
-            Kind::Snapshot => SNAPSHOT_MAGIC,
+            FileKind::Segment => SEGMENT_MAGIC,
+            FileKind::Snapshot => SNAPSHOT_MAGIC,
         });
         out[8..12].copy_from_slice(&self.version.to_le_bytes());
-        out[12..16].copy_from_slice(&(HEADER as u32).to_le_bytes());
+        out[12..16].copy_from_slice(&(FILE_HEADER_BYTES as u32).to_le_bytes());
         out[16..24].copy_from_slice(&self.base.to_le_bytes());
         out[24..32].copy_from_slice(&self.created_ms.to_le_bytes());
-        let owner = &self.owner.as_bytes()[..self.owner.len().min(MAX_OWNER)];
+        let owner = &self.owner.as_bytes()[..self.owner.len().min(MAX_OWNER_BYTES)];
         out[32] = owner.len() as u8;
         out[33..33 + owner.len()].copy_from_slice(owner);
         let at = match self.kind {
-            Kind::Segment => self.salt,
-            Kind::Snapshot => self.content.0,
+            FileKind::Segment => self.salt,
+            FileKind::Snapshot => self.content.0,
         };
         out[112..120].copy_from_slice(&at.to_le_bytes());
         out[120..124].copy_from_slice(&self.content.1.to_le_bytes());
@@ -95,41 +95,41 @@
     ///
     /// # Errors
     /// If the bytes are no header of a known version.
-    pub fn decode(bytes: &[u8]) -> Result<Header, BadHeader> {
-        if bytes.len() < HEADER {
-            return Err(BadHeader::Damaged("the header is cut short"));
+    pub fn decode(bytes: &[u8]) -> Result<FileHeader, HeaderError> {
+        if bytes.len() < FILE_HEADER_BYTES {
+            return Err(HeaderError::Damaged("the header is cut short"));
         }
         let kind = match &bytes[..8] {
-            m if m == SEGMENT_MAGIC => Kind::Segment,
-            m if m == SNAPSHOT_MAGIC => Kind::Snapshot,
-            _ => return Err(BadHeader::Damaged("this is no file of a store")),
+            m if m == SEGMENT_MAGIC => FileKind::Segment,
+            m if m == SNAPSHOT_MAGIC => FileKind::Snapshot,
+            _ => return Err(HeaderError::Damaged("this is no file of a store")),
         };
         // The version stands outside the checksum's reach on purpose: another version may sum otherwise.
         let version = u32_at(bytes, 8);
-        if version > VERSION {
-            return Err(BadHeader::Version(version));
+        if version > FORMAT_VERSION {
+            return Err(HeaderError::Version(version));
         }
-        if u32_at(bytes, 124) != crc32c(&bytes[..124]) || u32_at(bytes, 12) as usize != HEADER {
-            return Err(BadHeader::Damaged("the header's checksum is wrong"));
+        if u32_at(bytes, 124) != crc32c(&bytes[..124]) || u32_at(bytes, 12) as usize != FILE_HEADER_BYTES {
+            return Err(HeaderError::Damaged("the header's checksum is wrong"));
         }
-        let owner = bytes.get(33..33 + (bytes[32] as usize).min(MAX_OWNER)).unwrap_or_default();
-        let owner = std::str::from_utf8(owner).map_err(|_| BadHeader::Damaged("the owner is no text"))?;
+        let owner = bytes.get(33..33 + (bytes[32] as usize).min(MAX_OWNER_BYTES)).unwrap_or_default();
+        let owner = std::str::from_utf8(owner).map_err(|_| HeaderError::Damaged("the owner is no text"))?;
         let (word, sum) = (u64_at(bytes, 112), u32_at(bytes, 120));
-        Ok(Header {
+        Ok(FileHeader {
             kind,
             version,
             base: u64_at(bytes, 16),
             created_ms: u64_at(bytes, 24),
             owner: owner.to_owned(),
-            salt: if kind == Kind::Segment { word } else { 0 },
-            content: if kind == Kind::Snapshot { (word, sum) } else { (0, 0) },
+            salt: if kind == FileKind::Segment { word } else { 0 },
+            content: if kind == FileKind::Snapshot { (word, sum) } else { (0, 0) },
         })
     }
 }
 
 /// A frame's header: what was committed in one piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Frame {
+pub struct FrameHeader {
     /// The bytes of its records.
     pub len: u32,
     /// The number of its first record.
@@ -139,14 +139,14 @@
     pub durable: u64,
     /// Its records.
     pub count: u32,
-    /// See [`CLOSED`].
+    /// See [`FLAG_CLOSED_CLEANLY`].
     pub flags: u32,
 }
 
-impl Frame {
+impl FrameHeader {
     /// The header's bytes, in a segment with that salt.
-    pub fn encode(&self, salt: u64) -> [u8; FRAME] {
-        let mut out = [0; FRAME];
+    pub fn encode(&self, salt: u64) -> [u8; FRAME_HEADER_BYTES] {
+        let mut out = [0; FRAME_HEADER_BYTES];
         out[..4].copy_from_slice(FRAME_MAGIC);
         out[4..8].copy_from_slice(&self.len.to_le_bytes());
         out[8..16].copy_from_slice(&self.first.to_le_bytes());
@@ -159,14 +159,14 @@
     }
 
     /// Reads a frame's header, if these bytes begin with one of a segment with that salt.
-    pub fn decode(bytes: &[u8], salt: u64) -> Option<Frame> {
-        if bytes.len() < FRAME || &bytes[..4] != FRAME_MAGIC {
+    pub fn decode(bytes: &[u8], salt: u64) -> Option<FrameHeader> {
+        if bytes.len() < FRAME_HEADER_BYTES || &bytes[..4] != FRAME_MAGIC {
             return None;
         }
         if u32_at(bytes, 32) != crc32c_append(crc32c(&salt.to_le_bytes()), &bytes[..32]) {
             return None;
         }
-        Some(Frame {
+        Some(FrameHeader {
             len: u32_at(bytes, 4),
             first: u64_at(bytes, 8),
             durable: u64_at(bytes, 16),
@@ -182,7 +182,7 @@
 }
 
 /// Appends a record. Its number goes into the checksum: a record read at another place is no record.
-pub fn put_record(out: &mut Vec<u8>, number: u64, payload: &[u8]) {
+pub fn encode_record(out: &mut Vec<u8>, number: u64, payload: &[u8]) {
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.extend_from_slice(&record_sum(number, payload).to_le_bytes());
     out.extend_from_slice(payload);
@@ -190,21 +190,21 @@
 
 /// The records of a frame, from its bytes. Yields the place of the fault if one is no record, and ends.
 #[derive(Debug)]
-pub struct Records<'a> {
+pub struct RecordIter<'a> {
     bytes: &'a [u8],
     at: usize,
     number: u64,
     left: u32,
 }
 
-impl<'a> Records<'a> {
+impl<'a> RecordIter<'a> {
     /// The records of `frame` in `bytes`, which follow its header.
-    pub fn new(frame: &Frame, bytes: &'a [u8]) -> Self {
-        Records { bytes, at: 0, number: frame.first, left: frame.count }
+    pub fn new(frame: &FrameHeader, bytes: &'a [u8]) -> Self {
+        RecordIter { bytes, at: 0, number: frame.first, left: frame.count }
     }
 }
 
-impl<'a> Iterator for Records<'a> {
+impl<'a> Iterator for RecordIter<'a> {
     type Item = Result<(u64, &'a [u8]), usize>;
 
     fn next(&mut self) -> Option<Self::Item> {
@@ -214,8 +214,8 @@
             self.at = bytes.len();
             return (at < bytes.len()).then_some(Err(at));
         }
-        let payload = bytes.get(at..at + RECORD).and_then(|head| {
-            let payload = bytes.get(at + RECORD..)?.get(..u32_at(head, 0) as usize)?;
+        let payload = bytes.get(at..at + RECORD_HEADER_BYTES).and_then(|head| {
+            let payload = bytes.get(at + RECORD_HEADER_BYTES..)?.get(..u32_at(head, 0) as usize)?;
             (u32_at(head, 4) == record_sum(self.number, payload)).then_some(payload)
         });
         let Some(payload) = payload else {
@@ -223,7 +223,7 @@
             return Some(Err(at));
         };
         let number = self.number;
-        self.at += RECORD + payload.len();
+        self.at += RECORD_HEADER_BYTES + payload.len();
         self.number = self.number.wrapping_add(1);
         self.left -= 1;
         Some(Ok((number, payload)))
@@ -241,11 +241,11 @@
 }
 
 /// What a file's name says it is; none for one that is not a store's.
-pub fn read_name(name: &str) -> Option<(Kind, u64)> {
+pub fn parse_file_name(name: &str) -> Option<(FileKind, u64)> {
     let hex = |prefix: &str, suffix: &str| {
         let digits = name.strip_prefix(prefix)?.strip_suffix(suffix)?;
         (digits.len() == 16).then(|| u64::from_str_radix(digits, 16).ok())?
     };
-    let segment = hex("seg-", ".log").map(|base| (Kind::Segment, base));
-    segment.or_else(|| hex("snap-", ".snp").map(|base| (Kind::Snapshot, base)))
+    let segment = hex("seg-", ".log").map(|base| (FileKind::Segment, base));
+    segment.or_else(|| hex("snap-", ".snp").map(|base| (FileKind::Snapshot, base)))
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -3,7 +3,7 @@
 //! says which file is damaged where.
 //!
 //! ```
-//! use dunlinspread_store::{Log, Options, RealDisk, Visit};
+//! use dunlinspread_store::{Log, Options, RealDisk, ReplayItem};
 //! use std::sync::Arc;
 //!
 //! # let folder = tempfile::tempdir().unwrap();
@@ -14,11 +14,11 @@
 //!
 //! let mut seen = Vec::new();
 //! let (_log, recovery) = Log::open(disk, Options::new("n3"), |visit| {
-//!     if let Visit::Record(number, bytes) = visit { seen.push((number, bytes.to_vec())); }
+//!     if let ReplayItem::Record(number, bytes) = visit { seen.push((number, bytes.to_vec())); }
 //!     Ok(())
 //! })?;
 //! assert_eq!(seen, [(1, b"one".to_vec()), (2, b"two".to_vec())]);
-//! assert_eq!(recovery.next, 3);
+//! assert_eq!(recovery.next_record, 3);
 //! # Ok::<(), dunlinspread_store::StoreError>(())
 //! ```
 //!
@@ -37,6 +37,6 @@
 
 pub use disk::{Disk, DiskFile, RealDisk};
 pub use error::StoreError;
-pub use log::{Log, Options, Recovery, Visit, place};
-pub use recover::Cut;
-pub use writer::{Failure, Gauges, Progress, Writer, WriterOptions};
+pub use log::{Log, Options, Recovery, ReplayItem, write_file_atomically};
+pub use recover::TornTail;
+pub use writer::{Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -3,8 +3,8 @@
 
 use crate::disk::{Disk, DiskFile, read_up_to, write_all};
 use crate::error::StoreError;
-use crate::frame::{self, FRAME, Frame, HEADER, Header, Kind};
-use crate::recover::{Cut, Found, Last, range, walk};
+use crate::frame::{self, FILE_HEADER_BYTES, FRAME_HEADER_BYTES, FileHeader, FileKind, FrameHeader};
+use crate::recover::{RecoveredLog, SegmentEnd, TornTail, range, replay};
 use std::ops::Range;
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
 
 /// What a visitor is shown, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Visit<'a> {
+pub enum ReplayItem<'a> {
     /// The newest snapshot: it stands for all records before that number.
     Snapshot(u64, &'a [u8]),
     /// A record and its number.
@@ -45,28 +45,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovery {
     /// The number that the next record gets.
-    pub next: u64,
+    pub next_record: u64,
     /// The first number after the newest snapshot; none without one.
-    pub snapshot: Option<u64>,
+    pub snapshot_before: Option<u64>,
     /// Records after it.
     pub records: u64,
     /// Bytes read.
-    pub bytes: u64,
+    pub bytes_read: u64,
     /// The store was closed in good order.
-    pub clean: bool,
+    pub closed_cleanly: bool,
     /// What the last commit before a crash had left in pieces.
-    pub cut: Option<Cut>,
+    pub torn_tail: Option<TornTail>,
 }
 
 impl Recovery {
-    fn of(found: &Found) -> Recovery {
+    fn of(found: &RecoveredLog) -> Recovery {
         Recovery {
-            next: found.next,
-            snapshot: found.snapshot.is_some().then_some(found.floor),
+            next_record: found.next,
+            snapshot_before: found.snapshot.is_some().then_some(found.floor),
             records: found.records,
-            bytes: found.bytes,
-            clean: found.last.as_ref().is_none_or(|l| l.closed),
-            cut: found.cut(),
+            bytes_read: found.bytes,
+            closed_cleanly: found.last.as_ref().is_none_or(|l| l.closed),
+            torn_tail: found.torn_tail(),
         }
     }
 }
@@ -117,12 +117,15 @@
     pub fn open(
         disk: Arc<dyn Disk>,
         options: Options,
-        mut visit: impl FnMut(Visit<'_>) -> Result<(), String>,
+        mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), String>,
     ) -> Result<(Log, Recovery), StoreError> {
-        assert!(options.owner.len() <= frame::MAX_OWNER, "the owner's name is bounded by whoever reads it");
+        assert!(
+            options.owner.len() <= frame::MAX_OWNER_BYTES,
+            "the owner's name is bounded by whoever reads it"
+        );
         disk.lock()?;
         let mut locked = Locked(Some(&*disk));
-        let mut found = walk(&*disk, &options.owner, &mut visit)?;
+        let mut found = replay(&*disk, &options.owner, &mut visit)?;
         let recovery = Recovery::of(&found);
         // A process that was killed may have renamed and never synced: before anything is removed because of a file that
         // is seen, that file's name has to be durable.
@@ -141,7 +144,7 @@
         };
         locked.0 = None;
         drop(locked);
-        let Found { floor, snapshot, segments, next, .. } = found;
+        let RecoveredLog { floor, snapshot, segments, next, .. } = found;
         let log = Log {
             disk,
             options,
@@ -167,9 +170,9 @@
     pub fn read(
         disk: &dyn Disk,
         owner: &str,
-        mut visit: impl FnMut(Visit<'_>) -> Result<(), String>,
+        mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), String>,
     ) -> Result<Recovery, StoreError> {
-        let found = walk(disk, owner, &mut visit)?;
+        let found = replay(disk, owner, &mut visit)?;
         Ok(Recovery::of(&found))
     }
 
@@ -178,30 +181,30 @@
     ///
     /// # Errors
     /// If they are not all there, or the visitor rejects one.
-    pub fn range(
+    pub fn read_range(
         disk: &dyn Disk,
         owner: &str,
         records: Range<u64>,
         mut visit: impl FnMut(u64, &[u8]) -> Result<(), String>,
     ) -> Result<(), StoreError> {
         range(disk, owner, records, &mut |visited| match visited {
-            Visit::Record(number, bytes) => visit(number, bytes),
-            Visit::Snapshot(..) => Ok(()),
+            ReplayItem::Record(number, bytes) => visit(number, bytes),
+            ReplayItem::Snapshot(..) => Ok(()),
         })
     }
 
     /// The number that the next record gets.
-    pub fn next(&self) -> u64 {
+    pub fn next_record(&self) -> u64 {
         self.next
     }
 
     /// Why nothing can be written any more, if so.
-    pub fn poisoned(&self) -> Option<&str> {
+    pub fn poison_cause(&self) -> Option<&str> {
         self.poisoned.as_deref()
     }
 
     /// How many segments there are.
-    pub fn segments(&self) -> usize {
+    pub fn segment_count(&self) -> usize {
         self.segments.len()
     }
 
@@ -212,7 +215,7 @@
 
     fn usable(&self) -> Result<(), StoreError> {
         match &self.poisoned {
-            Some(why) => Err(StoreError::Poisoned { why: why.clone() }),
+            Some(cause) => Err(StoreError::Poisoned { cause: cause.clone() }),
             None => Ok(()),
         }
     }
@@ -231,7 +234,7 @@
         if records.is_empty() {
             return Ok(self.next..self.next);
         }
-        let all: usize = records.iter().map(|r| r.as_ref().len() + frame::RECORD).sum();
+        let all: usize = records.iter().map(|r| r.as_ref().len() + frame::RECORD_HEADER_BYTES).sum();
         let limit = u32::MAX as usize / 2;
         if all > limit {
             return Err(StoreError::TooLarge { len: all, max: limit });
@@ -249,18 +252,18 @@
         self.clean_tail()?;
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
-        buffer.resize(FRAME, 0);
+        buffer.resize(FRAME_HEADER_BYTES, 0);
         for (number, record) in (self.next..).zip(records) {
-            frame::put_record(&mut buffer, number, record.as_ref());
+            frame::encode_record(&mut buffer, number, record.as_ref());
         }
-        let header = Frame {
-            len: (buffer.len() - FRAME) as u32,
+        let header = FrameHeader {
+            len: (buffer.len() - FRAME_HEADER_BYTES) as u32,
             first: self.next,
             durable: self.next,
             count: records.len() as u32,
             flags,
         };
-        buffer[..FRAME].copy_from_slice(&header.encode(self.salt));
+        buffer[..FRAME_HEADER_BYTES].copy_from_slice(&header.encode(self.salt));
         let written = write_all(&mut *self.file, self.end, &buffer);
         let len = buffer.len() as u64;
         buffer.shrink_to(1 << 20);
@@ -280,7 +283,7 @@
         }
         if let Err(source) = self.file.sync() {
             // Also for a full disk: after a failed sync the system may count as written what never was.
-            return Err(self.poison(StoreError::Io { what: "syncing", file: name, source }));
+            return Err(self.poison(StoreError::Io { operation: "syncing", file: name, source }));
         }
         self.end += len;
         Ok(())
@@ -331,9 +334,9 @@
     pub fn snapshot(&mut self, before: u64, content: &[u8]) -> Result<(), StoreError> {
         self.usable()?;
         assert!(before <= self.next && before >= self.floor, "a snapshot stands for records that are there");
-        let header = Header {
-            kind: Kind::Snapshot,
-            version: frame::VERSION,
+        let header = FileHeader {
+            kind: FileKind::Snapshot,
+            version: frame::FORMAT_VERSION,
             base: before,
             created_ms: self.options.now_ms,
             owner: self.options.owner.clone(),
@@ -341,7 +344,7 @@
             content: (content.len() as u64, crc32c::crc32c(content)),
         };
         let name = frame::snapshot_name(before);
-        match place(&*self.disk, &name, &[&header.encode(), content]) {
+        match write_file_atomically(&*self.disk, &name, &[&header.encode(), content]) {
             Ok(_) => {}
             Err(e @ StoreError::NoSpace { .. }) => return Err(e),
             Err(e) => return Err(self.poison(e)),
@@ -362,7 +365,7 @@
     /// If that can't be written; the store is as good as after a crash.
     pub fn close(mut self) -> Result<(), StoreError> {
         self.usable()?;
-        self.write_frame::<&[u8]>(&[], frame::CLOSED)
+        self.write_frame::<&[u8]>(&[], frame::FLAG_CLOSED_CLEANLY)
     }
 }
 
@@ -371,7 +374,11 @@
 ///
 /// # Errors
 /// Of the disk. After any but [`StoreError::NoSpace`] it is unknown whether it is there.
-pub fn place(disk: &dyn Disk, name: &str, parts: &[&[u8]]) -> Result<Box<dyn DiskFile>, StoreError> {
+pub fn write_file_atomically(
+    disk: &dyn Disk,
+    name: &str,
+    parts: &[&[u8]],
+) -> Result<Box<dyn DiskFile>, StoreError> {
     let making = format!("{name}.tmp");
     let write = || -> Result<Box<dyn DiskFile>, StoreError> {
         let mut file = disk.create(&making).map_err(StoreError::io("making", &making))?;
@@ -380,13 +387,13 @@
             write_all(&mut *file, at, part).map_err(StoreError::io("writing", &making))?;
             at += part.len() as u64;
         }
-        let failed = |source| StoreError::Io { what: "syncing", file: making.clone(), source };
+        let failed = |source| StoreError::Io { operation: "syncing", file: making.clone(), source };
         file.sync().map_err(failed)?;
         disk.rename(&making, name).map_err(StoreError::io("renaming", &making))?;
         Ok(file)
     };
     let file = write().inspect_err(|_| drop(disk.remove(&making)))?;
-    let failed = |source| StoreError::Io { what: "syncing directory", file: disk.name(), source };
+    let failed = |source| StoreError::Io { operation: "syncing directory", file: disk.name(), source };
     disk.sync_dir().map_err(failed)?;
     Ok(file)
 }
@@ -395,26 +402,26 @@
     disk: &dyn Disk,
     options: &Options,
     base: u64,
-) -> Result<(Box<dyn DiskFile>, Last), StoreError> {
+) -> Result<(Box<dyn DiskFile>, SegmentEnd), StoreError> {
     // Each segment's salt is another: bytes of a removed segment that turn up in a new one's blocks mean nothing there.
     let salt = options.salt ^ base.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let header = Header {
-        kind: Kind::Segment,
-        version: frame::VERSION,
+    let header = FileHeader {
+        kind: FileKind::Segment,
+        version: frame::FORMAT_VERSION,
         base,
         created_ms: options.now_ms,
         owner: options.owner.clone(),
         salt,
         content: (0, 0),
     };
-    let file = place(disk, &frame::segment_name(base), &[&header.encode()])?;
-    let end = HEADER as u64;
-    Ok((file, Last { end, size: end, salt, closed: true }))
+    let file = write_file_atomically(disk, &frame::segment_name(base), &[&header.encode()])?;
+    let end = FILE_HEADER_BYTES as u64;
+    Ok((file, SegmentEnd { end, size: end, salt, closed: true }))
 }
 
 /// Makes the good part of the last segment durable and takes away what is behind it. After a failed sync the system
 /// may show bytes that are on no disk; so what was found is written anew rather than synced once more.
-fn settle(disk: &dyn Disk, name: &str, last: &Last) -> Result<Box<dyn DiskFile>, StoreError> {
+fn settle(disk: &dyn Disk, name: &str, last: &SegmentEnd) -> Result<Box<dyn DiskFile>, StoreError> {
     let mut file = disk.open(name).map_err(StoreError::io("opening", name))?;
     if last.closed {
         return Ok(file);
@@ -422,14 +429,14 @@
     let mut good = vec![0; usize::try_from(last.end).unwrap_or(usize::MAX)];
     let got = read_up_to(&*file, 0, &mut good).map_err(StoreError::io("reading", name))?;
     if got < good.len() {
-        let what = "the file became shorter while it was read".to_owned();
-        return Err(StoreError::Damaged { file: name.to_owned(), offset: got as u64, what });
+        let fault = "the file became shorter while it was read".to_owned();
+        return Err(StoreError::Damaged { file: name.to_owned(), offset: got as u64, fault });
     }
-    match place(disk, name, &[&good]) {
+    match write_file_atomically(disk, name, &[&good]) {
         // A full disk must not keep the store from being opened: it is what has to be looked at.
         Err(StoreError::NoSpace { .. }) => {
             file.truncate(last.end).map_err(StoreError::io("cutting", name))?;
-            let failed = |source| StoreError::Io { what: "syncing", file: name.to_owned(), source };
+            let failed = |source| StoreError::Io { operation: "syncing", file: name.to_owned(), source };
             file.sync().map_err(failed)?;
             Ok(file)
         }
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -9,12 +9,14 @@
 
 use crate::disk::{Disk, read_up_to};
 use crate::error::StoreError;
-use crate::frame::{self, BadHeader, FRAME, Frame, HEADER, Header, Kind, Records};
-use crate::log::Visit;
+use crate::frame::{
+    self, FILE_HEADER_BYTES, FRAME_HEADER_BYTES, FileHeader, FileKind, FrameHeader, HeaderError, RecordIter,
+};
+use crate::log::ReplayItem;
 
 /// What was cut off the end of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cut {
+pub struct TornTail {
     /// The file.
     pub file: String,
     /// Where the cut was made.
@@ -25,7 +27,7 @@
 
 /// What a walk over a store found.
 #[derive(Debug)]
-pub(crate) struct Found {
+pub(crate) struct RecoveredLog {
     /// The number of the first record after the newest snapshot, 1 without one.
     pub floor: u64,
     /// That snapshot's file.
@@ -33,7 +35,7 @@
     /// Segments that are needed, by their first record.
     pub segments: Vec<(u64, String)>,
     /// The last of them: where its good part ends, and its salt.
-    pub last: Option<Last>,
+    pub last: Option<SegmentEnd>,
     /// The number of the next record.
     pub next: u64,
     /// Records visited.
@@ -46,7 +48,7 @@
 
 /// The end of the last segment.
 #[derive(Clone, Debug)]
-pub(crate) struct Last {
+pub(crate) struct SegmentEnd {
     pub end: u64,
     pub size: u64,
     pub salt: u64,
@@ -54,11 +56,11 @@
     pub closed: bool,
 }
 
-impl Found {
+impl RecoveredLog {
     /// What a crash left behind the good part.
-    pub fn cut(&self) -> Option<Cut> {
+    pub fn torn_tail(&self) -> Option<TornTail> {
         let (last, (_, file)) = (self.last.as_ref()?, self.segments.last()?);
-        (last.size > last.end).then(|| Cut {
+        (last.size > last.end).then(|| TornTail {
             file: file.clone(),
             offset: last.end,
             bytes: last.size - last.end,
@@ -67,7 +69,7 @@
 }
 
 /// The visitor of a walk.
-pub(crate) type Visitor<'a> = dyn FnMut(Visit<'_>) -> Result<(), String> + 'a;
+pub(crate) type Visitor<'a> = dyn FnMut(ReplayItem<'_>) -> Result<(), String> + 'a;
 
 fn whole(disk: &dyn Disk, name: &str) -> Result<Vec<u8>, StoreError> {
     let file = disk.open(name).map_err(StoreError::io("opening", name))?;
@@ -78,15 +80,21 @@
     Ok(bytes)
 }
 
-fn damaged(file: &str, offset: u64, what: impl Into<String>) -> StoreError {
-    StoreError::Damaged { file: file.to_owned(), offset, what: what.into() }
+fn damaged(file: &str, offset: u64, fault: impl Into<String>) -> StoreError {
+    StoreError::Damaged { file: file.to_owned(), offset, fault: fault.into() }
 }
 
-fn header(bytes: &[u8], name: &str, kind: Kind, base: u64, owner: &str) -> Result<Header, StoreError> {
-    let header = Header::decode(bytes).map_err(|e| match e {
-        BadHeader::Damaged(what) => damaged(name, 0, what),
-        BadHeader::Version(found) => {
-            StoreError::Version { file: name.to_owned(), found, newest: frame::VERSION }
+fn header(
+    bytes: &[u8],
+    name: &str,
+    kind: FileKind,
+    base: u64,
+    owner: &str,
+) -> Result<FileHeader, StoreError> {
+    let header = FileHeader::decode(bytes).map_err(|e| match e {
+        HeaderError::Damaged(what) => damaged(name, 0, what),
+        HeaderError::Version(found) => {
+            StoreError::Version { file: name.to_owned(), found, newest: frame::FORMAT_VERSION }
         }
     })?;
     if header.owner != owner {
@@ -101,13 +109,17 @@
 
 /// Walks over the whole store and changes nothing. The visitor is given the newest snapshot and every record after it,
 /// in order.
-pub(crate) fn walk(disk: &dyn Disk, owner: &str, visit: &mut Visitor<'_>) -> Result<Found, StoreError> {
+pub(crate) fn replay(
+    disk: &dyn Disk,
+    owner: &str,
+    visit: &mut Visitor<'_>,
+) -> Result<RecoveredLog, StoreError> {
     let names = disk.list().map_err(StoreError::io("listing", &disk.name()))?;
     let (mut segments, mut snapshots, mut leftover) = (Vec::new(), Vec::new(), Vec::new());
     for name in names {
-        match frame::read_name(&name) {
-            Some((Kind::Segment, base)) => segments.push((base, name)),
-            Some((Kind::Snapshot, base)) => snapshots.push((base, name)),
+        match frame::parse_file_name(&name) {
+            Some((FileKind::Segment, base)) => segments.push((base, name)),
+            Some((FileKind::Snapshot, base)) => snapshots.push((base, name)),
             // Made before a crash and never given its name; nothing was claimed of it.
             None if name.ends_with(".tmp") => leftover.push(name),
             // Whatever else lies there is not the store's.
@@ -116,7 +128,7 @@
     }
     segments.sort_unstable();
     snapshots.sort_unstable();
-    let mut found = Found {
+    let mut found = RecoveredLog {
         floor: 1,
         snapshot: None,
         segments: Vec::new(),
@@ -128,13 +140,17 @@
     };
     if let Some((base, name)) = snapshots.pop() {
         let bytes = whole(disk, &name)?;
-        let header = header(&bytes, &name, Kind::Snapshot, base, owner)?;
-        let content = &bytes[HEADER..];
+        let header = header(&bytes, &name, FileKind::Snapshot, base, owner)?;
+        let content = &bytes[FILE_HEADER_BYTES..];
         if (content.len() as u64, crc32c::crc32c(content)) != header.content {
-            return Err(damaged(&name, HEADER as u64, "the snapshot's content is not what was written"));
+            return Err(damaged(
+                &name,
+                FILE_HEADER_BYTES as u64,
+                "the snapshot's content is not what was written",
+            ));
         }
-        let rejected = |what| StoreError::Rejected { file: name.clone(), number: base, what };
-        visit(Visit::Snapshot(base, content)).map_err(rejected)?;
+        let rejected = |reason| StoreError::Rejected { file: name.clone(), number: base, reason };
+        visit(ReplayItem::Snapshot(base, content)).map_err(rejected)?;
         (found.floor, found.next, found.bytes) = (base, base, bytes.len() as u64);
         found.snapshot = Some(name);
     }
@@ -158,8 +174,8 @@
             return Err(StoreError::Gap { file: name.clone(), expected: found.next, found: *base });
         }
         let bytes = whole(disk, name)?;
-        let header = header(&bytes, name, Kind::Segment, *base, owner)?;
-        let mut scan = Scan { at: HEADER, next: *base, closed: false, salt: header.salt };
+        let header = header(&bytes, name, FileKind::Segment, *base, owner)?;
+        let mut scan = Scan { at: FILE_HEADER_BYTES, next: *base, closed: false, salt: header.salt };
         let fault = scan.run(&bytes, name, found.floor, &mut found.records, visit)?;
         // Only the end of the last segment may have been cut short: the next one is begun when all before is durable.
         if let Some((offset, what)) = fault {
@@ -170,7 +186,7 @@
         found.next = scan.next;
         found.bytes += bytes.len() as u64;
         let (end, size) = (scan.at as u64, bytes.len() as u64);
-        found.last = Some(Last { end, size, salt: header.salt, closed: scan.closed && end == size });
+        found.last = Some(SegmentEnd { end, size, salt: header.salt, closed: scan.closed && end == size });
     }
     if found.next < found.floor {
         // The snapshot was taken of records that were durable.
@@ -190,8 +206,8 @@
     visit: &mut Visitor<'_>,
 ) -> Result<(), StoreError> {
     let names = disk.list().map_err(StoreError::io("listing", &disk.name()))?;
-    let named = names.into_iter().filter_map(|name| match frame::read_name(&name) {
-        Some((Kind::Segment, base)) if base < records.end => Some((base, name)),
+    let named = names.into_iter().filter_map(|name| match frame::parse_file_name(&name) {
+        Some((FileKind::Segment, base)) if base < records.end => Some((base, name)),
         _ => None,
     });
     let mut segments: Vec<(u64, String)> = named.collect();
@@ -205,10 +221,10 @@
             return Err(StoreError::Gap { file: name, expected: next, found: base });
         }
         let bytes = whole(disk, &name)?;
-        let header = header(&bytes, &name, Kind::Segment, base, owner)?;
-        let mut scan = Scan { at: HEADER, next: base, closed: false, salt: header.salt };
-        let mut within = |visited: Visit<'_>| match visited {
-            Visit::Record(number, _) if !records.contains(&number) => Ok(()),
+        let header = header(&bytes, &name, FileKind::Segment, base, owner)?;
+        let mut scan = Scan { at: FILE_HEADER_BYTES, next: base, closed: false, salt: header.salt };
+        let mut within = |visited: ReplayItem<'_>| match visited {
+            ReplayItem::Record(number, _) if !records.contains(&number) => Ok(()),
             visited => visit(visited),
         };
         let fault = scan.run(&bytes, &name, records.start, &mut 0, &mut within)?;
@@ -244,26 +260,26 @@
         visit: &mut Visitor<'_>,
     ) -> Result<Option<(usize, &'static str)>, StoreError> {
         while self.at < bytes.len() {
-            let Some(frame) = Frame::decode(&bytes[self.at..], self.salt) else {
+            let Some(frame) = FrameHeader::decode(&bytes[self.at..], self.salt) else {
                 return Ok(Some((self.at, "there is no frame here")));
             };
             if frame.first != self.next {
                 return Ok(Some((self.at, "this frame does not follow the one before it")));
             }
-            let from = self.at + FRAME;
+            let from = self.at + FRAME_HEADER_BYTES;
             let Some(content) = bytes.get(from..from + frame.len as usize) else {
                 return Ok(Some((self.at, "this frame is cut short")));
             };
             // All or none: a frame is visited only once each of its records is known to be whole.
-            if let Some(at) = Records::new(&frame, content).find_map(Result::err) {
+            if let Some(at) = RecordIter::new(&frame, content).find_map(Result::err) {
                 return Ok(Some((from + at, "this record's checksum is wrong")));
             }
-            for (number, payload) in Records::new(&frame, content).flatten().filter(|(n, _)| *n >= floor) {
-                let rejected = |what| StoreError::Rejected { file: name.to_owned(), number, what };
-                visit(Visit::Record(number, payload)).map_err(rejected)?;
+            for (number, payload) in RecordIter::new(&frame, content).flatten().filter(|(n, _)| *n >= floor) {
+                let rejected = |reason| StoreError::Rejected { file: name.to_owned(), number, reason };
+                visit(ReplayItem::Record(number, payload)).map_err(rejected)?;
                 *records += 1;
             }
-            self.closed = frame.flags & frame::CLOSED != 0;
+            self.closed = frame.flags & frame::FLAG_CLOSED_CLEANLY != 0;
             self.next += u64::from(frame.count);
             self.at = from + content.len();
         }
@@ -273,7 +289,9 @@
     /// Whether anything behind the good part shows that more than that had been durable.
     fn known_durable(&self, bytes: &[u8]) -> bool {
         let rest = &bytes[self.at..];
-        let starts = (0..rest.len().saturating_sub(FRAME - 1)).filter(|at| rest[*at] == b'F');
-        starts.filter_map(|at| Frame::decode(&rest[at..], self.salt)).any(|frame| frame.durable > self.next)
+        let starts = (0..rest.len().saturating_sub(FRAME_HEADER_BYTES - 1)).filter(|at| rest[*at] == b'F');
+        starts
+            .filter_map(|at| FrameHeader::decode(&rest[at..], self.salt))
+            .any(|frame| frame.durable > self.next)
     }
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -21,14 +21,14 @@
     /// The syncs that fail, of files and of the directory, counted from 0.
     pub failing_syncs: Vec<u64>,
     /// The bytes that fit, of all files.
-    pub capacity: Option<u64>,
+    pub capacity_bytes: Option<u64>,
     /// Files can't be cut.
     pub failing_truncates: bool,
     /// Writes and reads take only a part now and then.
-    pub short: bool,
+    pub short_transfers: bool,
 }
 
-enum Change {
+enum ContentChange {
     Write(usize, Vec<u8>),
     Truncate(usize),
 }
@@ -36,12 +36,12 @@
 #[derive(Default)]
 struct Inode {
     durable: Vec<u8>,
-    seen: Vec<u8>,
-    pending: Vec<Change>,
+    visible: Vec<u8>,
+    pending: Vec<ContentChange>,
 }
 
 #[derive(Clone)]
-enum Naming {
+enum NameChange {
     Link(String, usize),
     Rename(String, String),
     Remove(String),
@@ -51,12 +51,12 @@
     inodes: Vec<Inode>,
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
-    pending_names: Vec<Naming>,
+    pending_names: Vec<NameChange>,
     faults: Faults,
     rng: ChaCha8Rng,
     operations: u64,
     syncs: u64,
-    off: bool,
+    powered_off: bool,
     locked: bool,
 }
 
@@ -64,23 +64,23 @@
 #[derive(Clone)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
-fn apply(bytes: &mut Vec<u8>, at: usize, data: &[u8]) {
+fn write_bytes(bytes: &mut Vec<u8>, at: usize, data: &[u8]) {
     if bytes.len() < at + data.len() {
         bytes.resize(at + data.len(), 0);
     }
     bytes[at..at + data.len()].copy_from_slice(data);
 }
 
-fn apply_name(names: &mut BTreeMap<String, usize>, naming: &Naming, renamed: Option<usize>) {
-    match naming {
-        Naming::Link(name, inode) => drop(names.insert(name.clone(), *inode)),
-        Naming::Rename(from, to) => {
+fn apply_name_change(names: &mut BTreeMap<String, usize>, change: &NameChange, renamed: Option<usize>) {
+    match change {
+        NameChange::Link(name, inode) => drop(names.insert(name.clone(), *inode)),
+        NameChange::Rename(from, to) => {
             names.remove(from);
             if let Some(inode) = renamed {
                 names.insert(to.clone(), inode);
             }
         }
-        Naming::Remove(name) => drop(names.remove(name)),
+        NameChange::Remove(name) => drop(names.remove(name)),
     }
 }
 
@@ -96,7 +96,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             operations: 0,
             syncs: 0,
-            off: false,
+            powered_off: false,
             locked: false,
         })))
     }
@@ -106,7 +106,7 @@
     }
 
     /// Sets what goes wrong from now on; operations and syncs are counted anew.
-    pub fn set(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         let mut state = self.state();
         (state.faults, state.operations, state.syncs) = (faults, 0, 0);
     }
@@ -122,15 +122,15 @@
     }
 
     /// Whether the power was cut.
-    pub fn is_off(&self) -> bool {
-        self.state().off
+    pub fn is_powered_off(&self) -> bool {
+        self.state().powered_off
     }
 
     /// The process ends, the machine goes on: nothing is lost, synced or not. Faults are over.
-    pub fn kill(&self) {
+    pub fn restart_process(&self) {
         let mut state = self.state();
         state.faults = Faults::default();
-        (state.off, state.locked) = (false, false);
+        (state.powered_off, state.locked) = (false, false);
     }
 
     /// The power goes, and comes back: of what was not synced, some is there and some is not. Faults are over.
@@ -138,46 +138,46 @@
         let mut state = self.state();
         let State { inodes, names, durable_names, pending_names, rng, .. } = &mut *state;
         // Now and then nothing or everything had got there by itself.
-        let kept = [0.0, 0.5, 0.5, 0.9, 1.0][rng.random_range(0..5)];
+        let persisted_share = [0.0, 0.5, 0.5, 0.9, 1.0][rng.random_range(0..5)];
         let mut inode_of = durable_names.clone();
-        for naming in pending_names.drain(..) {
-            let renamed = match &naming {
-                Naming::Rename(from, _) => inode_of.get(from).copied(),
+        for change in pending_names.drain(..) {
+            let renamed = match &change {
+                NameChange::Rename(from, _) => inode_of.get(from).copied(),
                 _ => None,
             };
-            apply_name(&mut inode_of, &naming, renamed);
-            if rng.random_bool(kept) {
-                apply_name(durable_names, &naming, renamed);
+            apply_name_change(&mut inode_of, &change, renamed);
+            if rng.random_bool(persisted_share) {
+                apply_name_change(durable_names, &change, renamed);
             }
         }
         *names = durable_names.clone();
         for inode in inodes.iter_mut() {
             let pending = std::mem::take(&mut inode.pending);
-            persist(inode, pending, kept, rng);
-            inode.seen = inode.durable.clone();
+            persist(inode, pending, persisted_share, rng);
+            inode.visible = inode.durable.clone();
         }
         state.faults = Faults::default();
-        (state.off, state.locked) = (false, false);
+        (state.powered_off, state.locked) = (false, false);
     }
 
     /// A file's bytes as they are seen now.
-    pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
+    pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         let inode = state.names.get(name)?;
-        Some(state.inodes[*inode].seen.clone())
+        Some(state.inodes[*inode].visible.clone())
     }
 
     /// Puts a file there, durable.
-    pub fn put(&self, name: &str, bytes: &[u8]) {
+    pub fn insert_durable(&self, name: &str, bytes: &[u8]) {
         let mut state = self.state();
-        state.inodes.push(Inode { durable: bytes.to_vec(), seen: bytes.to_vec(), pending: Vec::new() });
+        state.inodes.push(Inode { durable: bytes.to_vec(), visible: bytes.to_vec(), pending: Vec::new() });
         let inode = state.inodes.len() - 1;
         state.names.insert(name.to_owned(), inode);
         state.durable_names.insert(name.to_owned(), inode);
     }
 
     /// Takes a file away, durably.
-    pub fn lose(&self, name: &str) {
+    pub fn remove_durable(&self, name: &str) {
         let mut state = self.state();
         state.names.remove(name);
         state.durable_names.remove(name);
@@ -185,25 +185,25 @@
 }
 
 /// Brings some of the changes to the disk, sector by sector.
-fn persist(inode: &mut Inode, changes: Vec<Change>, kept: f64, rng: &mut ChaCha8Rng) {
+fn persist(inode: &mut Inode, changes: Vec<ContentChange>, persisted_share: f64, rng: &mut ChaCha8Rng) {
     for change in changes {
         match change {
-            Change::Write(at, data) => {
+            ContentChange::Write(at, data) => {
                 let mut from = 0;
                 while from < data.len() {
                     let to = ((at + from) / SECTOR * SECTOR + SECTOR - at).min(data.len());
-                    if rng.random_bool(kept) {
-                        apply(&mut inode.durable, at + from, &data[from..to]);
+                    if rng.random_bool(persisted_share) {
+                        write_bytes(&mut inode.durable, at + from, &data[from..to]);
                     }
                     from = to;
                 }
                 // The length may have got there and the bytes not.
-                if rng.random_bool(kept) && inode.durable.len() < at + data.len() {
+                if rng.random_bool(persisted_share) && inode.durable.len() < at + data.len() {
                     inode.durable.resize(at + data.len(), 0);
                 }
             }
-            Change::Truncate(len) => {
-                if rng.random_bool(kept) {
+            ContentChange::Truncate(len) => {
+                if rng.random_bool(persisted_share) {
                     inode.durable.truncate(len);
                 }
             }
@@ -213,10 +213,10 @@
 
 impl State {
     /// Counts an operation; an error if the power is gone.
-    fn step(&mut self) -> io::Result<()> {
-        self.off |= self.faults.crash_at == Some(self.operations);
+    fn begin_operation(&mut self) -> io::Result<()> {
+        self.powered_off |= self.faults.crash_at == Some(self.operations);
         self.operations += 1;
-        if self.off { Err(io::Error::other("the power was cut")) } else { Ok(()) }
+        if self.powered_off { Err(io::Error::other("the power was cut")) } else { Ok(()) }
     }
 
     fn sync_fails(&mut self) -> bool {
@@ -225,12 +225,12 @@
     }
 
     fn used(&self) -> u64 {
-        self.names.values().map(|inode| self.inodes[*inode].seen.len() as u64).sum()
+        self.names.values().map(|inode| self.inodes[*inode].visible.len() as u64).sum()
     }
 
     /// A part of a length, if things are short now.
-    fn part(&mut self, len: usize) -> usize {
-        let short = self.faults.short && len > 1 && self.rng.random_bool(0.3);
+    fn transfer_length(&mut self, len: usize) -> usize {
+        let short = self.faults.short_transfers && len > 1 && self.rng.random_bool(0.3);
         if short { self.rng.random_range(1..len) } else { len }
     }
 }
@@ -256,47 +256,47 @@
 
     fn list(&self) -> io::Result<Vec<String>> {
         let mut state = self.state();
-        state.step()?;
+        state.begin_operation()?;
         Ok(state.names.keys().cloned().collect())
     }
 
     fn create(&self, name: &str) -> io::Result<Box<dyn DiskFile>> {
         let mut state = self.state();
-        state.step()?;
+        state.begin_operation()?;
         state.inodes.push(Inode::default());
         let inode = state.inodes.len() - 1;
         state.names.insert(name.to_owned(), inode);
-        state.pending_names.push(Naming::Link(name.to_owned(), inode));
+        state.pending_names.push(NameChange::Link(name.to_owned(), inode));
         Ok(Box::new(SimFile { disk: self.clone(), inode }))
     }
 
     fn open(&self, name: &str) -> io::Result<Box<dyn DiskFile>> {
         let mut state = self.state();
-        state.step()?;
+        state.begin_operation()?;
         let inode = *state.names.get(name).ok_or(io::ErrorKind::NotFound)?;
         Ok(Box::new(SimFile { disk: self.clone(), inode }))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.step()?;
+        state.begin_operation()?;
         let inode = state.names.remove(from).ok_or(io::ErrorKind::NotFound)?;
         state.names.insert(to.to_owned(), inode);
-        state.pending_names.push(Naming::Rename(from.to_owned(), to.to_owned()));
+        state.pending_names.push(NameChange::Rename(from.to_owned(), to.to_owned()));
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.step()?;
+        state.begin_operation()?;
         state.names.remove(name).ok_or(io::ErrorKind::NotFound)?;
-        state.pending_names.push(Naming::Remove(name.to_owned()));
+        state.pending_names.push(NameChange::Remove(name.to_owned()));
         Ok(())
     }
 
     fn sync_dir(&self) -> io::Result<()> {
         let mut state = self.state();
-        state.step()?;
+        state.begin_operation()?;
         if state.sync_fails() {
             return Err(io::Error::other("input/output error"));
         }
@@ -314,11 +314,11 @@
 impl DiskFile for SimFile {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize> {
         let mut state = self.disk.state();
-        state.step()?;
+        state.begin_operation()?;
         let at = offset as usize;
-        let mut len = state.part(bytes.len());
-        if let Some(capacity) = state.faults.capacity {
-            let old = state.inodes[self.inode].seen.len();
+        let mut len = state.transfer_length(bytes.len());
+        if let Some(capacity) = state.faults.capacity_bytes {
+            let old = state.inodes[self.inode].visible.len();
             let room = capacity.saturating_sub(state.used()) as usize + old.saturating_sub(at);
             if room == 0 && !bytes.is_empty() {
                 return Err(io::ErrorKind::StorageFull.into());
@@ -326,41 +326,41 @@
             len = len.min(room);
         }
         let inode = &mut state.inodes[self.inode];
-        apply(&mut inode.seen, at, &bytes[..len]);
-        inode.pending.push(Change::Write(at, bytes[..len].to_vec()));
+        write_bytes(&mut inode.visible, at, &bytes[..len]);
+        inode.pending.push(ContentChange::Write(at, bytes[..len].to_vec()));
         Ok(len)
     }
 
     fn read_at(&self, offset: u64, bytes: &mut [u8]) -> io::Result<usize> {
         let mut state = self.disk.state();
-        state.step()?;
-        let want = state.part(bytes.len());
-        let seen = &state.inodes[self.inode].seen;
-        let from = seen.get(offset as usize..).unwrap_or_default();
+        state.begin_operation()?;
+        let want = state.transfer_length(bytes.len());
+        let visible = &state.inodes[self.inode].visible;
+        let from = visible.get(offset as usize..).unwrap_or_default();
         let len = want.min(from.len());
         bytes[..len].copy_from_slice(&from[..len]);
         Ok(len)
     }
 
     fn size(&self) -> io::Result<u64> {
-        Ok(self.disk.state().inodes[self.inode].seen.len() as u64)
+        Ok(self.disk.state().inodes[self.inode].visible.len() as u64)
     }
 
     fn truncate(&mut self, len: u64) -> io::Result<()> {
         let mut state = self.disk.state();
-        state.step()?;
+        state.begin_operation()?;
         if state.faults.failing_truncates {
             return Err(io::Error::other("input/output error"));
         }
         let inode = &mut state.inodes[self.inode];
-        inode.seen.truncate(len as usize);
-        inode.pending.push(Change::Truncate(len as usize));
+        inode.visible.truncate(len as usize);
+        inode.pending.push(ContentChange::Truncate(len as usize));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.disk.state();
-        state.step()?;
+        state.begin_operation()?;
         let fails = state.sync_fails();
         let State { inodes, rng, .. } = &mut *state;
         let inode = &mut inodes[self.inode];
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriterOptions {
     /// Records that may wait, and their bytes.
-    pub mailbox: usize,
+    pub queue_records: usize,
     /// Bytes that may wait.
-    pub mailbox_bytes: usize,
+    pub queue_bytes: usize,
     /// How long a commit waits for company after its first record; none to commit at once.
-    pub interval: Duration,
+    pub max_batch_delay: Duration,
     /// The records and bytes of one commit at most.
-    pub batch: usize,
+    pub batch_records: usize,
     /// Bytes of one commit, past which it is made.
     pub batch_bytes: usize,
 }
@@ -30,10 +30,10 @@
     /// 4,096 records and 4 MiB may wait; commits are made at once, of 1 MiB at most.
     fn default() -> Self {
         WriterOptions {
-            mailbox: 4096,
-            mailbox_bytes: 4 << 20,
-            interval: Duration::ZERO,
-            batch: 4096,
+            queue_records: 4096,
+            queue_bytes: 4 << 20,
+            max_batch_delay: Duration::ZERO,
+            batch_records: 4096,
             batch_bytes: 1 << 20,
         }
     }
@@ -41,11 +41,11 @@
 
 /// Why a record was not written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum WriteFailure {
     /// The disk is full: it is not there, and may be appended again.
     NoSpace,
     /// An earlier one failed, and this one was not tried: it is not there.
-    NotTried,
+    NotAttempted,
     /// The disk failed: it is unknown whether it is there, and nothing more will be written.
     Poisoned(Arc<str>),
 }
@@ -67,32 +67,32 @@
         /// The last.
         through: u64,
         /// Why.
-        why: Failure,
+        reason: WriteFailure,
         /// What to resume with.
-        era: u64,
+        generation: u64,
     },
     /// The snapshot of all before that number was taken, or not.
     Snapshot {
         /// That number.
         before: u64,
         /// Why it was not taken.
-        failed: Option<Failure>,
+        failure: Option<WriteFailure>,
     },
 }
 
 enum Ask {
-    Append { era: u64, ticket: u64, record: Vec<u8> },
+    Append { generation: u64, ticket: u64, record: Vec<u8> },
     Snapshot { before: u64, content: Vec<u8> },
     Close,
 }
 
 /// A writer's figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Gauges {
+pub struct WriterGauges {
     /// Records that wait now.
-    pub waiting: usize,
+    pub queued_records: usize,
     /// Their bytes.
-    pub waiting_bytes: usize,
+    pub queued_bytes: usize,
     /// Commits made.
     pub commits: u64,
     /// Records made durable.
@@ -107,8 +107,8 @@
 
 #[derive(Default)]
 struct Shared {
-    waiting: AtomicUsize,
-    waiting_bytes: AtomicUsize,
+    queued_records: AtomicUsize,
+    queued_bytes: AtomicUsize,
     commits: AtomicU64,
     records: AtomicU64,
     failures: AtomicU64,
@@ -122,7 +122,7 @@
     shared: Arc<Shared>,
     options: WriterOptions,
     tickets: u64,
-    era: u64,
+    generation: u64,
     thread: Option<JoinHandle<Result<(), StoreError>>>,
 }
 
@@ -136,20 +136,20 @@
         options: WriterOptions,
         told: impl FnMut(Progress) + Send + 'static,
     ) -> io::Result<Writer> {
-        let (asks, inbox) = sync_channel(options.mailbox.max(1));
+        let (asks, inbox) = sync_channel(options.queue_records.max(1));
         let shared = Arc::new(Shared::default());
         let work = Work {
             log,
             options,
             shared: shared.clone(),
             told: Box::new(told),
-            era: 0,
+            generation: 0,
             batch: Vec::new(),
             bytes: 0,
             last: 0,
         };
         let thread = std::thread::Builder::new().name("store".to_owned()).spawn(move || work.run(inbox))?;
-        Ok(Writer { asks, shared, options, tickets: 0, era: 0, thread: Some(thread) })
+        Ok(Writer { asks, shared, options, tickets: 0, generation: 0, thread: Some(thread) })
     }
 
     /// Hands a record to the thread; its ticket. Tickets go up by one from 1.
@@ -158,23 +158,23 @@
     /// With the record, if the mailbox is full.
     pub fn append(&mut self, record: Vec<u8>) -> Result<u64, Vec<u8>> {
         let len = record.len();
-        let waiting = self.shared.waiting_bytes.load(Ordering::Relaxed);
-        if waiting > 0 && waiting + len > self.options.mailbox_bytes {
+        let queued_records = self.shared.queued_bytes.load(Ordering::Relaxed);
+        if queued_records > 0 && queued_records + len > self.options.queue_bytes {
             self.shared.overflows.fetch_add(1, Ordering::Relaxed);
             return Err(record);
         }
         // Counted before it is sent: the thread takes it off again as soon as it has it.
-        self.shared.waiting.fetch_add(1, Ordering::Relaxed);
-        self.shared.waiting_bytes.fetch_add(len, Ordering::Relaxed);
+        self.shared.queued_records.fetch_add(1, Ordering::Relaxed);
+        self.shared.queued_bytes.fetch_add(len, Ordering::Relaxed);
         let ticket = self.tickets + 1;
-        match self.asks.try_send(Ask::Append { era: self.era, ticket, record }) {
+        match self.asks.try_send(Ask::Append { generation: self.generation, ticket, record }) {
             Ok(()) => {
                 self.tickets = ticket;
                 Ok(ticket)
             }
             Err(TrySendError::Full(ask) | TrySendError::Disconnected(ask)) => {
-                self.shared.waiting.fetch_sub(1, Ordering::Relaxed);
-                self.shared.waiting_bytes.fetch_sub(len, Ordering::Relaxed);
+                self.shared.queued_records.fetch_sub(1, Ordering::Relaxed);
+                self.shared.queued_bytes.fetch_sub(len, Ordering::Relaxed);
                 self.shared.overflows.fetch_add(1, Ordering::Relaxed);
                 match ask {
                     Ask::Append { record, .. } => Err(record),
@@ -185,8 +185,8 @@
     }
 
     /// After [`Progress::Failed`]: what is appended from now on is written again.
-    pub fn resume(&mut self, era: u64) {
-        self.era = self.era.max(era);
+    pub fn resume(&mut self, generation: u64) {
+        self.generation = self.generation.max(generation);
     }
 
     /// Asks for a snapshot; false if the mailbox is full.
@@ -195,11 +195,11 @@
     }
 
     /// The figures now.
-    pub fn gauges(&self) -> Gauges {
+    pub fn gauges(&self) -> WriterGauges {
         let s = &self.shared;
-        Gauges {
-            waiting: s.waiting.load(Ordering::Relaxed),
-            waiting_bytes: s.waiting_bytes.load(Ordering::Relaxed),
+        WriterGauges {
+            queued_records: s.queued_records.load(Ordering::Relaxed),
+            queued_bytes: s.queued_bytes.load(Ordering::Relaxed),
             commits: s.commits.load(Ordering::Relaxed),
             records: s.records.load(Ordering::Relaxed),
             failures: s.failures.load(Ordering::Relaxed),
@@ -218,7 +218,7 @@
         let ended = self.thread.take().map(JoinHandle::join);
         match ended {
             Some(Ok(result)) => result,
-            _ => Err(StoreError::Poisoned { why: "the writer's thread ended".to_owned() }),
+            _ => Err(StoreError::Poisoned { cause: "the writer's thread ended".to_owned() }),
         }
     }
 }
@@ -229,8 +229,8 @@
     options: WriterOptions,
     shared: Arc<Shared>,
     told: Box<dyn FnMut(Progress) + Send>,
-    /// Appends of an earlier era came before the owner knew of a failure.
-    era: u64,
+    /// Appends of an earlier generation came before the owner knew of a failure.
+    generation: u64,
     batch: Vec<Vec<u8>>,
     bytes: usize,
     /// The ticket of the last record in the batch.
@@ -241,12 +241,12 @@
     fn run(mut self, inbox: Receiver<Ask>) -> Result<(), StoreError> {
         loop {
             let Ok(first) = inbox.recv() else { return self.log.close() };
-            let due = Instant::now() + self.options.interval;
+            let due = Instant::now() + self.options.max_batch_delay;
             let mut next = Some(first);
             // Company for the first: until the batch is full, or its time is up and nothing waits.
             while let Some(ask) = next.take() {
                 match ask {
-                    Ask::Append { era, ticket, record } => self.take(era, ticket, record),
+                    Ask::Append { generation, ticket, record } => self.take(generation, ticket, record),
                     Ask::Snapshot { before, content } => {
                         self.commit();
                         self.snapshot(before, &content);
@@ -256,7 +256,7 @@
                         return self.log.close();
                     }
                 }
-                if self.batch.len() >= self.options.batch || self.bytes >= self.options.batch_bytes {
+                if self.batch.len() >= self.options.batch_records || self.bytes >= self.options.batch_bytes {
                     break;
                 }
                 next = match inbox.try_recv() {
@@ -272,11 +272,11 @@
         }
     }
 
-    fn take(&mut self, era: u64, ticket: u64, record: Vec<u8>) {
-        if era < self.era {
+    fn take(&mut self, generation: u64, ticket: u64, record: Vec<u8>) {
+        if generation < self.generation {
             self.free(1, record.len());
-            let (why, era) = (Failure::NotTried, self.era);
-            return (self.told)(Progress::Failed { from: ticket, through: ticket, why, era });
+            let (reason, generation) = (WriteFailure::NotAttempted, self.generation);
+            return (self.told)(Progress::Failed { from: ticket, through: ticket, reason, generation });
         }
         self.bytes += record.len();
         self.batch.push(record);
@@ -284,8 +284,8 @@
     }
 
     fn free(&self, records: usize, bytes: usize) {
-        self.shared.waiting.fetch_sub(records, Ordering::Relaxed);
-        self.shared.waiting_bytes.fetch_sub(bytes, Ordering::Relaxed);
+        self.shared.queued_records.fetch_sub(records, Ordering::Relaxed);
+        self.shared.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
     fn commit(&mut self) {
@@ -308,22 +308,27 @@
             }
             Err(e) => {
                 self.shared.failures.fetch_add(1, Ordering::Relaxed);
-                self.era += 1;
+                self.generation += 1;
                 let from = through + 1 - count as u64;
-                (self.told)(Progress::Failed { from, through, why: failure(&e), era: self.era });
+                (self.told)(Progress::Failed {
+                    from,
+                    through,
+                    reason: failure(&e),
+                    generation: self.generation,
+                });
             }
         }
     }
 
     fn snapshot(&mut self, before: u64, content: &[u8]) {
-        let failed = self.log.snapshot(before, content).err().map(|e| failure(&e));
-        (self.told)(Progress::Snapshot { before, failed });
+        let failure = self.log.snapshot(before, content).err().map(|e| failure(&e));
+        (self.told)(Progress::Snapshot { before, failure });
     }
 }
 
-fn failure(e: &StoreError) -> Failure {
+fn failure(e: &StoreError) -> WriteFailure {
     match e {
-        StoreError::NoSpace { .. } => Failure::NoSpace,
-        e => Failure::Poisoned(e.to_string().into()),
+        StoreError::NoSpace { .. } => WriteFailure::NoSpace,
+        e => WriteFailure::Poisoned(e.to_string().into()),
     }
 }
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -3,7 +3,7 @@
 //! place. Seeds are in the messages.
 
 use dunlinspread_store::sim::{Faults, SimDisk};
-use dunlinspread_store::{Log, Options, StoreError, Visit};
+use dunlinspread_store::{Log, Options, ReplayItem, StoreError};
 use std::sync::Arc;
 
 /// The record of that number; each attempt to write it makes another one.
@@ -68,11 +68,11 @@
         let mut floor = 1;
         let (log, recovery) = Log::open(Arc::new(disk.clone()), options(), |visit| {
             match visit {
-                Visit::Snapshot(before, content) => {
+                ReplayItem::Snapshot(before, content) => {
                     assert_eq!(content, snapshot_content(before), "{what}");
                     floor = before;
                 }
-                Visit::Record(number, bytes) => {
+                ReplayItem::Record(number, bytes) => {
                     assert_eq!((number, number), (floor + seen.len() as u64, number_of(bytes)), "{what}");
                     seen.push(bytes.to_vec());
                 }
@@ -81,7 +81,7 @@
         })?;
         assert!(floor <= self.snapshots.max(1), "{what}: a snapshot nobody took");
         let next = floor + seen.len() as u64;
-        assert_eq!((recovery.next, log.next()), (next, next), "{what}");
+        assert_eq!((recovery.next_record, log.next_record()), (next, next), "{what}");
         assert!(next >= self.next(), "{what}: {} durable, {next} the next", self.acked.len());
         let all: Vec<_> = self.acked.iter().chain(&self.doubtful).cloned().collect();
         let found = floor as usize - 1..next as usize - 1;
@@ -136,26 +136,30 @@
         loop {
             let what = format!("seed {seed}, power cut at operation {at}");
             let (disk, mut model) = (SimDisk::new(seed * 1000 + at), Model::default());
-            disk.set(Faults { crash_at: Some(at), short: seed % 2 == 1, ..Faults::default() });
+            disk.set_faults(Faults {
+                crash_at: Some(at),
+                short_transfers: seed % 2 == 1,
+                ..Faults::default()
+            });
             let ended = scenario(&disk, &mut model, &what);
-            if !disk.is_off() {
+            if !disk.is_powered_off() {
                 ended.expect("nothing failed");
                 break;
             }
             if seed % 3 == 0 {
-                disk.kill()
+                disk.restart_process()
             } else {
                 disk.power_cycle()
             }
             // It ends again while it recovers, and this time the power goes for sure.
-            disk.set(Faults { crash_at: Some(seed % 16), ..Faults::default() });
+            disk.set_faults(Faults { crash_at: Some(seed % 16), ..Faults::default() });
             drop(model.open(&disk, &what));
             disk.power_cycle();
             let mut log = model.open(&disk, &what).expect(&what);
             model.commit(&mut log, 3).expect(&what);
             drop(log);
             // Killed, not powered off: what the next process is shown has to last.
-            disk.kill();
+            disk.restart_process();
             drop(model.open(&disk, &what).expect(&what));
             disk.power_cycle();
             drop(model.open(&disk, &what).expect(&what));
@@ -171,13 +175,13 @@
     for (seed, at) in (0..12).flat_map(|seed| (0..syncs).map(move |at| (seed, at))) {
         let what = format!("seed {seed}, sync {at} fails");
         let (disk, mut model) = (SimDisk::new(seed * 1000 + at), Model::default());
-        disk.set(Faults { failing_syncs: vec![at], ..Faults::default() });
+        disk.set_faults(Faults { failing_syncs: vec![at], ..Faults::default() });
         let Err(e) = scenario(&disk, &mut model, &what) else { panic!("{what}: not noticed") };
         assert!(matches!(e, StoreError::Io { .. }), "{what}: {e}");
         if seed % 2 == 0 {
             // Only the process is started anew: it may be shown what is on no disk, and has to bring it there.
-            disk.set(Faults::default());
-            disk.kill();
+            disk.set_faults(Faults::default());
+            disk.restart_process();
             drop(model.open(&disk, &what).expect(&what));
         }
         disk.power_cycle();
@@ -195,12 +199,12 @@
     let mut model = Model::default();
     let mut log = model.open(&disk, "new").expect("opens");
     model.commit(&mut log, 2).expect("good");
-    disk.set(Faults { failing_syncs: vec![0], ..Faults::default() });
+    disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     assert!(matches!(model.commit(&mut log, 2), Err(StoreError::Io { .. })));
     // The disk is well again; the log can't know what it lost.
     assert!(matches!(log.commit(&[b"more"]), Err(StoreError::Poisoned { .. })));
     assert!(matches!(log.snapshot(2, b"s"), Err(StoreError::Poisoned { .. })));
-    assert!(log.poisoned().is_some_and(|why| why.contains("syncing")), "{:?}", log.poisoned());
+    assert!(log.poison_cause().is_some_and(|cause| cause.contains("syncing")), "{:?}", log.poison_cause());
     assert!(matches!(log.close(), Err(StoreError::Poisoned { .. })));
 }
 
@@ -211,8 +215,12 @@
     for capacity in (128..9000).step_by(61) {
         let what = format!("capacity {capacity}");
         let (disk, mut model) = (SimDisk::new(capacity), Model::default());
-        let faults = Faults { capacity: Some(capacity), short: capacity % 2 == 0, ..Faults::default() };
-        disk.set(faults.clone());
+        let faults = Faults {
+            capacity_bytes: Some(capacity),
+            short_transfers: capacity % 2 == 0,
+            ..Faults::default()
+        };
+        disk.set_faults(faults.clone());
         let mut log = match model.open(&disk, &what) {
             Ok(log) => log,
             Err(e) => {
@@ -222,9 +230,9 @@
         };
         for count in (1..14).cycle().take(60) {
             // Nor can it always be tidied up at once.
-            disk.set(Faults { failing_truncates: full % 2 == 0, ..faults.clone() });
+            disk.set_faults(Faults { failing_truncates: full % 2 == 0, ..faults.clone() });
             let committed = model.commit(&mut log, count);
-            disk.set(faults.clone());
+            disk.set_faults(faults.clone());
             match committed {
                 Ok(()) => {}
                 Err(StoreError::NoSpace { .. }) => full += 1,
@@ -234,7 +242,7 @@
         match capacity % 3 {
             // Room again, in service.
             0 => {
-                disk.set(Faults::default());
+                disk.set_faults(Faults::default());
                 for count in [1, 2, 9, 9] {
                     model.commit(&mut log, count).expect(&what);
                 }
@@ -250,7 +258,7 @@
             // Only the process goes; the disk is still full, and the store opens all the same.
             _ => {
                 drop(log);
-                disk.kill();
+                disk.restart_process();
                 drop(model.open(&disk, &what).expect(&what));
                 continue;
             }
@@ -274,7 +282,7 @@
     let next = model.next();
     let read = |from: u64, to: u64| {
         let mut seen = Vec::new();
-        Log::range(&disk, "n3", from..to, |number, bytes| {
+        Log::read_range(&disk, "n3", from..to, |number, bytes| {
             assert_eq!(number, from + seen.len() as u64);
             seen.push(bytes.to_vec());
             Ok(())
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,9 +1,9 @@
 //! Damaged, missing, foreign and newer files: refused with their name, never read past. And files of older versions,
 //! which are read.
 
-use dunlinspread_store::frame::{Frame, Header, Records};
+use dunlinspread_store::frame::{FileHeader, FrameHeader, RecordIter};
 use dunlinspread_store::sim::SimDisk;
-use dunlinspread_store::{Disk, Log, Options, RealDisk, StoreError, Visit};
+use dunlinspread_store::{Disk, Log, Options, RealDisk, ReplayItem, StoreError};
 use proptest::prelude::*;
 use std::path::Path;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 fn open(disk: &SimDisk) -> Result<Vec<Vec<u8>>, StoreError> {
     let mut seen = Vec::new();
     Log::open(Arc::new(disk.clone()), options(), |visit| {
-        if let Visit::Record(_, bytes) = visit {
+        if let ReplayItem::Record(_, bytes) = visit {
             seen.push(bytes.to_vec());
         }
         Ok(())
@@ -44,14 +44,14 @@
     let names = disk.list().expect("a list");
     let (mut refused, mut harmless) = (0, 0);
     for name in &names {
-        let bytes = disk.bytes(name).expect("it is there");
+        let bytes = disk.file_bytes(name).expect("it is there");
         for at in 0..bytes.len() {
             let (copy, mut changed) = (SimDisk::new(2), bytes.clone());
             changed[at] ^= 0x10;
             for other in &names {
-                copy.put(other, &disk.bytes(other).expect("it is there"));
+                copy.insert_durable(other, &disk.file_bytes(other).expect("it is there"));
             }
-            copy.put(name, &changed);
+            copy.insert_durable(name, &changed);
             match open(&copy) {
                 Ok(seen) => {
                     harmless += 1;
@@ -65,7 +65,7 @@
         }
     }
     // Only the mark of the good close itself can be lost.
-    assert_eq!(harmless, dunlinspread_store::frame::FRAME);
+    assert_eq!(harmless, dunlinspread_store::frame::FRAME_HEADER_BYTES);
     assert!(refused > 2000, "{refused}");
 }
 
@@ -77,9 +77,9 @@
     log.commit(&[b"then"]).expect("commits");
     drop(log);
     let name = disk.list().expect("a list").pop().expect("a segment");
-    let mut bytes = disk.bytes(&name).expect("it is there");
+    let mut bytes = disk.file_bytes(&name).expect("it is there");
     bytes[200] ^= 1;
-    disk.put(&name, &bytes);
+    disk.insert_durable(&name, &bytes);
     let Err(StoreError::Damaged { file, offset, .. }) = open(&disk) else { panic!("not noticed") };
     assert_eq!(file, name);
     assert!((128..=200).contains(&offset), "{offset}");
@@ -89,11 +89,11 @@
 fn a_lost_segment_is_a_gap() {
     let (disk, _) = filled(false);
     let names = disk.list().expect("a list");
-    disk.lose(&names[1]);
+    disk.remove_durable(&names[1]);
     let e = open(&disk).expect_err("a gap");
     assert!(matches!(&e, StoreError::Gap { file, .. } if *file == names[2]), "{e}");
     let (disk, _) = filled(false);
-    disk.lose(&names[0]);
+    disk.remove_durable(&names[0]);
     assert!(matches!(open(&disk), Err(StoreError::Gap { expected: 1, .. })));
 }
 
@@ -105,7 +105,7 @@
     log.snapshot(3, b"both").expect("a snapshot");
     drop(log);
     let segment = disk.list().expect("a list").remove(0);
-    disk.lose(&segment);
+    disk.remove_durable(&segment);
     let e = open(&disk).expect_err("half a store");
     assert!(e.to_string().contains("the segment that follows this snapshot is missing"), "{e}");
 }
@@ -122,9 +122,9 @@
 fn a_newer_version_is_refused() {
     let (disk, _) = filled(true);
     let name = disk.list().expect("a list").remove(0);
-    let mut bytes = disk.bytes(&name).expect("it is there");
+    let mut bytes = disk.file_bytes(&name).expect("it is there");
     bytes[8] = 9;
-    disk.put(&name, &bytes);
+    disk.insert_durable(&name, &bytes);
     let e = open(&disk).expect_err("refused");
     assert!(matches!(e, StoreError::Version { found: 9, newest: 1, .. }), "{e}");
 }
@@ -148,7 +148,7 @@
 #[test]
 fn every_version_is_read() {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
-    for version in 1..=dunlinspread_store::frame::VERSION {
+    for version in 1..=dunlinspread_store::frame::FORMAT_VERSION {
         // Opened in a copy: a store that is open may be written to.
         let folder = tempfile::tempdir().expect("a folder");
         for file in std::fs::read_dir(data.join(format!("v{version}"))).expect("a store of that version") {
@@ -159,14 +159,14 @@
         let mut seen = Vec::new();
         let (log, recovery) = Log::open(Arc::new(disk), options(), |visit| {
             seen.push(match visit {
-                Visit::Snapshot(before, bytes) => format!("before {before}: {}", bytes.escape_ascii()),
-                Visit::Record(number, bytes) => format!("{number}: {}", bytes.escape_ascii()),
+                ReplayItem::Snapshot(before, bytes) => format!("before {before}: {}", bytes.escape_ascii()),
+                ReplayItem::Record(number, bytes) => format!("{number}: {}", bytes.escape_ascii()),
             });
             Ok(())
         })
         .expect("it opens");
         assert_eq!(seen, ["before 2: one", "2: two\\x00", "3: three"], "version {version}");
-        assert_eq!((log.next(), recovery.clean), (4, true));
+        assert_eq!((log.next_record(), recovery.closed_cleanly), (4, true));
     }
 }
 
@@ -174,7 +174,7 @@
 #[test]
 #[ignore = "writes the file that every_version_is_read reads"]
 fn write_this_version() {
-    let name = format!("tests/data/v{}", dunlinspread_store::frame::VERSION);
+    let name = format!("tests/data/v{}", dunlinspread_store::frame::FORMAT_VERSION);
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(name);
     let disk = RealDisk::new(&folder).expect("a disk");
     let (mut log, _) = Log::open(Arc::new(disk), options(), |_| Ok(())).expect("opens");
@@ -190,10 +190,10 @@
     /// Whatever the bytes, they are read or refused.
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600), count in 0u32..9) {
-        let _ = Header::decode(&bytes);
-        let _ = Frame::decode(&bytes, 7);
-        let frame = Frame { len: bytes.len() as u32, first: 1, durable: 1, count, flags: 0 };
-        let _ = Records::new(&frame, &bytes).count();
+        let _ = FileHeader::decode(&bytes);
+        let _ = FrameHeader::decode(&bytes, 7);
+        let frame = FrameHeader { len: bytes.len() as u32, first: 1, durable: 1, count, flags: 0 };
+        let _ = RecordIter::new(&frame, &bytes).count();
     }
 
     /// Arbitrary bytes behind the last commit are cut, and cost no record.
@@ -201,24 +201,24 @@
     fn an_arbitrary_tail_is_cut(tail in proptest::collection::vec(any::<u8>(), 1..400)) {
         let (disk, records) = filled(false);
         let name = disk.list().expect("a list").pop().expect("a segment");
-        let bytes = [disk.bytes(&name).expect("it is there"), tail].concat();
-        disk.put(&name, &bytes);
+        let bytes = [disk.file_bytes(&name).expect("it is there"), tail].concat();
+        disk.insert_durable(&name, &bytes);
         prop_assert_eq!(open(&disk).expect("opens"), records);
     }
 
     /// A record that is made to look like frames changes nothing: its writer does not know the salt.
     #[test]
     fn a_record_that_looks_like_a_frame_is_a_record(salt in any::<u64>(), durable in 1u64..99, cut in 1usize..60) {
-        let forged = Frame { len: 0, first: 2, durable, count: 0, flags: 0 };
+        let forged = FrameHeader { len: 0, first: 2, durable, count: 0, flags: 0 };
         let disk = SimDisk::new(1);
         let (mut log, _) = Log::open(Arc::new(disk.clone()), options(), |_| Ok(())).expect("opens");
         log.commit(&[b"first"]).expect("commits");
         log.commit(&[forged.encode(salt).to_vec()]).expect("commits");
         drop(log);
         let name = disk.list().expect("a list").pop().expect("a segment");
-        let bytes = disk.bytes(&name).expect("it is there");
+        let bytes = disk.file_bytes(&name).expect("it is there");
         // The last commit is torn behind what it carries.
-        disk.put(&name, &bytes[..bytes.len() - cut]);
+        disk.insert_durable(&name, &bytes[..bytes.len() - cut]);
         prop_assert_eq!(open(&disk).expect("opens"), vec![b"first".to_vec()]);
     }
 }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,7 +1,7 @@
 //! Group commit: every record's fate is told once and in order, nothing overtakes a failure, and the mailbox is bounded.
 
 use dunlinspread_store::sim::{Faults, SimDisk};
-use dunlinspread_store::{Failure, Log, Options, Progress, Visit, Writer, WriterOptions};
+use dunlinspread_store::{Log, Options, Progress, ReplayItem, WriteFailure, Writer, WriterOptions};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, channel};
 
@@ -15,7 +15,7 @@
 fn records(disk: &SimDisk) -> Vec<Vec<u8>> {
     let mut seen = Vec::new();
     Log::read(disk, "n3", |visit| {
-        if let Visit::Record(_, bytes) = visit {
+        if let ReplayItem::Record(_, bytes) = visit {
             seen.push(bytes.to_vec());
         }
         Ok(())
@@ -27,7 +27,7 @@
 #[test]
 fn records_are_committed_in_groups_and_order() {
     let disk = SimDisk::new(1);
-    let (mut writer, told) = start(&disk, WriterOptions { batch: 64, ..WriterOptions::default() });
+    let (mut writer, told) = start(&disk, WriterOptions { batch_records: 64, ..WriterOptions::default() });
     let all: Vec<Vec<u8>> = (0..1000u32).map(|n| n.to_le_bytes().to_vec()).collect();
     for (n, record) in all.iter().enumerate() {
         assert_eq!(writer.append(record.clone()), Ok(n as u64 + 1));
@@ -39,7 +39,7 @@
         (through, commits) = (now, commits + 1);
     }
     let gauges = writer.gauges();
-    assert_eq!((gauges.waiting, gauges.waiting_bytes, gauges.records), (0, 0, 1000));
+    assert_eq!((gauges.queued_records, gauges.queued_bytes, gauges.records), (0, 0, 1000));
     assert_eq!(gauges.commits, commits);
     writer.close().expect("closes");
     disk.power_cycle();
@@ -49,19 +49,19 @@
 #[test]
 fn a_full_disk_fails_all_that_waits_until_the_owner_resumes() {
     let disk = SimDisk::new(1);
-    let (mut writer, told) = start(&disk, WriterOptions { batch: 1, ..WriterOptions::default() });
+    let (mut writer, told) = start(&disk, WriterOptions { batch_records: 1, ..WriterOptions::default() });
     writer.append(b"kept".to_vec()).expect("room");
     assert_eq!(told.recv(), Ok(Progress::Durable { through: 1, next: 2 }));
-    disk.set(Faults { capacity: Some(200), ..Faults::default() });
+    disk.set_faults(Faults { capacity_bytes: Some(200), ..Faults::default() });
     for n in 2..=4 {
         assert_eq!(writer.append(vec![n; 50]), Ok(u64::from(n)));
     }
-    let failed = |n, why| Progress::Failed { from: n, through: n, why, era: 1 };
-    assert_eq!(told.recv(), Ok(failed(2, Failure::NoSpace)));
+    let failed = |n, reason| Progress::Failed { from: n, through: n, reason, generation: 1 };
+    assert_eq!(told.recv(), Ok(failed(2, WriteFailure::NoSpace)));
     // There would be room for these now; they were sent before anyone knew of the failure.
-    disk.set(Faults::default());
-    assert_eq!(told.recv(), Ok(failed(3, Failure::NotTried)));
-    assert_eq!(told.recv(), Ok(failed(4, Failure::NotTried)));
+    disk.set_faults(Faults::default());
+    assert_eq!(told.recv(), Ok(failed(3, WriteFailure::NotAttempted)));
+    assert_eq!(told.recv(), Ok(failed(4, WriteFailure::NotAttempted)));
     writer.resume(1);
     assert_eq!(writer.append(b"again".to_vec()), Ok(5));
     assert_eq!(told.recv(), Ok(Progress::Durable { through: 5, next: 3 }));
@@ -73,16 +73,16 @@
 fn a_failed_sync_ends_it_for_good() {
     let disk = SimDisk::new(1);
     let (mut writer, told) = start(&disk, WriterOptions::default());
-    disk.set(Faults { failing_syncs: vec![0], ..Faults::default() });
+    disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     writer.append(b"doubtful".to_vec()).expect("room");
-    let Ok(Progress::Failed { why: Failure::Poisoned(_), era, .. }) = told.recv() else {
+    let Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), generation, .. }) = told.recv() else {
         panic!("not noticed")
     };
-    writer.resume(era);
+    writer.resume(generation);
     writer.append(b"later".to_vec()).expect("room");
-    assert!(matches!(told.recv(), Ok(Progress::Failed { why: Failure::Poisoned(_), .. })));
+    assert!(matches!(told.recv(), Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), .. })));
     assert!(writer.snapshot(1, Vec::new()));
-    let Ok(Progress::Snapshot { failed: Some(Failure::Poisoned(_)), .. }) = told.recv() else {
+    let Ok(Progress::Snapshot { failure: Some(WriteFailure::Poisoned(_)), .. }) = told.recv() else {
         panic!("claimed")
     };
     assert!(writer.close().is_err());
@@ -95,7 +95,7 @@
     // The thread is held at its first report, so what is appended after that waits.
     let (reached, at) = channel();
     let (go, gate) = channel::<()>();
-    let options = WriterOptions { mailbox: 3, mailbox_bytes: 40, ..WriterOptions::default() };
+    let options = WriterOptions { queue_records: 3, queue_bytes: 40, ..WriterOptions::default() };
     let mut writer = Writer::start(log, options, move |progress| {
         let _ = reached.send(progress);
         let _ = gate.recv();
@@ -118,7 +118,7 @@
 fn what_waits_is_written_at_the_end() {
     let disk = SimDisk::new(1);
     let options =
-        WriterOptions { interval: std::time::Duration::from_secs(3600), ..WriterOptions::default() };
+        WriterOptions { max_batch_delay: std::time::Duration::from_secs(3600), ..WriterOptions::default() };
     let (mut writer, _told) = start(&disk, options);
     writer.append(b"one".to_vec()).expect("room");
     writer.append(b"two".to_vec()).expect("room");
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -7,7 +7,9 @@
 use dunlinspread_ledger::{
     Account, Action, Book, Figures, Kind, Line, Note, Outcome, Rules, State, Use, Verdict,
 };
-use dunlinspread_store::{Failure, Gauges, Log, Options, Progress, RealDisk, Visit, Writer, WriterOptions};
+use dunlinspread_store::{
+    Log, Options, Progress, RealDisk, ReplayItem, WriteFailure, Writer, WriterGauges, WriterOptions,
+};
 use slog::{Logger, error, info, warn};
 use std::collections::VecDeque;
 use std::path::Path;
@@ -96,7 +98,7 @@
     writer: Writer,
     /// The last ticket whose fate was told.
     told: u64,
-    era: u64,
+    generation: u64,
     held: VecDeque<(u64, Handle, Answer)>,
     free: Vec<(Handle, Answer)>,
     actions: Vec<Action>,
@@ -126,25 +128,25 @@
         let options = Options { max_record: MAX_RECORD, now_ms, ..Options::new(server) };
         let (mut state, mut base, mut first) = (State::default(), State::default(), 1);
         let opening = Log::open(Arc::new(disk), options, |visit| match visit {
-            Visit::Snapshot(before, bytes) => {
+            ReplayItem::Snapshot(before, bytes) => {
                 state = prost::Message::decode(bytes).map_err(|e: prost::DecodeError| e.to_string())?;
                 (base, first) = (state.clone(), before);
                 Ok(())
             }
-            Visit::Record(number, bytes) => {
+            ReplayItem::Record(number, bytes) => {
                 let line = Line::read(bytes).map_err(|e| e.to_string())?;
                 state.apply(number, &line).map_err(|e| e.to_string())
             }
         });
         let (store, recovery) = opening.map_err(|e| what(&e))?;
-        info!(log, "ledger is open"; "lines" => recovery.records, "bytes" => recovery.bytes,
-            "clean" => recovery.clean, "closed_to" => state.closed_to);
-        if let Some(cut) = &recovery.cut {
+        info!(log, "ledger is open"; "lines" => recovery.records, "bytes" => recovery.bytes_read,
+            "clean" => recovery.closed_cleanly, "closed_to" => state.closed_to);
+        if let Some(cut) = &recovery.torn_tail {
             warn!(log, "ledger: the last commit before a crash was in pieces and is cut";
                 "file" => cut.file.as_str(), "offset" => cut.offset, "bytes" => cut.bytes);
         }
         let opened = Opened { state, first, base };
-        Ok(Store { log: store, next: recovery.next, clean: recovery.clean, opened })
+        Ok(Store { log: store, next: recovery.next_record, clean: recovery.closed_cleanly, opened })
     }
 }
 
@@ -176,9 +178,9 @@
         let broken = acknowledges_early();
         let interval = std::time::Duration::from_millis(if broken { 400 } else { 0 });
         let options = WriterOptions {
-            mailbox: MAILBOX,
-            mailbox_bytes: usize::MAX,
-            interval,
+            queue_records: MAILBOX,
+            queue_bytes: usize::MAX,
+            max_batch_delay: interval,
             ..WriterOptions::default()
         };
         let writer = Writer::start(store.log, options, told).map_err(|e| format!("ledger: {e}"))?;
@@ -186,7 +188,7 @@
             book,
             writer,
             told: 0,
-            era: 0,
+            generation: 0,
             held: VecDeque::new(),
             free: Vec::new(),
             actions,
@@ -273,13 +275,13 @@
                 self.told = through;
                 self.book.durable(now_ms as u64, count as usize, &mut self.actions);
             }
-            Progress::Failed { through, why, era, .. } => {
+            Progress::Failed { through, reason, generation, .. } => {
                 let count = through - self.told;
-                (self.told, self.era) = (through, era);
-                let (why, for_good) = match &why {
-                    Failure::NoSpace => ("the disk is full".to_owned(), false),
-                    Failure::NotTried => ("an earlier line was not written".to_owned(), false),
-                    Failure::Poisoned(why) => (why.to_string(), true),
+                (self.told, self.generation) = (through, generation);
+                let (why, for_good) = match &reason {
+                    WriteFailure::NoSpace => ("the disk is full".to_owned(), false),
+                    WriteFailure::NotAttempted => ("an earlier line was not written".to_owned(), false),
+                    WriteFailure::Poisoned(why) => (why.to_string(), true),
                 };
                 if for_good && !self.reported {
                     self.reported = true;
@@ -287,10 +289,10 @@
                 }
                 self.book.failed(&why, count as usize, &mut self.actions);
             }
-            Progress::Snapshot { before, failed: None } => {
+            Progress::Snapshot { before, failure: None } => {
                 info!(self.log, "ledger: old lines may go"; "before" => before);
             }
-            Progress::Snapshot { before, failed: Some(why) } => {
+            Progress::Snapshot { before, failure: Some(why) } => {
                 warn!(self.log, "ledger: old lines can't go yet"; "before" => before, "why" => format!("{why:?}"));
             }
         }
@@ -331,7 +333,7 @@
     }
 
     /// The figures now.
-    pub fn figures(&self) -> (Figures, Gauges) {
+    pub fn figures(&self) -> (Figures, WriterGauges) {
         (self.book.figures(), self.writer.gauges())
     }
 
@@ -362,7 +364,7 @@
                         early = Some(through);
                     }
                 }
-                Action::Resume => self.writer.resume(self.era),
+                Action::Resume => self.writer.resume(self.generation),
                 Action::Release(mark) => {
                     while self.held.front().is_some_and(|(held, ..)| *held <= mark) {
                         self.free.extend(self.held.pop_front().map(|(_, to, answer)| (to, answer)));
--- a/src/server/usage/export_worker.rs
+++ b/src/server/usage/export_worker.rs
@@ -14,7 +14,7 @@
 use dunlinspread_ledger::deliver::{Next, Reply, Sender};
 use dunlinspread_ledger::request::{self, Request, Wish};
 use dunlinspread_ledger::{Export as ExportLine, Inbox, Kind, Line, LineId, LineIdText, State, read_lines};
-use dunlinspread_store::{Log, RealDisk, StoreError, Visit};
+use dunlinspread_store::{Log, RealDisk, ReplayItem, StoreError};
 use prost::Message as _;
 use slog::{Logger, error, info, warn};
 use std::io::{Read, Write};
@@ -234,7 +234,7 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let before_ms = (since.as_millis() as u64).saturating_sub(self.set.keep_ms);
         let mut done = false;
-        let walked = Log::range(&self.disk, &self.set.server, number..needed, |at, bytes| {
+        let walked = Log::read_range(&self.disk, &self.set.server, number..needed, |at, bytes| {
             let line = Line::read(bytes).map_err(|e| e.to_string())?;
             done |= line.at_ms >= before_ms;
             if !done {
@@ -326,7 +326,7 @@
     fn entered(&self, token: &str) -> Step<Option<LineId>> {
         let (mut start, mut found) = (0, None);
         let walked = Log::read(&self.disk, &self.set.server, |visit| {
-            let Visit::Record(number, bytes) = visit else { return Ok(()) };
+            let ReplayItem::Record(number, bytes) = visit else { return Ok(()) };
             match Line::read(bytes).map_err(|e| e.to_string())?.kind {
                 Some(Kind::Start(s)) => start = s.start,
                 Some(Kind::Correction(c)) if c.token == token => {
