--- a/crates/config-sync/src/net/publisher_store.rs
+++ b/crates/config-sync/src/net/publisher_store.rs
@@ -7,7 +7,9 @@
 use crate::state_store::{StateError, owner_of, read_snapshot, replay};
 use crate::subscriber::PersistedState;
 use async_channel::Sender;
-use dunlinspread_store::{Disk, Log, Options, Progress, ReplayItem, StoreError, Writer, WriterOptions};
+use dunlinspread_store::{
+    Disk, Log, Options, Progress, ReplayItem, ReplayRejection, StoreError, Writer, WriterOptions,
+};
 use std::collections::VecDeque;
 use std::io;
 use std::sync::Arc;
@@ -88,7 +90,7 @@
 ) -> Result<Opened, StoreFault> {
     let mut history = History::default();
     let (mut log, _) = Log::open(disk, Options::new(&owner_of(name)), |visited| {
-        history.visit(visited).map_err(|error| error.to_string())
+        history.visit(visited).map_err(ReplayRejection::new)
     })?;
     let wanted = begin_epoch.or((!history.began).then_some(new_epoch));
     if let Some(epoch) = wanted.filter(|wanted| !history.began || *wanted > history.epoch()) {
@@ -96,7 +98,7 @@
         history.begin_epoch(epoch).map_err(|error| StoreError::Rejected {
             file: "the store".to_owned(),
             number: log.next_record(),
-            reason: error.to_string(),
+            reason: ReplayRejection::new(error),
         })?;
     }
     let appended = history.transactions.len() as u64;
--- a/crates/config-sync/src/state_store.rs
+++ b/crates/config-sync/src/state_store.rs
@@ -6,7 +6,7 @@
 use crate::resource::{Change, Digest, Position, Transaction};
 use crate::subscriber::{Persist, PersistedState};
 use crate::table::Table;
-use dunlinspread_store::{Disk, Log, Options, ReplayItem, StoreError};
+use dunlinspread_store::{Disk, Log, Options, ReplayItem, ReplayRejection, StoreError};
 use std::sync::Arc;
 
 /// Resources of a snapshot that are put into the table together.
@@ -143,9 +143,8 @@
     ) -> Result<(StateStore, Option<PersistedState>), StoreError> {
         let mut state = None;
         let options = Options::new(&owner_of(owner));
-        let (log, _) = Log::open(disk, options, |visited| {
-            visit(&mut state, visited).map_err(|error| error.to_string())
-        })?;
+        let (log, _) =
+            Log::open(disk, options, |visited| visit(&mut state, visited).map_err(ReplayRejection::new))?;
         Ok((StateStore { log }, state))
     }
 
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,5 +1,6 @@
 //! What can go wrong with a store, told so that an operator knows the file and what to do.
 
+use std::fmt;
 use std::io;
 
 /// Why a store did not do what it was asked to.
@@ -96,10 +97,28 @@
         /// The record's number.
         number: u64,
         /// Why.
-        reason: String,
+        reason: ReplayRejection,
     },
 }
 
+/// The reason for which a replay visitor did not accept an item.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct ReplayRejection(String);
+
+impl ReplayRejection {
+    /// Returns a rejection that carries the text of `reason`, usually the visitor's own error.
+    pub fn new(reason: impl fmt::Display) -> ReplayRejection {
+        ReplayRejection(reason.to_string())
+    }
+}
+
+impl From<String> for ReplayRejection {
+    fn from(reason: String) -> ReplayRejection {
+        ReplayRejection(reason)
+    }
+}
+
 impl StoreError {
     /// Wraps an error of the system; a full disk has a kind of its own.
     pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> StoreError {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -36,7 +36,7 @@
 mod writer;
 
 pub use disk::{Disk, DiskFile, RealDisk};
-pub use error::StoreError;
+pub use error::{ReplayRejection, StoreError};
 pub use log::{Log, Options, Recovery, ReplayItem, write_file_atomically};
 pub use recover::TornTail;
 pub use writer::{Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -2,7 +2,7 @@
 //! durable that a crash could still take, and after an error that leaves this unknown it must never report one again.
 
 use crate::disk::{Disk, DiskFile, read_up_to, write_all};
-use crate::error::StoreError;
+use crate::error::{ReplayRejection, StoreError};
 use crate::frame::{self, FILE_HEADER_BYTES, FRAME_HEADER_BYTES, FileHeader, FileKind, FrameHeader};
 use crate::recover::{RecoveredLog, SegmentEnd, TornTail, range, replay};
 use std::ops::Range;
@@ -117,7 +117,7 @@
     pub fn open(
         disk: Arc<dyn Disk>,
         options: Options,
-        mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), String>,
+        mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), ReplayRejection>,
     ) -> Result<(Log, Recovery), StoreError> {
         assert!(
             options.owner.len() <= frame::MAX_OWNER_BYTES,
@@ -170,7 +170,7 @@
     pub fn read(
         disk: &dyn Disk,
         owner: &str,
-        mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), String>,
+        mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), ReplayRejection>,
     ) -> Result<Recovery, StoreError> {
         let found = replay(disk, owner, &mut visit)?;
         Ok(Recovery::of(&found))
@@ -185,7 +185,7 @@
         disk: &dyn Disk,
         owner: &str,
         records: Range<u64>,
-        mut visit: impl FnMut(u64, &[u8]) -> Result<(), String>,
+        mut visit: impl FnMut(u64, &[u8]) -> Result<(), ReplayRejection>,
     ) -> Result<(), StoreError> {
         range(disk, owner, records, &mut |visited| match visited {
             ReplayItem::Record(number, bytes) => visit(number, bytes),
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -8,7 +8,7 @@
 //! a torn one, except after a close in good order, which leaves a frame of its own.
 
 use crate::disk::{Disk, read_up_to};
-use crate::error::StoreError;
+use crate::error::{ReplayRejection, StoreError};
 use crate::frame::{
     self, FILE_HEADER_BYTES, FRAME_HEADER_BYTES, FileHeader, FileKind, FrameHeader, HeaderError, RecordIter,
 };
@@ -69,7 +69,7 @@
 }
 
 /// The visitor of a walk.
-pub(crate) type Visitor<'a> = dyn FnMut(ReplayItem<'_>) -> Result<(), String> + 'a;
+pub(crate) type Visitor<'a> = dyn FnMut(ReplayItem<'_>) -> Result<(), ReplayRejection> + 'a;
 
 fn whole(disk: &dyn Disk, name: &str) -> Result<Vec<u8>, StoreError> {
     let file = disk.open(name).map_err(StoreError::io("opening", name))?;
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -8,7 +8,8 @@
     Account, Action, Book, Figures, Kind, Line, Note, Outcome, Rules, State, Use, Verdict,
 };
 use dunlinspread_store::{
-    Log, Options, Progress, RealDisk, ReplayItem, WriteFailure, Writer, WriterGauges, WriterOptions,
+    Log, Options, Progress, RealDisk, ReplayItem, ReplayRejection, WriteFailure, Writer, WriterGauges,
+    WriterOptions,
 };
 use slog::{Logger, error, info, warn};
 use std::collections::VecDeque;
@@ -135,7 +136,7 @@
             }
             ReplayItem::Record(number, bytes) => {
                 let line = Line::read(bytes).map_err(|e| e.to_string())?;
-                state.apply(number, &line).map_err(|e| e.to_string())
+                state.apply(number, &line).map_err(ReplayRejection::new)
             }
         });
         let (store, recovery) = opening.map_err(|e| what(&e))?;
