--- a/crates/ctl/src/operator_requests.rs
+++ b/crates/ctl/src/operator_requests.rs
@@ -9,7 +9,7 @@
     Action, Correction, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineId, LineIdText,
     LineKind, Outcome, UsageAccumulator,
 };
-use dunlinspread_store::{Disk as _, Log, Options, RealDisk, StoreError, Visit};
+use dunlinspread_store::{Disk as _, Log, Options, RealDisk, ReplayItem, StoreError};
 use prost::Message as _;
 use serde_json::json;
 use std::path::Path;
@@ -210,10 +210,10 @@
     let options = Options { now_ms: now, max_record: 2 << 20, ..Options::new(server) };
     let (mut log, recovery) = Log::open(disk, options, |visit| {
         match visit {
-            Visit::Snapshot(_, bytes) => {
+            ReplayItem::Snapshot(_, bytes) => {
                 state = LedgerState::decode(bytes).map_err(|e| e.to_string())?;
             }
-            Visit::Record(number, bytes) => {
+            ReplayItem::Record(number, bytes) => {
                 let line = Line::parse(bytes).map_err(|e| e.to_string())?;
                 state.apply(number, &line).map_err(|e| e.to_string())?;
                 match line.kind {
@@ -242,8 +242,14 @@
         records: 64,
     };
     let mut actions = Vec::new();
-    let mut accumulator =
-        UsageAccumulator::start(now, settings, state, recovery.next, recovery.clean, &mut actions);
+    let mut accumulator = UsageAccumulator::start(
+        now,
+        settings,
+        state,
+        recovery.next_record,
+        recovery.closed_cleanly,
+        &mut actions,
+    );
     let accepted = match wish {
         OperatorRequest::Correct(mut correction) => {
             token.clone_into(&mut correction.token);
--- a/crates/ledger/src/batch_receiver.rs
+++ b/crates/ledger/src/batch_receiver.rs
@@ -5,7 +5,7 @@
 use crate::batch::{Batch, Digest, digest};
 use crate::export_protocol::{CollectorReply, ExportCollector, OfferDecision};
 use crate::line::LineError;
-use dunlinspread_store::{Disk, StoreError, place};
+use dunlinspread_store::{Disk, StoreError, write_file_atomically};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -58,7 +58,7 @@
         disk.lock()?;
         let mut receiver = BatchReceiver { disk, sources: BTreeMap::new() };
         // A name that a killed process gave and did not sync may not last.
-        let listing = |source| StoreError::Io { what: "listing", file: receiver.disk.name(), source };
+        let listing = |source| StoreError::Io { operation: "listing", file: receiver.disk.name(), source };
         receiver.disk.sync_dir().map_err(listing)?;
         let names = receiver.disk.list().map_err(listing)?;
         let mut found: BTreeMap<Source, BTreeSet<u64>> = BTreeMap::new();
@@ -98,7 +98,7 @@
 
     fn bytes(&self, source: &Source, number: u64) -> Result<(Vec<u8>, String), BatchReceiverError> {
         let name = file_name(&source.0, source.1, number);
-        let failed = |source| StoreError::Io { what: "reading", file: name.clone(), source };
+        let failed = |source| StoreError::Io { operation: "reading", file: name.clone(), source };
         let file = self.disk.open(&name).map_err(failed)?;
         let mut bytes = vec![0; file.size().map_err(failed)? as usize];
         let mut at = 0;
@@ -136,7 +136,11 @@
         let kept = |number| Some(self.kept(&source, number).unwrap_or([0; 32]));
         let decision = collector.on_offer(batch.number, &sum, &batch.previous, kept);
         if decision == OfferDecision::Accept {
-            place(&*self.disk, &file_name(&batch.server, batch.ledger_id, batch.number), &[bytes])?;
+            write_file_atomically(
+                &*self.disk,
+                &file_name(&batch.server, batch.ledger_id, batch.number),
+                &[bytes],
+            )?;
             self.sources.entry(source.clone()).or_default().batch_accepted(sum);
         }
         let collector = self.sources.get(&source).cloned().unwrap_or_default();
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -7,7 +7,7 @@
     Amount, Close, Correction, Entry, Export, LedgerState, Line, LineId, LineKind, Outcome, Start, Unbilled,
     Usage,
 };
-use dunlinspread_store::{Log, Options, RealDisk, Visit};
+use dunlinspread_store::{Log, Options, RealDisk, ReplayItem};
 use proptest::prelude::*;
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage, ReflectMessage as _, Value};
@@ -163,7 +163,7 @@
     let (disk, mut seen, mut state) =
         (RealDisk::new(&data(1)).expect("a disk"), Vec::new(), LedgerState::default());
     Log::read(&disk, "n1", |visit| {
-        if let Visit::Record(number, bytes) = visit {
+        if let ReplayItem::Record(number, bytes) = visit {
             let line = Line::parse(bytes).map_err(|e| e.to_string())?;
             state.apply(number, &line).map_err(|e| e.to_string())?;
             seen.push(line);
--- a/crates/ledger/tests/older_ledger.rs
+++ b/crates/ledger/tests/older_ledger.rs
@@ -8,7 +8,7 @@
 use dunlinspread_ledger::{
     Export, LedgerState, Line, LineIdText, LineKind, NetUsage, Outcome, UsageGroup, read_lines, totals,
 };
-use dunlinspread_store::{Log, RealDisk, Visit};
+use dunlinspread_store::{Log, RealDisk, ReplayItem};
 use prost::Message;
 use std::path::Path;
 
@@ -110,11 +110,11 @@
     let (mut state, mut snapshot, mut lines) = (LedgerState::default(), None, String::new());
     let recovery = Log::read(&disk, "n1", |visit| {
         match visit {
-            Visit::Snapshot(before, bytes) => {
+            ReplayItem::Snapshot(before, bytes) => {
                 state = LedgerState::decode(bytes).map_err(|e| e.to_string())?;
                 snapshot = Some((before, state.clone()));
             }
-            Visit::Record(number, bytes) => {
+            ReplayItem::Record(number, bytes) => {
                 let line = Line::parse(bytes).map_err(|e| e.to_string())?;
                 state.apply(number, &line).map_err(|e| e.to_string())?;
                 assert_eq!(line.encode_to_vec(), bytes, "line {number} is written as it was");
@@ -124,7 +124,7 @@
         Ok(())
     })
     .expect("it reads");
-    Found { disk, state, snapshot, lines, next: recovery.next, clean: recovery.clean }
+    Found { disk, state, snapshot, lines, next: recovery.next_record, clean: recovery.closed_cleanly }
 }
 
 fn outcome_word(outcome: i32) -> &'static str {
