--- a/src/server/dispatcher/billing.rs
+++ b/src/server/dispatcher/billing.rs
@@ -12,10 +12,10 @@
         let Some(request) = self.requests.get_mut(&id) else { return self.send(handle, answer) };
         let late = now - request.reached > self.set.classes[request.class].latency_objective_ms;
         let (outcome, bytes_out) = match &answer {
-            Response::Completed(body) if request.poorer => (Billed::Poorer, body.len()),
-            Response::Completed(body) if late => (Billed::Late, body.len()),
-            Response::Completed(body) => (Billed::Served, body.len()),
-            Response::Rejected { .. } => (Billed::Refused, 0),
+            Response::Completed(body) if request.poorer => (Billed::Degraded, body.len()),
+            Response::Completed(body) if late => (Billed::CompletedLate, body.len()),
+            Response::Completed(body) => (Billed::Completed, body.len()),
+            Response::Rejected { .. } => (Billed::Rejected, 0),
             Response::Failed | Response::Invalid | Response::Health(_) => (Billed::Failed, 0),
         };
         request.billed = Some(outcome);
@@ -46,7 +46,7 @@
     pub(super) fn bill_silent(&mut self, id: RequestId, withdrawn: bool, pool_ms: f64) {
         let (now, Some(ledger)) = (self.clock.now(), &mut self.ledger) else { return };
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let outcome = if withdrawn { Billed::Withdrawn } else { request.billed.unwrap_or(Billed::Withdrawn) };
+        let outcome = if withdrawn { Billed::Cancelled } else { request.billed.unwrap_or(Billed::Cancelled) };
         request.billed = Some(outcome);
         let bytes_in = if withdrawn { request.body.len() } else { 0 };
         let used = Used { class: request.class, outcome, pool_ms, bytes_in, bytes_out: 0 };
--- a/src/server/dispatcher/events.rs
+++ b/src/server/dispatcher/events.rs
@@ -39,7 +39,7 @@
             let known = key.as_ref().is_some_and(|k| self.keys.look(k, print, reached) != Known::New);
             let (outcome, answer) = match known {
                 true => (Billed::Failed, Response::Failed),
-                false => (Billed::Refused, Response::Rejected { retry_after_ms, do_not_retry: false }),
+                false => (Billed::Rejected, Response::Rejected { retry_after_ms, do_not_retry: false }),
             };
             let used = Used { class, outcome, pool_ms: 0.0, bytes_in: body.len(), bytes_out: 0 };
             return self.bill(account.as_ref(), &used, handle, answer);
