--- a/crates/ctl/src/ledger.rs
+++ b/crates/ctl/src/ledger.rs
@@ -80,10 +80,10 @@
 /// Whose store it is, by the header of one of its files.
 fn owner(disk: &RealDisk, directory: &Path) -> Result<String> {
     let names = disk.list().with_context(|| format!("listing {}", directory.display()))?;
-    let name = names.iter().find(|n| dunlinspread_store::frame::parse_file_name(n).is_some());
+    let name = names.iter().find(|n| dunlinspread_store::format::parse_file_name(n).is_some());
     let name = name.with_context(|| format!("{} holds no ledger", directory.display()))?;
     let bytes = std::fs::read(directory.join(name)).with_context(|| format!("reading {name}"))?;
-    match dunlinspread_store::frame::FileHeader::decode(&bytes) {
+    match dunlinspread_store::format::FileHeader::decode(&bytes) {
         Ok(header) => Ok(header.owner),
         Err(e) => bail!("{name}: {e:?}"),
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,29 +1,29 @@
-//! What can go wrong with a store, told so that an operator knows the file and what to do.
+//! Errors of a store. Each names the file, what happened, and where it helps what to do.
 
 use std::fmt;
 use std::io;
 
-/// Why a store did not do what it was asked to.
+/// Why an operation on a store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The system gave an error.
+    /// An operation of the system failed.
     #[error("{operation} {file}: {source}")]
     Io {
-        /// What was tried.
+        /// The operation.
         operation: &'static str,
-        /// On which file.
+        /// The file or directory.
         file: String,
-        /// What came of it.
+        /// The system's error.
         source: io::Error,
     },
-    /// Another process has the directory open.
+    /// Another process has the directory locked.
     #[error(
         "{directory} is in use by {holder}: two processes on one store would destroy it; stop the other one"
     )]
     Locked {
         /// The directory.
         directory: String,
-        /// The other process, as it named itself.
+        /// The other process, as it names itself in the lock file.
         holder: String,
     },
     /// Bytes that had been durable are not what was written. Nothing was changed.
@@ -39,14 +39,14 @@
         /// What is wrong with it.
         fault: String,
     },
-    /// A file that the log needs is not there.
+    /// A file that the log needs is missing.
     #[error("records {expected} to {found} are missing before {file}: a file of the store was lost", found = found - 1)]
     Gap {
         /// The file after the gap.
         file: String,
         /// The first record that is missing.
         expected: u64,
-        /// The first record that is there again.
+        /// The first record that is there after the gap.
         found: u64,
     },
     /// The file was written by a newer program.
@@ -59,14 +59,14 @@
         /// The newest version that is read.
         newest: u32,
     },
-    /// The store is another server's.
+    /// The store belongs to another owner.
     #[error("{file}: belongs to `{found}`, not to `{expected}`: check the directory that the settings name")]
     Owner {
         /// The file.
         file: String,
-        /// Whose it is.
+        /// The owner that the file names.
         found: String,
-        /// Who opened it.
+        /// The owner that opened it.
         expected: String,
     },
     /// A record is longer than the options allow.
@@ -77,16 +77,17 @@
         /// The limit.
         max: usize,
     },
-    /// The disk is full. What was to be written is not there; the log goes on once there is room.
+    /// The disk is full. What was to be written is not there; the log can go on once there is room.
     #[error("no space left for {file}")]
     NoSpace {
         /// The file that was written to.
         file: String,
     },
-    /// An earlier error left it unknown what is durable; nothing is claimed to be any more. Open the store anew.
+    /// An earlier error left it unknown what is durable, so nothing is reported durable any more until the store is opened
+    /// again.
     #[error("the log is closed to writing since: {cause}")]
     Poisoned {
-        /// The error.
+        /// The earlier error.
         cause: String,
     },
     /// The visitor of [`crate::Log::open`] did not accept a record.
@@ -96,7 +97,7 @@
         file: String,
         /// The record's number.
         number: u64,
-        /// Why.
+        /// The visitor's reason.
         reason: ReplayRejection,
     },
 }
@@ -120,11 +121,12 @@
 }
 
 impl StoreError {
-    /// Wraps an error of the system; a full disk has a kind of its own.
+    /// Returns a function that wraps an error of the system in [`StoreError::Io`], or in [`StoreError::NoSpace`] for a full
+    /// disk.
     pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> StoreError {
         let file = file.to_owned();
         move |source| match source.kind() {
-            // A limit on the size of files is lifted as a full disk is emptied.
+            // Limits on a user's or a file's size can be lifted, as a full disk can be emptied.
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
                 StoreError::NoSpace { file }
             }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,6 +1,5 @@
-//! A log of records that survives crashes. It knows no request and no account: records are bytes, numbered from 1 and
-//! kept in order, and a record that was once reported durable is there after any crash, or opening the log fails and
-//! says which file is damaged where.
+//! A crash-safe log of records. Records are bytes, numbered from 1 and kept in order. A record that was once reported
+//! durable is there after any crash, or opening the log fails and says which file is damaged where.
 //!
 //! ```
 //! use dunlinspread_store::{Log, Options, RealDisk, ReplayItem};
@@ -13,8 +12,8 @@
 //! drop(log);
 //!
 //! let mut seen = Vec::new();
-//! let (_log, recovery) = Log::open(disk, Options::new("n3"), |visit| {
-//!     if let ReplayItem::Record(number, bytes) = visit { seen.push((number, bytes.to_vec())); }
+//! let (_log, recovery) = Log::open(disk, Options::new("n3"), |item| {
+//!     if let ReplayItem::Record(number, bytes) = item { seen.push((number, bytes.to_vec())); }
 //!     Ok(())
 //! })?;
 //! assert_eq!(seen, [(1, b"one".to_vec()), (2, b"two".to_vec())]);
@@ -22,21 +21,33 @@
 //! # Ok::<(), dunlinspread_store::StoreError>(())
 //! ```
 //!
-//! [`Log`] is the log itself, for one owner that may wait. [`Writer`] puts it on a thread of its own and commits what
-//! waits in groups, for owners that may never wait for a disk.
+//! [`Log`] is the log itself, for one owner that may wait for the disk. [`Writer`] runs it on a thread of its own and
+//! commits in groups, for owners that may not.
 #![forbid(unsafe_code)]
 
+mod atomic_file;
+mod directory_lock;
 mod disk;
 mod error;
-pub mod frame;
+pub mod format;
 mod log;
-mod recover;
+mod open_segment;
+mod options;
+mod range_read;
+mod real_disk;
+mod recovery;
+mod replay;
+mod segment_scan;
 #[cfg(feature = "sim")]
 pub mod sim;
+mod store_files;
 mod writer;
 
-pub use disk::{Disk, DiskFile, RealDisk};
+pub use atomic_file::write_file_atomically;
+pub use disk::{Disk, DiskFile};
 pub use error::{ReplayRejection, StoreError};
-pub use log::{Log, Options, Recovery, ReplayItem, write_file_atomically};
-pub use recover::TornTail;
+pub use log::Log;
+pub use options::Options;
+pub use real_disk::RealDisk;
+pub use recovery::{Recovery, ReplayItem, TornTail};
 pub use writer::{Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
--- /dev/null
+++ b/crates/store/src/open_segment.rs
@@ -0,0 +1,173 @@
+//! The segment that the log appends to.
+
+use crate::atomic_file::write_file_atomically;
+use crate::disk::{Disk, DiskFile, read_up_to, write_all};
+use crate::error::StoreError;
+use crate::format::{
+    ContentDigest, FILE_HEADER_BYTES, FORMAT_VERSION, FRAME_HEADER_BYTES, FileHeader, FileKind, FrameHeader,
+    encode_record, segment_name,
+};
+use crate::options::Options;
+use crate::recovery::SegmentEnd;
+use crate::store_files::damaged;
+
+/// What is kept of the frame buffer between commits, in bytes.
+const BUFFER_KEPT_BYTES: usize = 1 << 20;
+/// The multiplier that makes each segment's salt another one (2^64 divided by the golden ratio).
+const SALT_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// The last segment of a log, open for appending.
+pub(crate) struct OpenSegment {
+    file: Box<dyn DiskFile>,
+    name: String,
+    salt: u64,
+    /// Where the next frame goes.
+    end: u64,
+    /// Whether a failed write may have left bytes behind `end`.
+    has_leftover: bool,
+    buffer: Vec<u8>,
+}
+
+impl OpenSegment {
+    /// Creates a segment whose first record gets the number `base`.
+    ///
+    /// # Errors
+    /// Of the disk.
+    pub fn create(disk: &dyn Disk, options: &Options, base: u64) -> Result<OpenSegment, StoreError> {
+        // Bytes of a removed segment that turn up in a new one's blocks have another salt and mean nothing there.
+        let salt = options.salt ^ base.wrapping_mul(SALT_MULTIPLIER);
+        let header = FileHeader {
+            kind: FileKind::Segment,
+            version: FORMAT_VERSION,
+            base,
+            created_ms: options.now_ms,
+            owner: options.owner.clone(),
+            salt,
+            content: ContentDigest::default(),
+        };
+        let name = segment_name(base);
+        let file = write_file_atomically(disk, &name, &[&header.encode()])?;
+        Ok(OpenSegment::at(file, name, salt, FILE_HEADER_BYTES as u64))
+    }
+
+    /// Opens a segment that was there, makes its intact part durable, and removes what is behind it.
+    ///
+    /// After a failed sync the system may show bytes that are on no disk; so what was found is written anew rather
+    /// than synced once more.
+    ///
+    /// # Errors
+    /// Of the disk, or if the file is shorter than it was when it was scanned.
+    pub fn recover(disk: &dyn Disk, name: &str, end: &SegmentEnd) -> Result<OpenSegment, StoreError> {
+        let mut file = disk.open(name).map_err(StoreError::io("opening", name))?;
+        if !end.closed_cleanly {
+            file = rewrite_intact_part(disk, name, file, end.intact_bytes)?;
+        }
+        Ok(OpenSegment::at(file, name.to_owned(), end.salt, end.intact_bytes))
+    }
+
+    fn at(file: Box<dyn DiskFile>, name: String, salt: u64, end: u64) -> OpenSegment {
+        OpenSegment { file, name, salt, end, has_leftover: false, buffer: Vec::new() }
+    }
+
+    /// Returns the segment's length in bytes.
+    pub fn len(&self) -> u64 {
+        self.end
+    }
+
+    /// Returns whether a failed write may have left bytes behind the last frame.
+    pub fn has_leftover(&self) -> bool {
+        self.has_leftover
+    }
+
+    /// Removes what a failed write left, so that it is not taken for a later frame.
+    ///
+    /// # Errors
+    /// Of the disk. The leftover may still be there.
+    pub fn remove_leftover(&mut self) -> Result<(), StoreError> {
+        if self.has_leftover {
+            self.file.truncate(self.end).map_err(StoreError::io("cutting", &self.name))?;
+            self.has_leftover = false;
+        }
+        Ok(())
+    }
+
+    /// Makes the segment durable.
+    ///
+    /// # Errors
+    /// Of the disk.
+    pub fn sync(&mut self) -> Result<(), StoreError> {
+        self.file.sync().map_err(StoreError::io("syncing", &self.name))
+    }
+
+    /// Writes one frame and makes it durable.
+    ///
+    /// # Errors
+    /// [`StoreError::NoSpace`]: the frame is not there. Any other: it is unknown whether it is.
+    pub fn append_frame<R: AsRef<[u8]>>(
+        &mut self,
+        first: u64,
+        records: &[R],
+        flags: u32,
+    ) -> Result<(), StoreError> {
+        let mut buffer = std::mem::take(&mut self.buffer);
+        encode_frame(&mut buffer, self.salt, first, records, flags);
+        let written = write_all(&mut *self.file, self.end, &buffer);
+        let len = buffer.len() as u64;
+        buffer.shrink_to(BUFFER_KEPT_BYTES);
+        self.buffer = buffer;
+        if let Err(error) = written.map_err(StoreError::io("writing", &self.name)) {
+            self.has_leftover = true;
+            if let StoreError::NoSpace { .. } = error {
+                // Makes room for others. If it fails, it is done before the next frame.
+                let _ = self.remove_leftover();
+            }
+            return Err(error);
+        }
+        // Not `StoreError::io`: after a failed sync, also for want of space, the system may count as written what
+        // never was.
+        let sync_error = |source| StoreError::Io { operation: "syncing", file: self.name.clone(), source };
+        self.file.sync().map_err(sync_error)?;
+        self.end += len;
+        Ok(())
+    }
+}
+
+/// Replaces the buffer's content by a frame.
+fn encode_frame<R: AsRef<[u8]>>(buffer: &mut Vec<u8>, salt: u64, first: u64, records: &[R], flags: u32) {
+    buffer.clear();
+    buffer.resize(FRAME_HEADER_BYTES, 0);
+    for (number, record) in (first..).zip(records) {
+        encode_record(buffer, number, record.as_ref());
+    }
+    let header = FrameHeader {
+        len: (buffer.len() - FRAME_HEADER_BYTES) as u32,
+        first,
+        durable: first,
+        count: records.len() as u32,
+        flags,
+    };
+    buffer[..FRAME_HEADER_BYTES].copy_from_slice(&header.encode(salt));
+}
+
+fn rewrite_intact_part(
+    disk: &dyn Disk,
+    name: &str,
+    mut file: Box<dyn DiskFile>,
+    intact_bytes: u64,
+) -> Result<Box<dyn DiskFile>, StoreError> {
+    let mut intact = vec![0; usize::try_from(intact_bytes).unwrap_or(usize::MAX)];
+    let filled = read_up_to(&*file, 0, &mut intact).map_err(StoreError::io("reading", name))?;
+    if filled < intact.len() {
+        return Err(damaged(name, filled as u64, "the file became shorter while it was read"));
+    }
+    match write_file_atomically(disk, name, &[&intact]) {
+        // A full disk does not keep the store from being opened: it is what has to be looked at.
+        Err(StoreError::NoSpace { .. }) => {
+            file.truncate(intact_bytes).map_err(StoreError::io("cutting", name))?;
+            let sync_error = |source| StoreError::Io { operation: "syncing", file: name.to_owned(), source };
+            file.sync().map_err(sync_error)?;
+            Ok(file)
+        }
+        written => written,
+    }
+}
--- /dev/null
+++ b/crates/store/src/sim/disk.rs
@@ -0,0 +1,138 @@
+//! [`SimDisk`]: the simulated disk.
+
+use super::faults::Faults;
+use super::file::SimFile;
+use super::inode::Inode;
+use super::state::SharedState;
+use crate::disk::{Disk, DiskFile};
+use crate::error::StoreError;
+use std::io;
+
+/// What the disk is called in messages.
+const DISK_NAME: &str = "simulated disk";
+
+/// A simulated disk. Clones are the same disk.
+#[derive(Clone)]
+pub struct SimDisk(SharedState);
+
+impl SimDisk {
+    /// Returns an empty disk without faults; all its randomness comes from `seed`.
+    pub fn new(seed: u64) -> SimDisk {
+        SimDisk(SharedState::new(seed))
+    }
+
+    /// Sets what goes wrong from now on; operations and syncs are counted from 0 again.
+    pub fn set_faults(&self, faults: Faults) {
+        let mut state = self.0.lock();
+        state.faults = faults;
+        state.operations = 0;
+        state.syncs = 0;
+    }
+
+    /// Returns the number of operations since the faults were set.
+    pub fn operations(&self) -> u64 {
+        self.0.lock().operations
+    }
+
+    /// Returns the number of syncs since the faults were set.
+    pub fn syncs(&self) -> u64 {
+        self.0.lock().syncs
+    }
+
+    /// Returns whether the power was cut.
+    pub fn is_powered_off(&self) -> bool {
+        self.0.lock().powered_off
+    }
+
+    /// Ends the process while the machine goes on: nothing is lost, synced or not. Faults are over.
+    pub fn restart_process(&self) {
+        self.0.lock().restart_process();
+    }
+
+    /// Cuts the power and restores it: of what was not synced, some is there and some is not. Faults are over.
+    pub fn power_cycle(&self) {
+        self.0.lock().power_cycle();
+    }
+
+    /// Returns a file's bytes as processes see them now.
+    pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
+        let state = self.0.lock();
+        let inode = state.names.visible().get(name)?;
+        Some(state.inodes[*inode].visible().to_vec())
+    }
+
+    /// Creates or replaces a file, durably.
+    pub fn insert_durable(&self, name: &str, bytes: &[u8]) {
+        let mut state = self.0.lock();
+        let inode = state.add_inode(Inode::durable(bytes));
+        state.names.link_durable(name, inode);
+    }
+
+    /// Removes a file, durably.
+    pub fn remove_durable(&self, name: &str) {
+        self.0.lock().names.remove_durable(name);
+    }
+}
+
+impl Disk for SimDisk {
+    fn name(&self) -> String {
+        DISK_NAME.to_owned()
+    }
+
+    fn lock(&self) -> Result<(), StoreError> {
+        let mut state = self.0.lock();
+        if state.locked {
+            let (directory, holder) = (DISK_NAME.to_owned(), "another process".to_owned());
+            return Err(StoreError::Locked { directory, holder });
+        }
+        state.locked = true;
+        Ok(())
+    }
+
+    fn unlock(&self) {
+        self.0.lock().locked = false;
+    }
+
+    fn list(&self) -> io::Result<Vec<String>> {
+        let mut state = self.0.lock();
+        state.begin_operation()?;
+        Ok(state.names.visible().keys().cloned().collect())
+    }
+
+    fn create(&self, name: &str) -> io::Result<Box<dyn DiskFile>> {
+        let mut state = self.0.lock();
+        state.begin_operation()?;
+        let inode = state.add_inode(Inode::default());
+        state.names.link(name, inode);
+        Ok(Box::new(SimFile::new(self.0.clone(), inode)))
+    }
+
+    fn open(&self, name: &str) -> io::Result<Box<dyn DiskFile>> {
+        let mut state = self.0.lock();
+        state.begin_operation()?;
+        let inode = *state.names.visible().get(name).ok_or(io::ErrorKind::NotFound)?;
+        Ok(Box::new(SimFile::new(self.0.clone(), inode)))
+    }
+
+    fn rename(&self, from: &str, to: &str) -> io::Result<()> {
+        let mut state = self.0.lock();
+        state.begin_operation()?;
+        state.names.rename(from, to)
+    }
+
+    fn remove(&self, name: &str) -> io::Result<()> {
+        let mut state = self.0.lock();
+        state.begin_operation()?;
+        state.names.remove(name)
+    }
+
+    fn sync_dir(&self) -> io::Result<()> {
+        let mut state = self.0.lock();
+        state.begin_operation()?;
+        if state.sync_fails() {
+            return Err(io::Error::other("input/output error"));
+        }
+        state.names.sync();
+        Ok(())
+    }
+}
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,4 +1,4 @@
-//! A scenario on the faulty disk, with the power cut at every operation in turn, each sync failing in turn, and the
+//! A scenario on the simulated disk, with the power cut at every operation in turn, each sync failing in turn, and the
 //! disk full at every size. What was reported durable has to be there; what was not may be there only whole and at its
 //! place. Seeds are in the messages.
 
@@ -23,21 +23,21 @@
     Options { segment_bytes: 1500, salt: 7, ..Options::new("n3") }
 }
 
-/// What must and what may be in the store.
+/// What the store has to hold, and what it may hold.
 #[derive(Clone, Default)]
 struct Model {
     /// Records reported durable, from number 1.
-    acked: Vec<Vec<u8>>,
+    acknowledged: Vec<Vec<u8>>,
     /// The batch on which the last commit ended in an error that leaves its fate open.
-    doubtful: Vec<Vec<u8>>,
+    uncertain: Vec<Vec<u8>>,
     /// Up to here a snapshot may stand for the records.
-    snapshots: u64,
+    snapshot_limit: u64,
     attempts: u32,
 }
 
 impl Model {
     fn next(&self) -> u64 {
-        self.acked.len() as u64 + 1
+        self.acknowledged.len() as u64 + 1
     }
 
     fn commit(&mut self, log: &mut Log, count: u64) -> Result<(), StoreError> {
@@ -46,50 +46,57 @@
         match log.commit(&batch) {
             Ok(numbers) => {
                 assert_eq!(numbers, self.next()..self.next() + count);
-                self.acked.extend(batch);
+                self.acknowledged.extend(batch);
                 Ok(())
             }
             Err(e) => {
                 // With no space it is certain that nothing is there, unless the power goes before the next commit.
-                self.doubtful = batch;
+                self.uncertain = batch;
                 Err(e)
             }
         }
     }
 
     fn snapshot(&mut self, log: &mut Log, before: u64) -> Result<(), StoreError> {
-        self.snapshots = self.snapshots.max(before);
+        self.snapshot_limit = self.snapshot_limit.max(before);
         log.snapshot(before, &snapshot_content(before))
     }
 
     /// Opens the store and compares; what was found beyond the acknowledged counts as such from now on.
-    fn open(&mut self, disk: &SimDisk, what: &str) -> Result<Log, StoreError> {
+    fn open(&mut self, disk: &SimDisk, context: &str) -> Result<Log, StoreError> {
         let mut seen: Vec<Vec<u8>> = Vec::new();
-        let mut floor = 1;
-        let (log, recovery) = Log::open(Arc::new(disk.clone()), options(), |visit| {
-            match visit {
+        let mut first_record = 1;
+        let (log, recovery) = Log::open(Arc::new(disk.clone()), options(), |item| {
+            match item {
                 ReplayItem::Snapshot(before, content) => {
-                    assert_eq!(content, snapshot_content(before), "{what}");
-                    floor = before;
+                    assert_eq!(content, snapshot_content(before), "{context}");
+                    first_record = before;
                 }
                 ReplayItem::Record(number, bytes) => {
-                    assert_eq!((number, number), (floor + seen.len() as u64, number_of(bytes)), "{what}");
+                    assert_eq!(
+                        (number, number),
+                        (first_record + seen.len() as u64, number_of(bytes)),
+                        "{context}"
+                    );
                     seen.push(bytes.to_vec());
                 }
             }
             Ok(())
         })?;
-        assert!(floor <= self.snapshots.max(1), "{what}: a snapshot nobody took");
-        let next = floor + seen.len() as u64;
-        assert_eq!((recovery.next_record, log.next_record()), (next, next), "{what}");
-        assert!(next >= self.next(), "{what}: {} durable, {next} the next", self.acked.len());
-        let all: Vec<_> = self.acked.iter().chain(&self.doubtful).cloned().collect();
-        let found = floor as usize - 1..next as usize - 1;
-        assert_eq!(all.get(found.clone()), Some(&seen[..]), "{what}: records {found:?}");
+        assert!(first_record <= self.snapshot_limit.max(1), "{context}: a snapshot nobody took");
+        let next = first_record + seen.len() as u64;
+        assert_eq!((recovery.next_record, log.next_record()), (next, next), "{context}");
+        assert!(next >= self.next(), "{context}: {} durable, {next} the next", self.acknowledged.len());
+        let all: Vec<_> = self.acknowledged.iter().chain(&self.uncertain).cloned().collect();
+        let found = first_record as usize - 1..next as usize - 1;
+        assert_eq!(all.get(found.clone()), Some(&seen[..]), "{context}: records {found:?}");
         // A commit is there whole or not at all.
-        assert!(next == self.next() || next as usize == all.len() + 1, "{what}: a part of a commit is there");
-        self.acked = all[..next as usize - 1].to_vec();
-        self.doubtful.clear();
+        assert!(
+            next == self.next() || next as usize == all.len() + 1,
+            "{context}: a part of a commit is there"
+        );
+        self.acknowledged = all[..next as usize - 1].to_vec();
+        self.uncertain.clear();
         Ok(log)
     }
 }
@@ -99,8 +106,8 @@
 }
 
 /// Commits of many sizes over several segments, snapshots, a close and an opening. Ends at the first error.
-fn scenario(disk: &SimDisk, model: &mut Model, what: &str) -> Result<(), StoreError> {
-    let mut log = model.open(disk, what)?;
+fn scenario(disk: &SimDisk, model: &mut Model, context: &str) -> Result<(), StoreError> {
+    let mut log = model.open(disk, context)?;
     for count in [1, 3, 7, 1, 12, 2] {
         model.commit(&mut log, count)?;
     }
@@ -109,7 +116,7 @@
         model.commit(&mut log, count)?;
     }
     log.close()?;
-    let mut log = model.open(disk, what)?;
+    let mut log = model.open(disk, context)?;
     model.commit(&mut log, 4)?;
     let before = model.next();
     model.snapshot(&mut log, before)?;
@@ -120,28 +127,28 @@
 }
 
 /// Without faults: how many operations and syncs the scenario has.
-fn size(seed: u64) -> (u64, u64) {
+fn count_operations(seed: u64) -> (u64, u64) {
     let disk = SimDisk::new(seed);
     scenario(&disk, &mut Model::default(), "without faults").expect("no fault");
     (disk.operations(), disk.syncs())
 }
 
 #[test]
-fn the_power_goes_at_every_operation() {
-    let (operations, _) = size(0);
+fn durable_records_survive_a_power_cut_at_every_operation() {
+    let (operations, _) = count_operations(0);
     assert!(operations > 80, "{operations}");
     for seed in 0..24 {
         // Short writes make more operations of it; each has its turn as far as the scenario goes.
         let mut at = 0;
         loop {
-            let what = format!("seed {seed}, power cut at operation {at}");
+            let context = format!("seed {seed}, power cut at operation {at}");
             let (disk, mut model) = (SimDisk::new(seed * 1000 + at), Model::default());
             disk.set_faults(Faults {
                 crash_at: Some(at),
                 short_transfers: seed % 2 == 1,
                 ..Faults::default()
             });
-            let ended = scenario(&disk, &mut model, &what);
+            let ended = scenario(&disk, &mut model, &context);
             if !disk.is_powered_off() {
                 ended.expect("nothing failed");
                 break;
@@ -153,16 +160,16 @@
             }
             // It ends again while it recovers, and this time the power goes for sure.
             disk.set_faults(Faults { crash_at: Some(seed % 16), ..Faults::default() });
-            drop(model.open(&disk, &what));
+            drop(model.open(&disk, &context));
             disk.power_cycle();
-            let mut log = model.open(&disk, &what).expect(&what);
-            model.commit(&mut log, 3).expect(&what);
+            let mut log = model.open(&disk, &context).expect(&context);
+            model.commit(&mut log, 3).expect(&context);
             drop(log);
             // Killed, not powered off: what the next process is shown has to last.
             disk.restart_process();
-            drop(model.open(&disk, &what).expect(&what));
+            drop(model.open(&disk, &context).expect(&context));
             disk.power_cycle();
-            drop(model.open(&disk, &what).expect(&what));
+            drop(model.open(&disk, &context).expect(&context));
             at += 1;
         }
         assert!(at >= operations.min(80), "{at}");
@@ -170,31 +177,31 @@
 }
 
 #[test]
-fn a_sync_fails_each_in_turn() {
-    let (_, syncs) = size(0);
+fn durable_records_survive_each_failed_sync() {
+    let (_, syncs) = count_operations(0);
     for (seed, at) in (0..12).flat_map(|seed| (0..syncs).map(move |at| (seed, at))) {
-        let what = format!("seed {seed}, sync {at} fails");
+        let context = format!("seed {seed}, sync {at} fails");
         let (disk, mut model) = (SimDisk::new(seed * 1000 + at), Model::default());
         disk.set_faults(Faults { failing_syncs: vec![at], ..Faults::default() });
-        let Err(e) = scenario(&disk, &mut model, &what) else { panic!("{what}: not noticed") };
-        assert!(matches!(e, StoreError::Io { .. }), "{what}: {e}");
+        let Err(e) = scenario(&disk, &mut model, &context) else { panic!("{context}: not noticed") };
+        assert!(matches!(e, StoreError::Io { .. }), "{context}: {e}");
         if seed % 2 == 0 {
             // Only the process is started anew: it may be shown what is on no disk, and has to bring it there.
             disk.set_faults(Faults::default());
             disk.restart_process();
-            drop(model.open(&disk, &what).expect(&what));
+            drop(model.open(&disk, &context).expect(&context));
         }
         disk.power_cycle();
-        let mut log = model.open(&disk, &what).expect(&what);
-        model.commit(&mut log, 3).expect(&what);
+        let mut log = model.open(&disk, &context).expect(&context);
+        model.commit(&mut log, 3).expect(&context);
         drop(log);
         disk.power_cycle();
-        drop(model.open(&disk, &what).expect(&what));
+        drop(model.open(&disk, &context).expect(&context));
     }
 }
 
 #[test]
-fn nothing_is_claimed_after_a_failed_sync() {
+fn a_failed_sync_poisons_the_log() {
     let disk = SimDisk::new(1);
     let mut model = Model::default();
     let mut log = model.open(&disk, "new").expect("opens");
@@ -210,10 +217,10 @@
 
 /// At every size of the disk: commits fail without harm, and go on once there is room.
 #[test]
-fn a_full_disk_comes_back() {
+fn commits_resume_once_a_full_disk_has_room() {
     let mut full = 0;
     for capacity in (128..9000).step_by(61) {
-        let what = format!("capacity {capacity}");
+        let context = format!("capacity {capacity}");
         let (disk, mut model) = (SimDisk::new(capacity), Model::default());
         let faults = Faults {
             capacity_bytes: Some(capacity),
@@ -221,10 +228,10 @@
             ..Faults::default()
         };
         disk.set_faults(faults.clone());
-        let mut log = match model.open(&disk, &what) {
+        let mut log = match model.open(&disk, &context) {
             Ok(log) => log,
             Err(e) => {
-                assert!(matches!(e, StoreError::NoSpace { .. }), "{what}: {e}");
+                assert!(matches!(e, StoreError::NoSpace { .. }), "{context}: {e}");
                 continue;
             }
         };
@@ -236,7 +243,7 @@
             match committed {
                 Ok(()) => {}
                 Err(StoreError::NoSpace { .. }) => full += 1,
-                Err(e) => panic!("{what}: {e}"),
+                Err(e) => panic!("{context}: {e}"),
             }
         }
         match capacity % 3 {
@@ -244,35 +251,35 @@
             0 => {
                 disk.set_faults(Faults::default());
                 for count in [1, 2, 9, 9] {
-                    model.commit(&mut log, count).expect(&what);
+                    model.commit(&mut log, count).expect(&context);
                 }
-                model.doubtful.clear();
+                model.uncertain.clear();
             }
             // The power goes while the disk is full.
             1 => {
                 drop(log);
                 disk.power_cycle();
-                drop(model.open(&disk, &what).expect(&what));
+                drop(model.open(&disk, &context).expect(&context));
                 continue;
             }
             // Only the process goes; the disk is still full, and the store opens all the same.
             _ => {
                 drop(log);
                 disk.restart_process();
-                drop(model.open(&disk, &what).expect(&what));
+                drop(model.open(&disk, &context).expect(&context));
                 continue;
             }
         }
         drop(log);
         disk.power_cycle();
-        drop(model.open(&disk, &what).expect(&what));
+        drop(model.open(&disk, &context).expect(&context));
     }
     assert!(full > 1000, "{full}");
 }
 
 /// Any range of what is there can be read while the store is open; what is not there is an error.
 #[test]
-fn ranges_are_read_beside_the_writer() {
+fn every_durable_range_is_read_while_the_log_is_open() {
     let disk = SimDisk::new(1);
     let mut model = Model::default();
     let mut log = model.open(&disk, "new").expect("opens");
@@ -290,7 +297,7 @@
         Ok::<_, StoreError>(seen)
     };
     for (from, to) in (1..next).flat_map(|from| (from..=next).map(move |to| (from, to))) {
-        let expected = &model.acked[from as usize - 1..to as usize - 1];
+        let expected = &model.acknowledged[from as usize - 1..to as usize - 1];
         assert_eq!(read(from, to).expect("it is there"), expected, "{from}..{to}");
     }
     assert!(matches!(read(1, next + 1), Err(StoreError::Gap { .. })));
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,7 +1,7 @@
 //! Damaged, missing, foreign and newer files: refused with their name, never read past. And files of older versions,
 //! which are read.
 
-use dunlinspread_store::frame::{FileHeader, FrameHeader, RecordIter};
+use dunlinspread_store::format::{FileHeader, FrameHeader, RecordIter};
 use dunlinspread_store::sim::SimDisk;
 use dunlinspread_store::{Disk, Log, Options, RealDisk, ReplayItem, StoreError};
 use proptest::prelude::*;
@@ -28,8 +28,8 @@
 
 fn open(disk: &SimDisk) -> Result<Vec<Vec<u8>>, StoreError> {
     let mut seen = Vec::new();
-    Log::open(Arc::new(disk.clone()), options(), |visit| {
-        if let ReplayItem::Record(_, bytes) = visit {
+    Log::open(Arc::new(disk.clone()), options(), |item| {
+        if let ReplayItem::Record(_, bytes) = item {
             seen.push(bytes.to_vec());
         }
         Ok(())
@@ -39,7 +39,7 @@
 
 /// Every byte of a store that was closed in good order, changed in turn: refused, or nothing is lost.
 #[test]
-fn no_damage_is_passed_over() {
+fn every_damaged_byte_is_refused_or_harmless() {
     let (disk, records) = filled(true);
     let names = disk.list().expect("a list");
     let (mut refused, mut harmless) = (0, 0);
@@ -65,12 +65,12 @@
         }
     }
     // Only the mark of the good close itself can be lost.
-    assert_eq!(harmless, dunlinspread_store::frame::FRAME_HEADER_BYTES);
+    assert_eq!(harmless, dunlinspread_store::format::FRAME_HEADER_BYTES);
     assert!(refused > 2000, "{refused}");
 }
 
 #[test]
-fn damage_before_the_last_commit_is_named_by_its_place() {
+fn damage_before_the_last_commit_is_reported_with_file_and_offset() {
     let disk = SimDisk::new(1);
     let (mut log, _) = Log::open(Arc::new(disk.clone()), options(), |_| Ok(())).expect("opens");
     log.commit(&[vec![1; 60]]).expect("commits");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_lost_segment_is_a_gap() {
+fn a_missing_segment_is_reported_as_a_gap() {
     let (disk, _) = filled(false);
     let names = disk.list().expect("a list");
     disk.remove_durable(&names[1]);
@@ -131,7 +131,7 @@
 
 /// Two processes on one directory: the second is told who has it.
 #[test]
-fn a_directory_has_one_user() {
+fn a_locked_directory_is_refused_with_its_holder() {
     let folder = tempfile::tempdir().expect("a folder");
     let open = || {
         let disk = RealDisk::new(folder.path()).expect("a disk");
@@ -148,7 +148,7 @@
 #[test]
 fn every_version_is_read() {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
-    for version in 1..=dunlinspread_store::frame::FORMAT_VERSION {
+    for version in 1..=dunlinspread_store::format::FORMAT_VERSION {
         // Opened in a copy: a store that is open may be written to.
         let folder = tempfile::tempdir().expect("a folder");
         for file in std::fs::read_dir(data.join(format!("v{version}"))).expect("a store of that version") {
@@ -157,8 +157,8 @@
         }
         let disk = RealDisk::new(folder.path()).expect("a disk");
         let mut seen = Vec::new();
-        let (log, recovery) = Log::open(Arc::new(disk), options(), |visit| {
-            seen.push(match visit {
+        let (log, recovery) = Log::open(Arc::new(disk), options(), |item| {
+            seen.push(match item {
                 ReplayItem::Snapshot(before, bytes) => format!("before {before}: {}", bytes.escape_ascii()),
                 ReplayItem::Record(number, bytes) => format!("{number}: {}", bytes.escape_ascii()),
             });
@@ -174,7 +174,7 @@
 #[test]
 #[ignore = "writes the file that every_version_is_read reads"]
 fn write_this_version() {
-    let name = format!("tests/data/v{}", dunlinspread_store::frame::FORMAT_VERSION);
+    let name = format!("tests/data/v{}", dunlinspread_store::format::FORMAT_VERSION);
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(name);
     let disk = RealDisk::new(&folder).expect("a disk");
     let (mut log, _) = Log::open(Arc::new(disk), options(), |_| Ok(())).expect("opens");
@@ -189,7 +189,7 @@
 
     /// Whatever the bytes, they are read or refused.
     #[test]
-    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600), count in 0u32..9) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600), count in 0u32..9) {
         let _ = FileHeader::decode(&bytes);
         let _ = FrameHeader::decode(&bytes, 7);
         let frame = FrameHeader { len: bytes.len() as u32, first: 1, durable: 1, count, flags: 0 };
@@ -198,7 +198,7 @@
 
     /// Arbitrary bytes behind the last commit are cut, and cost no record.
     #[test]
-    fn an_arbitrary_tail_is_cut(tail in proptest::collection::vec(any::<u8>(), 1..400)) {
+    fn arbitrary_bytes_behind_the_last_commit_are_cut(tail in proptest::collection::vec(any::<u8>(), 1..400)) {
         let (disk, records) = filled(false);
         let name = disk.list().expect("a list").pop().expect("a segment");
         let bytes = [disk.file_bytes(&name).expect("it is there"), tail].concat();
@@ -208,7 +208,7 @@
 
     /// A record that is made to look like frames changes nothing: its writer does not know the salt.
     #[test]
-    fn a_record_that_looks_like_a_frame_is_a_record(salt in any::<u64>(), durable in 1u64..99, cut in 1usize..60) {
+    fn a_payload_that_looks_like_a_frame_is_not_read_as_one(salt in any::<u64>(), durable in 1u64..99, cut in 1usize..60) {
         let forged = FrameHeader { len: 0, first: 2, durable, count: 0, flags: 0 };
         let disk = SimDisk::new(1);
         let (mut log, _) = Log::open(Arc::new(disk.clone()), options(), |_| Ok(())).expect("opens");
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,4 +1,5 @@
-//! Group commit: every record's fate is told once and in order, nothing overtakes a failure, and the mailbox is bounded.
+//! Group commit: every record's fate is reported once and in order, nothing overtakes a failure, and the queue is
+//! bounded.
 
 use dunlinspread_store::sim::{Faults, SimDisk};
 use dunlinspread_store::{Log, Options, Progress, ReplayItem, WriteFailure, Writer, WriterOptions};
@@ -7,15 +8,15 @@
 
 fn start(disk: &SimDisk, options: WriterOptions) -> (Writer, Receiver<Progress>) {
     let (log, _) = Log::open(Arc::new(disk.clone()), Options::new("n3"), |_| Ok(())).expect("opens");
-    let (tell, told) = channel();
-    let writer = Writer::start(log, options, move |progress| drop(tell.send(progress))).expect("a thread");
-    (writer, told)
+    let (sender, reports) = channel();
+    let writer = Writer::start(log, options, move |progress| drop(sender.send(progress))).expect("a thread");
+    (writer, reports)
 }
 
 fn records(disk: &SimDisk) -> Vec<Vec<u8>> {
     let mut seen = Vec::new();
-    Log::read(disk, "n3", |visit| {
-        if let ReplayItem::Record(_, bytes) = visit {
+    Log::read(disk, "n3", |item| {
+        if let ReplayItem::Record(_, bytes) = item {
             seen.push(bytes.to_vec());
         }
         Ok(())
@@ -27,14 +28,14 @@
 #[test]
 fn records_are_committed_in_groups_and_order() {
     let disk = SimDisk::new(1);
-    let (mut writer, told) = start(&disk, WriterOptions { batch_records: 64, ..WriterOptions::default() });
+    let (mut writer, reports) = start(&disk, WriterOptions { batch_records: 64, ..WriterOptions::default() });
     let all: Vec<Vec<u8>> = (0..1000u32).map(|n| n.to_le_bytes().to_vec()).collect();
     for (n, record) in all.iter().enumerate() {
         assert_eq!(writer.append(record.clone()), Ok(n as u64 + 1));
     }
     let (mut through, mut commits) = (0, 0);
     while through < 1000 {
-        let Ok(Progress::Durable { through: now, next }) = told.recv() else { panic!("it failed") };
+        let Ok(Progress::Durable { through: now, next }) = reports.recv() else { panic!("it failed") };
         assert!(now > through && now - through <= 64 && next == now + 1);
         (through, commits) = (now, commits + 1);
     }
@@ -47,79 +48,79 @@
 }
 
 #[test]
-fn a_full_disk_fails_all_that_waits_until_the_owner_resumes() {
+fn a_full_disk_fails_queued_records_until_the_owner_resumes() {
     let disk = SimDisk::new(1);
-    let (mut writer, told) = start(&disk, WriterOptions { batch_records: 1, ..WriterOptions::default() });
+    let (mut writer, reports) = start(&disk, WriterOptions { batch_records: 1, ..WriterOptions::default() });
     writer.append(b"kept".to_vec()).expect("room");
-    assert_eq!(told.recv(), Ok(Progress::Durable { through: 1, next: 2 }));
+    assert_eq!(reports.recv(), Ok(Progress::Durable { through: 1, next: 2 }));
     disk.set_faults(Faults { capacity_bytes: Some(200), ..Faults::default() });
     for n in 2..=4 {
         assert_eq!(writer.append(vec![n; 50]), Ok(u64::from(n)));
     }
     let failed = |n, reason| Progress::Failed { from: n, through: n, reason, generation: 1 };
-    assert_eq!(told.recv(), Ok(failed(2, WriteFailure::NoSpace)));
+    assert_eq!(reports.recv(), Ok(failed(2, WriteFailure::NoSpace)));
     // There would be room for these now; they were sent before anyone knew of the failure.
     disk.set_faults(Faults::default());
-    assert_eq!(told.recv(), Ok(failed(3, WriteFailure::NotAttempted)));
-    assert_eq!(told.recv(), Ok(failed(4, WriteFailure::NotAttempted)));
+    assert_eq!(reports.recv(), Ok(failed(3, WriteFailure::NotAttempted)));
+    assert_eq!(reports.recv(), Ok(failed(4, WriteFailure::NotAttempted)));
     writer.resume(1);
     assert_eq!(writer.append(b"again".to_vec()), Ok(5));
-    assert_eq!(told.recv(), Ok(Progress::Durable { through: 5, next: 3 }));
+    assert_eq!(reports.recv(), Ok(Progress::Durable { through: 5, next: 3 }));
     writer.close().expect("closes");
     assert_eq!(records(&disk), [b"kept".to_vec(), b"again".to_vec()]);
 }
 
 #[test]
-fn a_failed_sync_ends_it_for_good() {
+fn a_failed_sync_stops_the_writer_for_good() {
     let disk = SimDisk::new(1);
-    let (mut writer, told) = start(&disk, WriterOptions::default());
+    let (mut writer, reports) = start(&disk, WriterOptions::default());
     disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     writer.append(b"doubtful".to_vec()).expect("room");
-    let Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), generation, .. }) = told.recv() else {
+    let Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), generation, .. }) = reports.recv() else {
         panic!("not noticed")
     };
     writer.resume(generation);
     writer.append(b"later".to_vec()).expect("room");
-    assert!(matches!(told.recv(), Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), .. })));
+    assert!(matches!(reports.recv(), Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), .. })));
     assert!(writer.snapshot(1, Vec::new()));
-    let Ok(Progress::Snapshot { failure: Some(WriteFailure::Poisoned(_)), .. }) = told.recv() else {
+    let Ok(Progress::Snapshot { failure: Some(WriteFailure::Poisoned(_)), .. }) = reports.recv() else {
         panic!("claimed")
     };
     assert!(writer.close().is_err());
 }
 
 #[test]
-fn what_does_not_fit_is_handed_back() {
+fn records_over_the_queue_limits_are_handed_back() {
     let disk = SimDisk::new(1);
     let (log, _) = Log::open(Arc::new(disk.clone()), Options::new("n3"), |_| Ok(())).expect("opens");
     // The thread is held at its first report, so what is appended after that waits.
-    let (reached, at) = channel();
-    let (go, gate) = channel::<()>();
+    let (report_sender, reports) = channel();
+    let (release, gate) = channel::<()>();
     let options = WriterOptions { queue_records: 3, queue_bytes: 40, ..WriterOptions::default() };
     let mut writer = Writer::start(log, options, move |progress| {
-        let _ = reached.send(progress);
+        let _ = report_sender.send(progress);
         let _ = gate.recv();
     })
     .expect("a thread");
     writer.append(b"first".to_vec()).expect("room");
-    assert!(at.recv().is_ok());
+    assert!(reports.recv().is_ok());
     assert!(writer.append(vec![1; 30]).is_ok());
     assert_eq!(writer.append(vec![2; 30]), Err(vec![2; 30]), "over the bytes");
     assert!(writer.append(vec![3; 5]).is_ok());
     assert!(writer.append(vec![4; 2]).is_ok());
     assert_eq!(writer.append(vec![5; 1]), Err(vec![5; 1]), "over the records");
     assert_eq!(writer.gauges().overflows, 2);
-    drop(go);
+    drop(release);
     writer.close().expect("closes");
     assert_eq!(records(&disk), [b"first".to_vec(), vec![1; 30], vec![3; 5], vec![4; 2]]);
 }
 
 #[test]
-fn what_waits_is_written_at_the_end() {
+fn queued_records_are_written_on_close() {
     let disk = SimDisk::new(1);
     let options =
         WriterOptions { max_batch_delay: std::time::Duration::from_secs(3600), ..WriterOptions::default() };
-    let (mut writer, _told) = start(&disk, options);
+    let (mut writer, _reports) = start(&disk, options);
     writer.append(b"one".to_vec()).expect("room");
     writer.append(b"two".to_vec()).expect("room");
     writer.close().expect("closes");
