--- a/crates/ctl/src/operator_requests.rs
+++ b/crates/ctl/src/operator_requests.rs
@@ -7,7 +7,7 @@
 use dunlinspread_ledger::operator_request::{self, OperatorRequest, RequestFile};
 use dunlinspread_ledger::{
     Action, Correction, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineId, LineIdText,
-    LineKind, Outcome, UsageAccumulator,
+    LineKind, Outcome, RecoveredLedger, UsageAccumulator,
 };
 use dunlinspread_store::{Disk as _, Log, Options, RealDisk, ReplayItem, StoreError};
 use prost::Message as _;
@@ -242,20 +242,15 @@
         records: 64,
     };
     let mut actions = Vec::new();
-    let mut accumulator = UsageAccumulator::start(
-        now,
-        settings,
-        state,
-        recovery.next_record,
-        recovery.closed_cleanly,
-        &mut actions,
-    );
+    let recovered =
+        RecoveredLedger { state, next_line: recovery.next_record, closed_cleanly: recovery.closed_cleanly };
+    let mut accumulator = UsageAccumulator::start(now, settings, recovered, &mut actions);
     let accepted = match wish {
         OperatorRequest::Correct(mut correction) => {
             token.clone_into(&mut correction.token);
-            accumulator.append_entry(now, LineKind::Correction(correction), 1, &mut actions)
+            accumulator.append_entry(now, LineKind::Correction(correction), 1, &mut actions).is_ok()
         }
-        OperatorRequest::Close(_) => accumulator.close_early(now, &mut actions),
+        OperatorRequest::Close(_) => accumulator.close_early(now, &mut actions).is_ok(),
     };
     let mut line = None;
     while !actions.is_empty() {
@@ -272,7 +267,7 @@
             .collect();
         if !records.is_empty() {
             log.commit(&records)?;
-            accumulator.durable(now, records.len(), &mut actions);
+            accumulator.on_durable(now, records.len(), &mut actions);
         }
     }
     log.close()?;
--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -313,7 +313,7 @@
 /// The last batch of `n1` that the server which answers there knows.
 fn heard_of(peer: &str) -> u64 {
     let mut stream = std::net::TcpStream::connect(peer).expect("it answers");
-    let ask = DigestClaims { by: "test".to_owned(), claims: Vec::new() }.encode_to_vec();
+    let ask = DigestClaims { reporter: "test".to_owned(), claims: Vec::new() }.encode_to_vec();
     let head = [&b"DLSPWIT1"[..], &(ask.len() as u32).to_le_bytes(), &ask].concat();
     stream.write_all(&head).expect("it takes");
     let mut all = Vec::new();
--- a/crates/ledger/benches/bill.rs
+++ b/crates/ledger/benches/bill.rs
@@ -2,7 +2,7 @@
 //! modes, for one event an answer and for 16 answers an event. The figures are in `docs/measurements/ledger.md`.
 
 use dunlinspread_ledger::{
-    AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Outcome,
+    AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, Outcome, RecoveredLedger,
     UsageAccumulator, UsageRecord,
 };
 use std::hint::black_box;
@@ -21,8 +21,7 @@
         records: 64,
     };
     let (mut actions, mut now) = (Vec::new(), 1_700_000_000_000);
-    let mut accumulator =
-        UsageAccumulator::start(now, settings, LedgerState::default(), 1, true, &mut actions);
+    let mut accumulator = UsageAccumulator::start(now, settings, RecoveredLedger::default(), &mut actions);
     let names: Vec<String> = (0..100).map(|n| format!("society-{n}")).collect();
     let began = Instant::now();
     for n in 0..ANSWERS {
@@ -41,7 +40,7 @@
             accumulator.flush_if_due(now, &mut actions);
             let records = actions.iter().filter(|a| matches!(a, Action::Append(_))).count();
             actions.clear();
-            accumulator.durable(now, records, &mut actions);
+            accumulator.on_durable(now, records, &mut actions);
             now += 1;
         }
     }
--- /dev/null
+++ b/crates/ledger/src/accumulator/recovery.rs
@@ -0,0 +1,87 @@
+//! The first lines of a start: what it states of itself, and of the start before it.
+
+use super::action::{Action, Notice};
+use super::line_sequence::LineSequence;
+use super::record_queue::OnDurable;
+use super::settings::{FailurePolicy, LedgerSettings};
+use crate::line::{Close, LineKind, Start, Unbilled};
+use crate::state::LedgerState;
+
+/// What reading the store found.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RecoveredLedger {
+    /// The state that all lines in the store imply.
+    pub state: LedgerState,
+    /// The number of the next line.
+    pub next_line: u64,
+    /// Whether the store was closed cleanly.
+    pub closed_cleanly: bool,
+}
+
+impl Default for RecoveredLedger {
+    /// Returns what an empty store has.
+    fn default() -> RecoveredLedger {
+        RecoveredLedger { state: LedgerState::default(), next_line: 1, closed_cleanly: true }
+    }
+}
+
+/// Appends the lines that a start begins with.
+pub(super) fn append_first_lines(
+    lines: &mut LineSequence,
+    now_ms: u64,
+    settings: &LedgerSettings,
+    closed_cleanly: bool,
+    actions: &mut Vec<Action>,
+) {
+    let before = lines.state.clone();
+    if before.latest_ms > now_ms {
+        actions.push(Action::Notify(Notice::ClockBehind(before.latest_ms - now_ms)));
+    }
+    let start = start_line(now_ms, settings, &before);
+    lines.append_record(now_ms, LineKind::Start(start), 0, OnDurable::Nothing);
+    if let Some(unbilled) = unclean_shutdown_line(now_ms, &before, closed_cleanly) {
+        let at_most = (!unbilled.unbounded).then_some(unbilled.at_most);
+        actions.push(Action::Notify(Notice::UncleanShutdown { at_most }));
+        lines.append_record(now_ms, LineKind::Unbilled(unbilled), 0, OnDurable::Nothing);
+    }
+    let is_new_ledger = before.ledger_id == 0;
+    if let Some(close) = late_close_line(lines, now_ms).filter(|_| !is_new_ledger) {
+        actions.push(Action::Notify(Notice::ClosedLate { from: close.from, to: close.to }));
+        lines.append_record(now_ms, LineKind::Close(close), 0, OnDurable::PeriodsClosed);
+    }
+}
+
+fn start_line(now_ms: u64, settings: &LedgerSettings, before: &LedgerState) -> Start {
+    let after_last_start = before.start.as_ref().map_or(0, |start| start.start) + 1;
+    Start {
+        // With the time in it, it is unique also if the store before was lost.
+        start: now_ms.max(after_last_start),
+        period_ms: settings.period_ms.max(1),
+        classes: settings.classes.clone(),
+        at_risk: settings.mode.max_at_risk(),
+        continues_on_failure: settings.on_failure == FailurePolicy::Continue,
+    }
+}
+
+/// Returns the line that tells of replies that the start before may have sent without a line.
+fn unclean_shutdown_line(now_ms: u64, before: &LedgerState, closed_cleanly: bool) -> Option<Unbilled> {
+    let last = before.start.as_ref()?;
+    if closed_cleanly || (last.at_risk == 0 && !last.continues_on_failure) {
+        return None;
+    }
+    Some(Unbilled {
+        requests: 0,
+        at_most: if last.continues_on_failure { 0 } else { last.at_risk },
+        unbounded: last.continues_on_failure,
+        from_ms: before.latest_ms,
+        to_ms: now_ms.max(before.latest_ms),
+        reason: "the server did not end in good order".to_owned(),
+    })
+}
+
+/// Returns the line that closes the periods that ended while the server was down, whatever the grace.
+fn late_close_line(lines: &LineSequence, now_ms: u64) -> Option<Close> {
+    let time_ms = lines.time(now_ms);
+    let (from, to) = (lines.state.closed_to, time_ms - time_ms % lines.state.period_ms());
+    (to > from).then_some(Close { from, to, late: true })
+}
--- a/crates/ledger/src/batch_receiver.rs
+++ b/crates/ledger/src/batch_receiver.rs
@@ -1,6 +1,6 @@
-//! A collector that keeps batches in a folder, for a folder as the place of export and for collectors of any other kind
-//! to stand on: [`BatchReceiver::receive`] is the whole of the collecting side. What was acknowledged is there after any crash;
-//! nothing is overwritten.
+//! A collector that keeps batches as files in a directory, for an export to a folder and as the base of other collectors.
+//!
+//! What was acknowledged is there after any crash, and nothing is overwritten.
 
 use crate::batch::{Batch, Digest, digest};
 use crate::export_protocol::{CollectorReply, ExportCollector, OfferDecision};
@@ -9,142 +9,168 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Why an offer could not be judged.
+/// Why a receiver could not do what was asked.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchReceiverError {
     /// The bytes are no batch.
     #[error("this is no batch: {0}")]
     InvalidBatch(#[from] LineError),
-    /// The folder failed. Nothing was acknowledged; the inbox has to be opened anew unless it was full.
+    /// The folder failed. Nothing was acknowledged; the receiver has to be opened again unless the disk was full.
     #[error("the collector's folder: {0}")]
     Store(#[from] StoreError),
     /// A file in the folder is not what was acknowledged.
-    #[error("{file}: {what}")]
+    #[error("{file}: {damage}")]
     Damaged {
         /// The file.
         file: String,
-        /// What is wrong.
-        what: String,
+        /// What is wrong with it.
+        damage: Damage,
     },
 }
 
-/// A server's ledger.
-pub type Source = (String, u64);
+/// How a file differs from what was acknowledged.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Damage {
+    /// It is missing.
+    #[error("is missing, and later ones are there")]
+    Missing,
+    /// It holds something else than its name says.
+    #[error("is not the batch that its name says")]
+    OtherContent,
+    /// It does not follow the batch before.
+    #[error("does not follow the batch before it")]
+    OutOfOrder,
+}
+
+/// A ledger that batches come from: the server and the ledger's id.
+pub type BatchSource = (String, u64);
 
-/// The folder.
+/// A collector over a folder.
+///
+/// # Invariants
+/// The folder is locked while the receiver is there. The files of a source have the numbers 1 to its watermark.
 pub struct BatchReceiver {
     disk: Arc<dyn Disk>,
-    sources: BTreeMap<Source, ExportCollector>,
+    sources: BTreeMap<BatchSource, ExportCollector>,
 }
 
-/// The name of a batch's file.
-pub fn file_name(server: &str, ledger_id: u64, number: u64) -> String {
+/// A batch's file as it was read.
+struct BatchFile {
+    name: String,
+    bytes: Vec<u8>,
+}
+
+fn file_name(source: &BatchSource, number: u64) -> String {
+    let (server, ledger_id) = source;
     format!("{number:016x}@{ledger_id:016x}@{server}.batch")
 }
 
-fn read_name(name: &str) -> Option<(Source, u64)> {
+fn parse_file_name(name: &str) -> Option<(BatchSource, u64)> {
     let mut parts = name.strip_suffix(".batch")?.splitn(3, '@');
-    let mut hex = || u64::from_str_radix(parts.next()?, 16).ok();
-    let (number, ledger_id) = (hex()?, hex()?);
+    let number = u64::from_str_radix(parts.next()?, 16).ok()?;
+    let ledger_id = u64::from_str_radix(parts.next()?, 16).ok()?;
     Some(((parts.next()?.to_owned(), ledger_id), number))
 }
 
+/// Returns the watermark of a source whose files have these numbers.
+fn watermark(source: &BatchSource, numbers: &BTreeSet<u64>) -> Result<u64, BatchReceiverError> {
+    let watermark = numbers.len() as u64;
+    if numbers.last() == Some(&watermark) {
+        return Ok(watermark);
+    }
+    let missing = (1..).find(|number| !numbers.contains(number)).unwrap_or(0);
+    Err(BatchReceiverError::Damaged { file: file_name(source, missing), damage: Damage::Missing })
+}
+
 impl BatchReceiver {
     /// Opens the folder and finds out how far each source is.
     ///
     /// # Errors
-    /// If it can't be read, another process has it, or what is in it is not in order.
+    /// If it can't be read, another process has it open, or what is in it is not in order.
     pub fn open(disk: Arc<dyn Disk>) -> Result<BatchReceiver, BatchReceiverError> {
         disk.lock()?;
         let mut receiver = BatchReceiver { disk, sources: BTreeMap::new() };
-        // A name that a killed process gave and did not sync may not last.
-        let listing = |source| StoreError::Io { operation: "listing", file: receiver.disk.name(), source };
-        receiver.disk.sync_dir().map_err(listing)?;
-        let names = receiver.disk.list().map_err(listing)?;
-        let mut found: BTreeMap<Source, BTreeSet<u64>> = BTreeMap::new();
-        for (source, number) in names.iter().filter_map(|n| read_name(n)) {
-            found.entry(source).or_default().insert(number);
-        }
-        for (source, numbers) in found {
-            let watermark = numbers.len() as u64;
-            if numbers.last() != Some(&watermark) {
-                let missing = (1..).find(|n| !numbers.contains(n)).unwrap_or(0);
-                let file = file_name(&source.0, source.1, missing);
-                return Err(BatchReceiverError::Damaged {
-                    file,
-                    what: "is missing, and later ones are there".to_owned(),
-                });
-            }
-            let last = receiver.kept(&source, watermark)?;
+        for (source, numbers) in receiver.list()? {
+            let watermark = watermark(&source, &numbers)?;
+            let last = receiver.stored_digest(&source, watermark)?;
             receiver.sources.insert(source, ExportCollector::new(watermark, last));
         }
         Ok(receiver)
     }
 
-    /// The digest of a batch that is there.
-    fn kept(&self, source: &Source, number: u64) -> Result<Digest, BatchReceiverError> {
-        let (bytes, file) = self.bytes(source, number)?;
-        let batch = Batch::parse(&bytes);
-        let named =
-            batch.is_ok_and(|b| (b.server.as_str(), b.ledger_id, b.number) == (&source.0, source.1, number));
-        if !named {
-            return Err(BatchReceiverError::Damaged {
-                file,
-                what: "is not the batch that its name says".to_owned(),
-            });
+    /// Returns the numbers of the batches that are there, by source.
+    fn list(&self) -> Result<BTreeMap<BatchSource, BTreeSet<u64>>, BatchReceiverError> {
+        let failed = |source| StoreError::Io { operation: "listing", file: self.disk.name(), source };
+        // A name that a killed process gave and did not sync may not last.
+        self.disk.sync_dir().map_err(failed)?;
+        let names = self.disk.list().map_err(failed)?;
+        let mut found: BTreeMap<BatchSource, BTreeSet<u64>> = BTreeMap::new();
+        for (source, number) in names.iter().filter_map(|name| parse_file_name(name)) {
+            found.entry(source).or_default().insert(number);
         }
-        Ok(digest(&bytes))
+        Ok(found)
     }
 
-    fn bytes(&self, source: &Source, number: u64) -> Result<(Vec<u8>, String), BatchReceiverError> {
-        let name = file_name(&source.0, source.1, number);
+    /// Returns the digest of a batch that is there.
+    fn stored_digest(&self, source: &BatchSource, number: u64) -> Result<Digest, BatchReceiverError> {
+        let file = self.read_file(source, number)?;
+        let is_named = |batch: Batch| {
+            (batch.server.as_str(), batch.ledger_id, batch.number) == (&source.0, source.1, number)
+        };
+        if !Batch::parse(&file.bytes).is_ok_and(is_named) {
+            return Err(BatchReceiverError::Damaged { file: file.name, damage: Damage::OtherContent });
+        }
+        Ok(digest(&file.bytes))
+    }
+
+    fn read_file(&self, source: &BatchSource, number: u64) -> Result<BatchFile, BatchReceiverError> {
+        let name = file_name(source, number);
         let failed = |source| StoreError::Io { operation: "reading", file: name.clone(), source };
         let file = self.disk.open(&name).map_err(failed)?;
         let mut bytes = vec![0; file.size().map_err(failed)? as usize];
-        let mut at = 0;
-        while at < bytes.len() {
-            match file.read_at(at as u64, &mut bytes[at..]).map_err(failed)? {
+        let mut filled = 0;
+        while filled < bytes.len() {
+            match file.read_at(filled as u64, &mut bytes[filled..]).map_err(failed)? {
                 0 => break,
-                n => at += n,
+                count => filled += count,
             }
         }
-        bytes.truncate(at);
-        Ok((bytes, name))
+        bytes.truncate(filled);
+        Ok(BatchFile { name, bytes })
     }
 
-    /// How far a source is.
+    /// Returns how far a source is.
     pub fn watermark(&self, server: &str, ledger_id: u64) -> CollectorReply {
-        let collector = self.sources.get(&(server.to_owned(), ledger_id)).cloned().unwrap_or_default();
-        collector.reply(OfferDecision::Duplicate)
+        self.collector(&(server.to_owned(), ledger_id)).reply(OfferDecision::Duplicate)
+    }
+
+    fn collector(&self, source: &BatchSource) -> ExportCollector {
+        self.sources.get(source).cloned().unwrap_or_default()
     }
 
-    /// All sources, and how far each is.
-    pub fn sources(&self) -> impl Iterator<Item = (&Source, CollectorReply)> {
+    /// Returns all sources, and how far each is.
+    pub fn sources(&self) -> impl Iterator<Item = (&BatchSource, CollectorReply)> {
         self.sources.iter().map(|(source, collector)| (source, collector.reply(OfferDecision::Duplicate)))
     }
 
-    /// Judges a batch's bytes, keeps them if they are new, and says what to reply. When this returns, what the reply
-    /// acknowledges is durable.
+    /// Decides on a batch that is offered, stores it if it is new, and returns the reply. When this returns, what the
+    /// reply acknowledges is durable.
     ///
     /// # Errors
     /// If the bytes are no batch, or the folder fails; nothing is acknowledged then.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(OfferDecision, CollectorReply), BatchReceiverError> {
         let batch = Batch::parse(bytes)?;
-        let (sum, source) = (digest(bytes), (batch.server.clone(), batch.ledger_id));
-        let collector = self.sources.get(&source).cloned().unwrap_or_default();
-        // One that can't be read any more counts as another content: better an alarm than an overwrite.
-        let kept = |number| Some(self.kept(&source, number).unwrap_or([0; 32]));
-        let decision = collector.on_offer(batch.number, &sum, &batch.previous, kept);
+        let digest = digest(bytes);
+        let source = (batch.server, batch.ledger_id);
+        // One that can't be read any more counts as another content: a fault is better than an overwrite.
+        let stored_digest = |number| Some(self.stored_digest(&source, number).unwrap_or([0; 32]));
+        let collector = self.collector(&source);
+        let decision = collector.on_offer(batch.number, &digest, &batch.previous, stored_digest);
         if decision == OfferDecision::Accept {
-            write_file_atomically(
-                &*self.disk,
-                &file_name(&batch.server, batch.ledger_id, batch.number),
-                &[bytes],
-            )?;
-            self.sources.entry(source.clone()).or_default().batch_accepted(sum);
+            write_file_atomically(&*self.disk, &file_name(&source, batch.number), &[bytes])?;
+            self.sources.entry(source.clone()).or_default().batch_accepted(digest);
         }
-        let collector = self.sources.get(&source).cloned().unwrap_or_default();
-        Ok((decision, collector.reply(decision)))
+        Ok((decision, self.collector(&source).reply(decision)))
     }
 
     /// Shows every batch of a source, in order.
@@ -153,21 +179,19 @@
     /// If one is not what was acknowledged.
     pub fn read(
         &self,
-        source: &Source,
+        source: &BatchSource,
         mut show: impl FnMut(Batch, Digest),
     ) -> Result<(), BatchReceiverError> {
-        let watermark = self.watermark(&source.0, source.1).watermark;
         let mut previous = Vec::new();
-        for number in 1..=watermark {
-            let (bytes, file) = self.bytes(source, number)?;
-            let batch = Batch::parse(&bytes)?;
+        for number in 1..=self.watermark(&source.0, source.1).watermark {
+            let file = self.read_file(source, number)?;
+            let batch = Batch::parse(&file.bytes)?;
             if batch.number != number || batch.previous != previous {
-                let what = "does not follow the batch before it".to_owned();
-                return Err(BatchReceiverError::Damaged { file, what });
+                return Err(BatchReceiverError::Damaged { file: file.name, damage: Damage::OutOfOrder });
             }
-            let sum = digest(&bytes);
-            previous = sum.to_vec();
-            show(batch, sum);
+            let digest = digest(&file.bytes);
+            previous = digest.to_vec();
+            show(batch, digest);
         }
         Ok(())
     }
--- a/crates/ledger/src/export_protocol.rs
+++ b/crates/ledger/src/export_protocol.rs
@@ -1,102 +1,116 @@
-//! Exactly once, from a server's ledger to a collector, over a way that loses, doubles and reorders: the two ends as
-//! state machines. The sender has one batch out at a time and sends it again until it is acknowledged; the collector
-//! takes batches in order of their numbers and acknowledges by watermark, so that a batch taken twice is counted once. A
-//! number that comes with unlike content is an fault at both ends, never an overwrite.
+//! Exactly-once export of batches over a connection that loses, duplicates and reorders messages: both ends as state
+//! machines.
 //!
-//! What each end may forget in a crash is everything here that it has not made durable first: the sender its
-//! acknowledgements, the collector its watermark. `tests/model.rs` checks these very functions.
+//! The sender offers one batch at a time until it is acknowledged. The collector accepts batches in the order of their
+//! numbers and acknowledges by a watermark, so that a batch offered twice is counted once. A number that comes with
+//! another content is a fault at both ends; nothing is overwritten.
+//!
+//! A crash may take from each end whatever it has not made durable first: from the sender its acknowledgements, from the
+//! collector its watermark. `tests/export_protocol_model.rs` checks these functions by exploring every state.
 
 use crate::batch::Digest;
 
-/// What a collector answers to an offer.
+/// The collector's reply to an offer, or to a question for its watermark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CollectorReply {
-    /// All batches up to this number are taken, for good.
+    /// All batches up to this number are accepted for good.
     pub watermark: u64,
-    /// The digest of that batch, so that a sender notices if it is not the one it sent.
+    /// The digest of that batch, so that a sender notices if it is not the one that it sent.
     pub digest: Digest,
-    /// The batch that was offered is not the one taken under its number.
+    /// Whether the batch that was offered is not the one accepted under its number.
     pub conflict: bool,
 }
 
-/// What is wrong beyond repair by sending again; a person has to look.
+/// A fault that sending again does not mend; an operator has to look.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum ExportFault {
     /// The collector has another batch under this number.
     #[error("the collector has another content under number {0}: nothing was overwritten")]
     Conflict(u64),
-    /// The collector has fewer batches than it acknowledged: it lost some.
+    /// The collector has fewer batches than it acknowledged.
     #[error("the collector acknowledged {acknowledged} batches and now has {watermark}: it lost some")]
-    Lost {
-        /// Acknowledged before.
+    BatchesLost {
+        /// Batches acknowledged before.
         acknowledged: u64,
-        /// What it has.
+        /// Batches that it has.
         watermark: u64,
     },
     /// The collector has batches that were never sent from here.
     #[error("the collector has {0} batches, more than were ever prepared here")]
-    Ahead(u64),
+    CollectorAhead(u64),
 }
 
-/// What the sender is to do.
+/// What the sender has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderAction {
     /// Send the batch with this number.
     Send(u64),
     /// Make durable that this batch is acknowledged; then call [`ExportSender::acknowledgement_recorded`].
     RecordAcknowledgement(u64),
-    /// Nothing: wait for a batch to be prepared.
+    /// Wait for a batch to be prepared.
     Idle,
-    /// Stop and call for a person.
+    /// Stop, and report this.
     Fault(ExportFault),
 }
 
-/// The sending end. Made from what is durable after each start.
+/// A batch was given to a sender that has one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("batch {0} is prepared and not acknowledged yet: a sender takes one batch at a time")]
+pub struct BatchPending(pub u64);
+
+/// The sending end. It is made of what is durable after each start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExportSender {
-    /// Batches acknowledged, durably.
+    /// Batches whose acknowledgement is durable.
     acknowledged: u64,
-    /// The one prepared after that, durably, and its digest.
+    /// The digest of the next batch, if that is prepared durably.
     prepared: Option<Digest>,
-    /// It is acknowledged, and that is not durable yet.
+    /// That batch is acknowledged, which is not durable yet.
     acknowledgement_pending: bool,
     fault: Option<ExportFault>,
 }
 
 impl ExportSender {
-    /// A sender whose first `acknowledged` batches are settled and whose next is prepared or not.
+    /// Returns a sender whose first `acknowledged` batches are acknowledged and whose next one is prepared or not.
     pub fn new(acknowledged: u64, prepared: Option<Digest>) -> ExportSender {
         ExportSender { acknowledged, prepared, acknowledgement_pending: false, fault: None }
     }
 
-    /// The next batch is prepared, durably.
-    pub fn batch_prepared(&mut self, digest: Digest) {
-        debug_assert!(self.prepared.is_none(), "one batch at a time");
+    /// Takes note that the next batch is prepared durably.
+    ///
+    /// # Errors
+    /// If there is one already; nothing was changed.
+    pub fn batch_prepared(&mut self, digest: Digest) -> Result<(), BatchPending> {
+        if self.prepared.is_some() {
+            return Err(BatchPending(self.acknowledged + 1));
+        }
         self.prepared = Some(digest);
+        Ok(())
     }
 
-    /// What is to be done now. Asked again without an answer having come, it says to send again.
+    /// Returns what has to be done now. Called again without a reply in between, it returns the same.
     pub fn next(&self) -> SenderAction {
+        let next_batch = self.acknowledged + 1;
         match (self.fault, &self.prepared) {
             (Some(fault), _) => SenderAction::Fault(fault),
             (None, Some(_)) if self.acknowledgement_pending => {
-                SenderAction::RecordAcknowledgement(self.acknowledged + 1)
+                SenderAction::RecordAcknowledgement(next_batch)
             }
-            (None, Some(_)) => SenderAction::Send(self.acknowledged + 1),
+            (None, Some(_)) => SenderAction::Send(next_batch),
             (None, None) => SenderAction::Idle,
         }
     }
 
-    /// A reply came, to whichever sending.
+    /// Takes in a reply to any of the sendings.
     pub fn on_reply(&mut self, reply: &CollectorReply) {
         let Some(digest) = self.prepared else {
-            // A late one to a batch settled since.
+            // A late reply to a batch whose acknowledgement was recorded since.
             return;
         };
         let offered = self.acknowledged + 1;
         if reply.conflict {
-            // A late one may speak of an earlier number, which was settled without a conflict; then its watermark is
-            // below what is offered as well. A person has to look either way.
+            // A late reply may speak of an earlier number, which was acknowledged without a conflict; then its watermark
+            // is below what is offered as well. An operator has to look either way.
             self.fault = Some(ExportFault::Conflict(offered));
         } else if reply.watermark == offered {
             if reply.digest == digest {
@@ -105,22 +119,22 @@
                 self.fault = Some(ExportFault::Conflict(offered));
             }
         } else if reply.watermark > offered {
-            self.fault = Some(ExportFault::Ahead(reply.watermark));
+            self.fault = Some(ExportFault::CollectorAhead(reply.watermark));
         }
         // A lower watermark is a late reply to an earlier sending: the batch is sent again.
     }
 
-    /// The collector was asked for its watermark on a new way, where no late reply can come from.
+    /// Takes in the collector's watermark, asked for on a new connection, on which no late reply can come.
     pub fn on_watermark(&mut self, reply: &CollectorReply) {
         if reply.watermark < self.acknowledged {
             let (acknowledged, watermark) = (self.acknowledged, reply.watermark);
-            self.fault = Some(ExportFault::Lost { acknowledged, watermark });
+            self.fault = Some(ExportFault::BatchesLost { acknowledged, watermark });
         } else {
             self.on_reply(reply);
         }
     }
 
-    /// The acknowledgement is durable.
+    /// Takes note that the acknowledgement is durable.
     pub fn acknowledgement_recorded(&mut self) {
         if std::mem::take(&mut self.acknowledgement_pending) {
             self.acknowledged += 1;
@@ -128,26 +142,27 @@
         }
     }
 
-    /// Batches acknowledged, durably.
+    /// Returns the batches whose acknowledgement is durable.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
 }
 
-/// What a collector is to do with an offer.
+/// What a collector has to do with an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferDecision {
-    /// Make it durable together with the new watermark, in one step; then call [`ExportCollector::batch_accepted`] and reply.
+    /// Make the batch durable together with the new watermark, in one step; then call [`ExportCollector::batch_accepted`]
+    /// and reply.
     Accept,
-    /// It is there already: only reply.
+    /// The batch is there already: only reply.
     Duplicate,
-    /// One before it is missing: only reply, with the watermark as it is.
+    /// A batch before it is missing: only reply, with the watermark as it is.
     OutOfOrder,
-    /// Another is there under its number, or it does not follow the one before: an fault; reply so.
+    /// Another batch is there under its number, or it does not follow the one before: reply with a conflict.
     Conflict,
 }
 
-/// The collecting end, for one server's ledger. Made from what is durable after each start.
+/// The collecting end for one server's ledger. It is made of what is durable after each start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExportCollector {
     watermark: u64,
@@ -156,44 +171,53 @@
 }
 
 impl ExportCollector {
-    /// A collector that has taken all batches up to `watermark`, the last with that digest.
+    /// Returns a collector that has accepted all batches up to `watermark`, the last with that digest.
     pub fn new(watermark: u64, digest: Digest) -> ExportCollector {
         ExportCollector { watermark, digest }
     }
 
-    /// Judges an offer. `kept` gives the digest of a batch taken before, if it is still known.
+    /// Returns what to do with an offer. `stored_digest` returns the digest of a batch accepted before, if it is still
+    /// known.
     pub fn on_offer(
         &self,
         number: u64,
         digest: &Digest,
         previous: &[u8],
-        kept: impl Fn(u64) -> Option<Digest>,
+        stored_digest: impl Fn(u64) -> Option<Digest>,
     ) -> OfferDecision {
         if number > self.watermark + 1 || number == 0 {
             return OfferDecision::OutOfOrder;
         }
         if number == self.watermark + 1 {
-            let follows = match self.watermark {
-                0 => previous.is_empty(),
-                _ => previous == self.digest,
+            return if self.is_followed_by(previous) {
+                OfferDecision::Accept
+            } else {
+                OfferDecision::Conflict
             };
-            return if follows { OfferDecision::Accept } else { OfferDecision::Conflict };
         }
-        let known = if number == self.watermark { Some(self.digest) } else { kept(number) };
-        // One so old that nothing is known of it was acknowledged, and its sender went on.
+        let known = if number == self.watermark { Some(self.digest) } else { stored_digest(number) };
+        // A batch so old that nothing is known of it was acknowledged, and its sender went on.
         match known {
             Some(known) if known != *digest => OfferDecision::Conflict,
             _ => OfferDecision::Duplicate,
         }
     }
 
-    /// The next batch was taken, durably.
+    /// Returns whether a batch that names this digest as that of the one before follows the batch at the watermark.
+    fn is_followed_by(&self, previous: &[u8]) -> bool {
+        match self.watermark {
+            0 => previous.is_empty(),
+            _ => previous == self.digest,
+        }
+    }
+
+    /// Takes note that the next batch is accepted durably.
     pub fn batch_accepted(&mut self, digest: Digest) {
         self.watermark += 1;
         self.digest = digest;
     }
 
-    /// The reply to an offer with that decision.
+    /// Returns the reply to an offer that was decided so.
     pub fn reply(&self, decision: OfferDecision) -> CollectorReply {
         CollectorReply {
             watermark: self.watermark,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! - [`UsageAccumulator`] decides which lines are written when, and when a reply may be sent;
 //! - [`LedgerState`] is the state that the lines so far imply for the next one;
-//! - [`totals`] adds up lines; [`batch`] makes the batches of a closed period from them;
+//! - [`totals`] adds up lines; [`batch`] builds the batches of a closed period from them;
 //! - [`BatchReceiver`] is a collector that keeps batches in a directory;
 //! - [`reconcile`] and [`digest_comparison`] compare what several servers exported.
 #![forbid(unsafe_code)]
@@ -18,7 +18,9 @@
 pub mod digest_comparison;
 pub mod export_protocol;
 mod line;
+mod line_id;
 pub mod operator_request;
+mod outcome;
 pub mod reconcile;
 mod state;
 mod totals;
@@ -26,14 +28,13 @@
 
 pub use account_name::{AccountName, AccountNameError, MAX_ACCOUNT_NAME_BYTES, UNATTRIBUTED};
 pub use accumulator::{
-    Action, DurabilityMode, FailurePolicy, LedgerGauges, LedgerSettings, Notice, ReplyDecision,
-    UsageAccumulator, UsageRecord,
-};
-pub use batch_receiver::{BatchReceiver, BatchReceiverError};
-pub use line::{
-    Amount, Close, Correction, Entry, Export, Line, LineError, LineId, LineIdText, LineKind, Outcome, Start,
-    Unbilled, Usage,
+    Action, CloseRejected, DurabilityMode, EntryRejected, FailurePolicy, LedgerGauges, LedgerSettings,
+    Notice, RecoveredLedger, ReplyDecision, UsageAccumulator, UsageRecord,
 };
+pub use batch_receiver::{BatchReceiver, BatchReceiverError, BatchSource, Damage};
+pub use line::{Amount, Close, Correction, Entry, Export, Line, LineError, LineKind, Start, Unbilled, Usage};
+pub use line_id::{LineId, LineIdText};
+pub use outcome::Outcome;
 pub use state::LedgerState;
 pub use totals::{NetUsage, UsageGroup, read_lines, totals};
 pub use usage_table::{UsageKey, UsageTable};
--- a/crates/ledger/src/line.rs
+++ b/crates/ledger/src/line.rs
@@ -1,79 +1,33 @@
-//! The lines of a ledger, as they stand in its store: one record a line, `prost` messages. `docs/formats/ledger.proto`
-//! has the same as text, and a test holds the two together. Lines are only ever added.
+//! The lines of a ledger as they are stored: one record for each line, a `prost` message.
+//!
+//! `docs/formats/ledger.proto` has the same as text, and a test holds the two together. The names of fields here may
+//! differ from those there; their tags and types do not.
 
+use crate::line_id::LineId;
+use crate::outcome::Outcome;
 use prost::Message;
 
-/// What became of a request, as it is billed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
-#[repr(i32)]
-pub enum Outcome {
-    /// Not stated; never written.
-    Unknown = 0,
-    /// Served within the aim.
-    Completed = 1,
-    /// Served after it.
-    CompletedLate = 2,
-    /// Served without a call that belongs to it.
-    Degraded = 3,
-    /// Turned away unrun.
-    Rejected = 4,
-    /// Answered with an error.
-    Failed = 5,
-    /// Its caller gave up: no answer was owed any more.
-    Cancelled = 6,
-}
-
-impl Outcome {
-    /// All that are billed.
-    pub const ALL: [Outcome; 6] = [
-        Outcome::Completed,
-        Outcome::CompletedLate,
-        Outcome::Degraded,
-        Outcome::Rejected,
-        Outcome::Failed,
-        Outcome::Cancelled,
-    ];
-
-    /// As a word.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            Outcome::Unknown => "unknown",
-            Outcome::Completed => "served",
-            Outcome::CompletedLate => "late",
-            Outcome::Degraded => "poorer",
-            Outcome::Rejected => "refused",
-            Outcome::Failed => "failed",
-            Outcome::Cancelled => "withdrawn",
-        }
-    }
-
-    /// The outcome of that word.
-    pub fn parse(word: &str) -> Option<Outcome> {
-        Outcome::ALL.into_iter().find(|o| o.as_str() == word)
-    }
-}
-
-/// A line. Its id is the server (the store's owner), the start (of the [`Start`] before it) and its number in the store.
+/// A line. Its [`LineId`] is the server, the start of the last [`Start`] line and its own number in the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct Line {
-    /// The ledger's time when it was made, Unix ms: never less than that of the line before.
+    /// The ledger's time when the line was made, Unix ms; never less than that of the line before.
     #[prost(uint64, tag = "1")]
     pub at_ms: u64,
-    /// What it says.
+    /// The content.
     #[prost(oneof = "LineKind", tags = "2, 3, 4, 5, 6, 7")]
     pub kind: Option<LineKind>,
 }
 
-/// What a line says.
+/// The content of a line.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum LineKind {
     /// A server began to write.
     #[prost(message, tag = "2")]
     Start(Start),
-    /// Use.
+    /// Usage of a period.
     #[prost(message, tag = "3")]
     Usage(Usage),
-    /// Somebody corrects.
+    /// A correction of an earlier line.
     #[prost(message, tag = "4")]
     Correction(Correction),
     /// Periods are closed.
@@ -82,7 +36,7 @@
     /// A batch was prepared or acknowledged.
     #[prost(message, tag = "6")]
     Export(Export),
-    /// Use that is in no line.
+    /// Usage that is in no line.
     #[prost(message, tag = "7")]
     Unbilled(Unbilled),
 }
@@ -90,30 +44,31 @@
 /// The first line of each start.
 #[derive(Clone, PartialEq, Message)]
 pub struct Start {
-    /// Unique for good: greater than that of any start before it, and with the time in it also after the store was lost.
+    /// The start's id: greater than that of any start before it and, with the time in it, unique also if the store before
+    /// was lost.
     #[prost(uint64, tag = "1")]
     pub start: u64,
     /// The length of periods from now on, ms.
     #[prost(uint64, tag = "2")]
     pub period_ms: u64,
-    /// The classes: usage names them by position.
+    /// The classes' names; usage names classes by position.
     #[prost(string, repeated, tag = "3")]
     pub classes: Vec<String>,
-    /// In interval mode, the most answers that may be out before their line is durable; 0 in strict mode.
+    /// In interval mode, the replies that may be sent before their line is durable, at most; 0 in strict mode.
     #[prost(uint64, tag = "4")]
     pub at_risk: u64,
-    /// While the disk fails, answers go on leaving, and nothing bounds their number.
+    /// Whether replies are sent while the store fails, with no bound on their number.
     #[prost(bool, tag = "5")]
     pub continues_on_failure: bool,
 }
 
-/// Use in one period.
+/// Usage in one period.
 #[derive(Clone, PartialEq, Message)]
 pub struct Usage {
     /// The period, by its first ms.
     #[prost(uint64, tag = "1")]
     pub period: u64,
-    /// What was used, each key once.
+    /// What was used, each combination of tenant, class and outcome once.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<Entry>,
     /// The period in which it was used, if that was closed before this line was written.
@@ -121,16 +76,16 @@
     pub original_period: Option<u64>,
 }
 
-/// Use by one society in one class with one outcome.
+/// Usage by one tenant in one class with one outcome.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
-    /// The society.
+    /// The tenant's account.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// The class, by position in the [`Start`] before.
+    /// The class, by position in the last [`Start`].
     #[prost(uint32, tag = "2")]
     pub class: u32,
-    /// The outcome.
+    /// The outcome's number.
     #[prost(enumeration = "Outcome", tag = "3")]
     pub outcome: i32,
     /// What was used.
@@ -138,7 +93,7 @@
     pub amount: Amount,
 }
 
-/// An amount of use.
+/// An amount of usage.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Amount {
     /// Requests.
@@ -147,16 +102,16 @@
     /// Time in the worker pool, µs.
     #[prost(uint64, tag = "2")]
     pub pool_us: u64,
-    /// Bytes of bodies taken in.
+    /// Bytes of requests' bodies.
     #[prost(uint64, tag = "3")]
     pub bytes_in: u64,
-    /// Bytes of results given out.
+    /// Bytes of results.
     #[prost(uint64, tag = "4")]
     pub bytes_out: u64,
 }
 
 impl Amount {
-    /// Adds another; a sum past the range stays at its end.
+    /// Adds another amount; a sum beyond the range stays at its end.
     pub fn add(&mut self, other: &Amount) {
         self.requests = self.requests.saturating_add(other.requests);
         self.pool_us = self.pool_us.saturating_add(other.pool_us);
@@ -165,69 +120,34 @@
     }
 }
 
-/// The id of a line.
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Message)]
-pub struct LineId {
-    /// The server.
-    #[prost(string, tag = "1")]
-    pub server: String,
-    /// The start.
-    #[prost(uint64, tag = "2")]
-    pub start: u64,
-    /// The number in the store.
-    #[prost(uint64, tag = "3")]
-    pub number: u64,
-}
-
-impl std::fmt::Display for LineIdText<'_> {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}/{}/{}", self.0.server, self.0.start, self.0.number)
-    }
-}
-
-/// A line's id as people write it: `SERVER/START/NUMBER`.
-pub struct LineIdText<'a>(pub &'a LineId);
-
-impl LineId {
-    /// Reads an id as people write it.
-    pub fn parse(text: &str) -> Option<LineId> {
-        let mut parts = text.rsplitn(3, '/');
-        let (number, start, server) = (parts.next()?, parts.next()?, parts.next()?);
-        if server.is_empty() {
-            return None;
-        }
-        Some(LineId { server: server.to_owned(), start: start.parse().ok()?, number: number.parse().ok()? })
-    }
-}
-
-/// What was wrong in an earlier line, as a difference.
+/// A correction of an earlier line, as a difference.
 #[derive(Clone, PartialEq, Message)]
 pub struct Correction {
-    /// The open period, by its first ms.
+    /// The period that is open as the correction is entered, by its first ms.
     #[prost(uint64, tag = "1")]
     pub period: u64,
     /// The line that is corrected.
     #[prost(message, required, tag = "2")]
     pub corrects: LineId,
-    /// The society.
+    /// The tenant's account.
     #[prost(string, tag = "3")]
     pub tenant: String,
     /// The class, by name.
     #[prost(string, tag = "4")]
     pub class: String,
-    /// The outcome.
+    /// The outcome's number.
     #[prost(enumeration = "Outcome", tag = "5")]
     pub outcome: i32,
     /// Requests, more or fewer.
     #[prost(sint64, tag = "6")]
     pub requests: i64,
-    /// Time in the worker pool, µs.
+    /// Time in the worker pool, µs, more or less.
     #[prost(sint64, tag = "7")]
     pub pool_us: i64,
-    /// Why, in a person's words.
+    /// The reason, in an operator's words.
     #[prost(string, tag = "8")]
     pub reason: String,
-    /// Unique to this correction: entering it twice enters it once.
+    /// An idempotency token: a correction with a token that is there already is not entered again.
     #[prost(string, tag = "9")]
     pub token: String,
 }
@@ -241,12 +161,12 @@
     /// The first ms that is not closed.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// The server was not there when they ended: it closes them with what it knows.
+    /// Whether the server was down when they ended; it closes them with what it knows.
     #[prost(bool, tag = "3")]
     pub late: bool,
 }
 
-/// The state of a batch.
+/// A batch was prepared or acknowledged.
 #[derive(Clone, PartialEq, Message)]
 pub struct Export {
     /// The batch's number, from 1.
@@ -258,69 +178,71 @@
     /// The number of the close line whose periods it holds.
     #[prost(uint64, tag = "3")]
     pub close: u64,
-    /// It is the last of that close.
+    /// Whether it is the last batch of that close.
     #[prost(bool, tag = "4")]
     pub last: bool,
-    /// How many lines a batch of that close holds at most: the content follows from this and the lines up to the close.
+    /// Items of a batch of that close at most; the content follows from this and the lines up to the close.
     #[prost(uint64, tag = "5")]
     pub lines: u64,
-    /// The collector has it, for good. Else it is only prepared.
+    /// Whether the collector has it for good; else it is prepared.
     #[prost(bool, tag = "6")]
     pub acknowledged: bool,
 }
 
-/// Use that is in no line, or may be.
+/// Usage that is, or may be, in no line.
 #[derive(Clone, PartialEq, Message)]
 pub struct Unbilled {
-    /// The requests known to be in no line.
+    /// Requests known to be in no line.
     #[prost(uint64, tag = "1")]
     pub requests: u64,
-    /// Up to so many more may be in none; they can't be counted any more.
+    /// Further requests that may be in no line, at most; they can't be counted any more.
     #[prost(uint64, tag = "2")]
     pub at_most: u64,
-    /// Nothing bounds their number.
+    /// Whether nothing bounds their number.
     #[prost(bool, tag = "3")]
     pub unbounded: bool,
-    /// Between these times, Unix ms.
+    /// The time of the first of them, Unix ms.
     #[prost(uint64, tag = "4")]
     pub from_ms: u64,
-    /// And this.
+    /// The time of the last of them, Unix ms.
     #[prost(uint64, tag = "5")]
     pub to_ms: u64,
-    /// Why.
+    /// The reason.
     #[prost(string, tag = "6")]
     pub reason: String,
 }
 
-/// A line that can't be read.
+/// Why a line, a batch or an operator's request is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// It is no message.
+    /// The bytes are no message.
     #[error("the line can't be read: {0}")]
     Encoding(String),
-    /// It is of a kind not known here.
+    /// The line is of a kind not known here.
     #[error("the line is of a kind that this program does not know: it was written by a newer one")]
     UnknownKind,
-    /// It says what a line can't say.
+    /// The content contradicts itself or the lines before it.
     #[error("the line can't be true: {0}")]
     Invalid(&'static str),
 }
 
+impl From<prost::DecodeError> for LineError {
+    fn from(error: prost::DecodeError) -> LineError {
+        LineError::Encoding(error.to_string())
+    }
+}
+
 impl Line {
     /// Reads a record.
     ///
     /// # Errors
-    /// If it is no line that this program can have written.
+    /// If this program can't have written it.
     pub fn parse(bytes: &[u8]) -> Result<Line, LineError> {
-        let line = Line::decode(bytes).map_err(|e| LineError::Encoding(e.to_string()))?;
+        let line = Line::decode(bytes)?;
         match &line.kind {
             None => Err(LineError::UnknownKind),
-            Some(LineKind::Usage(usage)) => {
-                let good = |e: &Entry| Outcome::ALL.iter().any(|o| *o as i32 == e.outcome);
-                if !usage.entries.iter().all(good) {
-                    return Err(LineError::Invalid("an entry has no outcome"));
-                }
-                Ok(line)
+            Some(LineKind::Usage(usage)) if !usage.entries.iter().all(|e| Outcome::is_billed(e.outcome)) => {
+                Err(LineError::Invalid("an entry has no outcome"))
             }
             Some(LineKind::Start(start)) if start.period_ms == 0 => {
                 Err(LineError::Invalid("periods have no length"))
--- a/crates/ledger/src/totals.rs
+++ b/crates/ledger/src/totals.rs
@@ -1,16 +1,18 @@
-//! Adding up lines in bounded memory, whatever the number of societies: the lines are walked as often as it takes, each
-//! time for the societies that come next in the order of names. So the order of the result follows from the lines alone,
-//! and a batch made a second time is the same to the byte.
+//! Adding up lines in bounded memory, whatever the number of tenants.
+//!
+//! The lines are read as often as it takes, each time for the tenants that come next in the order of names. So the order
+//! of the result follows from the lines alone, and a batch built a second time is the same to the byte.
 
-use crate::line::{Amount, Correction, Line, LineKind, Outcome};
-use dunlinspread_store::{Disk, Log, StoreError};
+use crate::line::{Amount, Correction, Line, LineKind, Usage};
+use crate::outcome::Outcome;
+use dunlinspread_store::{Disk, Log, ReplayRejection, StoreError};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Shows the lines with these numbers of a ledger, which may be in use.
+/// Shows the lines with these numbers of a server's ledger, which may be in use.
 ///
 /// # Errors
-/// If they are not all there, or one is no line.
+/// If they are not all there, or one is not valid.
 pub fn read_lines(
     disk: &dyn Disk,
     server: &str,
@@ -18,26 +20,26 @@
     show: &mut dyn FnMut(u64, &Line),
 ) -> Result<(), StoreError> {
     Log::read_range(disk, server, numbers, |number, bytes| {
-        show(number, &Line::parse(bytes).map_err(|e| e.to_string())?);
+        show(number, &Line::parse(bytes).map_err(ReplayRejection::new)?);
         Ok(())
     })
 }
 
-/// Amounts that can go below what was billed: use less what was corrected.
+/// Amounts less corrections; they can be below zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetUsage {
     /// Requests.
     pub requests: i128,
     /// Time in the worker pool, µs.
     pub pool_us: i128,
-    /// Bytes of bodies.
+    /// Bytes of requests' bodies.
     pub bytes_in: i128,
     /// Bytes of results.
     pub bytes_out: i128,
 }
 
 impl NetUsage {
-    /// Adds use.
+    /// Adds usage.
     pub fn add(&mut self, amount: &Amount) {
         self.requests += i128::from(amount.requests);
         self.pool_us += i128::from(amount.pool_us);
@@ -52,81 +54,105 @@
     }
 }
 
-/// What is added up by.
+/// What usage is added up by. The order of its fields is the order of totals.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageGroup {
-    /// The society.
+    /// The tenant's account.
     pub tenant: String,
     /// The period, by its first ms.
     pub period: u64,
-    /// The period it was used in, if that was closed before.
+    /// The period in which it was used, if that was closed before it was entered.
     pub original_period: Option<u64>,
-    /// The class.
+    /// The class, by name.
     pub class: String,
     /// The outcome.
     pub outcome: Outcome,
 }
 
-/// Adds up the usage in the lines that `walk` shows, in order and with their numbers, for periods that `which` picks.
-/// `take` is given each sum once, in order. About `cells` sums are held at a time, more only if one society alone has
-/// more.
+/// Adds up the usage in the lines that `show_lines` shows, in order and with their numbers, for the periods that
+/// `includes_period` accepts.
 ///
-/// `walk` is called once or more; it has to show the same each time.
+/// `on_total` is given each total once, in the order of groups. About `cells` totals are held at a time, more only if
+/// one tenant alone has more. `classes` are the names of classes before the first start line that is shown.
+/// `show_lines` is called once or more; it has to show the same each time.
 ///
 /// # Errors
-/// Of `walk`.
+/// Of `show_lines`.
 pub fn totals(
     classes: &[String],
     cells: usize,
-    mut walk: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
-    which: impl Fn(u64) -> bool,
-    mut take: impl FnMut(UsageGroup, NetUsage),
+    mut show_lines: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
+    includes_period: impl Fn(u64) -> bool,
+    mut on_total: impl FnMut(UsageGroup, NetUsage),
 ) -> Result<(), StoreError> {
-    let mut after: Option<String> = None;
+    let mut done_up_to: Option<String> = None;
     loop {
-        // The first societies in order of names, as many as fit: for one too many the last goes, and all behind it.
-        let mut sums: BTreeMap<UsageGroup, NetUsage> = BTreeMap::new();
-        let (mut before, mut names): (Option<String>, _) = (None, classes.to_vec());
-        walk(&mut |_, line| match &line.kind {
-            Some(LineKind::Start(start)) => names.clone_from(&start.classes),
-            Some(LineKind::Usage(usage)) if which(usage.period) => {
-                for entry in &usage.entries {
-                    let tenant = entry.tenant.as_str();
-                    let done = after.as_deref().is_some_and(|a| tenant <= a);
-                    if done || before.as_deref().is_some_and(|b| tenant >= b) {
-                        continue;
-                    }
-                    let sum = UsageGroup {
-                        tenant: entry.tenant.clone(),
-                        period: usage.period,
-                        original_period: usage.original_period,
-                        class: names.get(entry.class as usize).cloned().unwrap_or_default(),
-                        outcome: Outcome::try_from(entry.outcome).unwrap_or(Outcome::Unknown),
-                    };
-                    sums.entry(sum).or_default().add(&entry.amount);
-                    if sums.len() > cells {
-                        drop_last(&mut sums, &mut before);
-                    }
-                }
-            }
+        let mut pass = Pass::new(cells, done_up_to.as_deref());
+        let mut classes = classes.to_vec();
+        show_lines(&mut |_, line| match &line.kind {
+            Some(LineKind::Start(start)) => classes.clone_from(&start.classes),
+            Some(LineKind::Usage(usage)) if includes_period(usage.period) => pass.add(usage, &classes),
             _ => {}
         })?;
-        after = sums.last_key_value().map(|(sum, _)| sum.tenant.clone());
-        sums.into_iter().for_each(|(sum, net)| take(sum, net));
+        let Pass { totals, before, .. } = pass;
+        done_up_to = totals.last_key_value().map(|(group, _)| group.tenant.clone());
+        totals.into_iter().for_each(|(group, net)| on_total(group, net));
         if before.is_none() {
             return Ok(());
         }
     }
 }
 
-/// Takes out the last society, unless it is the only one.
-fn drop_last(sums: &mut BTreeMap<UsageGroup, NetUsage>, before: &mut Option<String>) {
-    let Some(last) = sums.last_key_value().map(|(sum, _)| sum.tenant.clone()) else { return };
-    if sums.first_key_value().is_some_and(|(first, _)| first.tenant == last) {
-        return;
+/// One reading of the lines: the totals of the first tenants that are not done, as many as fit.
+struct Pass<'a> {
+    cells: usize,
+    /// Tenants up to this name were added up in earlier passes.
+    done_up_to: Option<&'a str>,
+    /// Tenants from this name on do not fit in this pass; none if all fit.
+    before: Option<String>,
+    totals: BTreeMap<UsageGroup, NetUsage>,
+}
+
+impl<'a> Pass<'a> {
+    fn new(cells: usize, done_up_to: Option<&'a str>) -> Pass<'a> {
+        Pass { cells, done_up_to, before: None, totals: BTreeMap::new() }
+    }
+
+    fn includes(&self, tenant: &str) -> bool {
+        self.done_up_to.is_none_or(|done| tenant > done)
+            && self.before.as_deref().is_none_or(|before| tenant < before)
+    }
+
+    fn add(&mut self, usage: &Usage, classes: &[String]) {
+        for entry in &usage.entries {
+            if !self.includes(&entry.tenant) {
+                continue;
+            }
+            let group = UsageGroup {
+                tenant: entry.tenant.clone(),
+                period: usage.period,
+                original_period: usage.original_period,
+                class: classes.get(entry.class as usize).cloned().unwrap_or_default(),
+                outcome: Outcome::from_stored(entry.outcome),
+            };
+            self.totals.entry(group).or_default().add(&entry.amount);
+            if self.totals.len() > self.cells {
+                self.drop_last_tenant();
+            }
+        }
     }
-    while sums.last_key_value().is_some_and(|(sum, _)| sum.tenant == last) {
-        sums.pop_last();
+
+    /// Leaves the last tenant to a later pass, unless it is the only one.
+    fn drop_last_tenant(&mut self) {
+        let tenant_of =
+            |entry: Option<(&UsageGroup, &NetUsage)>| entry.map(|(group, _)| group.tenant.clone());
+        let Some(last) = tenant_of(self.totals.last_key_value()) else { return };
+        if tenant_of(self.totals.first_key_value()).as_ref() == Some(&last) {
+            return;
+        }
+        while self.totals.last_key_value().is_some_and(|(group, _)| group.tenant == last) {
+            self.totals.pop_last();
+        }
+        self.before = Some(last);
     }
-    *before = Some(last);
 }
--- a/crates/ledger/src/usage_table.rs
+++ b/crates/ledger/src/usage_table.rs
@@ -1,18 +1,24 @@
-//! Open aggregates: amounts by period, society, class and outcome, in bounded memory. Societies' names come from
-//! outside, so the hash is keyed by chance.
+//! Open aggregates: amounts by period, tenant, class and outcome, in bounded memory.
 //!
-//! Names lie once, one behind the other; cells say where. A cell is found by one hash of its whole key. `docs/measurements/ledger.md` has this against the
-//! maps of the standard library.
+//! Tenants' names come from outside, so the hash is keyed at random. Each name is stored once, in one string; a cell
+//! points to it, and is found by one hash of its whole key. `docs/measurements/ledger.md` compares this with the maps of
+//! the standard library.
 
-use crate::line::{Amount, Outcome};
+use crate::line::Amount;
+use crate::outcome::Outcome;
 use std::hash::{BuildHasher, Hasher, RandomState};
 
-/// A key as its owner sees it.
+/// The smallest number of slots; numbers of slots are powers of two.
+const MIN_SLOTS: usize = 16;
+/// Cells of a table at most.
+const MAX_CELLS: usize = 1 << 28;
+
+/// The key of an aggregate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageKey<'a> {
     /// The period, by its first ms.
     pub period: u64,
-    /// The society.
+    /// The tenant's account.
     pub tenant: &'a str,
     /// The class, by position.
     pub class: u16,
@@ -20,162 +26,164 @@
     pub outcome: Outcome,
 }
 
+/// An aggregate.
 #[derive(Clone, Copy)]
 struct Cell {
     period: u64,
-    name: Span,
+    tenant: NameSpan,
     class: u16,
     outcome: Outcome,
     amount: Amount,
 }
 
-/// Where a name lies.
+/// Where a name stands in the string of names, in bytes.
 #[derive(Clone, Copy)]
-struct Span {
-    at: u32,
+struct NameSpan {
+    offset: u32,
     len: u16,
 }
 
-/// The table.
+/// A slot of the index of cells.
+#[derive(Clone, Copy, Default)]
+struct CellSlot {
+    /// The position in `cells`, plus one; 0 is free.
+    cell_plus_one: u32,
+    /// The upper half of the cell's hash: the cell is looked at only if that matches.
+    hash_part: u32,
+}
+
+/// The table of open aggregates.
+///
+/// # Invariants
+/// Both indices use open addressing with linear probing and are at most three quarters full. A name is at most
+/// `u16::MAX` bytes long, and all names together at most `u32::MAX`.
 pub struct UsageTable {
-    chance: RandomState,
+    hash_key: RandomState,
     names: String,
-    spans: Vec<Span>,
-    /// Positions in `spans`, plus one; 0 is free. Open addressing, at most three quarters full.
+    name_spans: Vec<NameSpan>,
+    /// Positions in `name_spans`, plus one; 0 is free.
     name_slots: Vec<u32>,
     cells: Vec<Cell>,
-    /// Positions in `cells`, plus one, beside a part of the hash: a cell is looked at only if that fits.
-    cell_slots: Vec<(u32, u32)>,
-    most: usize,
+    cell_slots: Vec<CellSlot>,
+    max_cells: usize,
 }
 
 impl std::fmt::Debug for UsageTable {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Table of {} cells", self.cells.len())
+        write!(f, "UsageTable of {} cells", self.cells.len())
     }
 }
 
 impl UsageTable {
-    /// An empty one for at most that many cells.
-    pub fn new(most: usize) -> UsageTable {
+    /// Returns an empty table for at most that many cells.
+    pub fn new(max_cells: usize) -> UsageTable {
         UsageTable {
-            chance: RandomState::new(),
+            hash_key: RandomState::new(),
             names: String::new(),
-            spans: Vec::new(),
-            name_slots: vec![0; 16],
+            name_spans: Vec::new(),
+            name_slots: vec![0; MIN_SLOTS],
             cells: Vec::new(),
-            cell_slots: vec![(0, 0); 16],
-            most: most.clamp(1, 1 << 28),
+            cell_slots: vec![CellSlot::default(); MIN_SLOTS],
+            max_cells: max_cells.clamp(1, MAX_CELLS),
         }
     }
 
-    /// Adds to a cell; false, and nothing is added, if it would be a new one and the table is full.
+    /// Adds an amount to a cell. Returns false, and adds nothing, if that cell would be new and the table is full.
     pub fn add(&mut self, key: UsageKey<'_>, amount: &Amount) -> bool {
         let hash = self.cell_hash(&key);
-        if let Some(at) = self.find_cell(&key, hash) {
-            self.cells[at].amount.add(amount);
+        if let Some(cell) = self.find_cell(&key, hash) {
+            self.cells[cell].amount.add(amount);
             return true;
         }
-        if self.cells.len() >= self.most {
+        if self.cells.len() >= self.max_cells {
             return false;
         }
-        let name = self.name_of(key.tenant);
-        let UsageKey { period, class, outcome, .. } = key;
-        self.cells.push(Cell { period, name, class, outcome, amount: *amount });
-        if self.cells.len() * 4 > self.cell_slots.len() * 3 {
-            self.cell_slots = vec![(0, 0); self.cell_slots.len() * 2];
-            for at in 0..self.cells.len() {
-                let hash = self.cell_hash(&self.key(at));
-                self.place_cell(at, hash);
-            }
-        } else {
-            self.place_cell(self.cells.len() - 1, hash);
-        }
+        self.insert_cell(&key, hash, amount);
         true
     }
 
-    /// Cells.
+    /// Returns the cells.
     pub fn len(&self) -> usize {
         self.cells.len()
     }
 
-    /// No cells.
+    /// Returns whether there are no cells.
     pub fn is_empty(&self) -> bool {
         self.cells.is_empty()
     }
 
-    /// Bytes that it holds.
+    /// Returns the bytes allocated.
     pub fn bytes(&self) -> usize {
         self.names.capacity()
-            + self.spans.capacity() * size_of::<Span>()
+            + self.name_spans.capacity() * size_of::<NameSpan>()
             + self.name_slots.capacity() * size_of::<u32>()
-            + self.cell_slots.capacity() * size_of::<(u32, u32)>()
+            + self.cell_slots.capacity() * size_of::<CellSlot>()
             + self.cells.capacity() * size_of::<Cell>()
     }
 
-    /// All cells in the order of their keys; the table is empty afterwards and keeps no more memory than `keep` cells
-    /// need.
-    pub fn drain(&mut self, keep: usize, mut take: impl FnMut(UsageKey<'_>, &Amount)) {
+    /// Gives all cells in the order of their keys. The table is empty afterwards, and keeps no more memory than
+    /// `kept_cells` cells need.
+    pub fn drain(&mut self, kept_cells: usize, mut on_cell: impl FnMut(UsageKey<'_>, &Amount)) {
         let mut order: Vec<u32> = (0..self.cells.len() as u32).collect();
-        order.sort_unstable_by_key(|at| self.key(*at as usize));
-        for at in order {
-            take(self.key(at as usize), &self.cells[at as usize].amount);
+        order.sort_unstable_by_key(|cell| self.key(*cell as usize));
+        for cell in order {
+            on_cell(self.key(cell as usize), &self.cells[cell as usize].amount);
         }
         self.cells.clear();
-        self.spans.clear();
+        self.name_spans.clear();
         self.names.clear();
-        if self.cells.capacity() > keep.max(16) {
-            let most = self.most;
-            *self = UsageTable { chance: self.chance.clone(), ..UsageTable::new(most) };
+        if self.cells.capacity() > kept_cells.max(MIN_SLOTS) {
+            *self = UsageTable { hash_key: self.hash_key.clone(), ..UsageTable::new(self.max_cells) };
         } else {
             self.name_slots.fill(0);
-            self.cell_slots.fill((0, 0));
+            self.cell_slots.fill(CellSlot::default());
         }
     }
 
-    fn key(&self, at: usize) -> UsageKey<'_> {
-        let Cell { period, name, class, outcome, .. } = self.cells[at];
-        UsageKey { period, tenant: self.name(name), class, outcome }
+    fn key(&self, cell: usize) -> UsageKey<'_> {
+        let Cell { period, tenant, class, outcome, .. } = self.cells[cell];
+        UsageKey { period, tenant: self.name(tenant), class, outcome }
     }
 
-    fn name(&self, Span { at, len }: Span) -> &str {
-        &self.names[at as usize..at as usize + len as usize]
+    fn name(&self, span: NameSpan) -> &str {
+        let offset = span.offset as usize;
+        &self.names[offset..offset + span.len as usize]
     }
 
-    /// Where a name lies, put there if it is new.
-    fn name_of(&mut self, tenant: &str) -> Span {
+    /// Returns where a name stands, after adding it if it is new.
+    fn find_or_add_name(&mut self, name: &str) -> NameSpan {
         let mask = self.name_slots.len() - 1;
-        let mut slot = self.chance.hash_one(tenant) as usize & mask;
+        let mut slot = self.hash_key.hash_one(name) as usize & mask;
         while self.name_slots[slot] != 0 {
-            let span = self.spans[self.name_slots[slot] as usize - 1];
-            if self.name(span) == tenant {
+            let span = self.name_spans[self.name_slots[slot] as usize - 1];
+            if self.name(span) == name {
                 return span;
             }
             slot = (slot + 1) & mask;
         }
-        let span = Span { at: self.names.len() as u32, len: tenant.len() as u16 };
-        self.spans.push(span);
-        self.names.push_str(tenant);
-        if self.spans.len() * 4 > self.name_slots.len() * 3 {
+        let span = NameSpan { offset: self.names.len() as u32, len: name.len() as u16 };
+        self.name_spans.push(span);
+        self.names.push_str(name);
+        if self.name_spans.len() * 4 > self.name_slots.len() * 3 {
             self.name_slots = vec![0; self.name_slots.len() * 2];
-            (0..self.spans.len()).for_each(|name| self.place_name(name));
+            (0..self.name_spans.len()).for_each(|position| self.index_name(position));
         } else {
-            self.place_name(self.spans.len() - 1);
+            self.index_name(self.name_spans.len() - 1);
         }
         span
     }
 
-    fn place_name(&mut self, name: usize) {
+    fn index_name(&mut self, position: usize) {
         let mask = self.name_slots.len() - 1;
-        let mut slot = self.chance.hash_one(self.name(self.spans[name])) as usize & mask;
+        let mut slot = self.hash_key.hash_one(self.name(self.name_spans[position])) as usize & mask;
         while self.name_slots[slot] != 0 {
             slot = (slot + 1) & mask;
         }
-        self.name_slots[slot] = name as u32 + 1;
+        self.name_slots[slot] = position as u32 + 1;
     }
 
     fn cell_hash(&self, key: &UsageKey<'_>) -> u64 {
-        let mut hasher = self.chance.build_hasher();
+        let mut hasher = self.hash_key.build_hasher();
         hasher.write(key.tenant.as_bytes());
         hasher.write_u64(key.period << 24 ^ u64::from(key.class) << 8 ^ key.outcome as u64 ^ 1 << 63);
         hasher.finish()
@@ -185,22 +193,43 @@
         let mask = self.cell_slots.len() - 1;
         let mut slot = hash as usize & mask;
         loop {
-            match self.cell_slots[slot] {
-                (0, _) => return None,
-                (found, part) if part == (hash >> 32) as u32 && self.key(found as usize - 1) == *key => {
-                    return Some(found as usize - 1);
-                }
-                _ => slot = (slot + 1) & mask,
+            let CellSlot { cell_plus_one, hash_part } = self.cell_slots[slot];
+            if cell_plus_one == 0 {
+                return None;
+            }
+            let cell = cell_plus_one as usize - 1;
+            if hash_part == upper_half(hash) && self.key(cell) == *key {
+                return Some(cell);
             }
+            slot = (slot + 1) & mask;
         }
     }
 
-    fn place_cell(&mut self, at: usize, hash: u64) {
+    fn insert_cell(&mut self, key: &UsageKey<'_>, hash: u64, amount: &Amount) {
+        let tenant = self.find_or_add_name(key.tenant);
+        let UsageKey { period, class, outcome, .. } = *key;
+        self.cells.push(Cell { period, tenant, class, outcome, amount: *amount });
+        if self.cells.len() * 4 <= self.cell_slots.len() * 3 {
+            self.index_cell(self.cells.len() - 1, hash);
+            return;
+        }
+        self.cell_slots = vec![CellSlot::default(); self.cell_slots.len() * 2];
+        for cell in 0..self.cells.len() {
+            let hash = self.cell_hash(&self.key(cell));
+            self.index_cell(cell, hash);
+        }
+    }
+
+    fn index_cell(&mut self, cell: usize, hash: u64) {
         let mask = self.cell_slots.len() - 1;
         let mut slot = hash as usize & mask;
-        while self.cell_slots[slot].0 != 0 {
+        while self.cell_slots[slot].cell_plus_one != 0 {
             slot = (slot + 1) & mask;
         }
-        self.cell_slots[slot] = (at as u32 + 1, (hash >> 32) as u32);
+        self.cell_slots[slot] = CellSlot { cell_plus_one: cell as u32 + 1, hash_part: upper_half(hash) };
     }
 }
+
+fn upper_half(hash: u64) -> u32 {
+    (hash >> 32) as u32
+}
--- a/crates/ledger/tests/accumulator.rs
+++ b/crates/ledger/tests/accumulator.rs
@@ -3,7 +3,7 @@
 
 use dunlinspread_ledger::{
     AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineKind, Notice,
-    Outcome, ReplyDecision, UsageAccumulator, UsageRecord,
+    Outcome, RecoveredLedger, ReplyDecision, UsageAccumulator, UsageRecord,
 };
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -56,7 +56,7 @@
     fn new(settings: LedgerSettings) -> World {
         let (now, mut actions) = (10_000_050, Vec::new());
         let accumulator =
-            UsageAccumulator::start(now, settings.clone(), LedgerState::default(), 1, true, &mut actions);
+            UsageAccumulator::start(now, settings.clone(), RecoveredLedger::default(), &mut actions);
         let mut world = World {
             settings,
             store: Vec::new(),
@@ -113,7 +113,7 @@
         self.store.extend(self.pending.drain(..count));
         let mut actions = Vec::new();
         if count > 0 {
-            self.accumulator.durable(self.now, count, &mut actions);
+            self.accumulator.on_durable(self.now, count, &mut actions);
         }
         self.carry_out(actions);
     }
@@ -123,7 +123,7 @@
         self.pending.clear();
         if count > 0 {
             self.stopped = true;
-            self.accumulator.failed("no space", count, &mut actions);
+            self.accumulator.on_failed("no space", count, &mut actions);
         }
         self.carry_out(actions);
     }
@@ -147,12 +147,12 @@
         self.restart(false);
     }
 
-    fn restart(&mut self, clean: bool) {
+    fn restart(&mut self, closed_cleanly: bool) {
         let (state, mut actions) = (open(&self.store), Vec::new());
-        let next = self.store.len() as u64 + 1;
+        let next_line = self.store.len() as u64 + 1;
+        let recovered = RecoveredLedger { state, next_line, closed_cleanly };
         self.stopped = false;
-        self.accumulator =
-            UsageAccumulator::start(self.now, self.settings.clone(), state, next, clean, &mut actions);
+        self.accumulator = UsageAccumulator::start(self.now, self.settings.clone(), recovered, &mut actions);
         self.carry_out(actions);
     }
 
@@ -207,7 +207,7 @@
     for step in steps {
         match step {
             // While it refuses, only what it has already taken on comes to an end.
-            Step::Bill(s, c, o) if world.accumulator.serving() => world.bill(s, c, o),
+            Step::Bill(s, c, o) if world.accumulator.accepts_requests() => world.bill(s, c, o),
             Step::Bill(..) => {}
             Step::Sync(count) => world.sync(count),
             Step::Fail => world.fail(),
@@ -261,7 +261,7 @@
     #[test]
     fn serving_on_counts_what_it_can_not_bill(steps in steps(false), cells in 1usize..12) {
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Continue, cells));
-        play(&mut world, steps, |w| assert!(w.accumulator.serving()));
+        play(&mut world, steps, |w| assert!(w.accumulator.accepts_requests()));
         world.settle();
         let (billed, unbilled) = world.durable();
         prop_assert_eq!(billed + unbilled, world.billed);
@@ -374,13 +374,13 @@
         world.fail();
         let continues_on_failure = on_failure == FailurePolicy::Continue;
         assert_eq!(
-            (world.accumulator.serving(), world.out),
+            (world.accumulator.accepts_requests(), world.out),
             (continues_on_failure, u64::from(continues_on_failure))
         );
         // Room again: the same line is written, once.
         world.tick(10);
         world.sync(9);
-        assert!(world.accumulator.serving());
+        assert!(world.accumulator.accepts_requests());
         assert_eq!((world.durable(), world.out), ((1, 0), 1));
     }
 }
--- a/crates/ledger/tests/export_protocol_model.rs
+++ b/crates/ledger/tests/export_protocol_model.rs
@@ -116,7 +116,7 @@
         match step {
             Step::Prepare => {
                 w.sender_disk.1 = true;
-                w.sender.batch_prepared(digest(w.sender_disk.0 + 1));
+                w.sender.batch_prepared(digest(w.sender_disk.0 + 1)).expect("one batch at a time");
             }
             Step::Send => {
                 let SenderAction::Send(n) = w.sender.next() else { return None };
--- a/crates/ledger/tests/older_ledger.rs
+++ b/crates/ledger/tests/older_ledger.rs
@@ -282,7 +282,7 @@
             previous: &previous,
         };
         let lines = 1..whole.next;
-        let batch = batch::make(&plan, |show| read_lines(&whole.disk, "n1", lines.clone(), show));
+        let batch = batch::build(&plan, |show| read_lines(&whole.disk, "n1", lines.clone(), show));
         let (_, sum) = batch.expect("it reads").expect("a part").encode_with_digest();
         assert_eq!(hex(&sum), digest, "batch {number}");
         previous = sum.to_vec();
--- a/crates/ledger/tests/reconcile.rs
+++ b/crates/ledger/tests/reconcile.rs
@@ -83,12 +83,12 @@
     let by = |number| id("n1", number);
     let n2 = LineId { server: "n2".to_owned(), start: 2, number: 10 };
     for expected in [
-        Discrepancy::ClosedLateWhileAlive { by: by(10), span: (10_000, 20_000) },
+        Discrepancy::ClosedLateWhileListed { by: by(10), span: (10_000, 20_000) },
         Discrepancy::Unbilled { by: by(10), requests: 4, at_most: Some(9) },
         Discrepancy::SpansDoNotMeet { by: by(20), before_to: 20_000, from: 25_000 },
         Discrepancy::CorrectsUnknown { line: by(15), corrects: id("n9", 3) },
         Discrepancy::UsedWhileNotListed { by: n2, period: 30_000, requests: 5 },
-        Discrepancy::NewLedger { server: "n2".to_owned(), ledger_id: vec![2, 3] },
+        Discrepancy::NewLedger { server: "n2".to_owned(), ledger_ids: vec![2, 3] },
         Discrepancy::BelowZero { tenant: "x".to_owned(), period: 25_000, requests: -1 },
     ] {
         assert!(found.contains(&expected), "{expected:?} in {found:#?}");
--- a/crates/scale/src/probes/ledger.rs
+++ b/crates/scale/src/probes/ledger.rs
@@ -7,8 +7,8 @@
 use anyhow::{Result, ensure};
 use dunlinspread_ledger::batch::{Batch, UsageItem};
 use dunlinspread_ledger::{
-    AccountName, Action, Amount, Close, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Outcome,
-    UsageAccumulator, UsageKey, UsageRecord, UsageTable,
+    AccountName, Action, Amount, Close, DurabilityMode, FailurePolicy, LedgerSettings, Outcome,
+    RecoveredLedger, UsageAccumulator, UsageKey, UsageRecord, UsageTable,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -172,7 +172,7 @@
         };
         let mut actions = Vec::new();
         let accumulator =
-            UsageAccumulator::start(START_MS, settings, LedgerState::default(), 1, true, &mut actions);
+            UsageAccumulator::start(START_MS, settings, RecoveredLedger::default(), &mut actions);
         let names = names(tenants);
         let mut load = Load { accumulator, names, actions, now: START_MS, records: 0, commits: 0, bytes: 0 };
         load.store();
@@ -210,7 +210,7 @@
             }
             self.records += records;
             self.commits += 1;
-            self.accumulator.durable(self.now, records as usize, &mut self.actions);
+            self.accumulator.on_durable(self.now, records as usize, &mut self.actions);
         }
     }
 }
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -6,7 +6,7 @@
 use crate::server::messages::{Answer, Handle};
 use dunlinspread_ledger::{
     AccountName, Action, LedgerGauges, LedgerSettings, LedgerState, Line, LineKind, Notice, Outcome,
-    ReplyDecision, UsageAccumulator, UsageRecord,
+    RecoveredLedger, ReplyDecision, UsageAccumulator, UsageRecord,
 };
 use dunlinspread_store::{
     Log, Options, Progress, RealDisk, ReplayItem, ReplayRejection, WriteFailure, Writer, WriterGauges,
@@ -176,14 +176,9 @@
             records: RECORDS,
         };
         let mut actions = Vec::new();
-        let accumulator = UsageAccumulator::start(
-            now_ms,
-            settings,
-            store.opened.state,
-            store.next,
-            store.clean,
-            &mut actions,
-        );
+        let recovered =
+            RecoveredLedger { state: store.opened.state, next_line: store.next, closed_cleanly: store.clean };
+        let accumulator = UsageAccumulator::start(now_ms, settings, recovered, &mut actions);
         let broken = acknowledges_early();
         let interval = std::time::Duration::from_millis(if broken { 400 } else { 0 });
         let options = WriterOptions {
@@ -288,7 +283,7 @@
             Progress::Durable { through, .. } => {
                 let count = through - self.told;
                 self.told = through;
-                self.accumulator.durable(now_ms as u64, count as usize, &mut self.actions);
+                self.accumulator.on_durable(now_ms as u64, count as usize, &mut self.actions);
             }
             Progress::Failed { through, reason, generation, .. } => {
                 let count = through - self.told;
@@ -302,7 +297,7 @@
                     self.reported = true;
                     error!(self.log, "ledger: the disk failed; only a restart can tell what is there"; "why" => why.as_str());
                 }
-                self.accumulator.failed(&why, count as usize, &mut self.actions);
+                self.accumulator.on_failed(&why, count as usize, &mut self.actions);
             }
             Progress::Snapshot { before, failure: None } => {
                 info!(self.log, "ledger: old lines may go"; "before" => before);
@@ -316,7 +311,7 @@
 
     /// Enters a line for the clerk, which hears of it.
     pub fn enter(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
-        if !self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions) {
+        if self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions).is_err() {
             self.tell_clerk(ToClerk::Entered { tag, line: None });
         }
         self.carry_out();
@@ -331,7 +326,7 @@
 
     /// Closes all up to now before its time, or tells the thread that it can't be.
     pub fn close_early(&mut self, now_ms: f64, tag: u64) {
-        if !self.accumulator.close_early(now_ms as u64, &mut self.actions) {
+        if self.accumulator.close_early(now_ms as u64, &mut self.actions).is_err() {
             self.tell_clerk(ToClerk::Entered { tag, line: None });
         }
         self.carry_out();
@@ -344,7 +339,7 @@
 
     /// Whether new requests may be taken on.
     pub fn serving(&self) -> bool {
-        self.accumulator.serving()
+        self.accumulator.accepts_requests()
     }
 
     /// The figures now.
--- a/src/server/usage/digest_exchange.rs
+++ b/src/server/usage/digest_exchange.rs
@@ -37,12 +37,12 @@
 
     /// This server made a batch, durably.
     pub fn made(&self, batch: u64, digest: &[u8], span: (u64, u64)) {
-        let unlike = self.witness().made(batch, digest, span.0, span.1);
+        let unlike = self.witness().add_own_batch(batch, digest, span.0..span.1);
         unlike.iter().for_each(|u| self.say(u));
     }
 
     fn hear(&self, claims: &DigestClaims) {
-        let unlike = self.witness().hear(claims);
+        let unlike = self.witness().add_claims(claims);
         unlike.iter().for_each(|u| self.say(u));
     }
 
@@ -113,7 +113,7 @@
     }
 
     fn put(&self, stream: &mut TcpStream) -> io::Result<()> {
-        let bytes = self.witness().tell().encode_to_vec();
+        let bytes = self.witness().claims().encode_to_vec();
         let mut out = MAGIC.to_vec();
         out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
         out.extend_from_slice(&bytes);
--- a/src/server/usage/export_worker.rs
+++ b/src/server/usage/export_worker.rs
@@ -411,7 +411,7 @@
             acknowledged: false,
         };
         self.enter(LineKind::Export(line.clone()))?;
-        self.sender.batch_prepared(digest);
+        self.sender.batch_prepared(digest).map_err(later)?;
         self.prepared = Some(line);
         self.bear_witness(&batch, &digest);
         Ok(true)
@@ -454,7 +454,7 @@
             number,
             previous: &self.digest,
         };
-        let made = batch::make(&making, |show| self.walk(show)).map_err(later)?;
+        let made = batch::build(&making, |show| self.walk(show)).map_err(later)?;
         made.ok_or_else(|| later("the close has no such part"))
     }
 
