--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -3,7 +3,7 @@
 //! go that the book holds.
 
 use crate::operator::LedgerConfig;
-use crate::server::messages::{Answer, Handle};
+use crate::server::messages::{ReplyHandle, Response};
 use dunlinspread_ledger::{
     AccountName, Action, LedgerGauges, LedgerSettings, LedgerState, Line, LineKind, Notice, Outcome,
     RecoveredLedger, ReplyDecision, UsageAccumulator, UsageRecord,
@@ -101,8 +101,8 @@
     /// The last ticket whose fate was told.
     told: u64,
     generation: u64,
-    held: VecDeque<(u64, Handle, Answer)>,
-    free: Vec<(Handle, Answer)>,
+    held: VecDeque<(u64, ReplyHandle, Response)>,
+    free: Vec<(ReplyHandle, Response)>,
     actions: Vec<Action>,
     clerk: Option<std::sync::mpsc::Sender<ToClerk>>,
     log: Logger,
@@ -221,9 +221,9 @@
         now_ms: f64,
         account: Option<&Rc<str>>,
         used: &Used,
-        to: Handle,
-        answer: Answer,
-    ) -> Option<(Handle, Answer)> {
+        to: ReplyHandle,
+        answer: Response,
+    ) -> Option<(ReplyHandle, Response)> {
         match self.enter_use(now_ms, account, used, 1) {
             ReplyDecision::SendNow => Some((to, answer)),
             ReplyDecision::HoldUntil(mark) => {
@@ -333,7 +333,7 @@
     }
 
     /// The answers that may leave now.
-    pub fn free(&mut self) -> std::vec::Drain<'_, (Handle, Answer)> {
+    pub fn free(&mut self) -> std::vec::Drain<'_, (ReplyHandle, Response)> {
         self.free.drain(..)
     }
 
--- a/src/server/usage/export_worker.rs
+++ b/src/server/usage/export_worker.rs
@@ -9,7 +9,7 @@
 use crate::codec::http;
 use crate::operator::ExportTarget;
 use crate::server::usage::billing::{FromLedger, Opened, ToClerk};
-use async_channel::Sender as ToCore;
+use async_channel::Sender as DispatcherMessage;
 use dunlinspread_ledger::batch::{self, BatchPlan, hex};
 use dunlinspread_ledger::export_protocol::{CollectorReply, ExportSender, SenderAction};
 use dunlinspread_ledger::operator_request::{self, OperatorRequest, RequestFile};
@@ -62,7 +62,7 @@
     /// The core's words.
     pub inbox: Receiver<ToClerk>,
     /// To the core.
-    pub core: ToCore<FromLedger>,
+    pub core: DispatcherMessage<FromLedger>,
     /// The log.
     pub log: Logger,
 }
