--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -3,10 +3,10 @@
 //! go that the book holds.
 
 use crate::operator::LedgerConfig;
-use crate::server::messages::{Answer, Handle};
+use crate::server::messages::{ReplyHandle, Response};
 use dunlinspread_ledger::{
     AccountName, Action, LedgerGauges, LedgerSettings, LedgerState, Line, LineKind, Notice, Outcome,
-    ReplyDecision, UsageAccumulator, UsageRecord,
+    RecoveredLedger, ReplyDecision, UsageAccumulator, UsageRecord,
 };
 use dunlinspread_store::{
     Log, Options, Progress, RealDisk, ReplayItem, ReplayRejection, WriteFailure, Writer, WriterGauges,
@@ -101,8 +101,8 @@
     /// The last ticket whose fate was told.
     told: u64,
     generation: u64,
-    held: VecDeque<(u64, Handle, Answer)>,
-    free: Vec<(Handle, Answer)>,
+    held: VecDeque<(u64, ReplyHandle, Response)>,
+    free: Vec<(ReplyHandle, Response)>,
     actions: Vec<Action>,
     clerk: Option<std::sync::mpsc::Sender<ToClerk>>,
     log: Logger,
@@ -176,14 +176,9 @@
             records: RECORDS,
         };
         let mut actions = Vec::new();
-        let accumulator = UsageAccumulator::start(
-            now_ms,
-            settings,
-            store.opened.state,
-            store.next,
-            store.clean,
-            &mut actions,
-        );
+        let recovered =
+            RecoveredLedger { state: store.opened.state, next_line: store.next, closed_cleanly: store.clean };
+        let accumulator = UsageAccumulator::start(now_ms, settings, recovered, &mut actions);
         let broken = acknowledges_early();
         let interval = std::time::Duration::from_millis(if broken { 400 } else { 0 });
         let options = WriterOptions {
@@ -226,9 +221,9 @@
         now_ms: f64,
         account: Option<&Rc<str>>,
         used: &Used,
-        to: Handle,
-        answer: Answer,
-    ) -> Option<(Handle, Answer)> {
+        to: ReplyHandle,
+        answer: Response,
+    ) -> Option<(ReplyHandle, Response)> {
         match self.enter_use(now_ms, account, used, 1) {
             ReplyDecision::SendNow => Some((to, answer)),
             ReplyDecision::HoldUntil(mark) => {
@@ -288,7 +283,7 @@
             Progress::Durable { through, .. } => {
                 let count = through - self.told;
                 self.told = through;
-                self.accumulator.durable(now_ms as u64, count as usize, &mut self.actions);
+                self.accumulator.on_durable(now_ms as u64, count as usize, &mut self.actions);
             }
             Progress::Failed { through, reason, generation, .. } => {
                 let count = through - self.told;
@@ -302,7 +297,7 @@
                     self.reported = true;
                     error!(self.log, "ledger: the disk failed; only a restart can tell what is there"; "why" => why.as_str());
                 }
-                self.accumulator.failed(&why, count as usize, &mut self.actions);
+                self.accumulator.on_failed(&why, count as usize, &mut self.actions);
             }
             Progress::Snapshot { before, failure: None } => {
                 info!(self.log, "ledger: old lines may go"; "before" => before);
@@ -316,7 +311,7 @@
 
     /// Enters a line for the clerk, which hears of it.
     pub fn enter(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
-        if !self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions) {
+        if self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions).is_err() {
             self.tell_clerk(ToClerk::Entered { tag, line: None });
         }
         self.carry_out();
@@ -331,20 +326,20 @@
 
     /// Closes all up to now before its time, or tells the thread that it can't be.
     pub fn close_early(&mut self, now_ms: f64, tag: u64) {
-        if !self.accumulator.close_early(now_ms as u64, &mut self.actions) {
+        if self.accumulator.close_early(now_ms as u64, &mut self.actions).is_err() {
             self.tell_clerk(ToClerk::Entered { tag, line: None });
         }
         self.carry_out();
     }
 
     /// The answers that may leave now.
-    pub fn free(&mut self) -> std::vec::Drain<'_, (Handle, Answer)> {
+    pub fn free(&mut self) -> std::vec::Drain<'_, (ReplyHandle, Response)> {
         self.free.drain(..)
     }
 
     /// Whether new requests may be taken on.
     pub fn serving(&self) -> bool {
-        self.accumulator.serving()
+        self.accumulator.accepts_requests()
     }
 
     /// The figures now.
--- a/src/server/usage/export_worker.rs
+++ b/src/server/usage/export_worker.rs
@@ -9,7 +9,7 @@
 use crate::codec::http;
 use crate::operator::ExportTarget;
 use crate::server::usage::billing::{FromLedger, Opened, ToClerk};
-use async_channel::Sender as ToCore;
+use async_channel::Sender as DispatcherMessage;
 use dunlinspread_ledger::batch::{self, BatchPlan, hex};
 use dunlinspread_ledger::export_protocol::{CollectorReply, ExportSender, SenderAction};
 use dunlinspread_ledger::operator_request::{self, OperatorRequest, RequestFile};
@@ -62,7 +62,7 @@
     /// The core's words.
     pub inbox: Receiver<ToClerk>,
     /// To the core.
-    pub core: ToCore<FromLedger>,
+    pub core: DispatcherMessage<FromLedger>,
     /// The log.
     pub log: Logger,
 }
@@ -411,7 +411,7 @@
             acknowledged: false,
         };
         self.enter(LineKind::Export(line.clone()))?;
-        self.sender.batch_prepared(digest);
+        self.sender.batch_prepared(digest).map_err(later)?;
         self.prepared = Some(line);
         self.bear_witness(&batch, &digest);
         Ok(true)
@@ -454,7 +454,7 @@
             number,
             previous: &self.digest,
         };
-        let made = batch::make(&making, |show| self.walk(show)).map_err(later)?;
+        let made = batch::build(&making, |show| self.walk(show)).map_err(later)?;
         made.ok_or_else(|| later("the close has no such part"))
     }
 
