--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -279,7 +279,7 @@
             Proxies::start(&site, vec![running.address], load, Habits::default()).expect("proxies").finish()
         };
         let mut tallies = Vec::new();
-        let full = || running.log.lock().expect("whole").iter().any(|l| l.contains("lines can't be written"));
+        let full = || running.log.lock().expect("whole").iter().any(|l| l.contains("lines cannot be written"));
         while !full() {
             assert!(tallies.len() < 30, "the disk is never full");
             tallies.push(send(tallies.len() as u64));
@@ -293,7 +293,7 @@
         let lifted =
             Command::new("prlimit").args(["--pid", &pid, "--fsize=unlimited:"]).status().expect("prlimit");
         assert!(lifted.success());
-        running.logged("lines are written again");
+        running.logged("writing of lines recovered");
         assert!(is_well(running.address));
         tallies.push(send(100));
         assert!(Command::new("kill").args(["-s", "TERM", &pid]).status().expect("kill").success());
@@ -337,7 +337,7 @@
         &place("n2"),
         "period = \"1h\"\n  peers {\n    listen = \"127.0.0.1:0\"\n  }",
     );
-    let peer = other.logged("answers other servers")["peers_at"].as_str().expect("an address").to_owned();
+    let peer = other.logged("digest exchange listening")["address"].as_str().expect("an address").to_owned();
     let settings = format!(
         "period = \"300ms\"\n  grace = \"0s\"\n  peers {{\n    ask = [\"{peer}\"]\n    every = \"100ms\"\n  }}"
     );
@@ -350,7 +350,7 @@
     };
     let folder = place("n1");
     let running = start(&site, &folder, &settings);
-    running.logged("a batch is exported");
+    running.logged("batch exported");
     end(running);
     let copy = |from: &Path, to: &Path| {
         std::fs::create_dir_all(to).expect("a folder");
@@ -362,7 +362,7 @@
     let known = heard_of(&peer);
     // It makes further batches, which the other hears of.
     let running = start(&site, &folder, &settings);
-    running.logged("a batch is exported");
+    running.logged("batch exported");
     // Until the other knows of a batch that the copy does not.
     while heard_of(&peer) <= known {
         std::thread::sleep(Duration::from_millis(20));
@@ -371,13 +371,15 @@
     std::fs::remove_dir_all(folder.join("ledger")).expect("removed");
     copy(&folder.join("copy"), &folder.join("ledger"));
     let running = start(&site, &folder, &settings);
-    let said = running.logged("servers disagree about exports");
+    let said = running.logged("export digest mismatch");
     assert!(
-        said["what"].as_str().is_some_and(|w| w.contains("n2 knows batch") || w.contains("of n1 has one")),
+        said["mismatch"]
+            .as_str()
+            .is_some_and(|w| w.contains("n2 knows batch") || w.contains("of n1 has one")),
         "{said}"
     );
     // The collector notices as well, by its watermark or the content.
-    running.logged("ALARM");
+    running.logged("exports stopped");
 }
 
 #[test]
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -1,102 +1,147 @@
-//! The ledger's start and end in the process. It must never let serving begin before the ledger is open, nor end before it
-//! is closed.
+//! Start and shutdown of the usage ledger in the process.
+//!
+//! Serving begins only after the ledger is open, and the process ends only after it is closed.
 
 use crate::config::Config;
 use crate::operator::LedgerConfig;
-use crate::server::messages::DispatcherMessage;
+use crate::server::messages::{DispatcherMessage, ExportWorkerMessage, UsageMessage};
 use crate::server::supervisor;
 use crate::server::timer_wheel::Clock;
-use crate::server::usage::billing::{Billing, FromLedger, Store};
-use crate::server::usage::digest_exchange::Shared as Witness;
-use crate::server::usage::export_worker::Clerk;
+use crate::server::usage::{
+    Billing, BillingOptions, DigestExchange, ExportWorker, ExportWorkerOptions, OpenedLedger, UsageError,
+    UsageStore,
+};
+use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use slog::{Logger, info, warn};
+use slog::{Logger, info, o, warn};
+use std::panic::AssertUnwindSafe;
 
-/// Messages of the ledger's threads that wait for the core.
-const FROM_THREADS: usize = 1024;
+/// Messages of the ledger's threads that wait for the dispatcher at most.
+const MAX_WAITING_MESSAGES: usize = 1024;
 
-/// Opens the ledger, which waits for the disk, and starts its threads. Nothing is served before: an answer that can't be
-/// billed may not be given.
-pub fn open(
-    settings: &LedgerConfig,
-    config: &Config,
-    clock: Clock,
-    core: async_channel::Sender<DispatcherMessage>,
-    executor: &LocalExecutor<'static>,
-    log: &Logger,
-    dead: async_channel::Sender<String>,
-) -> Result<Billing, String> {
-    let now_ms = clock.now() as u64;
-    let store = Store::open(settings, &config.name, now_ms, log)?;
-    let opened = store.opened.clone();
-    let (from_threads, heard) = async_channel::bounded(FROM_THREADS);
-    let progress = from_threads.clone();
-    let mut billing = Billing::start(
-        store,
-        settings,
-        &config.classes,
-        config.bounds.ledger_cells,
-        now_ms,
-        // This thread may wait for the core; the core never waits for it.
-        move |told| drop(progress.send_blocking(FromLedger::Progress(told))),
-        log.clone(),
-    )?;
-    let forwarding = async move {
-        while let Ok(from) = heard.recv().await {
-            if core.send(DispatcherMessage::Usage(Box::new(from))).await.is_err() {
-                return;
+/// What the ledger needs of the process.
+pub struct LedgerStart<'a> {
+    /// The block `ledger` of the operator file.
+    pub ledger_config: &'a LedgerConfig,
+    /// The platform's configuration.
+    pub config: &'a Config,
+    /// The clock.
+    pub clock: Clock,
+    /// The dispatcher's mailbox.
+    pub dispatcher: Sender<DispatcherMessage>,
+    /// Where the death of a thread is told.
+    pub deaths: Sender<String>,
+    /// The log.
+    pub log: &'a Logger,
+}
+
+impl LedgerStart<'_> {
+    /// Opens the ledger, which waits for the disk, and starts its threads. Nothing is served before: a reply that can't
+    /// be billed may not be sent.
+    ///
+    /// # Errors
+    /// If the store can't be opened, a thread can't be started, or the peers' address can't be listened on.
+    pub fn open(self, executor: &LocalExecutor<'static>) -> Result<Billing, UsageError> {
+        let log = component_log(self.log);
+        let now_ms = self.clock.now() as u64;
+        let store = UsageStore::open(self.ledger_config, &self.config.name, now_ms, &log)?;
+        let opened = store.opened.clone();
+        let (to_dispatcher, from_threads) = async_channel::bounded(MAX_WAITING_MESSAGES);
+        let progress = to_dispatcher.clone();
+        let options = BillingOptions {
+            config: self.ledger_config,
+            classes: &self.config.classes,
+            max_aggregates: self.config.bounds.ledger_cells,
+            now_ms,
+        };
+        // The store's thread may wait for the dispatcher; the dispatcher never waits for it.
+        let on_progress = move |told| drop(progress.send_blocking(UsageMessage::StoreProgress(told)));
+        let mut billing = Billing::start(store, &options, on_progress, log.clone())?;
+        executor.spawn(forward_messages(from_threads, self.dispatcher.clone())).detach();
+        let (to_worker, messages) = std::sync::mpsc::channel();
+        billing.set_export_worker(to_worker);
+        self.start_export_worker(billing.ledger_id(), opened, messages, to_dispatcher, log)?;
+        Ok(billing)
+    }
+
+    /// Starts the export worker, and the digest exchange where peers are configured.
+    fn start_export_worker(
+        self,
+        ledger_id: u64,
+        opened: OpenedLedger,
+        messages: std::sync::mpsc::Receiver<ExportWorkerMessage>,
+        dispatcher: Sender<UsageMessage>,
+        log: Logger,
+    ) -> Result<(), UsageError> {
+        let server = self.config.name.clone();
+        let digest_exchange = match &self.ledger_config.peers {
+            Some(peers) => {
+                let last_own_batch = opened.state.last_batch;
+                let exchange = DigestExchange::new(&server, ledger_id, last_own_batch, log.clone());
+                exchange.start(peers)?;
+                Some(exchange)
             }
+            None => None,
+        };
+        let options = ExportWorkerOptions {
+            server,
+            directory: self.ledger_config.directory.clone(),
+            target: self.ledger_config.export.clone(),
+            batch_lines: self.ledger_config.batch_lines,
+            keep_ms: self.ledger_config.keep_ms,
+            cells: self.config.bounds.ledger_cells,
+            ledger_id,
+            opened,
+            digest_exchange,
+            messages,
+            dispatcher,
+            log,
+        };
+        spawn_export_worker(options, self.deaths)
+    }
+}
+
+/// Starts the export worker's thread.
+///
+/// It is not waited for at the end: a collector that does not answer must not hold that up, and what is under way is
+/// exported at the next start. The worker logs itself what it can't go on for, and serving goes on then; a panic ends
+/// the program.
+fn spawn_export_worker(options: ExportWorkerOptions, deaths: Sender<String>) -> Result<(), UsageError> {
+    let work = move || {
+        let run = AssertUnwindSafe(|| ExportWorker::run(options));
+        if let Err(panic) = std::panic::catch_unwind(run) {
+            let how = Err(supervisor::panic_text(&*panic));
+            let _ = deaths.send_blocking(supervisor::obituary("export worker", how));
         }
     };
-    executor.spawn(forwarding).detach();
-    let (tell, inbox) = std::sync::mpsc::channel();
-    billing.clerk_is(tell);
-    let witness = match &settings.peers {
-        Some(peers) => {
-            let shared =
-                Witness::new(&config.name, billing.ledger_id(), opened.state.last_batch, log.clone());
-            shared.start(peers)?;
-            Some(shared)
-        }
-        None => None,
-    };
-    let clerk = Clerk {
-        ledger_id: billing.ledger_id(),
-        witness,
-        server: config.name.clone(),
-        directory: settings.directory.clone(),
-        to: settings.export.clone(),
-        batch_lines: settings.batch_lines,
-        keep_ms: settings.keep_ms,
-        cells: config.bounds.ledger_cells,
-        opened,
-        inbox,
-        core: from_threads,
-        log: log.clone(),
-    };
-    // It is left to itself at the end: a collector that does not answer must not hold that up, and what is under way goes
-    // out at the next start.
-    // It says itself what it can't go on for, and serving goes on then; a panic is a fault of ours.
-    let clerk = move || {
-        if let Err(panic) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| clerk.run())) {
-            let _ = dead.send_blocking(supervisor::obituary("clerk", Err(supervisor::panic_text(&*panic))));
+    let spawned = std::thread::Builder::new().name("export-worker".to_owned()).spawn(work);
+    spawned.map(drop).map_err(UsageError::Thread)
+}
+
+/// Passes the messages of the ledger's threads on to the dispatcher.
+async fn forward_messages(from_threads: Receiver<UsageMessage>, dispatcher: Sender<DispatcherMessage>) {
+    while let Ok(message) = from_threads.recv().await {
+        if dispatcher.send(DispatcherMessage::Usage(Box::new(message))).await.is_err() {
+            return;
         }
-    };
-    let spawned = std::thread::Builder::new().name("clerk".to_owned()).spawn(clerk);
-    spawned.map_err(|e| format!("ledger: {e}"))?;
-    Ok(billing)
+    }
 }
 
-/// Writes what waits and closes the store in good order. All is answered by now, so this may wait for the disk.
-pub async fn close(core: &async_channel::Sender<DispatcherMessage>, log: &Logger) {
-    let (to, writer) = async_channel::bounded(1);
-    if core.send(DispatcherMessage::CloseUsage(to)).await.is_err() {
+/// Writes what waits and closes the store cleanly. All replies are sent by now, so this may wait for the disk.
+pub async fn close(dispatcher: &Sender<DispatcherMessage>, log: &Logger) {
+    let log = component_log(log);
+    let (to_closer, closer) = async_channel::bounded(1);
+    if dispatcher.send(DispatcherMessage::CloseUsage(to_closer)).await.is_err() {
         return;
     }
-    if let Ok(writer) = writer.recv().await {
+    if let Ok(writer) = closer.recv().await {
         match writer.close() {
-            Ok(()) => info!(log, "ledger is closed"),
-            Err(e) => warn!(log, "ledger could not be closed in good order"; "why" => e.to_string()),
+            Ok(()) => info!(log, "ledger closed"),
+            Err(error) => warn!(log, "ledger not closed cleanly"; "error" => error.to_string()),
         }
     }
 }
+
+fn component_log(log: &Logger) -> Logger {
+    log.new(o!("component" => "ledger"))
+}
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -266,7 +266,15 @@
     let (own, exe) = (core_box.clone(), executor.clone());
     let mut core = Dispatcher::new(&config, clock, wheel.clone(), exe, own, peers, log.clone());
     if let Some(settings) = &links.operator.ledger {
-        let ledger = ledger::open(settings, &config, clock, core_box.clone(), &executor, &log, dead.clone())?;
+        let start = ledger::LedgerStart {
+            ledger_config: settings,
+            config: &config,
+            clock,
+            dispatcher: core_box.clone(),
+            deaths: dead.clone(),
+            log: &log,
+        };
+        let ledger = start.open(&executor).map_err(|error| error.to_string())?;
         let tick_ms = match settings.mode {
             DurabilityMode::Strict => LEDGER_TICK_MS,
             DurabilityMode::Interval { every_ms, .. } => LEDGER_TICK_MS.min(every_ms as f64),
--- a/src/server/dispatcher/billing.rs
+++ b/src/server/dispatcher/billing.rs
@@ -19,7 +19,8 @@
             Response::Failed | Response::Invalid | Response::Health(_) => (Billed::Failed, 0),
         };
         request.billed = Some(outcome);
-        let used = Used { class: request.class, outcome, pool_ms, bytes_in: request.body.len(), bytes_out };
+        let used =
+            RequestUsage { class: request.class, outcome, pool_ms, bytes_in: request.body.len(), bytes_out };
         let account = request.account.clone();
         self.bill(account.as_ref(), &used, handle, answer);
     }
@@ -28,7 +29,7 @@
     pub(super) fn bill(
         &mut self,
         account: Option<&Rc<str>>,
-        used: &Used,
+        used: &RequestUsage,
         handle: ReplyHandle,
         answer: Response,
     ) {
@@ -49,26 +50,26 @@
         let outcome = if withdrawn { Billed::Cancelled } else { request.billed.unwrap_or(Billed::Cancelled) };
         request.billed = Some(outcome);
         let bytes_in = if withdrawn { request.body.len() } else { 0 };
-        let used = Used { class: request.class, outcome, pool_ms, bytes_in, bytes_out: 0 };
-        ledger.bill_silent(now, request.account.as_ref(), &used, u64::from(withdrawn));
+        let used = RequestUsage { class: request.class, outcome, pool_ms, bytes_in, bytes_out: 0 };
+        ledger.bill_without_reply(now, request.account.as_ref(), &used, u64::from(withdrawn));
     }
 
-    pub(super) fn on_ledger(&mut self, from: FromLedger) {
+    pub(super) fn on_ledger(&mut self, message: UsageMessage) {
         let now = self.clock.now();
-        self.with_ledger(|ledger| match from {
-            FromLedger::Progress(progress) => ledger.progress(now, progress),
-            FromLedger::Enter { kind, tag } => ledger.enter(now, kind, tag),
-            FromLedger::Forget { before, sum } => ledger.forget(before, sum),
-            FromLedger::Close { tag } => ledger.close_early(now, tag),
+        self.with_ledger(|ledger| match message {
+            UsageMessage::StoreProgress(progress) => ledger.on_store_progress(now, progress),
+            UsageMessage::AppendEntry { kind, tag } => ledger.append_entry(now, kind, tag),
+            UsageMessage::ReleaseLines { before, state } => ledger.release_lines(before, state),
+            UsageMessage::ClosePeriods { tag } => ledger.close_periods(now, tag),
         });
     }
 
     /// Does something with the ledger; health follows if it no longer takes lines, or does again.
     pub(super) fn with_ledger(&mut self, act: impl FnOnce(&mut Billing)) {
         let Some(ledger) = &mut self.ledger else { return };
-        let before = ledger.serving();
+        let before = ledger.accepts_requests();
         act(ledger);
-        if ledger.serving() != before {
+        if ledger.accepts_requests() != before {
             let health = self.health();
             let _ = self.peers.catalog.try_send(RegistryMessage::SetHealth(health));
         }
@@ -78,8 +79,8 @@
     /// leaves.
     pub(super) fn turn_ledger(&mut self) {
         let (now, Some(ledger)) = (self.clock.now(), &mut self.ledger) else { return };
-        ledger.turn(now);
-        let free: Vec<(ReplyHandle, Response)> = ledger.free().collect();
+        ledger.flush_if_due(now);
+        let free: Vec<(ReplyHandle, Response)> = ledger.take_ready_replies().collect();
         for (handle, answer) in free {
             self.send(handle, answer);
         }
--- a/src/server/dispatcher/events.rs
+++ b/src/server/dispatcher/events.rs
@@ -31,7 +31,7 @@
         let print = key.as_ref().map_or(0, |_| self.prints.hash_one(&body));
         let room = key.as_ref().is_none_or(|k| self.keys.has_room(k));
         let full = self.requests.len() >= self.bounds.requests || !room;
-        let billable = self.ledger.as_ref().is_none_or(|l| l.serving());
+        let billable = self.ledger.as_ref().is_none_or(|l| l.accepts_requests());
         if full || !billable {
             let again = if billable || !self.set.retry_after { 0.0 } else { UNBILLED_RETRY_MS };
             let retry_after_ms = again.min(self.set.max_retry_after_ms);
@@ -41,7 +41,7 @@
                 true => (Billed::Failed, Response::Failed),
                 false => (Billed::Rejected, Response::Rejected { retry_after_ms, do_not_retry: false }),
             };
-            let used = Used { class, outcome, pool_ms: 0.0, bytes_in: body.len(), bytes_out: 0 };
+            let used = RequestUsage { class, outcome, pool_ms: 0.0, bytes_in: body.len(), bytes_out: 0 };
             return self.bill(account.as_ref(), &used, handle, answer);
         }
         let prior = match key.as_ref().map(|k| self.keys.arrive(k, class, print, id, reached)) {
@@ -52,8 +52,13 @@
             Some(Known::OtherBody) => return self.send(handle, Response::Invalid),
             // It came in the window of a run and was read long after: it may not run, and that run's result is gone.
             Some(Known::Covered) => {
-                let used =
-                    Used { class, outcome: Billed::Failed, pool_ms: 0.0, bytes_in: body.len(), bytes_out: 0 };
+                let used = RequestUsage {
+                    class,
+                    outcome: Billed::Failed,
+                    pool_ms: 0.0,
+                    bytes_in: body.len(),
+                    bytes_out: 0,
+                };
                 return self.bill(account.as_ref(), &used, handle, Response::Failed);
             }
         };
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -12,7 +12,7 @@
 use crate::config::{Bounds, Config};
 use crate::server::messages::*;
 use crate::server::timer_wheel::{Clock, TimerWheel};
-use crate::server::usage::billing::{Billing, FromLedger, Used};
+use crate::server::usage::{Billing, RequestUsage};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use dunlinspread_idempotency::{Bounds as KeyBounds, Ending, Known, Reuse, Span, Table};
@@ -215,7 +215,7 @@
                 let now = self.clock.now();
                 if let Some(ledger) = self.ledger.take() {
                     // Whoever asked waits for it.
-                    let _ = to.try_send(ledger.end(now));
+                    let _ = to.try_send(ledger.shut_down(now));
                 }
             }
         }
@@ -280,7 +280,7 @@
     }
 
     fn health(&self) -> bool {
-        self.healthy && self.ledger.as_ref().is_none_or(|l| l.serving())
+        self.healthy && self.ledger.as_ref().is_none_or(|l| l.accepts_requests())
     }
 
     /// A call for a request that is over is of no use: what lies below hears so.
--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -1,9 +1,9 @@
 //! Messages to the dispatcher.
 
 use super::connection::ReplyHandle;
+use super::usage::UsageMessage;
 use super::worker_pool::PoolEvent;
 use crate::admission::{Outcome, Reconfiguration, RequestId};
-use crate::server::usage::billing::FromLedger;
 use async_channel::Sender;
 use dunlinspread_store::Writer;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
     /// Time to sweep.
     SweepKeys,
     /// From the ledger's threads.
-    Usage(Box<FromLedger>),
+    Usage(Box<UsageMessage>),
     /// Time passes for the ledger.
     UsageTick,
     /// The program ends: give up the ledger's writer, if there is one.
--- a/src/server/messages/mod.rs
+++ b/src/server/messages/mod.rs
@@ -5,14 +5,18 @@
 
 mod connection;
 mod dispatcher;
+mod export_worker;
 mod listener;
 mod registry;
 mod upstream;
+mod usage;
 mod worker_pool;
 
 pub use connection::{ConnectionMessage, ReplyHandle, Response};
 pub use dispatcher::{DispatcherMessage, IncomingRequest, Reconfigured};
+pub use export_worker::{EntryLine, ExportWorkerMessage};
 pub use listener::ListenerMessage;
 pub use registry::RegistryMessage;
 pub use upstream::{UpstreamCall, UpstreamMessage};
+pub use usage::UsageMessage;
 pub use worker_pool::{LinkCommand, PoolCommand, PoolEvent, RunOutcome, WorkerPoolMessage};
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -1,428 +1,385 @@
-//! Billing of final answers: the ledger's book on the serving thread, its store on a thread of its own. Answers that may
-//! not leave yet wait here. It decides nothing about a request; it must never wait for the disk, and never let an answer
-//! go that the book holds.
+//! Billing of final replies on the serving thread, in front of the store on a thread of its own.
+//!
+//! Replies that may not be sent yet are held here. Billing decides nothing about a request and never waits for the disk.
 
+use super::error::UsageError;
+use super::usage_store::UsageStore;
 use crate::operator::LedgerConfig;
-use crate::server::messages::{ReplyHandle, Response};
+use crate::server::messages::{EntryLine, ExportWorkerMessage, ReplyHandle, Response};
 use dunlinspread_ledger::{
-    AccountName, Action, LedgerGauges, LedgerSettings, LedgerState, Line, LineKind, Notice, Outcome,
-    RecoveredLedger, ReplyDecision, UsageAccumulator, UsageRecord,
-};
-use dunlinspread_store::{
-    Log, Options, Progress, RealDisk, ReplayItem, ReplayRejection, WriteFailure, Writer, WriterGauges,
-    WriterOptions,
+    AccountName, Action, LedgerGauges, LedgerSettings, LineKind, Notice, Outcome, ReplyDecision,
+    UsageAccumulator, UsageRecord,
 };
+use dunlinspread_store::{Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
 use slog::{Logger, error, info, warn};
 use std::collections::VecDeque;
-use std::path::Path;
 use std::rc::Rc;
-use std::sync::Arc;
+use std::sync::mpsc::Sender;
+use std::time::Duration;
 
-/// Records that may wait for the disk while serving goes on without it.
-const RECORDS: usize = 1024;
-/// Records that the store's thread may be handed at a time. The book sends one at a time but for spills, which the
-/// requests that may be taken on bound.
-const MAILBOX: usize = 1 << 16;
-/// The longest record, in bytes: the book makes them of at most 4,096 entries.
-const MAX_RECORD: usize = 2 << 20;
+/// Records that may wait for the disk while replies are sent without it.
+const MAX_WAITING_RECORDS: usize = 1024;
+/// Records that the store's thread may be handed at a time. The accumulator hands over one at a time but for spills,
+/// which the requests that may be admitted bound.
+const WRITER_QUEUE_RECORDS: usize = 1 << 16;
+/// How late the deliberately broken build commits, so that what it acknowledged early can be lost.
+const EARLY_ACKNOWLEDGEMENT_DELAY: Duration = Duration::from_millis(400);
 
-/// What is used by one request.
+/// The usage of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Used {
+pub struct RequestUsage {
     /// The class, by position.
     pub class: usize,
-    /// What became of it.
+    /// What became of the request.
     pub outcome: Outcome,
     /// Time in the worker pool, ms.
     pub pool_ms: f64,
-    /// Bytes of the body.
+    /// Bytes of the request's body.
     pub bytes_in: usize,
     /// Bytes of the result.
     pub bytes_out: usize,
 }
 
-/// What the ledger's threads tell the core.
-#[derive(Debug)]
-pub enum FromLedger {
-    /// Progress of the store.
-    Progress(Progress),
-    /// The clerk has a line to be entered.
-    Enter {
-        /// The line.
-        kind: LineKind,
-        /// Comes back once it is durable.
-        tag: u64,
-    },
-    /// The lines before that number may go; their sum stays.
-    Forget {
-        /// The first line that stays.
-        before: u64,
-        /// The sum of all before it.
-        sum: Vec<u8>,
-    },
-    /// All up to now is to be closed. If it is, that is told as [`ToClerk::Closed`], else under the tag.
-    Close {
-        /// The tag.
-        tag: u64,
-    },
-}
-
-/// What the clerk is told.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToClerk {
-    /// The close line with this number is durable.
-    Closed(u64),
-    /// The line it entered with this tag is durable, or could not be entered.
-    Entered {
-        /// The tag.
-        tag: u64,
-        /// The line's start and number, none if it was not entered.
-        line: Option<(u64, u64)>,
-    },
-    /// The program ends.
-    Stop,
+/// What billing starts with.
+pub struct BillingOptions<'a> {
+    /// The block `ledger` of the operator file.
+    pub config: &'a LedgerConfig,
+    /// The classes' names, by position.
+    pub classes: &'a [String],
+    /// Open aggregates at most.
+    pub max_aggregates: usize,
+    /// The present time, Unix ms.
+    pub now_ms: u64,
 }
 
-/// What opening the ledger found, for the clerk.
-#[derive(Clone, Debug)]
-pub struct Opened {
-    /// The sum of all lines at the opening.
-    pub state: LedgerState,
-    /// The number of the first line that is there.
-    pub first: u64,
-    /// The sum of all lines before that.
-    pub base: LedgerState,
+/// A reply that waits for its line.
+struct HeldReply {
+    release_mark: u64,
+    reply: ReplyHandle,
+    response: Response,
 }
 
-/// The ledger of one server.
+/// The usage ledger of one server, on the serving thread.
 pub struct Billing {
     accumulator: UsageAccumulator,
     writer: Writer,
-    /// The last ticket whose fate was told.
-    told: u64,
+    /// The last record whose fate the writer told.
+    settled_through: u64,
+    /// The writer's generation after its last failure.
     generation: u64,
-    held: VecDeque<(u64, ReplyHandle, Response)>,
-    free: Vec<(ReplyHandle, Response)>,
+    /// In the order of their marks.
+    held: VecDeque<HeldReply>,
+    ready: Vec<(ReplyHandle, Response)>,
     actions: Vec<Action>,
-    clerk: Option<std::sync::mpsc::Sender<ToClerk>>,
+    export_worker: Option<Sender<ExportWorkerMessage>>,
     log: Logger,
-    reported: bool,
-    broken: bool,
-}
-
-/// The open ledger before it is put to use.
-pub struct Store {
-    log: Log,
-    next: u64,
-    clean: bool,
-    /// What was found.
-    pub opened: Opened,
-}
-
-impl Store {
-    /// Opens the store in the directory and reads all that is in it. This waits for the disk.
-    ///
-    /// # Errors
-    /// As text that names the file and what to do.
-    pub fn open(settings: &LedgerConfig, server: &str, now_ms: u64, log: &Logger) -> Result<Store, String> {
-        let what = |e: &dyn std::fmt::Display| format!("ledger \"{}\": {e}", settings.name);
-        let disk = RealDisk::new(Path::new(&settings.directory)).map_err(|e| what(&e))?;
-        let options = Options { max_record: MAX_RECORD, now_ms, ..Options::new(server) };
-        let (mut state, mut base, mut first) = (LedgerState::default(), LedgerState::default(), 1);
-        let opening = Log::open(Arc::new(disk), options, |visit| match visit {
-            ReplayItem::Snapshot(before, bytes) => {
-                state = prost::Message::decode(bytes).map_err(|e: prost::DecodeError| e.to_string())?;
-                (base, first) = (state.clone(), before);
-                Ok(())
-            }
-            ReplayItem::Record(number, bytes) => {
-                let line = Line::parse(bytes).map_err(|e| e.to_string())?;
-                state.apply(number, &line).map_err(ReplayRejection::new)
-            }
-        });
-        let (store, recovery) = opening.map_err(|e| what(&e))?;
-        info!(log, "ledger is open"; "lines" => recovery.records, "bytes" => recovery.bytes_read,
-            "clean" => recovery.closed_cleanly, "closed_to" => state.closed_to);
-        if let Some(cut) = &recovery.torn_tail {
-            warn!(log, "ledger: the last commit before a crash was in pieces and is cut";
-                "file" => cut.file.as_str(), "offset" => cut.offset, "bytes" => cut.bytes);
-        }
-        let opened = Opened { state, first, base };
-        Ok(Store { log: store, next: recovery.next_record, clean: recovery.closed_cleanly, opened })
-    }
+    permanent_failure_logged: bool,
+    acknowledges_early: bool,
 }
 
 impl Billing {
-    /// Puts an open ledger to use. `told` is called with the store's progress, on its thread.
+    /// Puts an open store to use. `on_progress` is called with the store's progress, on its thread.
     ///
     /// # Errors
-    /// If there can be no thread.
+    /// If the store's thread can't be started.
     pub fn start(
-        store: Store,
-        settings: &LedgerConfig,
-        classes: &[String],
-        cells: usize,
-        now_ms: u64,
-        told: impl FnMut(Progress) + Send + 'static,
+        store: UsageStore,
+        options: &BillingOptions<'_>,
+        on_progress: impl FnMut(Progress) + Send + 'static,
         log: Logger,
-    ) -> Result<Billing, String> {
-        let settings = LedgerSettings {
-            period_ms: settings.period_ms,
-            grace_ms: settings.grace_ms,
-            mode: settings.mode,
-            on_failure: settings.on_failure,
-            classes: classes.to_vec(),
-            cells,
-            records: RECORDS,
-        };
+    ) -> Result<Billing, UsageError> {
+        let (store_log, recovered) = store.into_parts();
         let mut actions = Vec::new();
-        let recovered =
-            RecoveredLedger { state: store.opened.state, next_line: store.next, closed_cleanly: store.clean };
-        let accumulator = UsageAccumulator::start(now_ms, settings, recovered, &mut actions);
-        let broken = acknowledges_early();
-        let interval = std::time::Duration::from_millis(if broken { 400 } else { 0 });
-        let options = WriterOptions {
-            queue_records: MAILBOX,
-            queue_bytes: usize::MAX,
-            max_batch_delay: interval,
-            ..WriterOptions::default()
-        };
-        let writer = Writer::start(store.log, options, told).map_err(|e| format!("ledger: {e}"))?;
+        let settings = accumulator_settings(options);
+        let accumulator = UsageAccumulator::start(options.now_ms, settings, recovered, &mut actions);
+        let acknowledges_early = acknowledges_early();
+        let writer_options = writer_options(acknowledges_early);
+        let writer = Writer::start(store_log, writer_options, on_progress).map_err(UsageError::Thread)?;
         let mut billing = Billing {
             accumulator,
             writer,
-            told: 0,
+            settled_through: 0,
             generation: 0,
             held: VecDeque::new(),
-            free: Vec::new(),
+            ready: Vec::new(),
             actions,
-            clerk: None,
+            export_worker: None,
             log,
-            reported: false,
-            broken,
+            permanent_failure_logged: false,
+            acknowledges_early,
         };
-        billing.carry_out();
+        billing.execute_actions();
         Ok(billing)
     }
 
-    /// The mark of the ledger: its first start, which a new one has by now.
+    /// Returns the id of the ledger, which a new one has by now.
     pub fn ledger_id(&self) -> u64 {
         self.accumulator.state().ledger_id
     }
 
-    /// Where the clerk listens.
-    pub fn clerk_is(&mut self, clerk: std::sync::mpsc::Sender<ToClerk>) {
-        self.clerk = Some(clerk);
+    /// Sets where the export worker listens.
+    pub fn set_export_worker(&mut self, export_worker: Sender<ExportWorkerMessage>) {
+        self.export_worker = Some(export_worker);
     }
 
-    /// Bills an answer. It comes back if it may leave at once; else it waits for its line.
+    /// Bills a reply. Returns it if it may be sent at once; else it is held until its line is durable.
     pub fn bill(
         &mut self,
         now_ms: f64,
         account: Option<&Rc<str>>,
-        used: &Used,
-        to: ReplyHandle,
-        answer: Response,
+        usage: &RequestUsage,
+        reply: ReplyHandle,
+        response: Response,
     ) -> Option<(ReplyHandle, Response)> {
-        match self.enter_use(now_ms, account, used, 1) {
-            ReplyDecision::SendNow => Some((to, answer)),
-            ReplyDecision::HoldUntil(mark) => {
-                self.held.push_back((mark, to, answer));
+        match self.record_usage(now_ms, account, usage, 1) {
+            ReplyDecision::SendNow => Some((reply, response)),
+            ReplyDecision::HoldUntil(release_mark) => {
+                self.held.push_back(HeldReply { release_mark, reply, response });
                 None
             }
         }
     }
 
-    /// Bills what needs no answer: a request withdrawn, or what a run still used after its answer (`requests` 0).
-    pub fn bill_silent(&mut self, now_ms: f64, account: Option<&Rc<str>>, used: &Used, requests: u64) {
-        self.enter_use(now_ms, account, used, requests);
+    /// Bills what has no reply: a request that was cancelled, or with 0 `requests` what a run used after its reply.
+    pub fn bill_without_reply(
+        &mut self,
+        now_ms: f64,
+        account: Option<&Rc<str>>,
+        usage: &RequestUsage,
+        requests: u64,
+    ) {
+        self.record_usage(now_ms, account, usage, requests);
     }
 
-    fn enter_use(
+    fn record_usage(
         &mut self,
         now_ms: f64,
         account: Option<&Rc<str>>,
-        used: &Used,
+        usage: &RequestUsage,
         requests: u64,
     ) -> ReplyDecision {
-        // The front lets no other names through.
-        let account = account.and_then(|a| AccountName::parse(a).ok()).unwrap_or(AccountName::unattributed());
-        let used = UsageRecord {
+        // The frontend lets no other names through.
+        let account = account.and_then(|name| AccountName::parse(name).ok());
+        let record = UsageRecord {
             requests,
-            account,
-            class: used.class as u16,
-            outcome: used.outcome,
-            pool_us: (used.pool_ms.max(0.0) * 1000.0) as u64,
-            bytes_in: used.bytes_in as u64,
-            bytes_out: used.bytes_out as u64,
+            account: account.unwrap_or(AccountName::unattributed()),
+            class: usage.class as u16,
+            outcome: usage.outcome,
+            pool_us: (usage.pool_ms.max(0.0) * 1000.0) as u64,
+            bytes_in: usage.bytes_in as u64,
+            bytes_out: usage.bytes_out as u64,
         };
-        let verdict = self.accumulator.bill(now_ms as u64, &used, &mut self.actions);
+        let decision = self.accumulator.bill(now_ms as u64, &record, &mut self.actions);
         if !self.actions.is_empty() {
-            self.carry_out();
+            self.execute_actions();
         }
-        verdict
+        decision
     }
 
-    /// After the answers of one event were billed: has the store work if it has none.
-    pub fn turn(&mut self, now_ms: f64) {
+    /// Has the store write if it is idle, after the replies of one event were billed.
+    pub fn flush_if_due(&mut self, now_ms: f64) {
         self.accumulator.flush_if_due(now_ms as u64, &mut self.actions);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Time passes.
+    /// Advances the ledger's time.
     pub fn tick(&mut self, now_ms: f64) {
         self.accumulator.tick(now_ms as u64, &mut self.actions);
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// The store's thread tells of its progress.
-    pub fn progress(&mut self, now_ms: f64, progress: Progress) {
+    /// Takes in the progress of the store.
+    pub fn on_store_progress(&mut self, now_ms: f64, progress: Progress) {
         match progress {
-            // Only where it was acknowledged early.
-            Progress::Durable { through, .. } if through <= self.told => {}
-            Progress::Durable { through, .. } => {
-                let count = through - self.told;
-                self.told = through;
-                self.accumulator.on_durable(now_ms as u64, count as usize, &mut self.actions);
-            }
+            Progress::Durable { through, .. } => self.on_durable(now_ms, through),
             Progress::Failed { through, reason, generation, .. } => {
-                let count = through - self.told;
-                (self.told, self.generation) = (through, generation);
-                let (why, for_good) = match &reason {
-                    WriteFailure::NoSpace => ("the disk is full".to_owned(), false),
-                    WriteFailure::NotAttempted => ("an earlier line was not written".to_owned(), false),
-                    WriteFailure::Poisoned(why) => (why.to_string(), true),
-                };
-                if for_good && !self.reported {
-                    self.reported = true;
-                    error!(self.log, "ledger: the disk failed; only a restart can tell what is there"; "why" => why.as_str());
-                }
-                self.accumulator.on_failed(&why, count as usize, &mut self.actions);
+                self.generation = generation;
+                self.on_failed(through, &reason);
             }
             Progress::Snapshot { before, failure: None } => {
-                info!(self.log, "ledger: old lines may go"; "before" => before);
+                info!(self.log, "old lines released"; "before" => before);
             }
-            Progress::Snapshot { before, failure: Some(why) } => {
-                warn!(self.log, "ledger: old lines can't go yet"; "before" => before, "why" => format!("{why:?}"));
+            Progress::Snapshot { before, failure: Some(failure) } => {
+                warn!(self.log, "old lines not released yet"; "before" => before,
+                    "error" => format!("{failure:?}"));
             }
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// Enters a line for the clerk, which hears of it.
-    pub fn enter(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
-        if self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions).is_err() {
-            self.tell_clerk(ToClerk::Entered { tag, line: None });
+    fn on_durable(&mut self, now_ms: f64, through: u64) {
+        // The records before were acknowledged early, which only the deliberately broken build does.
+        if through <= self.settled_through {
+            return;
         }
-        self.carry_out();
+        let count = self.settle(through);
+        self.accumulator.on_durable(now_ms as u64, count, &mut self.actions);
     }
 
-    /// Lets old lines go.
-    pub fn forget(&mut self, before: u64, sum: Vec<u8>) {
-        if !self.writer.snapshot(before, sum) {
-            warn!(self.log, "ledger: old lines can't go yet"; "before" => before, "why" => "the store is busy");
+    fn on_failed(&mut self, through: u64, failure: &WriteFailure) {
+        let count = self.settle(through);
+        let reason = match failure {
+            WriteFailure::NoSpace => "the disk is full".to_owned(),
+            WriteFailure::NotAttempted => "an earlier line was not written".to_owned(),
+            WriteFailure::Poisoned(error) => error.to_string(),
+        };
+        let is_permanent = matches!(failure, WriteFailure::Poisoned(_));
+        if is_permanent && !self.permanent_failure_logged {
+            self.permanent_failure_logged = true;
+            error!(self.log, "store failed permanently, restart required"; "error" => reason.as_str());
+        }
+        self.accumulator.on_failed(&reason, count, &mut self.actions);
+    }
+
+    /// Takes note that the fate of all records up to one is told; returns how many that are.
+    fn settle(&mut self, through: u64) -> usize {
+        let count = through - self.settled_through;
+        self.settled_through = through;
+        count as usize
+    }
+
+    /// Appends a line for the export worker, which is told of its fate.
+    pub fn append_entry(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
+        let appended = self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions);
+        if appended.is_err() {
+            self.notify_export_worker(ExportWorkerMessage::EntryRejected { tag });
         }
+        self.execute_actions();
     }
 
-    /// Closes all up to now before its time, or tells the thread that it can't be.
-    pub fn close_early(&mut self, now_ms: f64, tag: u64) {
+    /// Has the store drop the lines before a number and keep the encoded state after them instead.
+    pub fn release_lines(&mut self, before: u64, state: Vec<u8>) {
+        if !self.writer.snapshot(before, state) {
+            warn!(self.log, "old lines not released yet"; "before" => before, "error" => "the store is busy");
+        }
+    }
+
+    /// Closes all periods up to now before their time, or tells the export worker that this was not done.
+    pub fn close_periods(&mut self, now_ms: f64, tag: u64) {
         if self.accumulator.close_early(now_ms as u64, &mut self.actions).is_err() {
-            self.tell_clerk(ToClerk::Entered { tag, line: None });
+            self.notify_export_worker(ExportWorkerMessage::EntryRejected { tag });
         }
-        self.carry_out();
+        self.execute_actions();
     }
 
-    /// The answers that may leave now.
-    pub fn free(&mut self) -> std::vec::Drain<'_, (ReplyHandle, Response)> {
-        self.free.drain(..)
+    /// Gives the replies that may be sent now.
+    pub fn take_ready_replies(&mut self) -> std::vec::Drain<'_, (ReplyHandle, Response)> {
+        self.ready.drain(..)
     }
 
-    /// Whether new requests may be taken on.
-    pub fn serving(&self) -> bool {
+    /// Returns whether new requests may be admitted.
+    pub fn accepts_requests(&self) -> bool {
         self.accumulator.accepts_requests()
     }
 
-    /// The figures now.
-    pub fn figures(&self) -> (LedgerGauges, WriterGauges) {
+    /// Returns the present figures of the ledger and its writer.
+    pub fn gauges(&self) -> (LedgerGauges, WriterGauges) {
         (self.accumulator.gauges(), self.writer.gauges())
     }
 
-    /// Has all written that waits, and gives the writer, to be closed where waiting is allowed.
-    pub fn end(mut self, now_ms: f64) -> Writer {
+    /// Has all written that waits, and returns the writer, to be closed where waiting is allowed.
+    pub fn shut_down(mut self, now_ms: f64) -> Writer {
         self.accumulator.finish(now_ms as u64, &mut self.actions);
-        self.carry_out();
-        self.tell_clerk(ToClerk::Stop);
+        self.execute_actions();
+        self.notify_export_worker(ExportWorkerMessage::Shutdown);
         self.writer
     }
 
-    fn tell_clerk(&self, message: ToClerk) {
-        if let Some(clerk) = &self.clerk {
-            // Its thread ends before the program does only if it failed, which it says itself.
-            let _ = clerk.send(message);
+    fn notify_export_worker(&self, message: ExportWorkerMessage) {
+        if let Some(export_worker) = &self.export_worker {
+            // Its thread ends before the program does only if it failed, which it logs itself.
+            let _ = export_worker.send(message);
         }
     }
 
-    fn carry_out(&mut self) {
-        let (mut actions, mut early) = (std::mem::take(&mut self.actions), None);
+    fn execute_actions(&mut self) {
+        let mut actions = std::mem::take(&mut self.actions);
+        let mut early = None;
         for action in actions.drain(..) {
             match action {
-                Action::Append(record) => {
-                    // The mailbox holds more than the book ever has out.
-                    let ticket = self.writer.append(record);
-                    assert!(ticket.is_ok(), "the writer's mailbox holds more than the book ever has out");
-                    if let (true, Ok(through)) = (self.broken, ticket) {
-                        early = Some(through);
-                    }
-                }
+                Action::Append(record) => early = self.append_to_store(record).or(early),
                 Action::Resume => self.writer.resume(self.generation),
-                Action::Release(mark) => {
-                    while self.held.front().is_some_and(|(held, ..)| *held <= mark) {
-                        self.free.extend(self.held.pop_front().map(|(_, to, answer)| (to, answer)));
-                    }
+                Action::Release(mark) => self.release_replies(mark),
+                Action::AcceptRequests(accepted) => {
+                    info!(self.log, "admission of new requests changed"; "accepted" => accepted);
                 }
-                Action::AcceptRequests(good) => {
-                    info!(self.log, "ledger: taking on new requests"; "good" => good)
+                Action::PeriodsClosed(number) => {
+                    self.notify_export_worker(ExportWorkerMessage::PeriodsClosed(number));
                 }
-                Action::PeriodsClosed(number) => self.tell_clerk(ToClerk::Closed(number)),
                 Action::EntryDurable { tag, number } => {
-                    let start = self.accumulator.state().start.as_ref().map_or(0, |s| s.start);
-                    self.tell_clerk(ToClerk::Entered { tag, line: Some((start, number)) });
+                    let start = self.accumulator.state().start.as_ref().map_or(0, |start| start.start);
+                    let line = EntryLine { start, number };
+                    self.notify_export_worker(ExportWorkerMessage::EntryDurable { tag, line });
                 }
-                Action::Notify(note) => self.say(&note),
+                Action::Notify(notice) => self.log_notice(&notice),
             }
         }
         self.actions = actions;
         if let Some(through) = early {
-            self.progress(0.0, Progress::Durable { through, next: 0 });
+            self.on_store_progress(0.0, Progress::Durable { through, next: 0 });
         }
     }
 
-    fn say(&self, note: &Notice) {
-        match note {
-            Notice::StoreFailing(why) => {
-                warn!(self.log, "ledger: lines can't be written"; "why" => why.as_str())
+    /// Hands the writer a record; returns its ticket in the deliberately broken build, which acknowledges it at once.
+    fn append_to_store(&mut self, record: Vec<u8>) -> Option<u64> {
+        let ticket = self.writer.append(record);
+        assert!(ticket.is_ok(), "the writer's queue holds more than the accumulator ever hands over");
+        ticket.ok().filter(|_| self.acknowledges_early)
+    }
+
+    fn release_replies(&mut self, mark: u64) {
+        while self.held.front().is_some_and(|held| held.release_mark <= mark) {
+            let held = self.held.pop_front();
+            self.ready.extend(held.map(|held| (held.reply, held.response)));
+        }
+    }
+
+    fn log_notice(&self, notice: &Notice) {
+        match notice {
+            Notice::StoreFailing(reason) => {
+                warn!(self.log, "lines cannot be written"; "reason" => reason.as_str());
             }
             Notice::StoreRecovered { unbilled } => {
-                info!(self.log, "ledger: lines are written again"; "unbilled" => unbilled);
+                info!(self.log, "writing of lines recovered"; "unbilled" => unbilled);
             }
             Notice::UncleanShutdown { at_most } => {
-                let at_most = at_most.map_or("unknown".to_owned(), |n| n.to_string());
-                warn!(self.log, "ledger: the last end was not a good one, answers may be unbilled";
-                    "at_most" => at_most);
+                let at_most = at_most.map_or("unknown".to_owned(), |count| count.to_string());
+                warn!(self.log, "previous shutdown was unclean, replies may be unbilled"; "at_most" => at_most);
             }
             Notice::ClosedLate { from, to } => {
-                warn!(self.log, "ledger: closing periods that ended while the server was down";
+                warn!(self.log, "closing periods that ended while the server was down";
                     "from_ms" => from, "to_ms" => to);
             }
-            Notice::ClockBehind(ms) => {
-                warn!(self.log, "ledger: the clock is behind the last line"; "ms" => ms);
+            Notice::ClockBehind(behind_ms) => {
+                warn!(self.log, "clock is behind the last line"; "behind_ms" => behind_ms);
             }
         }
     }
 }
 
-/// Whether this is the deliberately broken build that acknowledges before it commits: only tests have the feature, and
-/// only one that shows that the drill notices sets the variable.
+fn accumulator_settings(options: &BillingOptions<'_>) -> LedgerSettings {
+    LedgerSettings {
+        period_ms: options.config.period_ms,
+        grace_ms: options.config.grace_ms,
+        mode: options.config.mode,
+        on_failure: options.config.on_failure,
+        classes: options.classes.to_vec(),
+        cells: options.max_aggregates,
+        records: MAX_WAITING_RECORDS,
+    }
+}
+
+fn writer_options(acknowledges_early: bool) -> WriterOptions {
+    WriterOptions {
+        queue_records: WRITER_QUEUE_RECORDS,
+        queue_bytes: usize::MAX,
+        max_batch_delay: if acknowledges_early { EARLY_ACKNOWLEDGEMENT_DELAY } else { Duration::ZERO },
+        ..WriterOptions::default()
+    }
+}
+
+/// Returns whether this is the deliberately broken build that acknowledges before it commits: only tests have the
+/// feature, and only the one that shows that the crash drill notices sets the variable.
 fn acknowledges_early() -> bool {
     cfg!(feature = "test-faults") && std::env::var_os("DUNLINSPREAD_ACKNOWLEDGE_EARLY").is_some()
 }
--- a/src/server/usage/digest_exchange.rs
+++ b/src/server/usage/digest_exchange.rs
@@ -1,160 +1,137 @@
-//! Exchanges claims about exported batches with other round servers, where they may talk: a thread that asks, and one that
-//! answers. Off unless the operator file names peers. A peer that is down, slow or talks nonsense costs a line in the log and
-//! nothing else; what it says is only ever held against what is known, and told to people.
+//! The exchange of digests of exported batches with other servers, where they may talk: one thread that asks and one that
+//! answers. Off unless the operator file names peers.
+//!
+//! A peer that is down, slow or sends garbage costs a line in the log and nothing else; what it tells is compared with
+//! what is known, and mismatches are reported to operators.
 
+use super::digest_frame;
+use super::error::UsageError;
 use crate::operator::PeerSettings;
-use dunlinspread_ledger::digest_comparison::{DigestClaims, DigestComparison};
-use prost::Message;
+use dunlinspread_ledger::digest_comparison::{DigestClaims, DigestComparison, DigestMismatch};
 use slog::{Logger, error, info, warn};
-use std::io::{self, Read, Write};
+use std::io::{self, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::ops::Range;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 /// How long a peer may take for each step of an exchange.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// What an exchange begins with: it names the version.
-const MAGIC: &[u8; 8] = b"DLSPWIT1";
-/// The longest message, in bytes: all that a witness may know, and room.
-const MAX_MESSAGE: usize = 2 << 20;
+const STEP_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after an exchange that could not be answered.
+const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
 
-/// What is known, shared with the clerk.
+/// Which end of an exchange this is. The one that asks tells first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ExchangeRole {
+    Asking,
+    Answering,
+}
+
+/// What is known of digests, shared by the threads of the exchange and the export worker.
 #[derive(Clone)]
-pub struct Shared {
-    witness: Arc<Mutex<DigestComparison>>,
+pub struct DigestExchange {
+    comparison: Arc<Mutex<DigestComparison>>,
     log: Logger,
 }
 
-impl Shared {
-    /// What this server's ledger is so far.
-    pub fn new(server: &str, ledger_id: u64, made: u64, log: Logger) -> Shared {
-        Shared { witness: Arc::new(Mutex::new(DigestComparison::new(server, ledger_id, made))), log }
+impl DigestExchange {
+    /// Returns the exchange of a server that knows its own ledger up to this batch.
+    pub fn new(server: &str, ledger_id: u64, last_own_batch: u64, log: Logger) -> DigestExchange {
+        let comparison = DigestComparison::new(server, ledger_id, last_own_batch);
+        DigestExchange { comparison: Arc::new(Mutex::new(comparison)), log }
     }
 
-    fn witness(&self) -> MutexGuard<'_, DigestComparison> {
-        self.witness.lock().unwrap_or_else(PoisonError::into_inner)
+    fn comparison(&self) -> MutexGuard<'_, DigestComparison> {
+        self.comparison.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// This server made a batch, durably.
-    pub fn made(&self, batch: u64, digest: &[u8], span: (u64, u64)) {
-        let unlike = self.witness().add_own_batch(batch, digest, span.0..span.1);
-        unlike.iter().for_each(|u| self.say(u));
+    /// Takes in a batch that this server made and whose line is durable; `span` is that of its periods, Unix ms.
+    pub fn add_own_batch(&self, batch: u64, digest: &[u8], span: Range<u64>) {
+        let mismatches = self.comparison().add_own_batch(batch, digest, span);
+        self.report(&mismatches);
     }
 
-    fn hear(&self, claims: &DigestClaims) {
-        let unlike = self.witness().add_claims(claims);
-        unlike.iter().for_each(|u| self.say(u));
+    fn add_claims(&self, claims: &DigestClaims) {
+        let mismatches = self.comparison().add_claims(claims);
+        self.report(&mismatches);
     }
 
-    fn say(&self, unlike: &dunlinspread_ledger::digest_comparison::DigestMismatch) {
-        error!(self.log, "ledger: servers disagree about exports"; "what" => unlike.to_string());
+    fn report(&self, mismatches: &[DigestMismatch]) {
+        for mismatch in mismatches {
+            error!(self.log, "export digest mismatch"; "mismatch" => mismatch.to_string());
+        }
     }
 
-    /// Starts both threads, which end with the program.
+    /// Starts the threads that the settings ask for, which end with the program.
     ///
     /// # Errors
-    /// If the address can't be listened on or there can be no thread.
-    pub fn start(&self, settings: &PeerSettings) -> Result<(), String> {
+    /// If the address can't be listened on, or a thread can't be started.
+    pub fn start(&self, settings: &PeerSettings) -> Result<(), UsageError> {
         if let Some(address) = settings.listen {
             let listener =
-                TcpListener::bind(address).map_err(|e| format!("`peers.listen`: {address}: {e}"))?;
-            let at = listener.local_addr().unwrap_or(address);
-            info!(self.log, "ledger: answers other servers"; "peers_at" => at.to_string());
-            let shared = self.clone();
-            let answering = move || {
-                // One at a time: each is over within seconds, and they come seldom.
-                for stream in listener.incoming() {
-                    let answered = stream.and_then(|s| shared.exchange(s, false));
-                    if let Err(e) = answered {
-                        warn!(shared.log, "ledger: a server that asked can't be answered"; "why" => e.to_string());
-                        std::thread::sleep(Duration::from_millis(50));
-                    }
-                }
-            };
-            std::thread::Builder::new()
-                .name("witness".to_owned())
-                .spawn(answering)
-                .map_err(|e| e.to_string())?;
+                TcpListener::bind(address).map_err(|source| UsageError::Listen { address, source })?;
+            let local_address = listener.local_addr().unwrap_or(address);
+            info!(self.log, "digest exchange listening"; "address" => local_address.to_string());
+            let exchange = self.clone();
+            spawn("digest-answers", move || exchange.answer_peers(&listener))?;
         }
         if !settings.ask.is_empty() {
-            let (shared, peers) = (self.clone(), settings.ask.clone());
-            let every = Duration::from_millis(settings.every_ms);
-            let asking = move || shared.ask(&peers, every);
-            std::thread::Builder::new().name("asking".to_owned()).spawn(asking).map_err(|e| e.to_string())?;
+            let (exchange, peers) = (self.clone(), settings.ask.clone());
+            let interval = Duration::from_millis(settings.every_ms);
+            spawn("digest-requests", move || exchange.ask_peers(&peers, interval))?;
         }
         Ok(())
     }
 
-    fn ask(&self, peers: &[SocketAddr], every: Duration) {
-        let mut answers = vec![true; peers.len()];
-        loop {
-            for (peer, answered) in peers.iter().zip(&mut answers) {
-                let result = TcpStream::connect_timeout(peer, PATIENCE).and_then(|s| self.exchange(s, true));
-                if let (true, Err(e)) = (*answered, &result) {
-                    warn!(self.log, "ledger: another server does not answer"; "peer" => peer.to_string(),
-                        "why" => e.to_string());
-                }
-                *answered = result.is_ok();
+    /// Answers one peer at a time: each exchange is over within seconds, and they come seldom.
+    fn answer_peers(&self, listener: &TcpListener) {
+        for stream in listener.incoming() {
+            let answered = stream.and_then(|stream| self.exchange(stream, ExchangeRole::Answering));
+            if let Err(error) = answered {
+                warn!(self.log, "digest request of a peer failed"; "error" => error.to_string());
+                std::thread::sleep(PAUSE_AFTER_FAILURE);
             }
-            std::thread::sleep(every);
         }
     }
 
-    /// Tells and hears; who asks tells first.
-    fn exchange(&self, mut stream: TcpStream, asks: bool) -> io::Result<()> {
-        stream.set_read_timeout(Some(PATIENCE))?;
-        stream.set_write_timeout(Some(PATIENCE))?;
-        if asks {
-            self.put(&mut stream)?;
+    /// Asks all peers in turn, again after each interval; a failure is logged when a peer stops answering.
+    fn ask_peers(&self, peers: &[SocketAddr], interval: Duration) {
+        let mut answered_last = vec![true; peers.len()];
+        loop {
+            for (peer, answered_last) in peers.iter().zip(&mut answered_last) {
+                let result = TcpStream::connect_timeout(peer, STEP_TIMEOUT)
+                    .and_then(|stream| self.exchange(stream, ExchangeRole::Asking));
+                if let (true, Err(error)) = (*answered_last, &result) {
+                    warn!(self.log, "peer does not answer"; "peer" => peer.to_string(),
+                        "error" => error.to_string());
+                }
+                *answered_last = result.is_ok();
+            }
+            std::thread::sleep(interval);
         }
-        let claims = read(&mut stream)?;
-        self.hear(&claims);
-        if asks { Ok(()) } else { self.put(&mut stream) }
     }
 
-    fn put(&self, stream: &mut TcpStream) -> io::Result<()> {
-        let bytes = self.witness().claims().encode_to_vec();
-        let mut out = MAGIC.to_vec();
-        out.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
-        out.extend_from_slice(&bytes);
-        stream.write_all(&out)
+    fn exchange(&self, mut stream: TcpStream, role: ExchangeRole) -> io::Result<()> {
+        stream.set_read_timeout(Some(STEP_TIMEOUT))?;
+        stream.set_write_timeout(Some(STEP_TIMEOUT))?;
+        if role == ExchangeRole::Asking {
+            self.send_claims(&mut stream)?;
+        }
+        let claims = digest_frame::read(&mut stream)?;
+        self.add_claims(&claims);
+        if role == ExchangeRole::Answering {
+            self.send_claims(&mut stream)?;
+        }
+        Ok(())
     }
-}
 
-fn read(stream: &mut impl Read) -> io::Result<DigestClaims> {
-    let wrong = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-    let mut head = [0; 12];
-    stream.read_exact(&mut head)?;
-    if &head[..8] != MAGIC {
-        return Err(wrong("it does not speak this version"));
-    }
-    let len = u32::from_le_bytes([head[8], head[9], head[10], head[11]]) as usize;
-    if len > MAX_MESSAGE {
-        return Err(wrong("its message is too long"));
+    fn send_claims(&self, stream: &mut TcpStream) -> io::Result<()> {
+        let frame = digest_frame::encode(&self.comparison().claims());
+        stream.write_all(&frame)
     }
-    // Grows with what comes, not with what is announced.
-    let mut bytes = Vec::new();
-    stream.take(len as u64).read_to_end(&mut bytes)?;
-    if bytes.len() < len {
-        return Err(io::ErrorKind::UnexpectedEof.into());
-    }
-    DigestClaims::decode(&bytes[..]).map_err(|_| wrong("its message can't be read"))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn nonsense_is_an_error() {
-        let mut good = MAGIC.to_vec();
-        good.extend_from_slice(&[0; 4]);
-        assert_eq!(read(&mut &good[..]).expect("empty claims"), DigestClaims::default());
-        let long = [&MAGIC[..], &[255; 4]].concat();
-        let cut = [&MAGIC[..], &[9, 0, 0, 0, 1]].concat();
-        let other = [&MAGIC[..], &[2, 0, 0, 0, 255, 255]].concat();
-        for bytes in [&b""[..], b"GET / HTTP/1.1\r\n\r\n", &long, &cut, &other] {
-            assert!(read(&mut &bytes[..]).is_err(), "{bytes:?}");
-        }
-    }
+fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), UsageError> {
+    let spawned = std::thread::Builder::new().name(name.to_owned()).spawn(work);
+    spawned.map(drop).map_err(UsageError::Thread)
 }
--- /dev/null
+++ b/src/server/usage/usage_store.rs
@@ -0,0 +1,96 @@
+//! The store of the usage ledger, from its opening until billing takes it over.
+
+use super::error::UsageError;
+use crate::operator::LedgerConfig;
+use dunlinspread_ledger::{LedgerState, Line, RecoveredLedger};
+use dunlinspread_store::{Log, Options, RealDisk, Recovery, ReplayItem, ReplayRejection, StoreError};
+use prost::Message as _;
+use slog::{Logger, info, warn};
+use std::path::Path;
+use std::sync::Arc;
+
+/// The longest record, in bytes: the accumulator makes them of at most 4,096 entries.
+const MAX_RECORD_BYTES: usize = 2 << 20;
+
+/// What opening the ledger found, for the export worker.
+#[derive(Clone, Debug)]
+pub struct OpenedLedger {
+    /// The state after all lines.
+    pub state: LedgerState,
+    /// The number of the first line that is there.
+    pub first_line: u64,
+    /// The state before that line.
+    pub first_state: LedgerState,
+}
+
+/// The open store of a ledger before it is put to use.
+pub struct UsageStore {
+    log: Log,
+    next_line: u64,
+    closed_cleanly: bool,
+    /// What opening it found.
+    pub opened: OpenedLedger,
+}
+
+impl UsageStore {
+    /// Opens the store in the configured directory and reads all lines in it. This waits for the disk.
+    ///
+    /// # Errors
+    /// If the store can't be opened, or a line in it contradicts those before it.
+    pub fn open(
+        config: &LedgerConfig,
+        server: &str,
+        now_ms: u64,
+        logger: &Logger,
+    ) -> Result<UsageStore, UsageError> {
+        let failed = |source| UsageError::Open { ledger: config.name.clone(), source };
+        let disk = RealDisk::new(Path::new(&config.directory)).map_err(failed)?;
+        let options = Options { max_record: MAX_RECORD_BYTES, now_ms, ..Options::new(server) };
+        let (log, recovery, opened) = replay(disk, options).map_err(failed)?;
+        log_recovery(logger, &recovery, &opened.state);
+        Ok(UsageStore {
+            log,
+            next_line: recovery.next_record,
+            closed_cleanly: recovery.closed_cleanly,
+            opened,
+        })
+    }
+
+    /// Returns the log and what the accumulator goes on from.
+    pub(super) fn into_parts(self) -> (Log, RecoveredLedger) {
+        let recovered = RecoveredLedger {
+            state: self.opened.state,
+            next_line: self.next_line,
+            closed_cleanly: self.closed_cleanly,
+        };
+        (self.log, recovered)
+    }
+}
+
+/// Opens the log and applies its lines.
+fn replay(disk: RealDisk, options: Options) -> Result<(Log, Recovery, OpenedLedger), StoreError> {
+    let mut opened =
+        OpenedLedger { state: LedgerState::default(), first_line: 1, first_state: LedgerState::default() };
+    let (log, recovery) = Log::open(Arc::new(disk), options, |item| match item {
+        ReplayItem::Snapshot(before, bytes) => {
+            opened.state = LedgerState::decode(bytes).map_err(ReplayRejection::new)?;
+            opened.first_state = opened.state.clone();
+            opened.first_line = before;
+            Ok(())
+        }
+        ReplayItem::Record(number, bytes) => {
+            let line = Line::parse(bytes).map_err(ReplayRejection::new)?;
+            opened.state.apply(number, &line).map_err(ReplayRejection::new)
+        }
+    })?;
+    Ok((log, recovery, opened))
+}
+
+fn log_recovery(logger: &Logger, recovery: &Recovery, state: &LedgerState) {
+    info!(logger, "ledger opened"; "lines" => recovery.records, "bytes" => recovery.bytes_read,
+        "clean" => recovery.closed_cleanly, "closed_to" => state.closed_to);
+    if let Some(tail) = &recovery.torn_tail {
+        warn!(logger, "torn tail of the last commit discarded";
+            "file" => tail.file.as_str(), "offset" => tail.offset, "bytes" => tail.bytes);
+    }
+}
