--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -279,7 +279,8 @@
             Proxies::start(&site, vec![running.address], load, Habits::default()).expect("proxies").finish()
         };
         let mut tallies = Vec::new();
-        let full = || running.log.lock().expect("whole").iter().any(|l| l.contains("lines cannot be written"));
+        let full =
+            || running.log.lock().expect("whole").iter().any(|l| l.contains("lines cannot be written"));
         while !full() {
             assert!(tallies.len() < 30, "the disk is never full");
             tallies.push(send(tallies.len() as u64));
--- a/src/operator/duration.rs
+++ b/src/operator/duration.rs
@@ -1,5 +1,6 @@
 //! Lengths of time in an operator file: as text such as `15m`, and within a range.
 
+use super::fault::KeyFault;
 use std::time::Duration;
 
 /// Lengths of time as text: `50ms`, `15m`, `1h 30m`.
@@ -20,18 +21,21 @@
     humantime::format_duration(Duration::from_millis(ms)).to_string()
 }
 
-/// A length of time in ms, `default` where none is stated, or the key and why it is out of range.
+/// Returns a length of time in ms, `default` where none is stated.
+///
+/// # Errors
+/// If it is out of range.
 pub(super) fn range_ms(
     key: &'static str,
     value: Option<Duration>,
     default: u64,
     least: u64,
     most: u64,
-) -> Result<u64, (&'static str, String)> {
+) -> Result<u64, KeyFault> {
     let ms = value.map_or(default, |d| d.as_millis().min(u128::from(u64::MAX)) as u64);
     if (least..=most).contains(&ms) {
         Ok(ms)
     } else {
-        Err((key, format!("{} is not within {} and {}", text(ms), text(least), text(most))))
+        Err(KeyFault::new(key, format!("{} is not within {} and {}", text(ms), text(least), text(most))))
     }
 }
--- a/src/operator/fault.rs
+++ b/src/operator/fault.rs
@@ -37,6 +37,23 @@
     }
 }
 
+/// What is wrong with one key of a block, before the block's place in the file is known.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("`{key}`: {what}")]
+pub(super) struct KeyFault {
+    /// The key.
+    pub(super) key: &'static str,
+    /// What is wrong.
+    pub(super) what: String,
+}
+
+impl KeyFault {
+    /// Returns a fault of a key.
+    pub(super) fn new(key: &'static str, what: impl Into<String>) -> KeyFault {
+        KeyFault { key, what: what.into() }
+    }
+}
+
 /// The text that faults are found in.
 pub(super) struct Source<'a> {
     pub(super) text: &'a str,
--- a/src/operator/ledger.rs
+++ b/src/operator/ledger.rs
@@ -1,27 +1,56 @@
-//! The block `ledger`: where and how use is billed.
+//! The block `ledger` of the operator file: where and how usage is billed.
 
 use super::duration::{humantime_text, range_ms, text};
+use super::fault::KeyFault;
 use dunlinspread_ledger::{DurabilityMode, FailurePolicy};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The length of a period where none is set, and its range, ms.
+const DEFAULT_PERIOD_MS: u64 = 15 * 60_000;
+const MIN_PERIOD_MS: u64 = 100;
+const MAX_PERIOD_MS: u64 = 31 * DAY_MS;
+/// The grace after a period's end where none is set, ms, if the period is not shorter.
+const DEFAULT_GRACE_MS: u64 = 5000;
+/// How long lines are kept where nothing is set, and its range, ms.
+const DEFAULT_KEEP_MS: u64 = 400 * DAY_MS;
+const MIN_KEEP_MS: u64 = 1000;
+const MAX_KEEP_MS: u64 = 20 * 366 * DAY_MS;
+/// The time between commits in interval mode where none is set, and its range, ms.
+const DEFAULT_INTERVAL_MS: u64 = 50;
+const MIN_INTERVAL_MS: u64 = 1;
+const MAX_INTERVAL_MS: u64 = 60_000;
+/// Replies sent before their line is durable in interval mode, at most, where nothing is set.
+const DEFAULT_AT_RISK: u64 = 1000;
+/// The time between questions to peers where none is set, and its range, ms.
+const DEFAULT_PEER_INTERVAL_MS: u64 = 30_000;
+const MIN_PEER_INTERVAL_MS: u64 = 100;
+const MAX_PEER_INTERVAL_MS: u64 = DAY_MS;
+/// Peers that are asked at most.
+const MAX_PEERS_ASKED: usize = 64;
+/// Items of a batch at most where nothing is set, and the range of that.
+const DEFAULT_BATCH_LINES: u64 = 10_000;
+const BATCH_LINES: std::ops::RangeInclusive<u64> = 1..=100_000;
+/// A day, ms.
+const DAY_MS: u64 = 86_400_000;
+
 /// Where closed periods are exported to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExportTarget {
     /// A folder.
     Folder(String),
-    /// A collector that listens there.
+    /// A collector that listens at this address.
     Collector(SocketAddr),
 }
 
-/// The block `peers` of a ledger: other round servers that it may talk to.
+/// The block `peers` of a ledger: other servers that it may talk to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Where others may ask.
+    /// The address at which others may ask.
     pub listen: Option<SocketAddr>,
-    /// Whom to ask.
+    /// The servers to ask.
     pub ask: Vec<SocketAddr>,
     /// How often, ms.
     pub every_ms: u64,
@@ -32,23 +61,23 @@
 pub struct LedgerConfig {
     /// The block's label.
     pub name: String,
-    /// Where its store lies.
+    /// The directory of its store.
     pub directory: String,
     /// The length of a period, ms.
     pub period_ms: u64,
     /// How long after its end a period is closed, ms.
     pub grace_ms: u64,
-    /// When answers may leave.
+    /// When replies may be sent.
     pub mode: DurabilityMode,
-    /// What happens while the disk fails.
+    /// What happens while the store fails.
     pub on_failure: FailurePolicy,
     /// Where closed periods go; they stay in the store without one.
     pub export: Option<ExportTarget>,
-    /// Lines in one batch at most.
+    /// Items of a batch at most.
     pub batch_lines: usize,
     /// How long lines are kept, ms, once they are exported (or closed, if nothing is).
     pub keep_ms: u64,
-    /// Other round servers to exchange digests with; none on a platform where they may not talk.
+    /// Other servers to exchange digests with; none on a platform where they may not talk.
     pub peers: Option<PeerSettings>,
 }
 
@@ -109,54 +138,21 @@
 }
 
 impl RawLedger {
-    /// The settings, or the key that is faulty and why.
-    pub(super) fn check(self, name: &str) -> Result<LedgerConfig, (&'static str, String)> {
-        let period_ms = range_ms("period", self.period, 900_000, 100, 31 * 86_400_000)?;
-        let grace_ms = range_ms("grace", self.grace, period_ms.min(5000), 0, period_ms)?;
-        let keep_ms = range_ms("keep", self.keep, 400 * 86_400_000, 1000, 20 * 366 * 86_400_000)?;
-        let mode = match self.mode {
-            RawMode::Strict if self.interval.is_some() => {
-                return Err(("interval", "belongs to mode \"interval\"".to_owned()));
-            }
-            RawMode::Strict if self.at_risk.is_some() => {
-                return Err(("at_risk", "belongs to mode \"interval\"".to_owned()));
-            }
-            RawMode::Strict => DurabilityMode::Strict,
-            RawMode::Interval => {
-                let every_ms = range_ms("interval", self.interval, 50, 1, 60_000)?;
-                let at_risk = self.at_risk.unwrap_or(1000);
-                if at_risk == 0 {
-                    return Err((
-                        "at_risk",
-                        "with 0 no answer could leave; mode \"strict\" is that".to_owned(),
-                    ));
-                }
-                DurabilityMode::Interval { every_ms, at_risk }
-            }
-        };
-        let export = match self.export.map(|e| (e.folder, e.collector)) {
-            None => None,
-            Some((Some(folder), None)) => Some(ExportTarget::Folder(folder)),
-            Some((None, Some(address))) => Some(ExportTarget::Collector(address)),
-            Some(_) => return Err(("export", "takes either `folder` or `collector`".to_owned())),
-        };
-        let peers = match self.peers {
-            None => None,
-            Some(raw) if raw.listen.is_none() && raw.ask.is_empty() => {
-                return Err(("peers", "names neither `listen` nor whom to `ask`".to_owned()));
-            }
-            Some(raw) if raw.ask.len() > 64 => return Err(("peers", "asks more than 64".to_owned())),
-            Some(raw) => {
-                let every_ms = range_ms("peers", raw.every, 30_000, 100, 86_400_000)?;
-                Some(PeerSettings { listen: raw.listen, ask: raw.ask, every_ms })
-            }
-        };
-        let batch_lines = self.batch_lines.unwrap_or(10_000);
-        if !(1..=100_000).contains(&batch_lines) {
-            return Err(("batch_lines", format!("{batch_lines} is not within 1 and 100000")));
-        }
+    /// Returns the settings of the block, which has this label.
+    ///
+    /// # Errors
+    /// With the first key that is faulty.
+    pub(super) fn check(self, name: &str) -> Result<LedgerConfig, KeyFault> {
+        let period_ms = range_ms("period", self.period, DEFAULT_PERIOD_MS, MIN_PERIOD_MS, MAX_PERIOD_MS)?;
+        let default_grace_ms = period_ms.min(DEFAULT_GRACE_MS);
+        let grace_ms = range_ms("grace", self.grace, default_grace_ms, 0, period_ms)?;
+        let keep_ms = range_ms("keep", self.keep, DEFAULT_KEEP_MS, MIN_KEEP_MS, MAX_KEEP_MS)?;
+        let mode = self.mode.check(self.interval, self.at_risk)?;
+        let export = self.export.map(RawExport::check).transpose()?;
+        let peers = self.peers.map(RawPeers::check).transpose()?;
+        let batch_lines = check_batch_lines(self.batch_lines)?;
         if self.directory.is_empty() {
-            return Err(("directory", "is empty".to_owned()));
+            return Err(KeyFault::new("directory", "is empty"));
         }
         Ok(LedgerConfig {
             name: name.to_owned(),
@@ -164,54 +160,142 @@
             period_ms,
             grace_ms,
             mode,
-            on_failure: match self.on_failure {
-                RawOnFailure::Refuse => FailurePolicy::Reject,
-                RawOnFailure::Continue => FailurePolicy::Continue,
-            },
+            on_failure: self.on_failure.policy(),
             export,
-            batch_lines: batch_lines as usize,
+            batch_lines,
             keep_ms,
             peers,
         })
     }
 }
 
+impl RawMode {
+    /// Returns the mode with its two keys, which belong to interval mode alone.
+    fn check(self, interval: Option<Duration>, at_risk: Option<u64>) -> Result<DurabilityMode, KeyFault> {
+        match self {
+            RawMode::Strict if interval.is_some() => {
+                Err(KeyFault::new("interval", "belongs to mode \"interval\""))
+            }
+            RawMode::Strict if at_risk.is_some() => {
+                Err(KeyFault::new("at_risk", "belongs to mode \"interval\""))
+            }
+            RawMode::Strict => Ok(DurabilityMode::Strict),
+            RawMode::Interval => {
+                let every_ms =
+                    range_ms("interval", interval, DEFAULT_INTERVAL_MS, MIN_INTERVAL_MS, MAX_INTERVAL_MS)?;
+                let at_risk = at_risk.unwrap_or(DEFAULT_AT_RISK);
+                if at_risk == 0 {
+                    let what = "with 0 no answer could leave; mode \"strict\" is that";
+                    return Err(KeyFault::new("at_risk", what));
+                }
+                Ok(DurabilityMode::Interval { every_ms, at_risk })
+            }
+        }
+    }
+}
+
+impl RawOnFailure {
+    fn policy(self) -> FailurePolicy {
+        match self {
+            RawOnFailure::Refuse => FailurePolicy::Reject,
+            RawOnFailure::Continue => FailurePolicy::Continue,
+        }
+    }
+}
+
+impl RawExport {
+    fn check(self) -> Result<ExportTarget, KeyFault> {
+        match (self.folder, self.collector) {
+            (Some(folder), None) => Ok(ExportTarget::Folder(folder)),
+            (None, Some(address)) => Ok(ExportTarget::Collector(address)),
+            _ => Err(KeyFault::new("export", "takes either `folder` or `collector`")),
+        }
+    }
+}
+
+impl RawPeers {
+    fn check(self) -> Result<PeerSettings, KeyFault> {
+        if self.listen.is_none() && self.ask.is_empty() {
+            return Err(KeyFault::new("peers", "names neither `listen` nor whom to `ask`"));
+        }
+        if self.ask.len() > MAX_PEERS_ASKED {
+            return Err(KeyFault::new("peers", format!("asks more than {MAX_PEERS_ASKED}")));
+        }
+        let every_ms = range_ms(
+            "peers",
+            self.every,
+            DEFAULT_PEER_INTERVAL_MS,
+            MIN_PEER_INTERVAL_MS,
+            MAX_PEER_INTERVAL_MS,
+        )?;
+        Ok(PeerSettings { listen: self.listen, ask: self.ask, every_ms })
+    }
+}
+
+fn check_batch_lines(batch_lines: Option<u64>) -> Result<usize, KeyFault> {
+    let batch_lines = batch_lines.unwrap_or(DEFAULT_BATCH_LINES);
+    if BATCH_LINES.contains(&batch_lines) {
+        return Ok(batch_lines as usize);
+    }
+    let (least, most) = (BATCH_LINES.start(), BATCH_LINES.end());
+    Err(KeyFault::new("batch_lines", format!("{batch_lines} is not within {least} and {most}")))
+}
+
 impl fmt::Display for LedgerConfig {
+    /// Writes the block as it would stand in an operator file.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "ledger \"{}\" {{\n  directory   = {:?}", self.name, self.directory)?;
-        writeln!(
-            f,
-            "  period      = \"{}\"\n  grace       = \"{}\"",
-            text(self.period_ms),
-            text(self.grace_ms)
-        )?;
-        match self.mode {
-            DurabilityMode::Strict => writeln!(f, "  mode        = \"strict\"")?,
-            DurabilityMode::Interval { every_ms, at_risk } => writeln!(
-                f,
-                "  mode        = \"interval\"\n  interval    = \"{}\"\n  at_risk     = {at_risk}",
-                text(every_ms)
-            )?,
-        }
-        let on_failure = if self.on_failure == FailurePolicy::Reject { "refuse" } else { "continue" };
-        writeln!(f, "  on_failure  = \"{on_failure}\"\n  batch_lines = {}", self.batch_lines)?;
+        writeln!(f, "ledger \"{}\" {{", self.name)?;
+        writeln!(f, "  directory   = {:?}", self.directory)?;
+        writeln!(f, "  period      = \"{}\"", text(self.period_ms))?;
+        writeln!(f, "  grace       = \"{}\"", text(self.grace_ms))?;
+        write_mode(f, self.mode)?;
+        writeln!(f, "  on_failure  = \"{}\"", failure_policy_word(self.on_failure))?;
+        writeln!(f, "  batch_lines = {}", self.batch_lines)?;
         writeln!(f, "  keep        = \"{}\"", text(self.keep_ms))?;
-        match &self.export {
-            None => {}
-            Some(ExportTarget::Folder(folder)) => writeln!(f, "  export {{\n    folder = {folder:?}\n  }}")?,
-            Some(ExportTarget::Collector(at)) => writeln!(f, "  export {{\n    collector = \"{at}\"\n  }}")?,
+        if let Some(export) = &self.export {
+            write_export(f, export)?;
         }
         if let Some(peers) = &self.peers {
-            writeln!(f, "  peers {{")?;
-            peers.listen.iter().try_for_each(|l| writeln!(f, "    listen = \"{l}\""))?;
-            let ask: Vec<String> = peers.ask.iter().map(|a| format!("\"{a}\"")).collect();
-            writeln!(
-                f,
-                "    ask    = [{}]\n    every  = \"{}\"\n  }}",
-                ask.join(", "),
-                text(peers.every_ms)
-            )?;
+            write_peers(f, peers)?;
         }
         writeln!(f, "}}")
     }
 }
+
+fn write_mode(f: &mut fmt::Formatter<'_>, mode: DurabilityMode) -> fmt::Result {
+    match mode {
+        DurabilityMode::Strict => writeln!(f, "  mode        = \"strict\""),
+        DurabilityMode::Interval { every_ms, at_risk } => {
+            writeln!(f, "  mode        = \"interval\"")?;
+            writeln!(f, "  interval    = \"{}\"", text(every_ms))?;
+            writeln!(f, "  at_risk     = {at_risk}")
+        }
+    }
+}
+
+fn failure_policy_word(policy: FailurePolicy) -> &'static str {
+    match policy {
+        FailurePolicy::Reject => "refuse",
+        FailurePolicy::Continue => "continue",
+    }
+}
+
+fn write_export(f: &mut fmt::Formatter<'_>, target: &ExportTarget) -> fmt::Result {
+    writeln!(f, "  export {{")?;
+    match target {
+        ExportTarget::Folder(folder) => writeln!(f, "    folder = {folder:?}")?,
+        ExportTarget::Collector(address) => writeln!(f, "    collector = \"{address}\"")?,
+    }
+    writeln!(f, "  }}")
+}
+
+fn write_peers(f: &mut fmt::Formatter<'_>, peers: &PeerSettings) -> fmt::Result {
+    writeln!(f, "  peers {{")?;
+    if let Some(listen) = peers.listen {
+        writeln!(f, "    listen = \"{listen}\"")?;
+    }
+    let ask: Vec<String> = peers.ask.iter().map(|address| format!("\"{address}\"")).collect();
+    writeln!(f, "    ask    = [{}]", ask.join(", "))?;
+    writeln!(f, "    every  = \"{}\"", text(peers.every_ms))?;
+    writeln!(f, "  }}")
+}
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -114,7 +114,7 @@
         return Err(source.fault(block.span(), Some(block), None, what));
     };
     let raw: RawLedger = source.block(block)?;
-    raw.check(label.as_str()).map_err(|(key, what)| source.key_fault(block, key, what))
+    raw.check(label.as_str()).map_err(|fault| source.key_fault(block, fault.key, fault.what))
 }
 
 impl fmt::Display for Operator {
