--- a/src/daemon/config_sync.rs
+++ b/src/daemon/config_sync.rs
@@ -7,8 +7,8 @@
 use crate::server::distributed_config::{
     Capacity, Distributed, InForce, Platform, PutError, ServerJudge, Taken,
 };
-use crate::server::frontend::NameTable;
 use crate::server::messages::DispatcherMessage;
+use crate::server::name_table::NameTable;
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use async_channel::{Receiver, Sender, TryRecvError};
 use dunlinspread_config_sync::client::{Client, ClientSettings, Server, Update};
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -9,10 +9,11 @@
 use crate::daemon::config_sync::ConfigSync;
 use crate::operator::{LogFormat, LogLevel, Operator};
 use crate::server::dispatcher::{Dispatcher, Peers};
-use crate::server::frontend::{Listener, NameTable, Shared};
+use crate::server::frontend::{Listener, Shared};
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
+use crate::server::name_table::NameTable;
 use crate::server::registry::RegistryReporter;
 use crate::server::supervisor;
 use crate::server::timer_wheel::{Clock, TimerWheel};
--- a/src/server/distributed_config/in_force.rs
+++ b/src/server/distributed_config/in_force.rs
@@ -7,7 +7,7 @@
 //! way.
 
 use crate::admission::{ClassLimitChange, QuotaChange, Reconfiguration};
-use crate::server::frontend::NameTable;
+use crate::server::name_table::NameTable;
 use dunlinspread_config_sync::resource::{Change, Key, Resource};
 use std::collections::HashMap;
 use std::sync::Arc;
--- a/src/server/distributed_config/judge.rs
+++ b/src/server/distributed_config/judge.rs
@@ -1,7 +1,7 @@
 //! Whether this server can put changes in force. It runs on the subscriber's thread and takes no look at the serving
 //! thread's state: it keeps the names that it let through, as hashes.
 
-use crate::server::frontend::NameTable;
+use crate::server::name_table::NameTable;
 use dunlinspread_config_sync::client::Judge;
 use dunlinspread_config_sync::resource::{Change, Key, Resource};
 use slog::{Logger, warn};
--- a/src/server/frontend/mod.rs
+++ b/src/server/frontend/mod.rs
@@ -5,17 +5,16 @@
 
 pub mod connection_state;
 mod listener;
-mod name_table;
 mod request_decoder;
 mod response_encoder;
 
 pub use listener::Listener;
-pub use name_table::NameTable;
 
 use crate::admission::{Class, RequestId};
 use crate::codec::msgpack::{self, Value};
 use crate::server::distributed_config::Distributed;
 use crate::server::messages::{ConnectionMessage, DispatcherMessage, ReplyHandle};
+use crate::server::name_table::NameTable;
 use crate::server::supervisor::catch_panic;
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use async_channel::{Receiver, Sender};
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -6,6 +6,7 @@
 pub mod distributed_config;
 pub mod frontend;
 pub mod messages;
+pub mod name_table;
 pub mod registry;
 pub mod supervisor;
 pub mod timer_wheel;
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -1,7 +1,7 @@
 //! What distributed settings are in force, against a plain map; and what a server's judge lets through.
 
 use dunlinspread::server::distributed_config::{Capacity, InForce, Platform, ServerJudge};
-use dunlinspread::server::frontend::NameTable;
+use dunlinspread::server::name_table::NameTable;
 use dunlinspread::{ClassLimitChange, Reconfiguration};
 use dunlinspread_config_sync::client::Judge;
 use dunlinspread_config_sync::resource::{Change, Key, Resource};
--- a/tests/name_tables.rs
+++ b/tests/name_tables.rs
@@ -1,6 +1,6 @@
 //! Positions by name: the same as a walk through the list finds.
 
-use dunlinspread::server::frontend::NameTable;
+use dunlinspread::server::name_table::NameTable;
 use proptest::prelude::*;
 
 proptest! {
--- a/tests/swap.rs
+++ b/tests/swap.rs
@@ -3,8 +3,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use dunlinspread::server::distributed_config::{Distributed, InForce, Platform};
-use dunlinspread::server::frontend::NameTable;
 use dunlinspread::server::messages::{DispatcherMessage, IncomingRequest, ReplyHandle};
+use dunlinspread::server::name_table::NameTable;
 use dunlinspread::server::timer_wheel::{Clock, TimerWheel};
 use dunlinspread_config_sync::resource::{Change, Resource};
 use futures_lite::future::{block_on, yield_now};
