--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -9,7 +9,7 @@
 use crate::daemon::config_sync::ConfigSync;
 use crate::operator::{LogFormat, LogLevel, Operator};
 use crate::server::dispatcher::{Dispatcher, Peers};
-use crate::server::frontend::{Listener, Shared};
+use crate::server::frontend::{FrontendContext, Listener, LogWindow};
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
@@ -296,7 +296,7 @@
         }
         None => None,
     };
-    let shared = Rc::new(Shared {
+    let context = Rc::new(FrontendContext {
         tenants,
         passes_deadline: config.settings.passes_deadline,
         classes: config.settings.classes.clone(),
@@ -304,18 +304,18 @@
         distributed,
         clock,
         wheel: wheel.clone(),
-        core: core_box.clone(),
+        dispatcher: core_box.clone(),
         log: log.clone(),
-        accounts: links.operator.ledger.is_some(),
-        last_id: Cell::new(0),
-        complaints: Cell::new((0.0, 0)),
+        bills_accounts: links.operator.ledger.is_some(),
+        last_request_id: Cell::new(0),
+        fault_log: Cell::new(LogWindow::default()),
     });
     let list = Listener {
-        shared,
-        listener,
-        own: list_box.clone(),
+        context,
+        socket: listener,
+        sender: list_box.clone(),
         executor: executor.clone(),
-        most: config.bounds.clients,
+        max_connections: config.bounds.clients,
     };
     let (left, (list_ends, list_over)) = (Rc::new(Cell::new(false)), async_channel::bounded(1));
     let (may_end, list_dead) = (left.clone(), dead.clone());
--- /dev/null
+++ b/src/server/frontend/connection.rs
@@ -0,0 +1,143 @@
+//! The state of one connection that its task and the connection table share.
+
+use super::connection_state::{ConnectionPolicy, ConnectionState, EvictionRank, Transition};
+use crate::admission::RequestId;
+use crate::server::messages::{ConnectionMessage, ReplyHandle, Response};
+use async_channel::{Receiver, Sender};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+
+/// Requests open on one connection, past which further ones are invalid: the protocol allows half as many.
+const MAX_OPEN_REQUESTS: usize = 64;
+/// Responses that wait for the writer of a connection, past which it is closed.
+const RESPONSE_QUEUE_CAPACITY: usize = 2 * MAX_OPEN_REQUESTS;
+
+/// One client connection.
+pub(super) struct Connection {
+    /// Its state machine.
+    pub(super) state: RefCell<ConnectionState>,
+    /// Whether all responses are written and only the client's close is awaited, so that it may be dropped.
+    pub(super) is_lingering: Cell<bool>,
+    responses: Sender<ConnectionMessage>,
+    /// Open requests: the dispatcher's id by message id.
+    open_requests: RefCell<HashMap<u64, RequestId>>,
+    /// Responses owed to health checks and to invalid requests.
+    other_responses_owed: Cell<usize>,
+}
+
+impl Connection {
+    /// Returns a connection accepted at `now`, and the receiver of its responses.
+    pub(super) fn new(now: f64) -> (Connection, Receiver<ConnectionMessage>) {
+        let (responses, receiver) = async_channel::bounded(RESPONSE_QUEUE_CAPACITY);
+        let connection = Connection {
+            state: RefCell::new(ConnectionState::new(now)),
+            is_lingering: Cell::new(false),
+            responses,
+            open_requests: RefCell::default(),
+            other_responses_owed: Cell::new(0),
+        };
+        (connection, receiver)
+    }
+
+    /// Returns whether a response is still owed.
+    pub(super) fn response_owed(&self) -> bool {
+        !self.open_requests.borrow().is_empty() || self.other_responses_owed.get() > 0
+    }
+
+    /// Returns whether requests are accepted.
+    pub(super) fn accepts_requests(&self) -> bool {
+        self.state.borrow().accepts_requests()
+    }
+
+    /// Returns the rank for eviction, or `None` while the connection can't be evicted.
+    pub(super) fn eviction_rank(&self, now: f64) -> Option<EvictionRank> {
+        self.state.borrow().eviction_rank(now, self.response_owed())
+    }
+
+    /// Advances the state machine to `now`: notifies an idle client, and closes the connection if it stays.
+    pub(super) fn advance(&self, now: f64, policy: ConnectionPolicy) {
+        let transition = self.state.borrow_mut().advance(now, self.response_owed(), policy);
+        match transition {
+            Transition::Stay => {}
+            Transition::NotifyShutdown => self.notify_shutdown(),
+            Transition::Finish => self.close_response_queue(),
+        }
+    }
+
+    /// Closes the connection at once: a request that crosses this is not accepted, and its client sends it again.
+    pub(super) fn evict(&self, now: f64) {
+        self.notify_shutdown();
+        self.finish(now);
+    }
+
+    /// Accepts no request and no response from `now` on.
+    pub(super) fn finish(&self, now: f64) {
+        self.state.borrow_mut().finish(now);
+        self.close_response_queue();
+    }
+
+    fn notify_shutdown(&self) {
+        if self.responses.try_send(ConnectionMessage::Shutdown).is_err() {
+            self.close_response_queue();
+        }
+    }
+
+    fn close_response_queue(&self) {
+        self.responses.close();
+    }
+
+    /// Returns whether the queue of responses is closed.
+    pub(super) fn is_response_queue_closed(&self) -> bool {
+        self.responses.is_closed()
+    }
+
+    /// Returns where the response to a message goes.
+    pub(super) fn reply_handle(&self, message_id: u64) -> ReplyHandle {
+        ReplyHandle { mailbox: self.responses.clone(), tag: message_id }
+    }
+
+    /// Returns whether a request with this message id is open.
+    pub(super) fn is_open(&self, message_id: u64) -> bool {
+        self.open_requests.borrow().contains_key(&message_id)
+    }
+
+    /// Returns whether a further request may be opened.
+    pub(super) fn may_open_request(&self) -> bool {
+        self.open_requests.borrow().len() < MAX_OPEN_REQUESTS
+    }
+
+    /// Opens a request.
+    pub(super) fn open_request(&self, message_id: u64, id: RequestId) {
+        self.open_requests.borrow_mut().insert(message_id, id);
+    }
+
+    /// Closes a request whose client no longer waits, and returns its id.
+    pub(super) fn cancel_request(&self, message_id: u64) -> Option<RequestId> {
+        self.open_requests.borrow_mut().remove(&message_id)
+    }
+
+    /// Closes all requests and returns their ids.
+    pub(super) fn cancel_all_requests(&self) -> Vec<RequestId> {
+        self.open_requests.borrow_mut().drain().map(|(_, id)| id).collect()
+    }
+
+    /// Records that a response is owed to a health check or an invalid request.
+    pub(super) fn expect_other_response(&self) {
+        self.other_responses_owed.set(self.other_responses_owed.get() + 1);
+    }
+
+    /// Settles what is owed to a message, and returns whether its response has to be written. A request that the
+    /// client cancelled is owed none.
+    pub(super) fn settle(&self, message_id: u64, response: &Response) -> bool {
+        if self.open_requests.borrow_mut().remove(&message_id).is_some() {
+            return true;
+        }
+        match response {
+            Response::Completed(_) | Response::Rejected { .. } | Response::Failed => false,
+            Response::Invalid | Response::Health(_) => {
+                self.other_responses_owed.set(self.other_responses_owed.get().saturating_sub(1));
+                true
+            }
+        }
+    }
+}
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -1,151 +1,210 @@
-//! The life of a connection: what may be told to it and when it ends. It serves; it is told to send nothing new; it
-//! finishes: what is owed goes out, the sending side is shut, and what still comes is read to its end unheard, for a close
-//! over unread bytes would reset the connection and take answers with it. It knows no socket and no clock. It must never
-//! let a connection finish while an answer is owed on it, except at the program's own end, and never take a request on
-//! one that finishes.
-
-/// How long a connection may take to its first whole request, and a message from its first byte to its last, ms. The
-/// platform allows three seconds in all; a caller that means well sends within a round trip.
-pub const WHOLE_MS: f64 = 2000.0;
-/// How long a caller has to close a connection after `shutdown`, before it is closed here, ms.
-pub const LEAVE_MS: f64 = 1000.0;
-/// How long what still comes is read after the sending side was shut, ms: a caller that reads sees the end within a round
-/// trip.
-pub const LINGER_MS: f64 = 1000.0;
-/// How long at the least, where descriptors are short, ms: the time within which the protocol has a request that crosses a
-/// close sent again.
-pub const CROSSING_MS: f64 = 50.0;
-/// How long a new connection counts as one that is about to send, ms: it makes room for nobody meanwhile.
-const NEW_MS: f64 = 50.0;
-
-/// What is to be done with a connection.
+//! State machine of a client connection: when its client is notified to send nothing new, and when it is closed.
+//!
+//! A connection serves; its client is notified; it finishes: the responses that are owed go out, the sending side is
+//! shut, and further bytes are read and discarded, because a close over unread bytes would reset the connection and
+//! lose responses. The state machine has no socket and no clock.
+//!
+//! # Invariants
+//! - While a response is owed, a connection finishes only at the end of the process or by an explicit
+//!   [`ConnectionState::finish`].
+//! - A connection that finishes accepts no request.
+
+use std::cmp::Ordering;
+
+/// Time limit for the first whole request of a connection, and for a message from its first byte to its last, ms. The
+/// platform allows three seconds in all; a well-behaved client sends within a round trip.
+pub const MESSAGE_TIMEOUT_MS: f64 = 2000.0;
+/// Time that a client has to close a connection after the shutdown notification, ms.
+pub const CLOSE_GRACE_MS: f64 = 1000.0;
+/// Time for which bytes are read and discarded after the sending side was shut, ms: a client that reads sees the end
+/// within a round trip.
+pub const LINGER_TIMEOUT_MS: f64 = 1000.0;
+/// Shortest time for which bytes are discarded where descriptors are short, ms: within it the protocol has a request
+/// that crosses a close sent again.
+pub const MIN_LINGER_MS: f64 = 50.0;
+/// Age below which a connection without a request is not evicted, ms: its first request may be on its way.
+const NEW_CONNECTION_GRACE_MS: f64 = 50.0;
+
+/// What has to be done with a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Transition {
     /// Nothing.
     Stay,
-    /// Its caller is told to send nothing new.
-    Tell,
-    /// What is owed goes out, and it ends.
+    /// Notify the client to send nothing new.
+    NotifyShutdown,
+    /// Send the responses that are queued, and close.
     Finish,
 }
 
-/// What the list of connections wants of all of them.
+/// What the listener asks of all connections.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionPolicy {
+    /// Clients of connections idle for this long are notified, ms.
+    pub idle_timeout_ms: f64,
+    /// The server drains: all clients are notified.
+    pub notify_all: bool,
+    /// The process ends: all connections finish, whatever is owed.
+    pub finish_all: bool,
+}
+
+/// How far the bytes that have come were understood.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
-    /// Idle ones are told after this long, ms.
-    pub idle_limit: f64,
-    /// The program leaves: all are told.
-    pub leaving: bool,
-    /// It ends: all finish, whatever is owed.
-    pub ending: bool,
+pub struct ReadProgress {
+    /// At least one message was read whole.
+    pub completed_message: bool,
+    /// The bytes end within a message.
+    pub ends_in_partial_message: bool,
 }
 
+/// How much a connection would be missed if it were evicted. The lowest is evicted first: a connection that never sent
+/// a request, else the one idle longest.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+pub struct EvictionRank {
+    /// Whether a request was ever read.
+    pub sent_request: bool,
+    /// When bytes were last carried, ms.
+    pub last_activity: f64,
+}
+
+impl EvictionRank {
+    /// Compares two ranks, the first to be evicted first.
+    pub fn total_cmp(&self, other: &EvictionRank) -> Ordering {
+        self.sent_request.cmp(&other.sent_request).then(self.last_activity.total_cmp(&other.last_activity))
+    }
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Phase {
     Serving,
-    /// Told then to send nothing new.
-    Told(f64),
-    /// Nothing more is taken since then.
+    /// The client was notified at that time.
+    Notified(f64),
+    /// Nothing is accepted since that time.
     Finishing(f64),
 }
 
-/// One connection's life.
+/// The state of one connection. Times are in ms of the caller's clock.
 #[derive(Clone, Debug)]
-pub struct Life {
-    stage: Stage,
-    since: f64,
-    spoke: bool,
-    half: Option<f64>,
-    used: f64,
+pub struct ConnectionState {
+    phase: Phase,
+    accepted_at: f64,
+    sent_request: bool,
+    partial_message_since: Option<f64>,
+    last_activity: f64,
 }
 
-impl Life {
-    /// Accepted then.
-    pub fn new(now: f64) -> Life {
-        Life { stage: Stage::Serving, since: now, spoke: false, half: None, used: now }
+impl ConnectionState {
+    /// Returns the state of a connection accepted at `now`.
+    pub fn new(now: f64) -> ConnectionState {
+        ConnectionState {
+            phase: Phase::Serving,
+            accepted_at: now,
+            sent_request: false,
+            partial_message_since: None,
+            last_activity: now,
+        }
     }
 
-    /// What callers sent while the program got no time waits unread: that silence was not theirs.
-    pub fn forgive(&mut self, lost: f64) {
-        self.since += lost;
-        self.used += lost;
-        self.half = self.half.map(|since| since + lost);
-        match &mut self.stage {
-            Stage::Serving => {}
-            Stage::Told(at) | Stage::Finishing(at) => *at += lost,
+    /// Moves all times by `stalled_ms`, for which the event loop stood still: bytes that came meanwhile wait unread,
+    /// so the silence was not the client's.
+    pub fn exclude_stall(&mut self, stalled_ms: f64) {
+        self.accepted_at += stalled_ms;
+        self.last_activity += stalled_ms;
+        self.partial_message_since = self.partial_message_since.map(|since| since + stalled_ms);
+        match &mut self.phase {
+            Phase::Serving => {}
+            Phase::Notified(at) | Phase::Finishing(at) => *at += stalled_ms,
         }
     }
 
-    /// It carried bytes, in either direction.
-    pub fn used(&mut self, now: f64) {
-        self.used = now;
+    /// Records that bytes were carried, in either direction.
+    pub fn record_activity(&mut self, now: f64) {
+        self.last_activity = now;
     }
 
-    /// It asked for something that is answered.
-    pub fn spoke(&mut self) {
-        self.spoke = true;
+    /// Records that a request was read.
+    pub fn record_request(&mut self) {
+        self.sent_request = true;
     }
 
-    /// All that came was read: whether a message is there in part, and whether a whole one came before it.
-    pub fn read(&mut self, partly: bool, whole: bool) {
-        let since = self.half.filter(|_| !whole).unwrap_or(self.used);
-        self.half = partly.then_some(since);
+    /// Records that all bytes that have come were decoded.
+    pub fn record_read(&mut self, progress: ReadProgress) {
+        let previous = self.partial_message_since.filter(|_| !progress.completed_message);
+        let since = previous.unwrap_or(self.last_activity);
+        self.partial_message_since = progress.ends_in_partial_message.then_some(since);
     }
 
-    /// Whether what is read is still taken.
-    pub fn takes(&self) -> bool {
-        !matches!(self.stage, Stage::Finishing(_))
+    /// Returns whether requests are accepted.
+    pub fn accepts_requests(&self) -> bool {
+        !matches!(self.phase, Phase::Finishing(_))
     }
 
-    /// Since when nothing is taken any more.
+    /// Returns since when no request is accepted.
     pub fn finishing_since(&self) -> Option<f64> {
-        match self.stage {
-            Stage::Finishing(at) => Some(at),
+        match self.phase {
+            Phase::Finishing(at) => Some(at),
             _ => None,
         }
     }
 
-    /// Nothing more is taken from now on.
+    /// Accepts no request from `now` on.
     pub fn finish(&mut self, now: f64) {
-        if self.takes() {
-            self.stage = Stage::Finishing(now);
+        if self.accepts_requests() {
+            self.phase = Phase::Finishing(now);
         }
     }
 
-    /// Time passes; `owed` says whether an answer is.
-    pub fn look(&mut self, now: f64, owed: bool, wish: Wish) -> Step {
-        let silent = !self.spoke && now - self.since >= WHOLE_MS;
-        let half = self.half.is_some_and(|since| now - since >= WHOLE_MS);
-        let over = match self.stage {
-            Stage::Finishing(_) => return Step::Stay,
-            _ if wish.ending => true,
-            _ if owed => false,
-            // Silence and half messages cost a descriptor and a buffer, and would keep others out: they end in time.
-            _ if silent || half => true,
-            Stage::Told(at) => now - at.max(self.used) >= LEAVE_MS,
-            Stage::Serving => false,
-        };
-        if over {
+    /// Advances to `now` and returns what has to be done; `response_owed` says whether a response is still owed.
+    pub fn advance(&mut self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> Transition {
+        if !self.accepts_requests() {
+            return Transition::Stay;
+        }
+        if self.is_over(now, response_owed, policy) {
             self.finish(now);
-            return Step::Finish;
+            return Transition::Finish;
         }
-        match &mut self.stage {
-            Stage::Serving if wish.leaving || !owed && now - self.used >= wish.idle_limit => {
-                self.stage = Stage::Told(now);
-                Step::Tell
+        match &mut self.phase {
+            Phase::Serving
+                if policy.notify_all
+                    || !response_owed && now - self.last_activity >= policy.idle_timeout_ms =>
+            {
+                self.phase = Phase::Notified(now);
+                Transition::NotifyShutdown
             }
-            Stage::Told(at) if owed => {
+            Phase::Notified(at) if response_owed => {
                 *at = now;
-                Step::Stay
+                Transition::Stay
             }
-            _ => Step::Stay,
+            _ => Transition::Stay,
+        }
+    }
+
+    /// Returns whether a connection that is not finishing has to finish.
+    fn is_over(&self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> bool {
+        if policy.finish_all {
+            return true;
+        }
+        if response_owed {
+            return false;
+        }
+        // Silence and partial messages cost a descriptor and a buffer that other clients need.
+        if !self.sent_request && now - self.accepted_at >= MESSAGE_TIMEOUT_MS {
+            return true;
+        }
+        if self.partial_message_since.is_some_and(|since| now - since >= MESSAGE_TIMEOUT_MS) {
+            return true;
+        }
+        match self.phase {
+            Phase::Notified(at) => now - at.max(self.last_activity) >= CLOSE_GRACE_MS,
+            Phase::Serving | Phase::Finishing(_) => false,
         }
     }
 
-    /// How much it would be missed if it had to make room; none while it can't: with an answer owed, or so new that its
-    /// request may only just be on its way. One that never sent a request goes first, then the one idle longest.
-    pub fn missed(&self, now: f64, owed: bool) -> Option<(bool, f64)> {
-        let new = !self.spoke && now - self.since < NEW_MS;
-        (self.takes() && !owed && !new).then_some((self.spoke, self.used))
+    /// Returns the rank for eviction, or `None` while the connection can't be evicted: it finishes, a response is owed,
+    /// or it is so new that its first request may be on its way.
+    pub fn eviction_rank(&self, now: f64, response_owed: bool) -> Option<EvictionRank> {
+        let is_new = !self.sent_request && now - self.accepted_at < NEW_CONNECTION_GRACE_MS;
+        let evictable = self.accepts_requests() && !response_owed && !is_new;
+        evictable
+            .then_some(EvictionRank { sent_request: self.sent_request, last_activity: self.last_activity })
     }
 }
--- /dev/null
+++ b/src/server/frontend/connection_table.rs
@@ -0,0 +1,172 @@
+//! The connections that are open, each with its task, and their number against its limit.
+
+use super::connection::Connection;
+use super::connection_state::{ConnectionPolicy, MIN_LINGER_MS};
+use super::connection_task;
+use super::context::{FrontendContext, LOG_WINDOW_MS};
+use crate::server::messages::ListenerMessage;
+use async_channel::Sender;
+use async_executor::{LocalExecutor, Task};
+use async_io::Async;
+use slog::warn;
+use std::collections::HashMap;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+/// The part of the connections, as a divisor, that is kept free by closing idle ones.
+const FREE_DIVISOR: usize = 8;
+
+/// Whether an idle connection is evicted when one is added past the part that is kept free.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Eviction {
+    /// An idle connection is evicted.
+    Allowed,
+    /// No connection is evicted.
+    Deferred,
+}
+
+/// A connection and its task; the task ends when this is dropped.
+struct Entry {
+    connection: Rc<Connection>,
+    _task: Task<()>,
+}
+
+/// The open connections.
+pub(super) struct ConnectionTable {
+    context: Rc<FrontendContext>,
+    /// Takes the end of each connection's task.
+    closed: Sender<ListenerMessage>,
+    executor: Rc<LocalExecutor<'static>>,
+    max_connections: usize,
+    last_number: u64,
+    entries: HashMap<u64, Entry>,
+    logged_at: f64,
+}
+
+impl ConnectionTable {
+    /// Returns an empty table.
+    pub(super) fn new(
+        context: Rc<FrontendContext>,
+        closed: Sender<ListenerMessage>,
+        executor: Rc<LocalExecutor<'static>>,
+        max_connections: usize,
+    ) -> ConnectionTable {
+        ConnectionTable {
+            context,
+            closed,
+            executor,
+            max_connections,
+            last_number: 0,
+            entries: HashMap::new(),
+            logged_at: f64::NEG_INFINITY,
+        }
+    }
+
+    /// Returns the number of open connections.
+    pub(super) fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Returns whether no connection is open.
+    pub(super) fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Returns whether a further connection may be added.
+    pub(super) fn has_capacity(&self) -> bool {
+        self.len() < self.max_connections
+    }
+
+    /// Adds a connection and starts its task.
+    pub(super) fn add(&mut self, now: f64, stream: TcpStream, eviction: Eviction) {
+        let Ok(stream) = Async::new(stream) else { return };
+        self.last_number += 1;
+        let (connection, responses) = Connection::new(now);
+        let connection = Rc::new(connection);
+        let task = {
+            let (connection, context) = (connection.clone(), self.context.clone());
+            let (closed, number) = (self.closed.clone(), self.last_number);
+            self.executor.spawn(async move {
+                connection_task::serve(&connection, &context, stream, responses).await;
+                // The listener's queue closes only at the end of the process.
+                let _ = closed.send(ListenerMessage::ConnectionClosed(number)).await;
+            })
+        };
+        self.entries.insert(self.last_number, Entry { connection, _task: task });
+        if !self.is_tight() {
+            return;
+        }
+        if eviction == Eviction::Allowed {
+            self.evict_one(now);
+        }
+        if self.may_log(now) {
+            warn!(self.context.log, "connections near limit"; "component" => "frontend",
+                "open" => self.len(), "limit" => self.max_connections);
+        }
+    }
+
+    /// Removes a connection and ends its task.
+    pub(super) fn remove(&mut self, number: u64) {
+        self.entries.remove(&number);
+    }
+
+    /// Excludes a stall of the event loop from the times of all connections.
+    pub(super) fn exclude_stall(&self, stalled_ms: f64) {
+        for entry in self.entries.values() {
+            entry.connection.state.borrow_mut().exclude_stall(stalled_ms);
+        }
+    }
+
+    /// Advances all connections to `now`. Past the part that is kept free, lingering connections are dropped early and
+    /// idle ones are evicted.
+    pub(super) fn sweep(&mut self, now: f64, policy: ConnectionPolicy) {
+        if self.is_tight() {
+            self.drop_lingering(now);
+            let finishing = self.entries.values().filter(|e| !e.connection.accepts_requests()).count();
+            for _ in self.comfortable_len()..self.len() - finishing {
+                self.evict_one(now);
+            }
+        }
+        for entry in self.entries.values() {
+            entry.connection.advance(now, policy);
+        }
+    }
+
+    /// Returns whether a log line about the number of connections may be written now.
+    pub(super) fn may_log(&mut self, now: f64) -> bool {
+        let may_log = now - self.logged_at > LOG_WINDOW_MS;
+        if may_log {
+            self.logged_at = now;
+        }
+        may_log
+    }
+
+    /// Returns the number of connections up to which none has to be evicted.
+    fn comfortable_len(&self) -> usize {
+        self.max_connections - self.max_connections / FREE_DIVISOR
+    }
+
+    fn is_tight(&self) -> bool {
+        self.len() > self.comfortable_len()
+    }
+
+    fn drop_lingering(&mut self, now: f64) {
+        self.entries.retain(|_, entry| {
+            let finishing_since = entry.connection.state.borrow().finishing_since();
+            let is_due = finishing_since.is_some_and(|since| now - since >= MIN_LINGER_MS);
+            !(entry.connection.is_lingering.get() && is_due)
+        });
+    }
+
+    /// Evicts the idle connection of the lowest rank, if there is one, so that clients that open connections by the
+    /// hundred, or send once and stay, do not keep others out.
+    fn evict_one(&self, now: f64) {
+        let ranked = self
+            .entries
+            .values()
+            .filter_map(|entry| Some((entry.connection.eviction_rank(now)?, &entry.connection)));
+        if let Some((_, connection)) = ranked.min_by(|a, b| a.0.total_cmp(&b.0)) {
+            connection.evict(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/frontend/connection_task.rs
@@ -0,0 +1,123 @@
+//! The task of one connection: reads requests, writes responses, and closes without losing responses.
+
+use super::connection::Connection;
+use super::connection_state::LINGER_TIMEOUT_MS;
+use super::context::FrontendContext;
+use super::error::ConnectionError;
+use super::reader::{READ_BUFFER_BYTES, read_requests};
+use super::writer::{WriteEnd, write_responses};
+use crate::server::messages::{ConnectionMessage, DispatcherMessage};
+use crate::server::supervisor::catch_panic;
+use async_channel::Receiver;
+use async_io::Async;
+use futures_lite::AsyncReadExt;
+use futures_lite::future::or;
+use slog::error;
+use std::cell::Cell;
+use std::future::Future;
+use std::net::{Shutdown, TcpStream};
+use std::pin::{Pin, pin};
+
+/// Time for the responses that are queued to be written when a connection is closed, ms.
+const FLUSH_TIMEOUT_MS: f64 = 50.0;
+/// Bytes that are read and discarded at most after the sending side was shut.
+const MAX_DISCARDED_BYTES: usize = 64 * 1024;
+
+/// What put an end to a connection.
+enum ConnectionEnd {
+    /// The client closed it, or it broke.
+    ClosedByClient,
+    /// The client broke the protocol or a limit.
+    Faulty(ConnectionError),
+    /// All responses are written, and there will be no more.
+    ResponsesWritten,
+}
+
+impl From<WriteEnd> for ConnectionEnd {
+    fn from(end: WriteEnd) -> ConnectionEnd {
+        match end {
+            WriteEnd::ResponsesWritten => ConnectionEnd::ResponsesWritten,
+            WriteEnd::ConnectionLost => ConnectionEnd::ClosedByClient,
+            WriteEnd::Faulty(error) => ConnectionEnd::Faulty(error),
+        }
+    }
+}
+
+/// Serves a connection until it is closed.
+pub(super) async fn serve(
+    connection: &Connection,
+    context: &FrontendContext,
+    stream: Async<TcpStream>,
+    responses: Receiver<ConnectionMessage>,
+) {
+    let _ = stream.get_ref().set_nodelay(true);
+    let writer_ended = Cell::new(false);
+    let mut writer = pin!(async {
+        let end = write_responses(connection, context, &stream, responses).await;
+        writer_ended.set(true);
+        ConnectionEnd::from(end)
+    });
+    let reader = async {
+        match read_requests(connection, context, &stream).await {
+            Ok(()) => ConnectionEnd::ClosedByClient,
+            Err(error) => ConnectionEnd::Faulty(error),
+        }
+    };
+    let end = catch_panic(or(reader, writer.as_mut())).await;
+    connection.finish(context.clock.now());
+    cancel_open_requests(connection, context).await;
+    let responses_written = match end {
+        Err(panic) => {
+            // A fault of the server in this task: it costs this client its connection and has no other effect.
+            return error!(context.log, "connection task panicked";
+                "component" => "frontend", "error" => %panic);
+        }
+        Ok(ConnectionEnd::ResponsesWritten) => true,
+        Ok(end) => {
+            if let ConnectionEnd::Faulty(error) = &end {
+                context.log_connection_error(error);
+            }
+            !writer_ended.get() && flush(context, writer).await
+        }
+    };
+    if responses_written {
+        linger(connection, context, &stream).await;
+    }
+}
+
+/// Tells the dispatcher that the client waits for none of its requests any more.
+async fn cancel_open_requests(connection: &Connection, context: &FrontendContext) {
+    for id in connection.cancel_all_requests() {
+        // The dispatcher's queue closes only at the end of the process.
+        let _ = context.dispatcher.send(DispatcherMessage::ClientGone(id)).await;
+    }
+}
+
+/// Lets the writer write what is queued, and returns whether it did so in time.
+async fn flush(context: &FrontendContext, writer: Pin<&mut impl Future<Output = ConnectionEnd>>) -> bool {
+    let written = async { matches!(writer.await, ConnectionEnd::ResponsesWritten) };
+    let timed_out = async {
+        context.wheel.sleep(FLUSH_TIMEOUT_MS).await;
+        false
+    };
+    or(written, timed_out).await
+}
+
+/// Shuts the sending side, and reads and discards what the client still sends, within limits.
+async fn linger(connection: &Connection, context: &FrontendContext, mut stream: &Async<TcpStream>) {
+    let _ = stream.get_ref().shutdown(Shutdown::Write);
+    connection.is_lingering.set(true);
+    let discard = async {
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
+        let mut remaining = MAX_DISCARDED_BYTES;
+        while remaining > 0 {
+            match stream.read(&mut buffer).await {
+                Ok(0) | Err(_) => return,
+                Ok(length) => remaining = remaining.saturating_sub(length),
+            }
+        }
+        // A client that never stops sending gets no more than the time to read its responses.
+        context.wheel.sleep(FLUSH_TIMEOUT_MS).await;
+    };
+    or(discard, context.wheel.sleep(LINGER_TIMEOUT_MS)).await;
+}
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -1,209 +1,183 @@
-//! The list of connections: accepts them, keeps their number within its part of the descriptors, and closes idle
-//! ones. It must never read what a connection carries.
+//! The task that accepts client connections, sweeps idle ones, and closes all of them on shutdown.
 
-use super::connection_state::{CROSSING_MS, Wish};
-use super::{COMPLAIN_MS, Connection, FULL_MS, MAILBOX, Shared};
+use super::connection_state::ConnectionPolicy;
+use super::connection_table::{ConnectionTable, Eviction};
+use super::context::FrontendContext;
 use crate::server::messages::ListenerMessage;
 use async_channel::{Receiver, Sender};
-use async_executor::{LocalExecutor, Task};
+use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::StreamExt;
-use futures_lite::future::or;
+use futures_lite::future::{or, pending};
 use slog::{info, warn};
-use std::collections::HashMap;
 use std::net::{TcpListener, TcpStream};
 use std::pin::pin;
 use std::rc::Rc;
 
-/// How often the list looks for idle connections, ms.
-const SWEEP_MS: f64 = 25.0;
-/// How late the list may be in looking, ms, before the time counts as one in which the program itself stood still.
-const STOOD_STILL_MS: f64 = 500.0;
-/// The part of the connections, as a divisor, that is kept free by closing idle ones.
-const FREE_PART: usize = 8;
+/// Interval between two sweeps over the connections, ms.
+const SWEEP_INTERVAL_MS: f64 = 25.0;
+/// Delay of a sweep past which the event loop counts as stalled, ms.
+const STALL_THRESHOLD_MS: f64 = 500.0;
+/// Pause in accepting when descriptors run out and after a stall, ms.
+const ACCEPT_PAUSE_MS: f64 = 50.0;
 
-/// The list of connections: accepts them and closes idle ones.
+/// The listener and what its task needs.
 pub struct Listener {
     /// What the connections share.
-    pub shared: Rc<Shared>,
-    /// Where they come from.
-    pub listener: Async<TcpListener>,
-    /// The list's own mailbox.
-    pub own: Sender<ListenerMessage>,
-    /// Runs the connections' actors.
+    pub context: Rc<FrontendContext>,
+    /// The listening socket.
+    pub socket: Async<TcpListener>,
+    /// Sender to the listener's own queue, for its connections.
+    pub sender: Sender<ListenerMessage>,
+    /// Runs the tasks of the connections.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Connections at most.
-    pub most: usize,
+    /// The most connections.
+    pub max_connections: usize,
 }
 
-enum Next {
-    Connected(std::io::Result<TcpStream>),
-    Told(Option<ListenerMessage>),
-    Sweep,
+enum ListenerEvent {
+    Accepted(std::io::Result<TcpStream>),
+    Message(Option<ListenerMessage>),
+    SweepDue,
 }
 
-/// The connections there are, each with its actor.
-struct Connections {
-    shared: Rc<Shared>,
-    own: Sender<ListenerMessage>,
-    executor: Rc<LocalExecutor<'static>>,
-    most: usize,
-    last: u64,
-    all: HashMap<u64, (Rc<Connection>, Task<()>)>,
-    complained: f64,
+/// The state of the listener's task.
+struct ListenerTask {
+    context: Rc<FrontendContext>,
+    /// The listening socket; `None` once the server shuts down.
+    socket: Option<Async<TcpListener>>,
+    connections: ConnectionTable,
+    idle_timeout_ms: f64,
+    /// When all connections finish, Unix ms; `None` until the server shuts down.
+    finish_at: Option<f64>,
+    accept_paused_until: f64,
+    last_sweep_at: f64,
 }
 
 impl Listener {
-    /// Serves until the program leaves and every connection has ended.
-    pub async fn run(self, inbox: Receiver<ListenerMessage>) {
-        let Listener { shared, listener, own, executor, most } = self;
-        let mut connections = Connections {
-            shared: shared.clone(),
-            own,
-            executor,
-            most,
-            last: 0,
-            all: HashMap::new(),
-            complained: f64::NEG_INFINITY,
-        };
-        let (mut idle_limit, mut finish_at) = (f64::INFINITY, None);
-        let (mut listener, mut paused_until) = (Some(listener), 0.0);
-        let mut inbox = pin!(inbox);
-        let (mut sweep, mut looked) = (shared.wheel.sleep(SWEEP_MS), shared.clock.now());
+    /// Serves until the server shuts down and every connection is closed.
+    pub async fn run(self, receiver: Receiver<ListenerMessage>) {
+        let wheel = self.context.wheel.clone();
+        let clock = self.context.clock;
+        let mut receiver = pin!(receiver);
+        let mut sweep_timer = wheel.sleep(SWEEP_INTERVAL_MS);
+        let mut task = ListenerTask::new(self);
         loop {
-            let now = shared.clock.now();
-            // Waiting callers stay in the system's queue until there is room.
-            let room = connections.all.len() < most && now >= paused_until;
-            let accepting = async {
-                match &listener {
-                    Some(listener) if room => {
-                        let accepted = listener.accept().await;
-                        Next::Connected(accepted.and_then(|(stream, _)| stream.into_inner()))
-                    }
-                    _ => futures_lite::future::pending().await,
-                }
-            };
-            let told = async { Next::Told(inbox.next().await) };
-            let swept = async {
-                (&mut sweep).await;
-                Next::Sweep
+            let message = async { ListenerEvent::Message(receiver.next().await) };
+            let sweep_due = async {
+                (&mut sweep_timer).await;
+                ListenerEvent::SweepDue
             };
-            let next = or(told, or(swept, accepting)).await;
-            let now = shared.clock.now();
-            // Whatever woke the list first, time that the program did not get is made good before anyone is
-            // closed; what callers sent meanwhile is read before further ones are taken.
-            let lost = now - looked - SWEEP_MS;
-            if lost > STOOD_STILL_MS {
-                warn!(shared.log, "the program stood still"; "ms" => lost.round());
-                connections.all.values().for_each(|(c, _)| c.life.borrow_mut().forgive(lost));
-                (looked, paused_until) = (now, now + FULL_MS);
-            }
-            match next {
-                Next::Connected(Ok(stream)) => connections.admit(now, stream, now >= paused_until),
-                Next::Connected(Err(e)) => {
-                    // Out of descriptors, or a connection that was reset before it was taken: accepting pauses.
-                    paused_until = now + FULL_MS;
-                    if connections.may_complain(now) {
-                        warn!(shared.log, "accepting paused";
-                            "why" => e.to_string(), "open" => connections.all.len());
-                    }
-                }
-                Next::Told(None) => return,
-                Next::Told(Some(ListenerMessage::SetIdleTimeout(ms))) => idle_limit = ms,
-                Next::Told(Some(ListenerMessage::ConnectionClosed(number))) => {
-                    drop(connections.all.remove(&number))
-                }
-                Next::Told(Some(ListenerMessage::Shutdown { finish_at: at })) => {
-                    finish_at = Some(at);
-                    // What stands in the system's queue is connected, as its callers see it, and may have sent its
-                    // request: a door shut over it would lose that.
-                    if let Some(door) = listener.take() {
-                        while let Ok((stream, _)) = door.get_ref().accept() {
-                            connections.admit(now, stream, false);
-                        }
-                    }
-                    info!(shared.log, "closing connections"; "open" => connections.all.len());
-                }
-                Next::Sweep => {
-                    sweep = shared.wheel.sleep(SWEEP_MS);
-                    looked = now;
-                    let ending = finish_at.is_some_and(|at| now >= at);
-                    connections.look(now, Wish { idle_limit, leaving: finish_at.is_some(), ending });
+            let event = or(message, or(sweep_due, task.accept())).await;
+            let now = clock.now();
+            task.exclude_stall(now);
+            match event {
+                ListenerEvent::Accepted(accepted) => task.handle_accepted(now, accepted),
+                ListenerEvent::Message(Some(message)) => task.handle_message(now, message),
+                ListenerEvent::Message(None) => return,
+                ListenerEvent::SweepDue => {
+                    sweep_timer = wheel.sleep(SWEEP_INTERVAL_MS);
+                    task.sweep(now);
                 }
             }
-            if finish_at.is_some() && connections.all.is_empty() {
+            if task.is_finished() {
                 return;
             }
         }
     }
 }
 
-impl Connections {
-    /// Takes a connection, and makes room for the next one where there is little.
-    fn admit(&mut self, now: f64, stream: TcpStream, evicting: bool) {
-        let Ok(stream) = Async::new(stream) else { return };
-        self.last += 1;
-        let (mailbox, letters) = async_channel::bounded(MAILBOX);
-        let connection = Rc::new(Connection::new(now, mailbox));
-        let (own, number, shared, with) =
-            (self.own.clone(), self.last, self.shared.clone(), connection.clone());
-        let actor = async move {
-            with.serve(&shared, stream, letters).await;
-            // The mailbox closes only when the program ends.
-            let _ = own.send(ListenerMessage::ConnectionClosed(number)).await;
-        };
-        self.all.insert(number, (connection, self.executor.spawn(actor)));
-        if !self.tight() {
-            return;
-        }
-        if evicting {
-            self.make_room(now);
-        }
-        if self.may_complain(now) {
-            warn!(self.shared.log, "connections are tight"; "open" => self.all.len(), "most" => self.most);
+impl ListenerTask {
+    fn new(listener: Listener) -> ListenerTask {
+        let Listener { context, socket, sender, executor, max_connections } = listener;
+        ListenerTask {
+            connections: ConnectionTable::new(context.clone(), sender, executor, max_connections),
+            socket: Some(socket),
+            idle_timeout_ms: f64::INFINITY,
+            finish_at: None,
+            accept_paused_until: 0.0,
+            last_sweep_at: context.clock.now(),
+            context,
         }
     }
 
-    fn tight(&self) -> bool {
-        self.all.len() > self.untight()
+    fn is_finished(&self) -> bool {
+        self.finish_at.is_some() && self.connections.is_empty()
     }
 
-    /// Connections up to which there is room enough.
-    fn untight(&self) -> usize {
-        self.most - self.most / FREE_PART
+    /// Accepts a connection. Without capacity, clients wait in the system's queue.
+    async fn accept(&self) -> ListenerEvent {
+        let may_accept =
+            self.connections.has_capacity() && self.context.clock.now() >= self.accept_paused_until;
+        match &self.socket {
+            Some(socket) if may_accept => {
+                let accepted = socket.accept().await;
+                ListenerEvent::Accepted(accepted.and_then(|(stream, _)| stream.into_inner()))
+            }
+            _ => pending().await,
+        }
     }
 
-    fn may_complain(&mut self, now: f64) -> bool {
-        let may = now - self.complained > COMPLAIN_MS;
-        if may {
-            self.complained = now;
+    /// Makes good a stall of the event loop before anything else is done: what clients sent meanwhile is read before
+    /// connections are closed and further ones accepted.
+    fn exclude_stall(&mut self, now: f64) {
+        let stalled_ms = now - self.last_sweep_at - SWEEP_INTERVAL_MS;
+        if stalled_ms <= STALL_THRESHOLD_MS {
+            return;
         }
-        may
+        warn!(self.context.log, "event loop stalled";
+            "component" => "frontend", "ms" => stalled_ms.round());
+        self.connections.exclude_stall(stalled_ms);
+        self.last_sweep_at = now;
+        self.accept_paused_until = now + ACCEPT_PAUSE_MS;
     }
 
-    /// Looks at each; where room is short, those of which only the end is awaited go sooner.
-    fn look(&mut self, now: f64, wish: Wish) {
-        if self.tight() {
-            self.all.retain(|_, (c, _)| {
-                let since = c.life.borrow().finishing_since();
-                !(c.lingers.get() && since.is_some_and(|since| now - since >= CROSSING_MS))
-            });
-            let ending = self.all.values().filter(|(c, _)| !c.life.borrow().takes()).count();
-            for _ in self.untight()..self.all.len() - ending {
-                self.make_room(now);
+    fn handle_accepted(&mut self, now: f64, accepted: std::io::Result<TcpStream>) {
+        match accepted {
+            Ok(stream) => {
+                let is_paused = now < self.accept_paused_until;
+                let eviction = if is_paused { Eviction::Deferred } else { Eviction::Allowed };
+                self.connections.add(now, stream, eviction);
+            }
+            Err(error) => {
+                // Out of descriptors, or the connection was reset before it was accepted.
+                self.accept_paused_until = now + ACCEPT_PAUSE_MS;
+                if self.connections.may_log(now) {
+                    warn!(self.context.log, "accepting paused"; "component" => "frontend",
+                        "error" => error.to_string(), "open" => self.connections.len());
+                }
             }
         }
-        self.all.values().for_each(|(c, _)| c.look(now, wish));
     }
 
-    /// Closes the idle connection that is missed least: one that never sent a request, else the one idle longest. It
-    /// guards against callers that open connections by the hundred, or ask once and stay, and so keep the others out.
-    fn make_room(&self, now: f64) {
-        let missed = |(c, _): &'_ (Rc<Connection>, Task<()>)| c.life.borrow().missed(now, c.owed());
-        let idle = self.all.values().filter_map(|c| missed(c).map(|missed| (missed, &c.0)));
-        let order = |a: &(bool, f64), b: &(bool, f64)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1));
-        if let Some((_, connection)) = idle.min_by(|a, b| order(&a.0, &b.0)) {
-            connection.evict(now);
+    fn handle_message(&mut self, now: f64, message: ListenerMessage) {
+        match message {
+            ListenerMessage::SetIdleTimeout(ms) => self.idle_timeout_ms = ms,
+            ListenerMessage::ConnectionClosed(number) => self.connections.remove(number),
+            ListenerMessage::Shutdown { finish_at } => self.shut_down(now, finish_at),
         }
     }
+
+    /// Closes the listening socket. What waits in the system's queue is accepted first: its clients see a connection
+    /// and may have sent a request, which a close would lose.
+    fn shut_down(&mut self, now: f64, finish_at: f64) {
+        self.finish_at = Some(finish_at);
+        if let Some(socket) = self.socket.take() {
+            while let Ok((stream, _)) = socket.get_ref().accept() {
+                self.connections.add(now, stream, Eviction::Deferred);
+            }
+        }
+        info!(self.context.log, "closing connections";
+            "component" => "frontend", "open" => self.connections.len());
+    }
+
+    fn sweep(&mut self, now: f64) {
+        self.last_sweep_at = now;
+        let policy = ConnectionPolicy {
+            idle_timeout_ms: self.idle_timeout_ms,
+            notify_all: self.finish_at.is_some(),
+            finish_all: self.finish_at.is_some_and(|finish_at| now >= finish_at),
+        };
+        self.connections.sweep(now, policy);
+    }
 }
--- /dev/null
+++ b/src/server/frontend/reader.rs
@@ -0,0 +1,162 @@
+//! The reading side of a connection: bytes to messages to the dispatcher.
+
+use super::connection::Connection;
+use super::connection_state::ReadProgress;
+use super::context::FrontendContext;
+use super::error::ConnectionError;
+use super::request_decoder::{ClientMessage, decode_request, parse_message};
+use crate::codec::msgpack::{Decoder, Value};
+use crate::server::messages::DispatcherMessage;
+use async_io::Async;
+use futures_lite::AsyncReadExt;
+use futures_lite::future::yield_now;
+use std::net::TcpStream;
+
+/// Bytes read at once.
+pub(super) const READ_BUFFER_BYTES: usize = 4 * 1024;
+/// Messages read from one connection before the other tasks have a turn.
+const MESSAGES_PER_TURN: u64 = 32;
+/// Time for the response to a message that can't be decoded to be written, ms.
+const ERROR_RESPONSE_MS: f64 = 50.0;
+
+/// Reads requests until the client closes the connection. Once the connection finishes, further bytes are discarded.
+///
+/// # Errors
+/// If the client breaks the protocol or reads no responses.
+pub(super) async fn read_requests(
+    connection: &Connection,
+    context: &FrontendContext,
+    mut stream: &Async<TcpStream>,
+) -> Result<(), ConnectionError> {
+    let mut reader = RequestReader { connection, context, decoder: Decoder::default(), messages_read: 0 };
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    loop {
+        match stream.read(&mut buffer).await {
+            // A close and a reset are the client's own affair.
+            Ok(0) | Err(_) => return Ok(()),
+            Ok(_) if !connection.accepts_requests() => continue,
+            Ok(length) => reader.decoder.feed(&buffer[..length]),
+        }
+        connection.state.borrow_mut().record_activity(context.clock.now());
+        reader.handle_buffered().await?;
+    }
+}
+
+struct RequestReader<'a> {
+    connection: &'a Connection,
+    context: &'a FrontendContext,
+    decoder: Decoder,
+    messages_read: u64,
+}
+
+impl RequestReader<'_> {
+    /// Handles all whole messages in the buffer.
+    async fn handle_buffered(&mut self) -> Result<(), ConnectionError> {
+        let read_before = self.messages_read;
+        loop {
+            match self.decoder.next_message() {
+                Ok(Some(message)) => {
+                    if let Some(distributed) = &self.context.distributed {
+                        distributed.may_look_up(&self.context.wheel).await;
+                    }
+                    // The client was notified, or its time is up: what crosses the close is not accepted.
+                    if !self.connection.accepts_requests() {
+                        return Ok(());
+                    }
+                    self.handle_message(&message).await?;
+                }
+                Ok(None) => {
+                    self.connection.state.borrow_mut().record_read(ReadProgress {
+                        completed_message: self.messages_read != read_before,
+                        ends_in_partial_message: !self.decoder.is_empty(),
+                    });
+                    return Ok(());
+                }
+                Err(error) => {
+                    self.answer_undecodable().await;
+                    return Err(ConnectionError::Decode(error));
+                }
+            }
+        }
+    }
+
+    async fn handle_message(&mut self, message: &Value) -> Result<(), ConnectionError> {
+        // The dispatcher closes the queue of a client that reads no responses; the writer may be stuck.
+        if self.connection.is_response_queue_closed() {
+            return Err(ConnectionError::ResponseQueueFull);
+        }
+        match parse_message(message)? {
+            ClientMessage::Request { id, method, args } => {
+                self.begin_request(id)?;
+                self.handle_request(id, method, args).await;
+            }
+            ClientMessage::HealthCheck { id } => {
+                self.begin_request(id)?;
+                self.connection.expect_other_response();
+                let reply = self.connection.reply_handle(id);
+                self.send(DispatcherMessage::HealthCheck(reply)).await;
+            }
+            ClientMessage::MalformedRequest { id } => {
+                self.begin_request(id)?;
+                self.reject_invalid(id).await;
+            }
+            ClientMessage::Cancel { ids } => self.handle_cancel(ids).await,
+            ClientMessage::UnknownNotification => {}
+        }
+        self.messages_read += 1;
+        if self.messages_read % MESSAGES_PER_TURN == 0 {
+            // A burst may not fill the queue of responses before the writer has had a turn.
+            yield_now().await;
+        }
+        Ok(())
+    }
+
+    fn begin_request(&self, message_id: u64) -> Result<(), ConnectionError> {
+        if self.connection.is_open(message_id) {
+            return Err(ConnectionError::DuplicateMessageId);
+        }
+        self.connection.state.borrow_mut().record_request();
+        Ok(())
+    }
+
+    async fn handle_request(&self, message_id: u64, method: &[u8], args: &[Value]) {
+        let reply = self.connection.reply_handle(message_id);
+        let request = if self.connection.may_open_request() {
+            decode_request(self.context, method, args, reply)
+        } else {
+            None
+        };
+        let Some(request) = request else { return self.reject_invalid(message_id).await };
+        self.connection.open_request(message_id, request.id);
+        self.send(DispatcherMessage::Request(Box::new(request))).await;
+    }
+
+    async fn handle_cancel(&self, message_ids: Vec<u64>) {
+        for message_id in message_ids {
+            if let Some(id) = self.connection.cancel_request(message_id) {
+                let _ = self.context.dispatcher.send(DispatcherMessage::ClientGone(id)).await;
+            }
+        }
+    }
+
+    async fn answer_undecodable(&self) {
+        if let Some(message_id) = self.decoder.request_id() {
+            self.reject_invalid(message_id).await;
+            // The response has to be written before the connection is closed.
+            self.context.wheel.sleep(ERROR_RESPONSE_MS).await;
+        }
+    }
+
+    async fn reject_invalid(&self, message_id: u64) {
+        self.connection.expect_other_response();
+        let reply = self.connection.reply_handle(message_id);
+        let _ = self.context.dispatcher.send(DispatcherMessage::InvalidRequest(reply)).await;
+    }
+
+    /// Sends a message whose names were looked up, so that no change of settings passes it on its way.
+    async fn send(&self, message: DispatcherMessage) {
+        let _guard = self.context.distributed.as_ref().map(|distributed| distributed.pass());
+        // The dispatcher's queue closes only at the end of the process.
+        let _ = self.context.dispatcher.send(message).await;
+    }
+}
--- a/src/server/frontend/request_decoder.rs
+++ b/src/server/frontend/request_decoder.rs
@@ -1,96 +1,196 @@
-//! What a message says, as the core's words: a proper request, or none. It must never guess at a field that can't be
-//! read.
+//! Decoding of client messages into requests. A field that can't be read makes a request invalid; none is guessed.
 
-use super::{Connection, MAX_OPEN, Method, Shared};
+use super::context::{FrontendContext, MethodTarget};
+use super::error::ConnectionError;
+use super::protocol;
 use crate::admission::RetrySafety;
 use crate::codec::msgpack::Value;
-use crate::server::messages::IncomingRequest;
+use crate::server::messages::{IncomingRequest, ReplyHandle};
 use dunlinspread_ledger::AccountName;
 use std::rc::Rc;
 
 /// The longest body of a request, in bytes.
-const MAX_BODY: usize = 2048;
-/// The longest key, in bytes.
-const MAX_KEY: usize = 128;
-/// The most memory that a request may say it takes while held, kB; the protocol allows less.
-const MAX_HELD_KB: f64 = 2000.0;
-/// The longest that a caller may say it waits for one try, in times its class is given up after in all, which the
-/// protocol makes the longest: a figure past this is none that a caller means.
-const MAX_WAITS: f64 = 2.0;
-
-impl Connection {
-    /// A proper request, or none: an unknown class, a field missing or out of range, a body too long, or too many
-    /// open at once.
-    pub(super) fn incoming(
-        &self,
-        shared: &Shared,
-        tag: u64,
-        method: &[u8],
-        args: &[Value],
-    ) -> Option<IncomingRequest> {
-        let named_by = shared.method(method)?;
-        let class = named_by.class();
-        let [Value::Map(fields), Value::Bin(body)] = args else { return None };
-        let named = |name: &str| -> Option<&Value> {
-            let found = fields.iter().find(|(k, _)| matches!(k, Value::Str(k) if k == name.as_bytes()));
-            found.map(|(_, value)| value)
-        };
-        let field = |name: &str| match named(name) {
+const MAX_BODY_BYTES: usize = 2048;
+/// The longest idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
+/// The most memory that a request may state, kB; the protocol allows less.
+const MAX_REQUEST_KB: f64 = 2000.0;
+/// The longest timeout of an attempt, in multiples of the client timeout of its class, which the protocol makes the
+/// longest.
+const MAX_TIMEOUT_FACTOR: f64 = 2.0;
+/// Digits of the identity of an attempt.
+const ATTEMPT_DIGITS: usize = 16;
+/// Prefix of a table key for a request whose method is a route; a class's position is below it.
+const ROUTE_KEY_PREFIX: u32 = u32::MAX;
+
+/// A message from a client.
+#[derive(Debug)]
+pub(super) enum ClientMessage<'a> {
+    /// A request to run.
+    Request { id: u64, method: &'a [u8], args: &'a [Value] },
+    /// A health check.
+    HealthCheck { id: u64 },
+    /// A request without a method or arguments.
+    MalformedRequest { id: u64 },
+    /// The client no longer waits for these message ids.
+    Cancel { ids: Vec<u64> },
+    /// A notification that the server does not know; it has no effect.
+    UnknownNotification,
+}
+
+/// Reads the kind of a message.
+///
+/// # Errors
+/// If the message is neither a request nor a notification.
+pub(super) fn parse_message(message: &Value) -> Result<ClientMessage<'_>, ConnectionError> {
+    let Value::Array(parts) = message else { return Err(ConnectionError::NotAnArray) };
+    match &parts[..] {
+        [Value::Uint(protocol::TYPE_REQUEST), Value::Uint(id), rest @ ..] => Ok(parse_request(*id, rest)),
+        [Value::Uint(protocol::TYPE_NOTIFICATION), Value::Str(method), Value::Array(args)] => {
+            if method == protocol::NOTIFICATION_CANCEL {
+                return Ok(ClientMessage::Cancel { ids: message_ids(args) });
+            }
+            Ok(ClientMessage::UnknownNotification)
+        }
+        _ => Err(ConnectionError::UnknownMessageType),
+    }
+}
+
+fn parse_request(id: u64, rest: &[Value]) -> ClientMessage<'_> {
+    match rest {
+        [Value::Str(method), Value::Array(_)] if method == protocol::METHOD_HEALTH_CHECK => {
+            ClientMessage::HealthCheck { id }
+        }
+        [Value::Str(method), Value::Array(args)] => ClientMessage::Request { id, method, args },
+        _ => ClientMessage::MalformedRequest { id },
+    }
+}
+
+fn message_ids(args: &[Value]) -> Vec<u64> {
+    let id = |arg: &Value| match arg {
+        Value::Uint(id) => Some(*id),
+        _ => None,
+    };
+    args.iter().filter_map(id).collect()
+}
+
+/// The fields of a request, by wire word.
+struct Fields<'a>(&'a [(Value, Value)]);
+
+impl<'a> Fields<'a> {
+    fn value(&self, name: &str) -> Option<&'a Value> {
+        let is_named = |key: &Value| matches!(key, Value::Str(key) if key == name.as_bytes());
+        self.0.iter().find(|(key, _)| is_named(key)).map(|(_, value)| value)
+    }
+
+    fn is_present(&self, name: &str) -> bool {
+        self.value(name).is_some()
+    }
+
+    fn text(&self, name: &str) -> Option<&'a str> {
+        match self.value(name) {
             Some(Value::Str(text)) => std::str::from_utf8(text).ok(),
             _ => None,
-        };
-        let number = |name: &str| field(name)?.parse::<f64>().ok().filter(|n| n.is_finite());
-        let call = field("call").filter(|c| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit()))?;
-        let key = field("dedupe").filter(|k| !k.is_empty() && k.len() <= MAX_KEY);
-        let keyed = shared.classes[class].retry_safety == RetrySafety::IdempotencyKey;
-        if body.len() > MAX_BODY || self.open.borrow().len() >= MAX_OPEN || keyed && key.is_none() {
+        }
+    }
+
+    /// Returns a finite number, which the wire carries as text.
+    fn number(&self, name: &str) -> Option<f64> {
+        self.text(name)?.parse::<f64>().ok().filter(|number| number.is_finite())
+    }
+
+    fn attempt(&self) -> Option<u64> {
+        let text = self.text(protocol::FIELD_ATTEMPT)?;
+        if text.len() != ATTEMPT_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return None;
         }
-        let billed = shared.accounts && named("org").is_some();
-        let account = if billed { Some(AccountName::parse(field("org")?).ok()?) } else { None };
-        let reached = number("recv").filter(|r| *r > 0.0)?;
-        let longest = MAX_WAITS * shared.classes[class].client_timeout_ms;
-        let ttl = match (named("ttl").is_some(), shared.passes_deadline) {
-            (false, false) => None,
-            _ => Some(number("ttl").filter(|t| *t > 0.0 && *t <= longest)?),
-        };
-        let tenant = shared.tenant(field("org"))?;
-        let id = shared.last_id.get() + 1;
-        let incoming = IncomingRequest {
-            id,
-            attempt: u64::from_str_radix(call, 16).ok()?,
-            class,
-            received_at: reached,
-            request_kb: number("heap").filter(|h| *h > 0.0 && *h < MAX_HELD_KB)?,
-            priority: number("crit").filter(|r| (0.0..1.0).contains(r))?,
-            key: key.filter(|_| keyed).map(|k| table_key(named_by, method, k)),
-            timeout_ms: ttl,
-            tenant,
-            account: account.map(|a| Rc::from(a.as_str())),
-            shareable: field("row").is_some(),
-            body: body.clone(),
-            reply: self.handle(tag),
-        };
-        shared.last_id.set(id);
-        Some(incoming)
+        u64::from_str_radix(text, 16).ok()
+    }
+
+    fn idempotency_key(&self) -> Option<&'a str> {
+        let key = self.text(protocol::FIELD_IDEMPOTENCY_KEY)?;
+        (1..=MAX_KEY_BYTES).contains(&key.len()).then_some(key)
+    }
+
+    fn received_at(&self) -> Option<f64> {
+        self.number(protocol::FIELD_RECEIVED_AT).filter(|time| *time > 0.0)
+    }
+
+    fn request_kb(&self) -> Option<f64> {
+        self.number(protocol::FIELD_REQUEST_KB).filter(|kb| *kb > 0.0 && *kb < MAX_REQUEST_KB)
+    }
+
+    fn priority(&self) -> Option<f64> {
+        self.number(protocol::FIELD_PRIORITY).filter(|priority| (0.0..1.0).contains(priority))
+    }
+
+    fn timeout_ms(&self, max_ms: f64) -> Option<f64> {
+        self.number(protocol::FIELD_TIMEOUT_MS).filter(|ms| *ms > 0.0 && *ms <= max_ms)
+    }
+
+    fn account(&self) -> Option<Rc<str>> {
+        let account = AccountName::parse(self.text(protocol::FIELD_TENANT)?).ok()?;
+        Some(Rc::from(account.as_str()))
     }
 }
 
-/// Stands in a key where a class's position could, and marks a route's.
-const ROUTE_MARK: u32 = u32::MAX;
+/// Decodes a request, or returns `None` if it is invalid: an unknown class, a field that is missing or out of range, or
+/// a body that is too long.
+pub(super) fn decode_request(
+    context: &FrontendContext,
+    method: &[u8],
+    args: &[Value],
+    reply: ReplyHandle,
+) -> Option<IncomingRequest> {
+    let target = context.resolve_method(method)?;
+    let class = &context.classes[target.class()];
+    let [Value::Map(fields), Value::Bin(body)] = args else { return None };
+    if body.len() > MAX_BODY_BYTES {
+        return None;
+    }
+    let fields = Fields(fields);
+    let key = match class.retry_safety {
+        RetrySafety::IdempotencyKey => Some(table_key(target, method, fields.idempotency_key()?)),
+        _ => None,
+    };
+    let is_billed = context.bills_accounts && fields.is_present(protocol::FIELD_TENANT);
+    let account = if is_billed { Some(fields.account()?) } else { None };
+    let states_timeout = context.passes_deadline || fields.is_present(protocol::FIELD_TIMEOUT_MS);
+    let max_timeout_ms = MAX_TIMEOUT_FACTOR * class.client_timeout_ms;
+    let timeout_ms = if states_timeout { Some(fields.timeout_ms(max_timeout_ms)?) } else { None };
+    let request = IncomingRequest {
+        id: context.last_request_id.get() + 1,
+        attempt: fields.attempt()?,
+        class: target.class(),
+        received_at: fields.received_at()?,
+        request_kb: fields.request_kb()?,
+        priority: fields.priority()?,
+        key,
+        timeout_ms,
+        tenant: context.resolve_tenant(fields.text(protocol::FIELD_TENANT))?,
+        account,
+        shareable: fields.text(protocol::FIELD_SHARED_READ).is_some(),
+        body: body.clone(),
+        reply,
+    };
+    context.last_request_id.set(request.id);
+    Some(request)
+}
 
-/// A key as the table knows it. The class, in a fixed width, is part of it: two classes' tries are never tries of one
-/// request. A route's name stands in its place, so that a further try is known after the route was led elsewhere.
-fn table_key(named_by: Method, method: &[u8], key: &str) -> Vec<u8> {
-    match named_by {
-        Method::Class(class) => {
+/// Returns the key of the idempotency table. Attempts of two classes are never attempts of one request, so the class is
+/// part of it, in a fixed width. A route's name stands in its place, so that an attempt is recognised after the route
+/// was led to another class.
+fn table_key(target: MethodTarget, method: &[u8], key: &str) -> Vec<u8> {
+    match target {
+        MethodTarget::Class(class) => {
             // Lossless: the number of classes is bounded far below.
-            let class = u32::try_from(class).unwrap_or(u32::MAX - 1);
+            let class = u32::try_from(class).unwrap_or(ROUTE_KEY_PREFIX - 1);
             [&class.to_be_bytes(), key.as_bytes()].concat()
         }
-        Method::Route(_) => {
-            let length = method.len() as u64;
-            [&ROUTE_MARK.to_be_bytes()[..], &length.to_be_bytes(), method, key.as_bytes()].concat()
+        MethodTarget::Route(_) => {
+            let prefix = ROUTE_KEY_PREFIX.to_be_bytes();
+            let method_length = (method.len() as u64).to_be_bytes();
+            [&prefix[..], &method_length, method, key.as_bytes()].concat()
         }
     }
 }
--- a/src/server/frontend/response_encoder.rs
+++ b/src/server/frontend/response_encoder.rs
@@ -1,68 +1,76 @@
-//! Answers as bytes. It must never write one for a request that is no longer open.
+//! Encoding of responses and notifications to clients.
 
-use super::Connection;
+use super::protocol;
 use crate::codec::msgpack;
-use crate::server::messages::{ConnectionMessage, Response};
+use crate::server::messages::Response;
 
-impl Connection {
-    pub(super) fn put(&self, letter: ConnectionMessage, out: &mut Vec<u8>) {
-        let ConnectionMessage::Response { tag, response, advertised_share } = letter else {
-            msgpack::put_array(out, 3);
-            msgpack::put_uint(out, 2);
-            msgpack::put_str(out, "shutdown");
-            return msgpack::put_array(out, 0);
-        };
-        // One that was forgotten meanwhile is owed nothing. What was never taken for a request is not open, but gets
-        // its error; what the core found to be none is open no longer, or its connection would never be idle.
-        let open = self.open.borrow_mut().remove(&tag).is_some();
-        if !open && matches!(response, Response::Health(_) | Response::Invalid) {
-            self.others.set(self.others.get().saturating_sub(1));
-        }
-        if !open && matches!(response, Response::Completed(_) | Response::Rejected { .. } | Response::Failed)
-        {
-            return;
-        }
-        let mut fields = Vec::new();
-        fields.extend(advertised_share.map(|value| ("load", value.to_string())));
-        if let Response::Rejected { retry_after_ms, do_not_retry } = &response {
-            if *retry_after_ms > 0.0 {
-                fields.push(("pushback", retry_after_ms.round().to_string()));
-            }
-            if *do_not_retry {
-                fields.push(("stop", "1".to_owned()));
-            }
-        }
-        msgpack::put_array(out, 4);
-        msgpack::put_uint(out, 1);
-        msgpack::put_uint(out, tag);
-        let error = match &response {
-            Response::Completed(_) | Response::Health(_) => None,
-            Response::Rejected { .. } => Some("Backoff"),
-            Response::Failed => Some("Failed"),
-            Response::Invalid => Some("Invalid"),
-        };
-        match error {
-            Some(name) => {
-                msgpack::put_array(out, 2);
-                msgpack::put_str(out, name);
-            }
-            None => {
-                msgpack::put_nil(out);
-                msgpack::put_array(out, 2);
-                match &response {
-                    Response::Completed(body) => msgpack::put_bin(out, body),
-                    Response::Health(good) => msgpack::put_bool(out, *good),
-                    _ => {}
-                }
-            }
-        }
-        msgpack::put_map(out, fields.len() as u8);
-        for (name, value) in &fields {
-            msgpack::put_str(out, name);
-            msgpack::put_str(out, value);
+/// Fields of a response, by wire word.
+type Fields = Vec<(&'static str, String)>;
+
+/// Appends the notification that no new request is accepted.
+pub(super) fn encode_shutdown(out: &mut Vec<u8>) {
+    msgpack::put_array(out, protocol::NOTIFICATION_ELEMENTS);
+    msgpack::put_uint(out, protocol::TYPE_NOTIFICATION);
+    msgpack::put_str(out, protocol::NOTIFICATION_SHUTDOWN);
+    msgpack::put_array(out, 0);
+}
+
+/// Appends the response to a message.
+pub(super) fn encode_response(
+    message_id: u64,
+    response: &Response,
+    advertised_share: Option<f64>,
+    out: &mut Vec<u8>,
+) {
+    let fields = response_fields(response, advertised_share);
+    msgpack::put_array(out, protocol::RESPONSE_ELEMENTS);
+    msgpack::put_uint(out, protocol::TYPE_RESPONSE);
+    msgpack::put_uint(out, message_id);
+    match response {
+        Response::Completed(body) => encode_result(out, &fields, |out| msgpack::put_bin(out, body)),
+        Response::Health(healthy) => encode_result(out, &fields, |out| msgpack::put_bool(out, *healthy)),
+        Response::Rejected { .. } => encode_error(out, protocol::ERROR_REJECTED, &fields),
+        Response::Failed => encode_error(out, protocol::ERROR_FAILED, &fields),
+        Response::Invalid => encode_error(out, protocol::ERROR_INVALID, &fields),
+    }
+}
+
+fn response_fields(response: &Response, advertised_share: Option<f64>) -> Fields {
+    let mut fields = Fields::new();
+    if let Some(share) = advertised_share {
+        fields.push((protocol::FIELD_ADVERTISED_SHARE, share.to_string()));
+    }
+    if let Response::Rejected { retry_after_ms, do_not_retry } = response {
+        if *retry_after_ms > 0.0 {
+            fields.push((protocol::FIELD_RETRY_AFTER_MS, retry_after_ms.round().to_string()));
         }
-        if error.is_some() {
-            msgpack::put_nil(out);
+        if *do_not_retry {
+            fields.push((protocol::FIELD_DO_NOT_RETRY, protocol::FLAG_SET.to_owned()));
         }
     }
+    fields
+}
+
+/// Appends nil for the error, and the result.
+fn encode_result(out: &mut Vec<u8>, fields: &Fields, put_body: impl FnOnce(&mut Vec<u8>)) {
+    msgpack::put_nil(out);
+    msgpack::put_array(out, protocol::PAYLOAD_ELEMENTS);
+    put_body(out);
+    encode_fields(out, fields);
+}
+
+/// Appends the error, and nil for the result.
+fn encode_error(out: &mut Vec<u8>, name: &str, fields: &Fields) {
+    msgpack::put_array(out, protocol::PAYLOAD_ELEMENTS);
+    msgpack::put_str(out, name);
+    encode_fields(out, fields);
+    msgpack::put_nil(out);
+}
+
+fn encode_fields(out: &mut Vec<u8>, fields: &Fields) {
+    msgpack::put_map(out, fields.len() as u8);
+    for (name, value) in fields {
+        msgpack::put_str(out, name);
+        msgpack::put_str(out, value);
+    }
 }
--- /dev/null
+++ b/src/server/frontend/writer.rs
@@ -0,0 +1,73 @@
+//! The writing side of a connection: responses to bytes.
+
+use super::connection::Connection;
+use super::context::FrontendContext;
+use super::error::ConnectionError;
+use super::response_encoder::{encode_response, encode_shutdown};
+use crate::server::messages::ConnectionMessage;
+use async_channel::Receiver;
+use async_io::Async;
+use futures_lite::future::or;
+use futures_lite::{AsyncWriteExt, StreamExt};
+use std::io::ErrorKind;
+use std::net::TcpStream;
+use std::pin::pin;
+
+/// A connection that takes no bytes for this long is closed, ms: longer than the longest network partition.
+const WRITE_TIMEOUT_MS: f64 = 30_000.0;
+/// Bytes encoded before they are written, and the most that the buffer keeps between writes.
+const WRITE_BUFFER_BYTES: usize = 16 * 1024;
+
+/// Why the writer ended.
+pub(super) enum WriteEnd {
+    /// The queue of responses is closed and empty.
+    ResponsesWritten,
+    /// The connection broke.
+    ConnectionLost,
+    /// The client takes no bytes.
+    Faulty(ConnectionError),
+}
+
+/// Writes responses until their queue is closed and empty.
+pub(super) async fn write_responses(
+    connection: &Connection,
+    context: &FrontendContext,
+    mut stream: &Async<TcpStream>,
+    responses: Receiver<ConnectionMessage>,
+) -> WriteEnd {
+    let mut responses = pin!(responses);
+    let mut buffer = Vec::new();
+    while let Some(message) = responses.next().await {
+        buffer.clear();
+        buffer.shrink_to(WRITE_BUFFER_BYTES);
+        let mut next = Some(message);
+        while let Some(message) = next {
+            encode(connection, &message, &mut buffer);
+            next = if buffer.len() < WRITE_BUFFER_BYTES { responses.try_recv().ok() } else { None };
+        }
+        connection.state.borrow_mut().record_activity(context.clock.now());
+        let timed_out = async {
+            context.wheel.sleep(WRITE_TIMEOUT_MS).await;
+            Err(ErrorKind::TimedOut.into())
+        };
+        match or(stream.write_all(&buffer), timed_out).await {
+            Ok(()) => {}
+            Err(error) if error.kind() == ErrorKind::TimedOut => {
+                return WriteEnd::Faulty(ConnectionError::WriteStalled);
+            }
+            Err(_) => return WriteEnd::ConnectionLost,
+        }
+    }
+    WriteEnd::ResponsesWritten
+}
+
+fn encode(connection: &Connection, message: &ConnectionMessage, buffer: &mut Vec<u8>) {
+    match message {
+        ConnectionMessage::Shutdown => encode_shutdown(buffer),
+        ConnectionMessage::Response { tag, response, advertised_share } => {
+            if connection.settle(*tag, response) {
+                encode_response(*tag, response, *advertised_share, buffer);
+            }
+        }
+    }
+}
--- a/src/server/name_table.rs
+++ b/src/server/name_table.rs
@@ -1,15 +1,15 @@
-//! Positions of classes and tenants by their names: a hash lookup for each request, whatever their number.
+//! Lookup of the positions of classes and tenants by name, in constant time.
 
 use std::collections::HashMap;
 
-/// A list's names with their positions.
+/// The positions of a list's names.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     positions: HashMap<Box<[u8]>, usize>,
 }
 
 impl NameTable {
-    /// The names in the list's order. Of equal names the first one is found.
+    /// Returns a table of `names` in their order. Of equal names the first one is found.
     pub fn new(names: &[String]) -> NameTable {
         let mut positions = HashMap::with_capacity(names.len());
         for (position, name) in names.iter().enumerate() {
@@ -18,17 +18,17 @@
         NameTable { positions }
     }
 
-    /// Where that name stands in the list.
+    /// Returns the position of `name` in the list.
     pub fn position(&self, name: &[u8]) -> Option<usize> {
         self.positions.get(name).copied()
     }
 
-    /// How many names there are.
+    /// Returns the number of distinct names.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether the list has no names.
+    /// Returns whether the list has no names.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
--- a/tests/connection_state.rs
+++ b/tests/connection_state.rs
@@ -1,35 +1,37 @@
-//! The life of a connection in any order of what can happen to it: reads, answers, half messages, time, eviction, the
-//! notice to leave and the end. A plain record beside it says what is owed and what was told.
+//! The state machine of a connection under any order of events: reads, responses, partial messages, time, eviction,
+//! shutdown and the end of the process. A plain model beside it records what is owed and what was notified.
 
-use dunlinspread::server::frontend::connection_state::{LEAVE_MS, Life, Step, WHOLE_MS, Wish};
+use dunlinspread::server::frontend::connection_state::{
+    CLOSE_GRACE_MS, ConnectionPolicy, ConnectionState, MESSAGE_TIMEOUT_MS, ReadProgress, Transition,
+};
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
-enum Happens {
-    /// A whole request is read, or a message in part.
+enum ConnectionEvent {
+    /// A whole request is read, or a part of a message.
     Request,
-    Half,
-    /// The oldest open request is answered.
-    Answer,
-    /// Time passes, and the list looks.
-    Pass(f64),
-    /// The program stood still so long, and the list makes that good.
-    StoodStill(f64),
+    PartialMessage,
+    /// The oldest open request gets its response.
+    Response,
+    /// Time passes, and the listener sweeps.
+    TimePasses(f64),
+    /// The event loop stalled for so long, and the listener excludes that time.
+    Stall(f64),
     Evict,
-    Leave,
-    End,
+    ServerDrains,
+    ProcessEnds,
 }
 
-fn happenings() -> impl Strategy<Value = Vec<Happens>> {
+fn connection_events() -> impl Strategy<Value = Vec<ConnectionEvent>> {
     let one = prop_oneof![
-        5 => Just(Happens::Request),
-        2 => Just(Happens::Half),
-        5 => Just(Happens::Answer),
-        8 => (1.0..1500.0).prop_map(Happens::Pass),
-        1 => (500.0..5000.0).prop_map(Happens::StoodStill),
-        1 => Just(Happens::Evict),
-        1 => Just(Happens::Leave),
-        1 => Just(Happens::End),
+        5 => Just(ConnectionEvent::Request),
+        2 => Just(ConnectionEvent::PartialMessage),
+        5 => Just(ConnectionEvent::Response),
+        8 => (1.0..1500.0).prop_map(ConnectionEvent::TimePasses),
+        1 => (500.0..5000.0).prop_map(ConnectionEvent::Stall),
+        1 => Just(ConnectionEvent::Evict),
+        1 => Just(ConnectionEvent::ServerDrains),
+        1 => Just(ConnectionEvent::ProcessEnds),
     ];
     prop::collection::vec(one, 1..60)
 }
@@ -38,65 +40,66 @@
     #![proptest_config(ProptestConfig { cases: 2000, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_connection_ends_over_what_is_owed_and_none_stays_for_ever(all in happenings(), idle in 20.0..4000.0) {
-        let (mut now, mut owed, mut told) = (1000.0, 0u32, false);
-        let mut life = Life::new(now);
-        let mut wish = Wish { idle_limit: idle, leaving: false, ending: false };
-        for happens in all {
-            let mut step = Step::Stay;
-            match happens {
-                Happens::Request if life.takes() => {
-                    life.used(now);
-                    life.spoke();
-                    life.read(false, true);
-                    owed += 1;
+    fn no_connection_closes_while_a_response_is_owed_and_none_stays_open_for_ever(all in connection_events(), idle_timeout_ms in 20.0..4000.0) {
+        let (mut now, mut responses_owed, mut notified) = (1000.0, 0u32, false);
+        let mut connection = ConnectionState::new(now);
+        let mut policy =
+            ConnectionPolicy { idle_timeout_ms, notify_all: false, finish_all: false };
+        for event in all {
+            let mut transition = Transition::Stay;
+            match event {
+                ConnectionEvent::Request if connection.accepts_requests() => {
+                    connection.record_activity(now);
+                    connection.record_request();
+                    connection.record_read(ReadProgress { completed_message: true, ends_in_partial_message: false });
+                    responses_owed += 1;
                 }
-                Happens::Half if life.takes() => {
-                    life.used(now);
-                    life.read(true, false);
+                ConnectionEvent::PartialMessage if connection.accepts_requests() => {
+                    connection.record_activity(now);
+                    connection.record_read(ReadProgress { completed_message: false, ends_in_partial_message: true });
                 }
-                Happens::Request | Happens::Half => {}
-                Happens::Answer => {
-                    owed = owed.saturating_sub(1);
-                    life.used(now);
+                ConnectionEvent::Request | ConnectionEvent::PartialMessage => {}
+                ConnectionEvent::Response => {
+                    responses_owed = responses_owed.saturating_sub(1);
+                    connection.record_activity(now);
                 }
-                Happens::Pass(ms) => {
+                ConnectionEvent::TimePasses(ms) => {
                     now += ms;
-                    step = life.look(now, owed > 0, wish);
+                    transition = connection.advance(now, responses_owed > 0, policy);
                 }
-                Happens::StoodStill(ms) => {
+                ConnectionEvent::Stall(ms) => {
                     now += ms;
-                    life.forgive(ms);
+                    connection.exclude_stall(ms);
                 }
-                Happens::Evict => {
-                    let may = life.missed(now, owed > 0).is_some();
-                    prop_assert!(!may || owed == 0 && life.takes(), "evicted over what is owed");
+                ConnectionEvent::Evict => {
+                    let may = connection.eviction_rank(now, responses_owed > 0).is_some();
+                    prop_assert!(!may || responses_owed == 0 && connection.accepts_requests(), "evicted while a response is owed");
                     if may {
-                        life.finish(now);
+                        connection.finish(now);
                     }
                 }
-                Happens::Leave => wish.leaving = true,
-                Happens::End => wish.ending = true,
+                ConnectionEvent::ServerDrains => policy.notify_all = true,
+                ConnectionEvent::ProcessEnds => policy.finish_all = true,
             }
-            match step {
-                Step::Tell => {
-                    prop_assert!(!told, "told twice");
-                    told = true;
-                    prop_assert!(life.takes(), "what crosses the word to leave is still served");
+            match transition {
+                Transition::NotifyShutdown => {
+                    prop_assert!(!notified, "notified twice");
+                    notified = true;
+                    prop_assert!(connection.accepts_requests(), "a request that crosses the notification is not accepted");
                 }
-                Step::Finish => {
-                    prop_assert!(owed == 0 || wish.ending, "ended over {owed} answers");
-                    prop_assert!(!life.takes(), "a request is taken on a connection that ends");
+                Transition::Finish => {
+                    prop_assert!(responses_owed == 0 || policy.finish_all, "closed over {responses_owed} responses");
+                    prop_assert!(!connection.accepts_requests(), "a request is accepted on a connection that finishes");
                 }
-                Step::Stay => {}
+                Transition::Stay => {}
             }
         }
-        // Left alone with nothing owed it ends, however it stood: told once its idle limit is over, and ended after that.
-        let limit = now + idle.max(WHOLE_MS) + 2.0 * LEAVE_MS + 100.0;
-        while life.takes() && now < limit {
+        // Left alone with nothing owed it finishes from any state: notified after its idle timeout, and closed after that.
+        let limit = now + idle_timeout_ms.max(MESSAGE_TIMEOUT_MS) + 2.0 * CLOSE_GRACE_MS + 100.0;
+        while connection.accepts_requests() && now < limit {
             now += 25.0;
-            life.look(now, false, wish);
+            connection.advance(now, false, policy);
         }
-        prop_assert!(!life.takes(), "it stays for ever");
+        prop_assert!(!connection.accepts_requests(), "it stays open for ever");
     }
 }
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -302,7 +302,7 @@
             "catalog" => self.reports.recv_timeout(HANG).expect("a report"),
             "log" => {
                 let mut line = self.logged(words);
-                if words == "the program stood still" {
+                if words == "event loop stalled" {
                     line.truncate(line.find(", ms").unwrap_or(line.len()));
                 }
                 let line = without_file(&line);
