--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,27 +1,37 @@
-//! What is known of requests that may run only once within a window: which try stands for a key, whether one of its
-//! tries was run, and what came of that. A state machine without I/O, clock or chance; whoever owns the requests tells
-//! it what happens and does what it answers.
+//! Idempotency keys of requests that may run at most once within a window, with the results of their runs.
 //!
-//! The promise that it keeps: of the tries of one key that reach the machine within the window of a try that was run,
-//! none is run again, whatever is asked of it; and every try that waits for a result gets it, or its failure, once.
+//! [`IdempotencyTable`] is a state machine without I/O, clock or randomness. The owner of the requests reports each
+//! event with its time (an attempt arrives, a run begins or ends, an attempt finishes) and acts on the answer.
+//!
+//! # Invariants
+//! - Of the attempts of one key that are received within the window of a run, none is run again.
+//! - Each attempt that waits for a result is named exactly once, when the run ends or is superseded.
+//! - The number of keys and the bytes of cached results stay within [`Bounds`].
 //!
 //! ```
-//! use dunlinspread_idempotency::{Bounds, Ending, Known, Reuse, Span, Table};
+//! use dunlinspread_idempotency::{Bounds, IdempotencyTable, KeyWindow, Lookup, ReuseOutcome, RunResult};
 //!
 //! let bounds = Bounds { keys: 1000, result_bytes: 1 << 20 };
-//! let mut table: Table<Vec<u8>> = Table::new(bounds, vec![Span { window_ms: 5000.0, read_late_ms: 1000.0 }]);
-//! let key: std::rc::Rc<[u8]> = b"pour 17"[..].into();
-//! assert_eq!(table.arrive(&key, 0, 0xfeed, 1, 10.0), Known::New);
-//! assert!(table.run(&key, 0xfeed, 1, 10.0).is_ok());
-//! let _nobody_waits = table.ended(&key, 1, Ending::Result(b"done".to_vec()));
-//! table.over(&key, 1);
-//! // The next try is a repeat, and takes that result.
-//! assert_eq!(table.arrive(&key, 0, 0xfeed, 2, 300.0), Known::Repeats(1));
-//! assert_eq!(table.reuse(&key, 2, 300.0), Reuse::Now(Some(b"done".to_vec())));
+//! let class = KeyWindow { window_ms: 5000.0, max_read_delay_ms: 1000.0 };
+//! let mut table: IdempotencyTable<Vec<u8>> = IdempotencyTable::new(bounds, vec![class]);
+//! let key: std::rc::Rc<[u8]> = b"order 17"[..].into();
+//! assert_eq!(table.arrive(&key, 0, 0xfeed, 1, 10.0), Lookup::New);
+//! assert!(table.begin_run(&key, 0xfeed, 1, 10.0).is_ok());
+//! let _no_waiters = table.finish_run(&key, 1, RunResult::Completed(b"done".to_vec()));
+//! table.finish_attempt(&key, 1);
+//! // The next attempt repeats the first one and takes its result.
+//! assert_eq!(table.arrive(&key, 0, 0xfeed, 2, 300.0), Lookup::DuplicateOf(1));
+//! assert_eq!(table.reuse_result(&key, 2, 300.0), ReuseOutcome::Ready(Some(b"done".to_vec())));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod entry;
+mod outcome;
+mod result_cache;
+mod settings;
 mod table;
 
-pub use table::{Bounds, Ended, Ending, Known, Reuse, SecondRun, Span, Table, TryId};
+pub use outcome::{AttemptId, DuplicateRun, FinishedRun, Lookup, ReuseOutcome, RunResult};
+pub use settings::{Bounds, KeyWindow};
+pub use table::IdempotencyTable;
--- a/crates/scale/src/probes/keyed.rs
+++ b/crates/scale/src/probes/idempotency.rs
@@ -1,4 +1,4 @@
-//! The table of keys: what a key holds, and what an arrival and a sweep cost.
+//! The table of idempotency keys: the memory of a key, and the cost of an arrival and of a sweep.
 
 use crate::child::{self, Growth};
 use crate::fit::Quantity;
@@ -6,7 +6,7 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Result, ensure};
-use dunlinspread_idempotency::{Bounds, Ending, Known, Span, Table};
+use dunlinspread_idempotency::{Bounds, IdempotencyTable, KeyWindow, Lookup, RunResult};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::hint::black_box;
@@ -22,8 +22,8 @@
 const KEY_BYTES: usize = 16;
 const RESULT_BYTES: usize = 64;
 
-/// The times of the class: nothing ends while it is measured.
-const SPAN: Span = Span { window_ms: 60_000.0, read_late_ms: 5_000.0 };
+/// The times of the class: no window ends during the measurement.
+const WINDOW: KeyWindow = KeyWindow { window_ms: 60_000.0, max_read_delay_ms: 5_000.0 };
 
 /// Arrivals in a run, and runs.
 const ARRIVALS: u64 = 10_000;
@@ -58,9 +58,9 @@
 };
 
 /// The probe of `crates/idempotency`.
-pub struct KeyedProbe;
+pub struct IdempotencyProbe;
 
-impl Probe for KeyedProbe {
+impl Probe for IdempotencyProbe {
     fn prefix(&self) -> &'static str {
         "keyed"
     }
@@ -86,7 +86,7 @@
 
 /// A table with so many keys that ran, and their results.
 struct Load {
-    table: Table<Rc<[u8]>>,
+    table: IdempotencyTable<Rc<[u8]>>,
     rng: ChaCha8Rng,
     keys: Vec<Rc<[u8]>>,
     next: u64,
@@ -95,7 +95,7 @@
 impl Load {
     fn new(keys: u64, seed: u64) -> Result<Load> {
         let bounds = Bounds { keys: usize::MAX, result_bytes: usize::MAX };
-        let table = Table::new(bounds, vec![SPAN]);
+        let table = IdempotencyTable::new(bounds, vec![WINDOW]);
         let mut load = Load { table, rng: ChaCha8Rng::seed_from_u64(seed), keys: Vec::new(), next: 0 };
         for _ in 0..keys {
             let key = load.new_key();
@@ -114,10 +114,10 @@
     fn run(&mut self, key: &Rc<[u8]>) -> bool {
         self.next += 1;
         let id = self.next;
-        let is_new = self.table.arrive(key, 0, 7, id, 0.0) == Known::New;
-        let runs = self.table.run(key, 7, id, 0.0).is_ok();
-        black_box(self.table.ended(key, id, Ending::Result(Rc::from([0; RESULT_BYTES]))));
-        self.table.over(key, id);
+        let is_new = self.table.arrive(key, 0, 7, id, 0.0) == Lookup::New;
+        let runs = self.table.begin_run(key, 7, id, 0.0).is_ok();
+        black_box(self.table.finish_run(key, id, RunResult::Completed(Rc::from([0; RESULT_BYTES]))));
+        self.table.finish_attempt(key, id);
         is_new && runs
     }
 
@@ -142,8 +142,8 @@
             for key in &picks {
                 self.next += 1;
                 black_box(self.table.arrive(key, 0, 7, self.next, 1.0));
-                black_box(self.table.reuse(key, self.next, 1.0));
-                self.table.over(key, self.next);
+                black_box(self.table.reuse_result(key, self.next, 1.0));
+                self.table.finish_attempt(key, self.next);
             }
         })
     }
--- a/crates/scale/src/probes/mod.rs
+++ b/crates/scale/src/probes/mod.rs
@@ -7,7 +7,7 @@
 mod daemon_site;
 mod daemon_tables;
 mod fleet;
-mod keyed;
+mod idempotency;
 mod latency;
 mod ledger;
 pub mod open_loop;
@@ -75,7 +75,7 @@
         Box::new(registry::RegistryProbe),
         Box::new(config_sync::ConfigSyncProbe),
         Box::new(fleet::FleetProbe),
-        Box::new(keyed::KeyedProbe),
+        Box::new(idempotency::IdempotencyProbe),
         Box::new(ledger::LedgerProbe),
         Box::new(quota::QuotaProbe),
         Box::new(store::StoreProbe),
@@ -87,7 +87,7 @@
     vec![
         (config_sync::LOAD, config_sync::table_load),
         (fleet::VIEW_LOAD, fleet::view_load),
-        (keyed::LOAD, keyed::table_load),
+        (idempotency::LOAD, idempotency::table_load),
         (quota::MEMBERS_LOAD, quota::members_load),
         (quota::BUDGETS_LOAD, quota::budgets_load),
     ]
--- a/src/server/dispatcher/actions.rs
+++ b/src/server/dispatcher/actions.rs
@@ -72,7 +72,7 @@
             }
             Stage::Held => {
                 if let Some(key) = request.key.clone() {
-                    let run = self.keys.run(&key, request.print, id, request.reached);
+                    let run = self.keys.begin_run(&key, request.print, id, request.reached);
                     if let Ok(left) = run {
                         // They wait for a run that outlasted its own window, and would no longer be found.
                         left.into_iter().for_each(|w| self.end_reuse(w, None));
@@ -100,24 +100,28 @@
     pub(super) fn reuse(&mut self, now: f64, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.stage = Stage::Reusing(now);
-        match request.key.as_ref().map_or(Reuse::Unrun, |k| self.keys.reuse(k, id, request.reached)) {
-            Reuse::Now(result) => self.end_reuse(id, result),
-            Reuse::Waits => {}
+        match request
+            .key
+            .as_ref()
+            .map_or(ReuseOutcome::NotRun, |k| self.keys.reuse_result(k, id, request.reached))
+        {
+            ReuseOutcome::Ready(result) => self.end_reuse(id, result),
+            ReuseOutcome::Pending => {}
             // What it repeats was dropped unrun.
-            Reuse::Unrun => self.end_reuse(id, None),
+            ReuseOutcome::NotRun => self.end_reuse(id, None),
         }
     }
 
     /// The request stands for its key from now on, also as heir of an earlier try.
     pub(super) fn keep(&mut self, now: f64, id: RequestId, ttl_ms: f64) {
         let Some(Request { key: Some(key), print, reached, .. }) = self.requests.get(&id) else { return };
-        self.keys.keep(key, *print, id, *reached, now + ttl_ms);
+        self.keys.reserve(key, *print, id, *reached, now + ttl_ms);
     }
 
     /// Gives an entry back, unless its try has run: that one outlasts everything.
     pub(super) fn forget(&mut self, id: RequestId) {
         if let Some(key) = self.requests.get(&id).and_then(|r| r.key.as_ref()) {
-            self.keys.forget(key, id);
+            self.keys.release(key, id);
         }
     }
 
--- a/src/server/dispatcher/events.rs
+++ b/src/server/dispatcher/events.rs
@@ -36,7 +36,7 @@
             let again = if billable || !self.set.retry_after { 0.0 } else { UNBILLED_RETRY_MS };
             let retry_after_ms = again.min(self.set.max_retry_after_ms);
             // Some try of it was run or yet may be: to turn this one away would promise that it never ran.
-            let known = key.as_ref().is_some_and(|k| self.keys.look(k, print, reached) != Known::New);
+            let known = key.as_ref().is_some_and(|k| self.keys.lookup(k, print, reached) != Lookup::New);
             let (outcome, answer) = match known {
                 true => (Billed::Failed, Response::Failed),
                 false => (Billed::Rejected, Response::Rejected { retry_after_ms, do_not_retry: false }),
@@ -45,13 +45,13 @@
             return self.bill(account.as_ref(), &used, handle, answer);
         }
         let prior = match key.as_ref().map(|k| self.keys.arrive(k, class, print, id, reached)) {
-            None | Some(Known::New) => None,
-            Some(Known::Repeats(prior)) => Some(prior),
+            None | Some(Lookup::New) => None,
+            Some(Lookup::DuplicateOf(prior)) => Some(prior),
             // All tries of one request carry the same body. A key with another body is no try of it: that run's
             // result is not this one's answer, and to run it would break the promise of the key.
-            Some(Known::OtherBody) => return self.send(handle, Response::Invalid),
+            Some(Lookup::BodyMismatch) => return self.send(handle, Response::Invalid),
             // It came in the window of a run and was read long after: it may not run, and that run's result is gone.
-            Some(Known::Covered) => {
+            Some(Lookup::Expired) => {
                 let used =
                     Used { class, outcome: Billed::Failed, pool_ms: 0.0, bytes_in: body.len(), bytes_out: 0 };
                 return self.bill(account.as_ref(), &used, handle, Response::Failed);
@@ -113,7 +113,7 @@
         let request = self.requests.remove(&id)?;
         self.calls.remove(&request.call);
         if let Some(key) = &request.key {
-            self.keys.over(key, id);
+            self.keys.finish_attempt(key, id);
         }
         Some(request)
     }
@@ -216,12 +216,12 @@
         }
         if let Some(key) = self.requests.get(&id).and_then(|r| r.key.clone()) {
             let ending = match result {
-                Some(result) => Ending::Result(result),
-                None if end == RunOutcome::NotStarted => Ending::NeverRan,
-                None => Ending::Failed,
+                Some(result) => RunResult::Completed(result),
+                None if end == RunOutcome::NotStarted => RunResult::NotStarted,
+                None => RunResult::Failed,
             };
-            let ended = self.keys.ended(&key, id, ending);
-            ended.waiting.into_iter().for_each(|w| self.end_reuse(w, ended.result.clone()));
+            let ended = self.keys.finish_run(&key, id, ending);
+            ended.waiters.into_iter().for_each(|w| self.end_reuse(w, ended.result.clone()));
         }
         self.remove(id);
         self.tell(Event::RunEnded { id, outcome, took_ms });
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -15,7 +15,9 @@
 use crate::server::usage::billing::{Billing, FromLedger, Used};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use dunlinspread_idempotency::{Bounds as KeyBounds, Ending, Known, Reuse, Span, Table};
+use dunlinspread_idempotency::{
+    Bounds as KeyBounds, IdempotencyTable, KeyWindow, Lookup, ReuseOutcome, RunResult,
+};
 use dunlinspread_ledger::Outcome as Billed;
 use futures_lite::StreamExt;
 use slog::{Logger, info, warn};
@@ -107,7 +109,7 @@
     calls: HashMap<u64, RequestId>,
     /// Makes marks of bodies that nobody outside can foresee.
     prints: RandomState,
-    keys: Table<Rc<[u8]>>,
+    keys: IdempotencyTable<Rc<[u8]>>,
     /// Events that carrying out actions brought about.
     events: VecDeque<Event>,
     /// The generation of the link to the worker pool, while it is up.
@@ -136,8 +138,10 @@
         log: Logger,
     ) -> Self {
         let bounds = KeyBounds { keys: config.bounds.keys, result_bytes: config.bounds.result_bytes };
-        let span =
-            |c: &Class| Span { window_ms: c.key_window_ms, read_late_ms: c.client_timeout_ms + READ_LATE_MS };
+        let span = |c: &Class| KeyWindow {
+            window_ms: c.key_window_ms,
+            max_read_delay_ms: c.client_timeout_ms + READ_LATE_MS,
+        };
         let spans = config.settings.classes.iter().map(span).collect();
         Dispatcher {
             set: config.settings.clone(),
@@ -153,7 +157,7 @@
             requests: BTreeMap::new(),
             calls: HashMap::new(),
             prints: RandomState::new(),
-            keys: Table::new(bounds, spans),
+            keys: IdempotencyTable::new(bounds, spans),
             events: VecDeque::new(),
             link: None,
             asking: None,
