--- a/src/server/timer_wheel.rs
+++ b/src/server/timer_wheel.rs
@@ -1,6 +1,4 @@
-//! Time: the one clock, and the one wheel on which every timer of the program lies. The clock must never jump: it
-//! is Unix time at the start, carried on by the monotonic clock, so that stamps from outside, ages and windows
-//! agree. The wheel must never wake anything before its tick.
+//! The clock of the process, and the timer wheel on which all its timers lie.
 
 use async_io::Timer;
 use std::cell::{Cell, RefCell};
@@ -10,94 +8,142 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Slots of the wheel. Timers further away than a turn share a slot with nearer ones.
 const SLOTS: u64 = 512;
+/// The shortest and the longest tick, ms.
+const MIN_TICK_MS: f64 = 1.0;
+const MAX_TICK_MS: f64 = 20.0;
+/// The longest sleep, ms.
+const MAX_SLEEP_MS: f64 = 1e10;
 
-/// Unix time in milliseconds that only goes forward.
+/// Unix time in milliseconds.
+///
+/// # Invariants
+/// It is the system's time at the start, carried on by the monotonic clock: it never jumps, and timestamps from
+/// outside, ages and windows share one scale.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Instant,
-    unix_ms: f64,
+    started_at: Instant,
+    unix_ms_at_start: f64,
 }
 
 impl Clock {
-    /// A clock that goes from the system's time now.
+    /// Returns a clock that begins with the system's time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 }
+        Clock { started_at: Instant::now(), unix_ms_at_start: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// Unix milliseconds.
+    /// Returns the time, Unix milliseconds.
     pub fn now(&self) -> f64 {
-        self.unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
+        self.unix_ms_at_start + self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// A sleeper's waker, while it sleeps.
-type Bed = Rc<RefCell<Option<Waker>>>;
+/// The waker of a sleep, shared by the sleep and the wheel; empty before the first poll and after the wake-up.
+type WakerSlot = Rc<RefCell<Option<Waker>>>;
 
-/// Coarse timers.
+/// A sleep on the wheel.
+struct Sleeper {
+    tick: u64,
+    waker: WakerSlot,
+}
+
+impl Sleeper {
+    /// Returns whether the sleep was dropped, so that the wheel alone holds its waker.
+    fn is_abandoned(&self) -> bool {
+        Rc::strong_count(&self.waker) == 1
+    }
+
+    fn wake(&self) {
+        if let Some(waker) = self.waker.borrow_mut().take() {
+            waker.wake();
+        }
+    }
+}
+
+/// A hashed timer wheel with coarse ticks.
+///
+/// # Invariants
+/// Nothing wakes before its tick.
 pub struct TimerWheel {
     clock: Clock,
     tick_ms: f64,
-    from: f64,
-    turned: Cell<u64>,
-    slots: RefCell<Vec<Vec<(u64, Bed)>>>,
+    started_at: f64,
+    /// Ticks that have passed.
+    ticks: Cell<u64>,
+    slots: RefCell<Vec<Vec<Sleeper>>>,
 }
 
 impl TimerWheel {
-    /// A wheel of ticks about so long. Nothing wakes unless [`TimerWheel::advance`] runs.
+    /// Returns a wheel with ticks of `tick_ms`, 1 to 20 ms. Nothing wakes unless [`TimerWheel::advance`] runs.
     pub fn new(clock: Clock, tick_ms: f64) -> Rc<Self> {
-        let slots = RefCell::new((0..SLOTS).map(|_| Vec::new()).collect());
-        let tick_ms = tick_ms.clamp(1.0, 20.0);
-        Rc::new(TimerWheel { clock, tick_ms, from: clock.now(), turned: Cell::new(0), slots })
+        Rc::new(TimerWheel {
+            clock,
+            tick_ms: tick_ms.clamp(MIN_TICK_MS, MAX_TICK_MS),
+            started_at: clock.now(),
+            ticks: Cell::new(0),
+            slots: RefCell::new((0..SLOTS).map(|_| Vec::new()).collect()),
+        })
     }
 
-    /// Wakes at the tick nearest to that time from now, the next one at the earliest.
-    pub fn sleep(self: &Rc<Self>, ms: f64) -> Sleep {
-        let at = (self.clock.now() - self.from + ms.clamp(0.0, 1e10)) / self.tick_ms;
-        let tick = (at.round() as u64).max(self.turned.get() + 1);
-        let bed = Bed::default();
-        self.slots.borrow_mut()[(tick % SLOTS) as usize].push((tick, bed.clone()));
-        Sleep { wheel: self.clone(), tick, bed }
+    /// Returns a future that completes at the tick nearest to `delay_ms` from now, the next one at the earliest.
+    pub fn sleep(self: &Rc<Self>, delay_ms: f64) -> Sleep {
+        let elapsed_ms = self.clock.now() - self.started_at;
+        let due_tick = (elapsed_ms + delay_ms.clamp(0.0, MAX_SLEEP_MS)) / self.tick_ms;
+        let tick = (due_tick.round() as u64).max(self.ticks.get() + 1);
+        let waker = WakerSlot::default();
+        self.slots.borrow_mut()[slot(tick)].push(Sleeper { tick, waker: waker.clone() });
+        Sleep { wheel: self.clone(), tick, waker }
     }
 
-    /// Turns the wheel, for ever.
+    /// Advances the wheel with the clock; it never returns.
     pub async fn advance(self: Rc<Self>) {
         loop {
-            let next = self.from + (self.turned.get() + 1) as f64 * self.tick_ms;
-            let wait = (next - self.clock.now()).max(0.0);
-            Timer::after(Duration::from_secs_f64(wait / 1000.0)).await;
-            let due = ((self.clock.now() - self.from) / self.tick_ms) as u64;
-            while self.turned.get() < due {
-                let tick = self.turned.get() + 1;
-                self.turned.set(tick);
-                self.slots.borrow_mut()[(tick % SLOTS) as usize].retain(|(at, bed)| {
-                    if *at <= tick {
-                        bed.borrow_mut().take().into_iter().for_each(Waker::wake);
-                    }
-                    // A bed that only the wheel still holds belongs to a sleeper that was dropped.
-                    *at > tick && Rc::strong_count(bed) > 1
-                });
+            let next_tick_at = self.started_at + (self.ticks.get() + 1) as f64 * self.tick_ms;
+            let wait_ms = (next_tick_at - self.clock.now()).max(0.0);
+            Timer::after(Duration::from_secs_f64(wait_ms / 1000.0)).await;
+            let due = ((self.clock.now() - self.started_at) / self.tick_ms) as u64;
+            while self.ticks.get() < due {
+                self.advance_one_tick();
             }
         }
     }
+
+    /// Wakes what is due at the next tick, and removes abandoned sleeps from its slot.
+    fn advance_one_tick(&self) {
+        let tick = self.ticks.get() + 1;
+        self.ticks.set(tick);
+        self.slots.borrow_mut()[slot(tick)].retain(|sleeper| {
+            let is_due = sleeper.tick <= tick;
+            if is_due {
+                sleeper.wake();
+            }
+            !is_due && !sleeper.is_abandoned()
+        });
+    }
+}
+
+/// Returns the slot of a tick.
+fn slot(tick: u64) -> usize {
+    (tick % SLOTS) as usize
 }
 
-/// Sleeps until a tick of the wheel.
+/// A future that completes at a tick of the wheel.
 pub struct Sleep {
     wheel: Rc<TimerWheel>,
     tick: u64,
-    bed: Bed,
+    waker: WakerSlot,
 }
 
 impl Future for Sleep {
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if self.wheel.turned.get() >= self.tick {
+        if self.wheel.ticks.get() >= self.tick {
             return Poll::Ready(());
         }
-        *self.bed.borrow_mut() = Some(cx.waker().clone());
+        *self.waker.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 }
