--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -4,7 +4,7 @@
 use crate::config::Config;
 use crate::operator::LedgerConfig;
 use crate::server::messages::DispatcherMessage;
-use crate::server::supervisor;
+use crate::server::supervisor::{Panic, TaskFailure};
 use crate::server::timer_wheel::Clock;
 use crate::server::usage::billing::{Billing, FromLedger, Store};
 use crate::server::usage::digest_exchange::Shared as Witness;
@@ -24,7 +24,7 @@
     core: async_channel::Sender<DispatcherMessage>,
     executor: &LocalExecutor<'static>,
     log: &Logger,
-    dead: async_channel::Sender<String>,
+    failures: async_channel::Sender<TaskFailure>,
 ) -> Result<Billing, String> {
     let now_ms = clock.now() as u64;
     let store = Store::open(settings, &config.name, now_ms, log)?;
@@ -79,7 +79,8 @@
     // It says itself what it can't go on for, and serving goes on then; a panic is a fault of ours.
     let clerk = move || {
         if let Err(panic) = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| clerk.run())) {
-            let _ = dead.send_blocking(supervisor::obituary("clerk", Err(supervisor::panic_text(&*panic))));
+            let _ =
+                failures.send_blocking(TaskFailure::new("export worker", Err(Panic::from_payload(&*panic))));
         }
     };
     let spawned = std::thread::Builder::new().name("clerk".to_owned()).spawn(clerk);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -14,7 +14,7 @@
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
 use crate::server::registry::RegistryReporter;
-use crate::server::supervisor;
+use crate::server::supervisor::{self, TaskFailure};
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use crate::server::upstream::UpstreamClient;
 use crate::server::worker_pool::WorkerPoolLink;
@@ -225,9 +225,10 @@
     let (catalog_box, catalog_letters) = async_channel::unbounded();
     let (list_box, list_letters) = async_channel::unbounded();
 
-    let (dead, deaths) = async_channel::unbounded();
-    let supervise =
-        |name, work: BoxedLocal<()>| executor.spawn(supervisor::supervise(name, work, dead.clone())).detach();
+    let (failures, failed_tasks) = async_channel::unbounded();
+    let supervise = |name, work: BoxedLocal<()>| {
+        executor.spawn(supervisor::supervise(name, work, failures.clone())).detach()
+    };
     let index_box = config.index.map(|address| {
         let (index_box, letters) = async_channel::unbounded();
         let (core, own, exe) = (core_box.clone(), index_box.clone(), executor.clone());
@@ -241,12 +242,12 @@
             wheel.clone(),
             log.clone(),
         );
-        supervise("index", Box::pin(index.run(letters)));
+        supervise("upstream client", Box::pin(index.run(letters)));
         index_box
     });
     let (classes, wheel_for) = (config.classes.clone(), wheel.clone());
     let pool = WorkerPoolLink::new(config.pool, classes, core_box.clone(), wheel_for, log.clone());
-    supervise("pool link", Box::pin(pool.run(pool_letters)));
+    supervise("worker pool link", Box::pin(pool.run(pool_letters)));
     let catalog = RegistryReporter {
         address: config.directory,
         name: config.name.clone(),
@@ -254,7 +255,7 @@
         wheel: wheel.clone(),
         log: log.clone(),
     };
-    supervise("catalog", Box::pin(catalog.run(catalog_letters)));
+    supervise("registry reporter", Box::pin(catalog.run(catalog_letters)));
     let links = Links {
         files,
         operator,
@@ -266,15 +267,16 @@
     let (own, exe) = (core_box.clone(), executor.clone());
     let mut core = Dispatcher::new(&config, clock, wheel.clone(), exe, own, peers, log.clone());
     if let Some(settings) = &links.operator.ledger {
-        let ledger = ledger::open(settings, &config, clock, core_box.clone(), &executor, &log, dead.clone())?;
+        let ledger =
+            ledger::open(settings, &config, clock, core_box.clone(), &executor, &log, failures.clone())?;
         let tick_ms = match settings.mode {
             DurabilityMode::Strict => LEDGER_TICK_MS,
             DurabilityMode::Interval { every_ms, .. } => LEDGER_TICK_MS.min(every_ms as f64),
         };
         core.bill_by(ledger, tick_ms);
     }
-    supervise("core", Box::pin(core.run(core_letters)));
-    supervise("wheel", Box::pin(wheel.clone().advance()));
+    supervise("dispatcher", Box::pin(core.run(core_letters)));
+    supervise("timer wheel", Box::pin(wheel.clone().advance()));
     let (class_names, tenants) =
         (Arc::new(NameTable::new(&config.classes)), Arc::new(NameTable::new(&config.tenants)));
     let distributed = match &links.operator.config_sync {
@@ -317,11 +319,11 @@
         most: config.bounds.clients,
     };
     let (left, (list_ends, list_over)) = (Rc::new(Cell::new(false)), async_channel::bounded(1));
-    let (may_end, list_dead) = (left.clone(), dead.clone());
+    let (may_end, list_failures) = (left.clone(), failures.clone());
     let list = async move {
         match supervisor::catch_panic(list.run(list_letters)).await {
             Ok(()) if may_end.get() => drop(list_ends.send(()).await),
-            how => drop(list_dead.send(supervisor::obituary("list of connections", how)).await),
+            how => drop(list_failures.send(TaskFailure::new("listener", how)).await),
         }
     };
     executor.spawn(list).detach();
@@ -329,7 +331,12 @@
 
     // An actor that dies ends the program at once, with a code: what it owed can't be given, and whoever restarts the
     // program should see that.
-    let death = async { Err(deaths.recv().await.unwrap_or_else(|_| "all actors are gone".to_owned())) };
+    let death = async {
+        match failed_tasks.recv().await {
+            Ok(failure) => Err(failure.to_string()),
+            Err(_) => Err("all tasks have ended".to_owned()),
+        }
+    };
     let leaving = async {
         links.hear(&mut signals, &mut config, &log).await;
         let (stop_ms, notice) = (config.stop.as_secs_f64() * 1000.0, clock.now());
--- a/src/server/frontend/mod.rs
+++ b/src/server/frontend/mod.rs
@@ -204,7 +204,7 @@
             Ok(Over::Fault(why)) => shared.complain(why),
             // A fault of ours, in this connection's own actor: it costs this caller its connection and nobody else
             // anything.
-            Err(why) => return error!(shared.log, "a connection's actor died"; "why" => why),
+            Err(panic) => return error!(shared.log, "connection task panicked"; "error" => %panic),
         }
         // What was answered before still goes out.
         let written = match over {
--- a/src/server/supervisor.rs
+++ b/src/server/supervisor.rs
@@ -1,5 +1,4 @@
-//! A task that dies is never silence. What is guarded here tells of its panic instead of passing it on; an actor that
-//! ends, by a panic or by itself, is named to whoever runs the program, which then ends with a code.
+//! Supervision of tasks: panics are caught and reported, and the end of a long-running task is a [`TaskFailure`].
 
 use async_channel::Sender;
 use futures_lite::FutureExt;
@@ -7,30 +6,63 @@
 use std::future::Future;
 use std::panic::AssertUnwindSafe;
 
-/// What a panic says.
-pub fn panic_text(panic: &(dyn Any + Send)) -> String {
-    let text = panic.downcast_ref::<&str>().map(|s| (*s).to_owned());
-    text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "no words".to_owned())
+/// A panic that was caught.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{message}")]
+pub struct Panic {
+    /// The message of the panic, or a placeholder if it is not text.
+    pub message: String,
 }
 
-/// Runs it; its panic as text, if it panics. What it owned is dropped then, and no one else sees it half changed.
-///
-/// # Errors
-/// With what the panic said.
-pub async fn catch_panic<T>(work: impl Future<Output = T>) -> Result<T, String> {
-    AssertUnwindSafe(work).catch_unwind().await.map_err(|panic| panic_text(&*panic))
+impl Panic {
+    /// Returns the panic with this payload.
+    pub fn from_payload(payload: &(dyn Any + Send)) -> Self {
+        let text = payload.downcast_ref::<&str>().map(|text| (*text).to_owned());
+        let message = text.or_else(|| payload.downcast_ref::<String>().cloned());
+        Panic { message: message.unwrap_or_else(|| "no message".to_owned()) }
+    }
+}
+
+/// The end of a task that should last as long as the process.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TaskFailure {
+    /// The task panicked.
+    #[error("task failed: {task} panicked: {panic}")]
+    Panicked {
+        /// The name of the task.
+        task: &'static str,
+        /// Its panic.
+        panic: Panic,
+    },
+    /// The task returned.
+    #[error("task failed: {task} ended unexpectedly")]
+    Ended {
+        /// The name of the task.
+        task: &'static str,
+    },
 }
 
-/// How the death of what was to last is told.
-pub fn obituary(name: &str, how: Result<(), String>) -> String {
-    match how {
-        Ok(()) => format!("actor died: {name} ended by itself"),
-        Err(why) => format!("actor died: {name} panicked: {why}"),
+impl TaskFailure {
+    /// Returns the failure of a task that ended in this way.
+    pub fn new(task: &'static str, end: Result<(), Panic>) -> Self {
+        match end {
+            Ok(()) => TaskFailure::Ended { task },
+            Err(panic) => TaskFailure::Panicked { task, panic },
+        }
     }
 }
 
-/// Runs an actor that is to last as long as the program; its end is told by name.
-pub async fn supervise(name: &'static str, work: impl Future<Output = ()>, dead: Sender<String>) {
-    let how = catch_panic(work).await;
-    let _ = dead.send(obituary(name, how)).await;
+/// Runs a future to its end. After a panic what it owned is dropped, so that nobody sees it half changed.
+///
+/// # Errors
+/// The panic, if the future panics.
+pub async fn catch_panic<T>(work: impl Future<Output = T>) -> Result<T, Panic> {
+    AssertUnwindSafe(work).catch_unwind().await.map_err(|payload| Panic::from_payload(&*payload))
+}
+
+/// Runs a task that should last as long as the process, and reports its end.
+pub async fn supervise(task: &'static str, work: impl Future<Output = ()>, failures: Sender<TaskFailure>) {
+    let end = catch_panic(work).await;
+    // Without a receiver the process is at its end.
+    let _ = failures.send(TaskFailure::new(task, end)).await;
 }
--- a/src/server/upstream.rs
+++ b/src/server/upstream.rs
@@ -176,8 +176,8 @@
             };
             let (outcome, body) = match catch_panic(or(shared.call(&call, left, &sent), limit)).await {
                 Ok(ended) => ended,
-                Err(why) => {
-                    error!(shared.log, "a call's task died"; "why" => why);
+                Err(panic) => {
+                    error!(shared.log, "upstream call task panicked"; "error" => %panic);
                     (if sent.get() { Outcome::ConnectionLost } else { Outcome::Unreachable }, Vec::new())
                 }
             };
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -100,21 +100,27 @@
     assert!(then - began < Duration::from_secs(3), "the entry could lapse");
 }
 
-/// What is guarded tells of its panic; an actor's end is told by name, also where it ends by itself.
+/// A panic of a supervised task is reported with its name and message, and so is its unexpected end.
 #[test]
-fn what_dies_is_named() {
-    let (dead, deaths) = async_channel::unbounded();
-    let told = async_io::block_on(async {
-        supervisor::supervise("index", async { panic!("a fault") }, dead.clone()).await;
-        supervisor::supervise("catalog", async {}, dead.clone()).await;
-        [deaths.recv().await.expect("told"), deaths.recv().await.expect("told")]
+fn task_failures_are_reported_by_name() {
+    let (report, failures) = async_channel::unbounded();
+    let reported = async_io::block_on(async {
+        supervisor::supervise("upstream client", async { panic!("a fault") }, report.clone()).await;
+        supervisor::supervise("registry reporter", async {}, report.clone()).await;
+        [failures.recv().await.expect("a failure"), failures.recv().await.expect("a failure")]
     });
-    assert_eq!(told, ["actor died: index panicked: a fault", "actor died: catalog ended by itself"]);
-    // The wheel is such an actor: it never ends.
+    assert_eq!(
+        reported.map(|failure| failure.to_string()),
+        [
+            "task failed: upstream client panicked: a fault",
+            "task failed: registry reporter ended unexpectedly"
+        ]
+    );
+    // The timer wheel is such a task: it never ends.
     let wheel = TimerWheel::new(Clock::start(), 5.0);
-    let turned = async_io::block_on(futures_lite::future::or(
+    let advanced = async_io::block_on(futures_lite::future::or(
         async {
-            supervisor::supervise("wheel", wheel.clone().advance(), dead.clone()).await;
+            supervisor::supervise("timer wheel", wheel.clone().advance(), report.clone()).await;
             false
         },
         async {
@@ -122,7 +128,7 @@
             true
         },
     ));
-    assert!(turned && deaths.is_empty());
+    assert!(advanced && failures.is_empty());
 }
 
 /// Bad clients by the hundred beside a good one: silent ones, halves of a message, a class that is none, noise. Each check of
