--- a/src/server/dispatcher/events.rs
+++ b/src/server/dispatcher/events.rs
@@ -146,17 +146,21 @@
             PoolEvent::CommandRejected { command, attempt: call } => {
                 self.not_done += 1;
                 if self.not_done <= MAX_NOTES {
-                    warn!(self.log, "worker pool did not carry out a command"; "command" => command.as_str());
+                    warn!(self.log, "worker pool rejected a command"; "command" => %command);
                 }
                 let id = self
                     .calls
                     .get(&call)
                     .copied()
-                    .filter(|_| matches!(command.as_str(), "spawn" | "proceed"));
+                    .filter(|_| matches!(command, RejectedCommand::Run | RejectedCommand::Resume));
                 if let Some(id) = id {
                     // It will never end by itself. What the pool does not know never ran: it is no failing run, by
                     // which the module would take the machine for sick, and leaves its key free for true tries.
-                    let end = if command == "spawn" { RunOutcome::NotStarted } else { RunOutcome::Failed };
+                    let end = if command == RejectedCommand::Run {
+                        RunOutcome::NotStarted
+                    } else {
+                        RunOutcome::Failed
+                    };
                     self.on_finished(id, end, 0.0, Vec::new());
                 }
             }
--- a/src/server/messages/connection.rs
+++ b/src/server/messages/connection.rs
@@ -3,47 +3,47 @@
 use async_channel::Sender;
 use std::rc::Rc;
 
-/// A final answer, or the answer to a health check.
+/// A final response, or the response to a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// The result of a run made for this request.
+    /// The result of a run.
     Completed(Rc<[u8]>),
-    /// Turned away; this try never ran.
+    /// The request was rejected; this attempt never ran.
     Rejected {
-        /// Advice to keep away for this long; 0 for none.
+        /// Retry-After, ms; 0 for none.
         retry_after_ms: f64,
-        /// Ask the caller to try no other instance.
+        /// Whether the client is asked not to retry on another server.
         do_not_retry: bool,
     },
-    /// An error, with no promise.
+    /// The request failed; it may have had its effect.
     Failed,
-    /// The request can't be understood; nothing was done for it.
+    /// The request can't be decoded or contradicts another one; nothing was done for it.
     Invalid,
-    /// Health as the module set it.
+    /// Whether the server is healthy.
     Health(bool),
 }
 
-/// What a connection's actor is told.
+/// A message to the task of a client connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConnectionMessage {
-    /// The answer to what bears this tag, with the module's present value for callers.
+    /// The response to the request with this tag.
     Response {
-        /// The connection's own mark for the request.
+        /// The connection's tag for the request.
         tag: u64,
-        /// The answer.
+        /// The response.
         response: Response,
-        /// The value that goes out on every answer.
+        /// The share of its requests that a client should send here, 0 to 1, where it is advertised.
         advertised_share: Option<f64>,
     },
-    /// Take no new request from now on: tell the caller, and end once it has its answers.
+    /// Graceful shutdown: take no new requests, notify the client, and close after the last response.
     Shutdown,
 }
 
-/// Where an answer goes. A connection that is gone takes it and does nothing.
+/// Where the response to a request goes. A response to a closed connection is dropped.
 #[derive(Clone, Debug)]
 pub struct ReplyHandle {
     /// The connection's mailbox.
     pub mailbox: Sender<ConnectionMessage>,
-    /// The connection's own mark for the request.
+    /// The connection's tag for the request.
     pub tag: u64,
 }
--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -8,87 +8,87 @@
 use dunlinspread_store::Writer;
 use std::rc::Rc;
 
-/// A request as a front read it.
+/// A request as a frontend decoded it.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The front's number for it, unique and rising.
+    /// The number of the request, unique and increasing over all frontends.
     pub id: RequestId,
-    /// The platform's name for this try.
+    /// The number that the client gave this attempt.
     pub attempt: u64,
     /// The class, by position.
     pub class: usize,
-    /// When it reached the machine, Unix ms.
+    /// When the request reached the machine, Unix ms.
     pub received_at: f64,
-    /// Memory while held.
+    /// Memory that the request takes while queued, kB.
     pub request_kb: f64,
-    /// Its place, 0 to 1.
+    /// The quantile of its priority, 0 to 1, lowest first.
     pub priority: f64,
-    /// What all tries of one keyed request share.
+    /// The idempotency key, shared by all attempts of one request.
     pub key: Option<Vec<u8>>,
-    /// How long its caller waits for this try from `received_at` on, ms, where that is told.
+    /// How long the client waits for this attempt, ms from `received_at`, where that is sent.
     pub timeout_ms: Option<f64>,
     /// The tenant, by position.
     pub tenant: usize,
-    /// The account that it is billed to; a good name.
+    /// The account that is billed, a valid account name.
     pub account: Option<Rc<str>>,
-    /// It names what it reads.
+    /// Whether the result may be shared with other requests that read the same.
     pub shareable: bool,
-    /// The body, unchanged.
+    /// The body, as received.
     pub body: Vec<u8>,
-    /// Where the answer goes.
+    /// Where the response goes.
     pub reply: ReplyHandle,
 }
 
-/// What the core is told.
+/// A message to the dispatcher.
 #[derive(Debug)]
 pub enum DispatcherMessage {
-    /// A request was read.
+    /// A request was decoded.
     Request(Box<IncomingRequest>),
-    /// Something was read that is no proper request but can be answered.
+    /// An invalid request that can be answered.
     InvalidRequest(ReplyHandle),
-    /// A health check.
+    /// A health check was received.
     HealthCheck(ReplyHandle),
-    /// The caller no longer waits.
+    /// The client cancelled the request or closed its connection.
     ClientGone(RequestId),
-    /// From the worker pool.
+    /// An event of the worker pool.
     Pool(PoolEvent),
-    /// A call ended, with the reply's body if it went well.
+    /// An upstream call ended.
     UpstreamCallEnded {
-        /// Whose call.
+        /// The request that made the call.
         id: RequestId,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
-        /// The reply.
+        /// The body of the reply; empty unless the outcome is [`Outcome::Ok`].
         body: Vec<u8>,
-        /// How long it took.
+        /// How long the call took, ms.
         took_ms: f64,
     },
-    /// A timer of the module is due.
+    /// A timer of the admission controller is due; its token.
     Timer(u64),
-    /// The gauges asked for with this tag are late.
+    /// The gauges requested with this tag are late.
     GaugesTimedOut(u64),
-    /// Notice to leave.
+    /// Shutdown was requested: drain.
     Drain {
         /// When the process stops, Unix ms.
         stop_at: f64,
     },
-    /// Changes of settings come in force: what was read before them stands before this in the mailbox.
+    /// Settings change. Requests that were decoded with the old settings are earlier in the mailbox.
     Reconfigured(Box<Reconfigured>),
-    /// Time to sweep.
+    /// Remove expired idempotency keys.
     SweepKeys,
-    /// From the ledger's threads.
+    /// A message of the usage ledger's threads.
     Usage(Box<FromLedger>),
-    /// Time passes for the ledger.
+    /// Advance the time of the usage ledger.
     UsageTick,
-    /// The program ends: give up the ledger's writer, if there is one.
+    /// The process ends: hand over the writer of the usage ledger, if there is one.
     CloseUsage(Sender<Writer>),
 }
 
-/// Changes of settings, and where it is told that they are in force.
+/// Changes of settings, and whom to notify once they are in force.
 #[derive(Debug)]
 pub struct Reconfigured {
     /// The changes.
     pub changes: Reconfiguration,
-    /// Has room for the one message.
+    /// Receives one message once the changes are in force; it has room for it.
     pub done: Sender<()>,
 }
--- a/src/server/messages/listener.rs
+++ b/src/server/messages/listener.rs
@@ -1,15 +1,15 @@
 //! Messages to the listener.
 
-/// What the list is told.
+/// A message to the listener.
 #[derive(Debug)]
 pub enum ListenerMessage {
-    /// Close connections idle for this long.
+    /// Close connections that are idle for this long, ms.
     SetIdleTimeout(f64),
-    /// A connection ended.
+    /// The connection with this number ended.
     ConnectionClosed(u64),
-    /// The program leaves: no new connections, and the open ones are told.
+    /// Graceful shutdown: accept no new connections and notify the open ones.
     Shutdown {
-        /// When they end, whatever their callers do, Unix ms. All is answered by then.
+        /// When open connections are closed, Unix ms. All requests are answered by then.
         finish_at: f64,
     },
 }
--- a/src/server/messages/mod.rs
+++ b/src/server/messages/mod.rs
@@ -15,4 +15,4 @@
 pub use listener::ListenerMessage;
 pub use registry::RegistryMessage;
 pub use upstream::{UpstreamCall, UpstreamMessage};
-pub use worker_pool::{LinkCommand, PoolCommand, PoolEvent, RunOutcome, WorkerPoolMessage};
+pub use worker_pool::{LinkCommand, PoolCommand, PoolEvent, RejectedCommand, RunOutcome, WorkerPoolMessage};
--- a/src/server/messages/registry.rs
+++ b/src/server/messages/registry.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-/// What the actor is told.
+/// A message to the registry reporter.
 #[derive(Debug)]
 pub enum RegistryMessage {
-    /// Health as the module set it.
+    /// Whether the server is healthy.
     SetHealth(bool),
-    /// The catalog listens elsewhere from now on.
+    /// The address of the registry changed.
     SetAddress(SocketAddr),
 }
--- a/src/server/messages/upstream.rs
+++ b/src/server/messages/upstream.rs
@@ -4,30 +4,30 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A call to make.
+/// A call to the upstream service.
 #[derive(Debug)]
 pub struct UpstreamCall {
-    /// The request it is made for.
+    /// The request that needs the call.
     pub id: RequestId,
-    /// That try's name on the platform.
+    /// The number that the client gave the attempt.
     pub attempt: u64,
-    /// Give it up after this long.
+    /// Give the call up after this time, ms.
     pub timeout_ms: f64,
-    /// The body that the run gave.
+    /// The body of the call.
     pub body: Rc<[u8]>,
-    /// It may not be made again unless it is proved that it never ran.
+    /// Whether a retry is allowed only if it is proved that the call never ran.
     pub at_most_once: bool,
 }
 
-/// What the actor is told.
+/// A message to the upstream client.
 #[derive(Debug)]
 pub enum UpstreamMessage {
-    /// Make a call. A second one for a request gives up the first.
+    /// Make a call. A second call of a request cancels the first.
     Call(UpstreamCall),
-    /// Give up a request's call, if it is out; no end is reported.
+    /// Cancel the call of a request, if there is one; its end is not reported.
     Cancel(RequestId),
-    /// The index listens elsewhere from now on; calls that are out go on where they are.
+    /// The address of the upstream service changed; calls under way stay on their connections.
     SetAddress(SocketAddr),
-    /// A call's task is over.
+    /// The task of a call ended; the request and the number of the call.
     CallTaskEnded(RequestId, u64),
 }
--- a/src/server/messages/worker_pool.rs
+++ b/src/server/messages/worker_pool.rs
@@ -3,64 +3,64 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A command, in the core's words.
+/// A command to the worker pool.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolCommand {
     /// Run a request.
     Run {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
-        /// Its class, by position.
+        /// The class, by position.
         class: usize,
-        /// The body as it came.
+        /// The body of the request, as received.
         body: Rc<[u8]>,
     },
-    /// Stop a run.
+    /// Stop or pause a run.
     Suspend {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
     },
-    /// Go on with a paused run.
+    /// Resume a paused run.
     Resume {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
     },
-    /// The reply to the call that a run waits for.
+    /// Pass on the reply to the upstream call that a run waits for.
     UpstreamReply {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
-        /// The reply, unchanged.
+        /// The reply, as received.
         body: Rc<[u8]>,
     },
-    /// Go on without the call that a notice asked for.
+    /// Continue without the upstream call that a run waits for.
     SkipUpstreamCall {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
-        /// The number of that notice.
+        /// The number of the notice that requested the call.
         seq: u64,
     },
-    /// Ask for the gauges.
+    /// Read the gauges.
     ReadGauges {
-        /// Comes back with them.
+        /// Identifies the reading in [`PoolEvent::Gauges`].
         tag: u64,
     },
 }
 
-/// A command for one link; it is void on any other.
+/// A command for one link; on any other link it is dropped.
 #[derive(Debug)]
 pub struct LinkCommand {
-    /// The link's number.
+    /// The number of the link.
     pub link: u64,
     /// The command.
     pub command: PoolCommand,
 }
 
-/// What the link's actor is told.
+/// A message to the link to the worker pool.
 #[derive(Debug)]
 pub enum WorkerPoolMessage {
     /// Send a command.
     Command(LinkCommand),
-    /// The pool listens elsewhere from now on; its runs and notices go on.
+    /// The address of the pool changed; its runs and notices go on.
     SetAddress(SocketAddr),
 }
 
@@ -69,62 +69,88 @@
 pub enum RunOutcome {
     /// With a result.
     Completed,
-    /// It failed.
+    /// It failed; it may have had its effect.
     Failed,
-    /// It was stopped, or ended at a call since its request is over.
+    /// It was stopped or paused, or ended at an upstream call because its request is finished.
     Stopped,
-    /// Nothing was started, since its request is over.
+    /// Nothing was started, because the request was finished.
     NotStarted,
 }
 
-/// What the core is told.
+/// The kind of a command that the pool rejected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RejectedCommand {
+    /// [`PoolCommand::Run`].
+    #[error("run")]
+    Run,
+    /// [`PoolCommand::Suspend`].
+    #[error("suspend")]
+    Suspend,
+    /// [`PoolCommand::Resume`].
+    #[error("resume")]
+    Resume,
+    /// [`PoolCommand::UpstreamReply`].
+    #[error("upstream reply")]
+    UpstreamReply,
+    /// [`PoolCommand::SkipUpstreamCall`].
+    #[error("skip upstream call")]
+    SkipUpstreamCall,
+    /// [`PoolCommand::ReadGauges`].
+    #[error("read gauges")]
+    ReadGauges,
+    /// A word that names no command of this server.
+    #[error("{0}")]
+    Unrecognized(String),
+}
+
+/// An event of the worker pool or of the link to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolEvent {
-    /// The pool is there.
+    /// The pool accepted the link.
     Started {
-        /// It started cold.
+        /// Whether it started cold.
         cold: bool,
         /// How long ago it started, ms.
         ago_ms: f64,
     },
-    /// The pool was started anew: what the one before it ran has ended with it.
+    /// The pool restarted: the runs of the one before ended with it.
     Restarted,
-    /// The link with this number takes commands, and all notices before it have been read.
+    /// The link with this number accepts commands; all earlier notices have been read.
     LinkUp(u64),
     /// The link ended.
     LinkDown,
-    /// A run is over.
+    /// A run ended or was paused.
     RunEnded {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
         /// How it ended.
         end: RunOutcome,
-        /// After so long, ms.
+        /// How long it took, ms.
         took_ms: f64,
-        /// The result.
+        /// The result; empty unless the run completed.
         body: Vec<u8>,
     },
-    /// A run waits for a call.
+    /// A run waits for an upstream call.
     UpstreamCallNeeded {
-        /// The try's name.
+        /// The number of the attempt.
         attempt: u64,
-        /// The number of this notice.
+        /// The number of the notice.
         seq: u64,
-        /// The call's body.
+        /// The body of the call.
         body: Vec<u8>,
     },
-    /// The gauges.
+    /// The gauges were read.
     Gauges {
-        /// The tag of the asking.
+        /// The tag of [`PoolCommand::ReadGauges`].
         tag: u64,
         /// The values, in the order of the settings.
         values: Vec<f64>,
     },
-    /// A command was not carried out.
+    /// The pool rejected a command.
     CommandRejected {
         /// The command.
-        command: String,
-        /// The try's name, or 0.
+        command: RejectedCommand,
+        /// The number of the attempt, or 0 if the pool named none.
         attempt: u64,
     },
 }
--- a/src/server/worker_pool/link.rs
+++ b/src/server/worker_pool/link.rs
@@ -4,7 +4,9 @@
 //! change a body.
 
 use crate::codec::json::{self, Line, Lines, Value};
-use crate::server::messages::{DispatcherMessage, PoolCommand, PoolEvent, RunOutcome, WorkerPoolMessage};
+use crate::server::messages::{
+    DispatcherMessage, PoolCommand, PoolEvent, RejectedCommand, RunOutcome, WorkerPoolMessage,
+};
 use crate::server::timer_wheel::TimerWheel;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -125,7 +127,7 @@
             said.report = Some(PoolEvent::Gauges { tag, values });
         }
         "unknown" => {
-            let command = word("end")?.to_owned();
+            let command = rejected_command(word("end")?);
             said.report = Some(PoolEvent::CommandRejected { command, attempt: attempt().unwrap_or(0) });
         }
         "chatter" => said.seq = Some(seq()?),
@@ -134,6 +136,19 @@
     Ok(said)
 }
 
+/// Maps the wire word of a command that the pool rejected.
+fn rejected_command(word: &str) -> RejectedCommand {
+    match word {
+        "spawn" => RejectedCommand::Run,
+        "suspend" => RejectedCommand::Suspend,
+        "proceed" => RejectedCommand::Resume,
+        "supply" => RejectedCommand::UpstreamReply,
+        "pass" => RejectedCommand::SkipUpstreamCall,
+        "poll" => RejectedCommand::ReadGauges,
+        other => RejectedCommand::Unrecognized(other.to_owned()),
+    }
+}
+
 /// The link's actor.
 pub struct WorkerPoolLink {
     /// Where the pool listens.
