--- a/crates/scale/src/probes/fleet/mod.rs
+++ b/crates/scale/src/probes/fleet/mod.rs
@@ -11,7 +11,7 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Result, anyhow};
-use dunlinspread_membership::{Id, Membership};
+use dunlinspread_membership::{MemberId, Membership};
 use network::address;
 use scenarios::{Results, SingleResults, TARGET_MEMBERS, settings};
 use series::{SERIES, SINGLE_SERIES};
@@ -122,7 +122,7 @@
     let views = (VIEWED_MEMBERS / size).clamp(LEAST_VIEWS, MOST_VIEWS);
     let node_of_view = |view: u64| (size + view) as usize;
     let member = |node: usize| {
-        let id = Id { addr: address(node), start: 1, bump: 0 };
+        let id = MemberId { address: address(node), start: 1, incarnation: 0 };
         Membership::new(id, &settings(), seed + node as u64, 0)
     };
     let observers: Vec<_> = (0..views).map(|view| address(node_of_view(view))).collect();
--- a/crates/scale/src/probes/fleet/network.rs
+++ b/crates/scale/src/probes/fleet/network.rs
@@ -1,7 +1,7 @@
 //! A network of members in one process on a virtual clock: an event queue of datagrams under way and of timers.
 
 use anyhow::{Result, anyhow};
-use dunlinspread_membership::{Change, Id, Membership, Millis, Settings};
+use dunlinspread_membership::{MemberId, Membership, Millis, Settings, ViewChange};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -157,11 +157,12 @@
     /// If SWIM fails.
     pub fn start_acquainted(&mut self, nodes: std::ops::Range<usize>) -> Result<()> {
         let first = self.now;
-        let all: Vec<Id> = nodes.clone().map(|node| Id { addr: address(node), start: 1, bump: 0 }).collect();
+        let all: Vec<MemberId> =
+            nodes.clone().map(|node| MemberId { address: address(node), start: 1, incarnation: 0 }).collect();
         for node in nodes.clone() {
             self.run_until(first + START_SPAN * (node - nodes.start) as Millis / nodes.len() as Millis);
             let mut member = self.new_member(node)?;
-            let others = all.iter().copied().filter(|id| id.addr != address(node));
+            let others = all.iter().copied().filter(|id| id.address != address(node));
             member.learn(self.now, others).map_err(|error| anyhow!("node {node}: {error}"))?;
             self.nodes[node].member = Some(member);
             self.settle(node);
@@ -173,14 +174,14 @@
     /// The next start of the member of a node.
     fn new_member(&mut self, node: usize) -> Result<Membership> {
         self.nodes[node].start += 1;
-        let me = Id { addr: address(node), start: self.nodes[node].start, bump: 0 };
+        let me = MemberId { address: address(node), start: self.nodes[node].start, incarnation: 0 };
         Ok(Membership::new(me, &self.settings, self.rng.random(), self.now)?)
     }
 
     /// Ends the member at a node without a word.
-    pub fn kill(&mut self, node: usize) -> Option<Id> {
+    pub fn kill(&mut self, node: usize) -> Option<MemberId> {
         self.nodes[node].wake = None;
-        self.nodes[node].member.take().map(|member| *member.me())
+        self.nodes[node].member.take().map(|member| *member.id())
     }
 
     /// Watches how word of these members spreads from now on.
@@ -239,7 +240,7 @@
             self.send(&to, bytes);
         }
         for change in changes {
-            self.downs += u64::from(matches!(change, Change::Down(_)));
+            self.downs += u64::from(matches!(change, ViewChange::Down(_)));
             if let Some(watch) = &mut self.watch {
                 watch.on_change(self.now, node, &change);
             }
--- a/crates/scale/src/probes/fleet/scenarios.rs
+++ b/crates/scale/src/probes/fleet/scenarios.rs
@@ -4,7 +4,7 @@
 use super::network::{Network, Traffic};
 use super::watch::{Wanted, Watch};
 use anyhow::{Result, bail};
-use dunlinspread_membership::{Id, Millis, Settings};
+use dunlinspread_membership::{MemberId, Millis, Settings};
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
@@ -203,19 +203,19 @@
         for node in nodes {
             self.network.start(*node)?;
         }
-        let ids: Vec<Id> =
-            nodes.iter().filter_map(|node| self.network.member(*node)).map(|m| *m.me()).collect();
+        let ids: Vec<MemberId> =
+            nodes.iter().filter_map(|node| self.network.member(*node)).map(|m| *m.id()).collect();
         self.spread(Wanted::Up, &ids, rest)
     }
 
     /// The members at these nodes end without a word.
     fn fail(&mut self, nodes: &[usize]) -> Result<Dissemination> {
-        let ids: Vec<Id> = nodes.iter().filter_map(|node| self.network.kill(*node)).collect();
+        let ids: Vec<MemberId> = nodes.iter().filter_map(|node| self.network.kill(*node)).collect();
         self.spread(Wanted::Down, &ids, REST)
     }
 
     /// How word of these members spreads; then the fleet rests.
-    fn spread(&mut self, wanted: Wanted, ids: &[Id], rest: Millis) -> Result<Dissemination> {
+    fn spread(&mut self, wanted: Wanted, ids: &[MemberId], rest: Millis) -> Result<Dissemination> {
         let watch = Watch::begin(&self.network, self.size + 1, wanted, ids);
         self.network.set_watch(watch);
         let meter = Meter::begin(&self.network);
@@ -235,7 +235,7 @@
     /// The least part of the others that one of these members knows.
     fn least_known(&self, nodes: &[usize]) -> f64 {
         let others = self.network.running().count().saturating_sub(1).max(1);
-        let known = |node: &usize| self.network.member(*node).map(|member| member.up());
+        let known = |node: &usize| self.network.member(*node).map(|member| member.up_count());
         nodes.iter().filter_map(known).min().unwrap_or(0) as f64 / others as f64
     }
 
--- a/crates/scale/src/probes/fleet/watch.rs
+++ b/crates/scale/src/probes/fleet/watch.rs
@@ -1,7 +1,7 @@
 //! How word of some members spreads: when each running member first knows that each of them is up, or down.
 
 use super::network::{Network, node_of};
-use dunlinspread_membership::{Change, Id, Millis, Standing};
+use dunlinspread_membership::{MemberId, MemberState, Millis, ViewChange};
 use std::collections::HashMap;
 
 /// What is to be known.
@@ -29,10 +29,10 @@
 
 impl Watch {
     /// From now on, for everyone who runs and does not know it yet. `subjects` themselves do not observe.
-    pub fn begin(network: &Network, nodes: usize, wanted: Wanted, subjects: &[Id]) -> Watch {
+    pub fn begin(network: &Network, nodes: usize, wanted: Wanted, subjects: &[MemberId]) -> Watch {
         let positions = subjects.iter().enumerate();
         let subjects: HashMap<usize, (usize, u64)> =
-            positions.map(|(position, id)| (node_of(&id.addr), (position, id.start))).collect();
+            positions.map(|(position, id)| (node_of(&id.address), (position, id.start))).collect();
         let mut watch = Watch {
             wanted,
             since: network.now(),
@@ -48,7 +48,7 @@
             for (position, _) in watch.subjects.values() {
                 pending[position * nodes + observer] = wanted == Wanted::Up;
             }
-            for (id, _) in member.members().filter(|(_, standing)| *standing != Standing::Down) {
+            for (id, _) in member.members().filter(|(_, state)| *state != MemberState::Down) {
                 if let Some(position) = watch.position(id) {
                     // Up in this view: known already if that is wanted, to be learned otherwise.
                     pending[position * nodes + observer] = wanted == Wanted::Down;
@@ -61,16 +61,16 @@
     }
 
     /// The position of a member among those watched.
-    fn position(&self, id: &Id) -> Option<usize> {
-        let (position, start) = self.subjects.get(&node_of(&id.addr))?;
+    fn position(&self, id: &MemberId) -> Option<usize> {
+        let (position, start) = self.subjects.get(&node_of(&id.address))?;
         (id.start == *start).then_some(*position)
     }
 
     /// A change of an observer's view.
-    pub fn on_change(&mut self, now: Millis, observer: usize, change: &Change) {
+    pub fn on_change(&mut self, now: Millis, observer: usize, change: &ViewChange) {
         let known = match (self.wanted, change) {
-            (Wanted::Up, Change::Up(id) | Change::Renamed(_, id)) => id,
-            (Wanted::Down, Change::Down(id)) => id,
+            (Wanted::Up, ViewChange::Up(id) | ViewChange::Replaced { new: id, .. }) => id,
+            (Wanted::Down, ViewChange::Down(id)) => id,
             _ => return,
         };
         let Some(position) = self.position(known) else { return };
--- a/crates/scale/src/probes/quota.rs
+++ b/crates/scale/src/probes/quota.rs
@@ -6,7 +6,7 @@
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Result, anyhow};
-use dunlinspread_membership::{Id, TAG};
+use dunlinspread_membership::{MemberId, TAG_BYTES};
 use dunlinspread_quota::{Allocator, Config, Fault, Grant, LeaseRequest, Liveness, MILLION, Millis};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -140,7 +140,7 @@
     quantity: "asks of a member for all budgets and their grants, as prost would encode them, packed into datagrams",
     unit: "bytes",
     against: "budgets",
-    fixed: &[("tag_bytes", TAG as f64), ("headers_bytes", UDP_HEADERS as f64)],
+    fixed: &[("tag_bytes", TAG_BYTES as f64), ("headers_bytes", UDP_HEADERS as f64)],
     target_size: TARGET_BUDGETS as f64,
 };
 
@@ -155,7 +155,11 @@
     id: "quota.member_bytes_per_second.budgets",
     quantity: "those asks and grants at four rounds a lease",
     unit: "bytes/s",
-    fixed: &[("tag_bytes", TAG as f64), ("headers_bytes", UDP_HEADERS as f64), ("lease_ms", LEASE as f64)],
+    fixed: &[
+        ("tag_bytes", TAG_BYTES as f64),
+        ("headers_bytes", UDP_HEADERS as f64),
+        ("lease_ms", LEASE as f64),
+    ],
     ..ROUND_BYTES
 };
 
@@ -182,14 +186,14 @@
 }
 
 /// The name of a member.
-fn name(member: u64) -> Id {
+fn name(member: u64) -> MemberId {
     let address = SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + member as u32), 1);
-    Id { addr: address, start: 1, bump: 0 }
+    MemberId { address, start: 1, incarnation: 0 }
 }
 
 /// An allocator with its members' clock and numbers.
 struct Load {
-    allocator: Allocator<Id>,
+    allocator: Allocator<MemberId>,
     rng: ChaCha8Rng,
     now: Millis,
     members: u64,
@@ -295,7 +299,7 @@
 fn clones_bytes(members: u64, count: u64, seed: u64) -> Result<f64> {
     let load = Load::new(members, seed)?;
     let growth = Growth::begin();
-    let clones: Vec<Allocator<Id>> = (0..count).map(|_| load.allocator.clone()).collect();
+    let clones: Vec<Allocator<MemberId>> = (0..count).map(|_| load.allocator.clone()).collect();
     let bytes = growth.bytes();
     drop(black_box(clones));
     Ok(bytes)
@@ -320,12 +324,12 @@
 
 /// Datagrams and bytes of messages of these lengths, packed in their order, tags and headers included.
 fn packed(lengths: impl Iterator<Item = u64>) -> (u64, u64) {
-    let room = DATAGRAM - TAG as u64;
+    let room = DATAGRAM - TAG_BYTES as u64;
     let (mut datagrams, mut bytes, mut left) = (0, 0, 0);
     for length in lengths {
         if length > left {
             datagrams += 1;
-            bytes += UDP_HEADERS + TAG as u64;
+            bytes += UDP_HEADERS + TAG_BYTES as u64;
             left = room;
         }
         left -= length;
