--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::operator::LedgerConfig;
 use crate::server::messages::{DispatcherMessage, ExportWorkerMessage, UsageMessage};
-use crate::server::supervisor;
+use crate::server::supervisor::{Panic, TaskFailure};
 use crate::server::timer_wheel::Clock;
 use crate::server::usage::{
     Billing, BillingOptions, DigestExchange, ExportWorker, ExportWorkerOptions, OpenedLedger, UsageError,
@@ -29,8 +29,8 @@
     pub clock: Clock,
     /// The dispatcher's mailbox.
     pub dispatcher: Sender<DispatcherMessage>,
-    /// Where the death of a thread is told.
-    pub deaths: Sender<String>,
+    /// Where the failure of a thread is reported.
+    pub failures: Sender<TaskFailure>,
     /// The log.
     pub log: &'a Logger,
 }
@@ -97,7 +97,7 @@
             dispatcher,
             log,
         };
-        spawn_export_worker(options, self.deaths)
+        spawn_export_worker(options, self.failures)
     }
 }
 
@@ -106,12 +106,15 @@
 /// It is not waited for at the end: a collector that does not answer must not hold that up, and what is under way is
 /// exported at the next start. The worker logs itself what it can't go on for, and serving goes on then; a panic ends
 /// the program.
-fn spawn_export_worker(options: ExportWorkerOptions, deaths: Sender<String>) -> Result<(), UsageError> {
+fn spawn_export_worker(
+    options: ExportWorkerOptions,
+    failures: Sender<TaskFailure>,
+) -> Result<(), UsageError> {
     let work = move || {
         let run = AssertUnwindSafe(|| ExportWorker::run(options));
         if let Err(panic) = std::panic::catch_unwind(run) {
-            let how = Err(supervisor::panic_text(&*panic));
-            let _ = deaths.send_blocking(supervisor::obituary("export worker", how));
+            let failure = TaskFailure::new("export worker", Err(Panic::from_payload(&*panic)));
+            let _ = failures.send_blocking(failure);
         }
     };
     let spawned = std::thread::Builder::new().name("export-worker".to_owned()).spawn(work);
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -9,12 +9,13 @@
 use crate::daemon::config_sync::ConfigSync;
 use crate::operator::{LogFormat, LogLevel, Operator};
 use crate::server::dispatcher::{Dispatcher, Peers};
-use crate::server::frontend::{Listener, NameTable, Shared};
+use crate::server::frontend::{FrontendContext, Listener, LogWindow};
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
+use crate::server::name_table::NameTable;
 use crate::server::registry::RegistryReporter;
-use crate::server::supervisor;
+use crate::server::supervisor::{self, TaskFailure};
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use crate::server::upstream::UpstreamClient;
 use crate::server::worker_pool::WorkerPoolLink;
@@ -225,9 +226,10 @@
     let (catalog_box, catalog_letters) = async_channel::unbounded();
     let (list_box, list_letters) = async_channel::unbounded();
 
-    let (dead, deaths) = async_channel::unbounded();
-    let supervise =
-        |name, work: BoxedLocal<()>| executor.spawn(supervisor::supervise(name, work, dead.clone())).detach();
+    let (failures, failed_tasks) = async_channel::unbounded();
+    let supervise = |name, work: BoxedLocal<()>| {
+        executor.spawn(supervisor::supervise(name, work, failures.clone())).detach()
+    };
     let index_box = config.index.map(|address| {
         let (index_box, letters) = async_channel::unbounded();
         let (core, own, exe) = (core_box.clone(), index_box.clone(), executor.clone());
@@ -241,12 +243,12 @@
             wheel.clone(),
             log.clone(),
         );
-        supervise("index", Box::pin(index.run(letters)));
+        supervise("upstream client", Box::pin(index.run(letters)));
         index_box
     });
     let (classes, wheel_for) = (config.classes.clone(), wheel.clone());
     let pool = WorkerPoolLink::new(config.pool, classes, core_box.clone(), wheel_for, log.clone());
-    supervise("pool link", Box::pin(pool.run(pool_letters)));
+    supervise("worker pool link", Box::pin(pool.run(pool_letters)));
     let catalog = RegistryReporter {
         address: config.directory,
         name: config.name.clone(),
@@ -254,7 +256,7 @@
         wheel: wheel.clone(),
         log: log.clone(),
     };
-    supervise("catalog", Box::pin(catalog.run(catalog_letters)));
+    supervise("registry reporter", Box::pin(catalog.run(catalog_letters)));
     let links = Links {
         files,
         operator,
@@ -271,7 +273,7 @@
             config: &config,
             clock,
             dispatcher: core_box.clone(),
-            deaths: dead.clone(),
+            failures: failures.clone(),
             log: &log,
         };
         let ledger = start.open(&executor).map_err(|error| error.to_string())?;
@@ -281,8 +283,8 @@
         };
         core.bill_by(ledger, tick_ms);
     }
-    supervise("core", Box::pin(core.run(core_letters)));
-    supervise("wheel", Box::pin(wheel.clone().advance()));
+    supervise("dispatcher", Box::pin(core.run(core_letters)));
+    supervise("timer wheel", Box::pin(wheel.clone().advance()));
     let (class_names, tenants) =
         (Arc::new(NameTable::new(&config.classes)), Arc::new(NameTable::new(&config.tenants)));
     let distributed = match &links.operator.config_sync {
@@ -303,7 +305,7 @@
         }
         None => None,
     };
-    let shared = Rc::new(Shared {
+    let context = Rc::new(FrontendContext {
         tenants,
         passes_deadline: config.settings.passes_deadline,
         classes: config.settings.classes.clone(),
@@ -311,25 +313,25 @@
         distributed,
         clock,
         wheel: wheel.clone(),
-        core: core_box.clone(),
+        dispatcher: core_box.clone(),
         log: log.clone(),
-        accounts: links.operator.ledger.is_some(),
-        last_id: Cell::new(0),
-        complaints: Cell::new((0.0, 0)),
+        bills_accounts: links.operator.ledger.is_some(),
+        last_request_id: Cell::new(0),
+        fault_log: Cell::new(LogWindow::default()),
     });
     let list = Listener {
-        shared,
-        listener,
-        own: list_box.clone(),
+        context,
+        socket: listener,
+        sender: list_box.clone(),
         executor: executor.clone(),
-        most: config.bounds.clients,
+        max_connections: config.bounds.clients,
     };
     let (left, (list_ends, list_over)) = (Rc::new(Cell::new(false)), async_channel::bounded(1));
-    let (may_end, list_dead) = (left.clone(), dead.clone());
+    let (may_end, list_failures) = (left.clone(), failures.clone());
     let list = async move {
         match supervisor::catch_panic(list.run(list_letters)).await {
             Ok(()) if may_end.get() => drop(list_ends.send(()).await),
-            how => drop(list_dead.send(supervisor::obituary("list of connections", how)).await),
+            how => drop(list_failures.send(TaskFailure::new("listener", how)).await),
         }
     };
     executor.spawn(list).detach();
@@ -337,7 +339,12 @@
 
     // An actor that dies ends the program at once, with a code: what it owed can't be given, and whoever restarts the
     // program should see that.
-    let death = async { Err(deaths.recv().await.unwrap_or_else(|_| "all actors are gone".to_owned())) };
+    let death = async {
+        match failed_tasks.recv().await {
+            Ok(failure) => Err(failure.to_string()),
+            Err(_) => Err("all tasks have ended".to_owned()),
+        }
+    };
     let leaving = async {
         links.hear(&mut signals, &mut config, &log).await;
         let (stop_ms, notice) = (config.stop.as_secs_f64() * 1000.0, clock.now());
--- a/src/server/messages/mod.rs
+++ b/src/server/messages/mod.rs
@@ -19,4 +19,4 @@
 pub use registry::RegistryMessage;
 pub use upstream::{UpstreamCall, UpstreamMessage};
 pub use usage::UsageMessage;
-pub use worker_pool::{LinkCommand, PoolCommand, PoolEvent, RunOutcome, WorkerPoolMessage};
+pub use worker_pool::{LinkCommand, PoolCommand, PoolEvent, RejectedCommand, RunOutcome, WorkerPoolMessage};
