--- a/crates/store/benches/commit.rs
+++ b/crates/store/benches/commit.rs
@@ -11,97 +11,106 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-const RECORD: usize = 100;
+/// The length of a record.
+const RECORD_BYTES: usize = 100;
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
 
-fn span() -> Duration {
+/// Returns how long each row is measured.
+fn row_duration() -> Duration {
     let seconds = std::env::var("STORE_BENCH_SECONDS").ok().and_then(|s| s.parse().ok()).unwrap_or(3.0);
     Duration::from_secs_f64(seconds)
 }
 
+/// Returns a new folder on the disk that is measured.
 fn folder() -> tempfile::TempDir {
     let base = std::env::var("STORE_BENCH_DIR").unwrap_or_else(|_| env!("CARGO_TARGET_TMPDIR").to_owned());
     tempfile::tempdir_in(base).expect("a folder")
 }
 
+/// Opens a log in a directory.
 fn open(path: &Path) -> Log {
     let disk = Arc::new(RealDisk::new(path).expect("a disk"));
     Log::open(disk, Options::new("bench"), |_| Ok(())).expect("opens").0
 }
 
-fn line(name: &str, waiting: usize, count: u64, took: Duration, latency: &Histogram<u64>) {
+/// Prints a row of the table.
+fn print_row(name: &str, waiting: usize, count: u64, took: Duration, latency: &Histogram<u64>) {
     let at = |p| latency.value_at_percentile(p);
     let rate = count as f64 / took.as_secs_f64();
     println!("{name:<22} {waiting:>7} {rate:>12.0} {:>9} {:>9} {:>9}", at(50.0), at(99.0), latency.max());
 }
 
-/// Through the writer: always so many records on their way.
+/// Measures group commit with so many records in flight.
 fn group_commit(waiting: usize) {
     let folder = folder();
-    let (tell, told) = channel();
-    let writer = Writer::start(open(folder.path()), WriterOptions::default(), move |p| drop(tell.send(p)));
+    let (sender, reports) = channel();
+    let writer = Writer::start(open(folder.path()), WriterOptions::default(), move |progress| {
+        drop(sender.send(progress))
+    });
     let mut writer = writer.expect("a thread");
     let (mut latency, mut sent, mut count) = (Histogram::new(3).expect("bounds"), VecDeque::new(), 0);
     let began = Instant::now();
-    while began.elapsed() < span() {
+    while began.elapsed() < row_duration() {
         while sent.len() < waiting {
-            let ticket = writer.append(vec![7; RECORD]).expect("room");
+            let ticket = writer.append(vec![7; RECORD_BYTES]).expect("room");
             sent.push_back((ticket, Instant::now()));
         }
-        let Ok(Progress::Durable { through, .. }) = told.recv() else { panic!("it failed") };
+        let Ok(Progress::Durable { through, .. }) = reports.recv() else { panic!("it failed") };
         while sent.front().is_some_and(|(ticket, _)| *ticket <= through) {
             let (_, since) = sent.pop_front().expect("one");
             latency.record(since.elapsed().as_micros() as u64).expect("in bounds");
             count += 1;
         }
     }
-    line("group commit", waiting, count, began.elapsed(), &latency);
+    print_row("group commit", waiting, count, began.elapsed(), &latency);
     writer.close().expect("closes");
 }
 
-/// One sync a record: what waits, waits its turn.
+/// Measures one sync a record, with so many records that wait for their turn.
 fn sync_each(waiting: usize) {
     let folder = folder();
     let mut log = open(folder.path());
     let (mut latency, mut count, began) = (Histogram::new(3).expect("bounds"), 0, Instant::now());
     let mut sent: VecDeque<Instant> = std::iter::repeat_n(began, waiting).collect();
-    while began.elapsed() < span() {
+    while began.elapsed() < row_duration() {
         let since = sent.pop_front().expect("one");
-        log.commit(&[[7; RECORD]]).expect("commits");
+        log.commit(&[[7; RECORD_BYTES]]).expect("commits");
         latency.record(since.elapsed().as_micros() as u64).expect("in bounds");
         sent.push_back(Instant::now());
         count += 1;
     }
-    line("one sync a record", waiting, count, began.elapsed(), &latency);
+    print_row("one sync a record", waiting, count, began.elapsed(), &latency);
 }
 
-/// A transaction for all that waits.
+/// Measures `redb`, with one transaction for all records that wait.
 fn embedded_database(waiting: usize) {
     let folder = folder();
     let database = Database::create(folder.path().join("records")).expect("a database");
     let (mut latency, mut count, began) = (Histogram::new(3).expect("bounds"), 0u64, Instant::now());
-    while began.elapsed() < span() {
+    while began.elapsed() < row_duration() {
         let since = Instant::now();
         let write = database.begin_write().expect("a transaction");
         {
             let mut table = write.open_table(TABLE).expect("a table");
             for _ in 0..waiting {
-                table.insert(count, &[7; RECORD][..]).expect("inserted");
+                table.insert(count, &[7; RECORD_BYTES][..]).expect("inserted");
                 count += 1;
             }
         }
         write.commit().expect("commits");
         (0..waiting).for_each(|_| latency.record(since.elapsed().as_micros() as u64).expect("in bounds"));
     }
-    line("redb", waiting, count, began.elapsed(), &latency);
+    print_row("redb", waiting, count, began.elapsed(), &latency);
 }
 
+/// Returns a figure of this process's memory, by its name in `/proc/self/status`.
 fn memory_kb(key: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with(key));
     line.and_then(|l| l.split_whitespace().nth(1)).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
+/// Measures opening a log of so many records.
 fn recovery(records: u64) {
     let folder = folder();
     let mut log = open(folder.path());
