--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -8,7 +8,7 @@
 use crate::config::Config;
 use crate::daemon::config_sync::ConfigSync;
 use crate::operator::{LogFormat, LogLevel, Operator};
-use crate::server::dispatcher::{Dispatcher, Peers};
+use crate::server::dispatcher::{Dispatcher, Mailboxes};
 use crate::server::frontend::{Listener, NameTable, Shared};
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
@@ -263,9 +263,14 @@
         index: index_box.clone(),
         catalog: catalog_box.clone(),
     };
-    let peers = Peers { pool: pool_box, index: index_box, catalog: catalog_box, list: list_box.clone() };
+    let mailboxes = Mailboxes {
+        worker_pool: pool_box,
+        upstream: index_box,
+        registry: catalog_box,
+        listener: list_box.clone(),
+    };
     let (own, exe) = (core_box.clone(), executor.clone());
-    let mut core = Dispatcher::new(&config, clock, wheel.clone(), exe, own, peers, log.clone());
+    let mut core = Dispatcher::new(&config, clock, wheel.clone(), exe, own, mailboxes, log.clone());
     if let Some(settings) = &links.operator.ledger {
         let ledger =
             ledger::open(settings, &config, clock, core_box.clone(), &executor, &log, failures.clone())?;
@@ -273,7 +278,7 @@
             DurabilityMode::Strict => LEDGER_TICK_MS,
             DurabilityMode::Interval { every_ms, .. } => LEDGER_TICK_MS.min(every_ms as f64),
         };
-        core.bill_by(ledger, tick_ms);
+        core.enable_billing(ledger, tick_ms);
     }
     supervise("dispatcher", Box::pin(core.run(core_letters)));
     supervise("timer wheel", Box::pin(wheel.clone().advance()));
--- /dev/null
+++ b/src/server/dispatcher/arrivals.rs
@@ -0,0 +1,81 @@
+//! The arrival of requests: checks before admission, each with its early return, and the event for the controller.
+
+use super::request::{Request, RequestKey};
+use super::state::Dispatcher;
+use crate::admission::{Arrival, Event, RequestId};
+use crate::server::messages::{IncomingRequest, Response};
+use dunlinspread_idempotency::Lookup;
+
+/// The furthest that a received time may lie in the future, ms. One far ahead would keep its key for as long.
+const MAX_FUTURE_MS: f64 = 1000.0;
+/// Retry-After while responses can't be billed, ms: the disk is tried again several times in that time.
+const UNBILLED_RETRY_AFTER_MS: f64 = 1000.0;
+
+impl Dispatcher {
+    /// Takes a request in: it is answered at once, or enters the table and is left to the controller.
+    pub(super) fn on_arrival(&mut self, mut incoming: IncomingRequest) {
+        self.start_controller(None);
+        let now = self.clock.now();
+        incoming.received_at = incoming.received_at.min(now + MAX_FUTURE_MS);
+        // Each attempt has a number of its own: a second request with it can't be told apart in the worker pool.
+        if self.requests.id_of_attempt(incoming.attempt).is_some() {
+            return self.send_response(incoming.reply, Response::Invalid);
+        }
+        let key = incoming.key.take().map(|key| self.keys.request_key(key, &incoming.body));
+        if let Some(response) = self.capacity_response(&incoming, key.as_ref()) {
+            return self.answer_unadmitted(incoming, response);
+        }
+        let duplicate_of = match self.register_key(&incoming, key.as_ref()) {
+            Lookup::New => None,
+            Lookup::DuplicateOf(original) => Some(original),
+            // All attempts of a request have the same body. With another one it is not entitled to that run's result,
+            // and to run it would break the guarantee of the key.
+            Lookup::BodyMismatch => return self.send_response(incoming.reply, Response::Invalid),
+            // Received in the window of a run and read long after: it may not run, and the result is gone.
+            Lookup::Expired => return self.answer_unadmitted(incoming, Response::Failed),
+        };
+        let arrival = arrival_event(&incoming, now, duplicate_of);
+        self.requests.insert(incoming.id, Request::new(incoming, key));
+        self.dispatch_event(Event::Arrival(arrival));
+    }
+
+    /// Returns the response to a request that finds no room or can't be billed.
+    fn capacity_response(&self, incoming: &IncomingRequest, key: Option<&RequestKey>) -> Option<Response> {
+        let can_bill = self.can_bill();
+        if can_bill && self.has_room() && key.is_none_or(|key| self.keys.has_room(key)) {
+            return None;
+        }
+        // A rejection would promise that no attempt of the key ran.
+        if key.is_some_and(|key| self.keys.is_in_use(key, incoming.received_at)) {
+            return Some(Response::Failed);
+        }
+        let sends_retry_after = !can_bill && self.settings.retry_after;
+        let retry_after_ms = if sends_retry_after { UNBILLED_RETRY_AFTER_MS } else { 0.0 };
+        let retry_after_ms = retry_after_ms.min(self.settings.max_retry_after_ms);
+        Some(Response::Rejected { retry_after_ms, do_not_retry: false })
+    }
+
+    /// Registers the attempt with its key; a request without a key is new.
+    fn register_key(&mut self, incoming: &IncomingRequest, key: Option<&RequestKey>) -> Lookup {
+        match key {
+            Some(key) => self.keys.arrive(key, incoming.class, incoming.id, incoming.received_at),
+            None => Lookup::New,
+        }
+    }
+}
+
+/// Returns the event that reports the request to the controller.
+fn arrival_event(incoming: &IncomingRequest, now: f64, duplicate_of: Option<RequestId>) -> Arrival {
+    Arrival {
+        id: incoming.id,
+        class: incoming.class,
+        shareable: incoming.shareable,
+        request_kb: incoming.request_kb,
+        priority: incoming.priority,
+        age_ms: (now - incoming.received_at).max(0.0),
+        tenant: incoming.tenant,
+        deadline: incoming.timeout_ms.map(|timeout_ms| incoming.received_at + timeout_ms),
+        duplicate_of,
+        ..Arrival::default()
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/event_loop.rs
@@ -0,0 +1,50 @@
+//! The loop of the task: one message after the other.
+
+use super::state::Dispatcher;
+use super::timers::SWEEP_INTERVAL_MS;
+use crate::admission::{Event, Gauges};
+use crate::server::messages::{DispatcherMessage, Response};
+use async_channel::Receiver;
+use futures_lite::StreamExt;
+use std::pin::pin;
+
+impl Dispatcher {
+    /// Handles messages until the mailbox closes.
+    pub async fn run(mut self, inbox: Receiver<DispatcherMessage>) {
+        self.schedule(SWEEP_INTERVAL_MS, DispatcherMessage::SweepKeys);
+        if self.usage.is_some() {
+            self.schedule(self.usage_tick_ms, DispatcherMessage::UsageTick);
+        }
+        let mut inbox = pin!(inbox);
+        while let Some(message) = inbox.next().await {
+            self.handle_message(message);
+            self.flush_usage();
+        }
+    }
+
+    fn handle_message(&mut self, message: DispatcherMessage) {
+        match message {
+            DispatcherMessage::Request(incoming) => self.on_arrival(*incoming),
+            DispatcherMessage::InvalidRequest(reply) => self.send_response(reply, Response::Invalid),
+            DispatcherMessage::HealthCheck(reply) => {
+                self.send_response(reply, Response::Health(self.is_healthy()));
+            }
+            DispatcherMessage::ClientGone(id) => self.on_client_gone(id),
+            DispatcherMessage::Pool(event) => self.on_pool_event(event),
+            DispatcherMessage::UpstreamCallEnded { id, outcome, body, took_ms } => {
+                self.on_upstream_call_ended(id, outcome, body, took_ms);
+            }
+            DispatcherMessage::Timer(token) => self.on_timer(token),
+            DispatcherMessage::GaugesTimedOut(tag) => self.on_gauges(tag, Gauges::default()),
+            DispatcherMessage::Drain { stop_at } => {
+                self.start_controller(None);
+                self.dispatch_event(Event::Drain { stop_at });
+            }
+            DispatcherMessage::Reconfigured(reconfigured) => self.on_reconfigured(*reconfigured),
+            DispatcherMessage::SweepKeys => self.on_sweep(),
+            DispatcherMessage::Usage(message) => self.on_usage_message(*message),
+            DispatcherMessage::UsageTick => self.on_usage_tick(),
+            DispatcherMessage::CloseUsage(writer) => self.close_usage(&writer),
+        }
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -0,0 +1,129 @@
+//! The idempotency keys of the requests: the table of keys, asked in terms of requests.
+
+use super::request::{Request, RequestKey};
+use crate::admission::{Class, RequestId};
+use crate::config::Config;
+use dunlinspread_idempotency::{
+    Bounds, DuplicateRun, FinishedRun, IdempotencyTable, KeyWindow, Lookup, ReuseOutcome, RunResult,
+};
+use std::hash::{BuildHasher, RandomState};
+use std::rc::Rc;
+
+/// How long after the client's timeout an attempt may be read that was received before it, ms.
+const MAX_READ_DELAY_MS: f64 = 5000.0;
+
+/// The idempotency keys in use. A request without a key passes all checks and leaves no trace.
+pub(super) struct IdempotencyKeys {
+    table: IdempotencyTable<Rc<[u8]>>,
+    /// Hashes bodies; seeded at random, so that clients can't construct collisions.
+    body_hasher: RandomState,
+}
+
+impl IdempotencyKeys {
+    pub(super) fn new(config: &Config) -> Self {
+        let bounds = Bounds { keys: config.bounds.keys, result_bytes: config.bounds.result_bytes };
+        let windows = config.settings.classes.iter().map(key_window).collect();
+        IdempotencyKeys { table: IdempotencyTable::new(bounds, windows), body_hasher: RandomState::new() }
+    }
+
+    /// Returns the key of a request with this body.
+    pub(super) fn request_key(&self, key: Vec<u8>, body: &[u8]) -> RequestKey {
+        RequestKey { key: Rc::from(key), body_hash: self.body_hasher.hash_one(body) }
+    }
+
+    /// Returns whether an attempt of this key has room.
+    pub(super) fn has_room(&self, key: &RequestKey) -> bool {
+        self.table.has_room(&key.key)
+    }
+
+    /// Returns whether an attempt of this key was run or may still run.
+    pub(super) fn is_in_use(&self, key: &RequestKey, received_at: f64) -> bool {
+        self.table.lookup(&key.key, key.body_hash, received_at) != Lookup::New
+    }
+
+    /// Registers an attempt and returns what it is.
+    pub(super) fn arrive(
+        &mut self,
+        key: &RequestKey,
+        class: usize,
+        id: RequestId,
+        received_at: f64,
+    ) -> Lookup {
+        self.table.arrive(&key.key, class, key.body_hash, id, received_at)
+    }
+
+    /// Returns whether the request falls in the window of a run of its key.
+    pub(super) fn has_run(&self, request: &Request) -> bool {
+        request.key.as_ref().is_some_and(|key| self.table.has_run(&key.key, request.received_at))
+    }
+
+    /// Records the run of a request, if it may run, and returns the requests that waited for the superseded run.
+    ///
+    /// # Errors
+    /// [`DuplicateRun`] if the request falls in the window of another run of its key.
+    pub(super) fn begin_run(
+        &mut self,
+        id: RequestId,
+        request: &Request,
+    ) -> Result<Vec<RequestId>, DuplicateRun> {
+        match &request.key {
+            Some(key) => self.table.begin_run(&key.key, key.body_hash, id, request.received_at),
+            None => Ok(Vec::new()),
+        }
+    }
+
+    /// Records the end of a request's run and returns the requests that waited for it.
+    pub(super) fn finish_run(
+        &mut self,
+        id: RequestId,
+        request: &Request,
+        result: RunResult<Rc<[u8]>>,
+    ) -> FinishedRun<Rc<[u8]>> {
+        match &request.key {
+            Some(key) => self.table.finish_run(&key.key, id, result),
+            None => FinishedRun { waiters: Vec::new(), result: None },
+        }
+    }
+
+    /// Returns the result that a duplicate takes over, or has the request wait for it.
+    pub(super) fn reuse_result(&mut self, id: RequestId, request: &Request) -> ReuseOutcome<Rc<[u8]>> {
+        match &request.key {
+            Some(key) => self.table.reuse_result(&key.key, id, request.received_at),
+            None => ReuseOutcome::NotRun,
+        }
+    }
+
+    /// Reserves the key for a request until `window_end`, Unix ms, also in place of an earlier attempt.
+    pub(super) fn reserve(&mut self, id: RequestId, request: &Request, window_end: f64) {
+        if let Some(key) = &request.key {
+            self.table.reserve(&key.key, key.body_hash, id, request.received_at, window_end);
+        }
+    }
+
+    /// Releases the reservation of a request. A run is not undone by it.
+    pub(super) fn release(&mut self, id: RequestId, request: &Request) {
+        if let Some(key) = &request.key {
+            self.table.release(&key.key, id);
+        }
+    }
+
+    /// Closes the attempt of a removed request; its reservation is released if it never ran.
+    pub(super) fn finish_attempt(&mut self, id: RequestId, request: &Request) {
+        if let Some(key) = &request.key {
+            self.table.finish_attempt(&key.key, id);
+        }
+    }
+
+    /// Removes the keys of whose windows no attempt can be read any more.
+    pub(super) fn sweep(&mut self, now: f64) {
+        self.table.sweep(now);
+    }
+}
+
+/// Returns the times of the keys of a class.
+fn key_window(class: &Class) -> KeyWindow {
+    KeyWindow {
+        window_ms: class.key_window_ms,
+        max_read_delay_ms: class.client_timeout_ms + MAX_READ_DELAY_MS,
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/pool_events.rs
@@ -0,0 +1,91 @@
+//! Events of the worker pool and of the link to it.
+
+use super::request::{ExecutionState, PendingCall, Request};
+use super::state::{Dispatcher, PoolStart};
+use crate::admission::{Event, Gauges, RequestId, RetrySafety};
+use crate::config;
+use crate::server::messages::{PoolEvent, RejectedCommand, RunOutcome};
+use slog::{info, warn};
+
+impl Dispatcher {
+    pub(super) fn on_pool_event(&mut self, event: PoolEvent) {
+        match event {
+            PoolEvent::Started { cold, ago_ms } => self.start_controller(Some(PoolStart { cold, ago_ms })),
+            PoolEvent::Restarted => self.on_pool_restarted(),
+            PoolEvent::LinkUp(link) => self.on_link_up(link),
+            PoolEvent::LinkDown => self.pool.set_down(),
+            PoolEvent::Gauges { tag, values } => {
+                let gauges = self.named_gauges(&values);
+                self.on_gauges(tag, gauges);
+            }
+            PoolEvent::UpstreamCallNeeded { attempt, seq, body } => {
+                let call = PendingCall { notice_seq: seq, body: body.into() };
+                self.on_upstream_call_needed(attempt, call);
+            }
+            PoolEvent::RunEnded { attempt, end, took_ms, body } => {
+                // A request that was given up while it was paused is no longer in the table.
+                if let Some(id) = self.requests.id_of_attempt(attempt) {
+                    self.on_run_ended(id, end, took_ms, body);
+                }
+            }
+            PoolEvent::CommandRejected { command, attempt } => self.on_command_rejected(&command, attempt),
+        }
+    }
+
+    /// Returns the gauges with the values that the worker pool sent.
+    fn named_gauges(&self, values: &[f64]) -> Gauges {
+        let mut gauges = Gauges::default();
+        for (name, value) in self.gauge_names.iter().zip(values) {
+            config::set_gauge(&mut gauges, name, *value);
+        }
+        gauges
+    }
+
+    /// A run waits for an upstream call.
+    fn on_upstream_call_needed(&mut self, attempt: u64, call: PendingCall) {
+        let Some(id) = self.requests.id_of_attempt(attempt) else { return };
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.unconfirmed.clear();
+        request.state = ExecutionState::AwaitingUpstreamCall(call);
+        self.dispatch_event(Event::UpstreamCallNeeded(id));
+    }
+
+    /// The worker pool restarted. What was sent to the one before may have run there: only a first run of an idempotent
+    /// class is requested again, and all other runs have failed.
+    fn on_pool_restarted(&mut self) {
+        let has_failed = |request: &Request| {
+            let is_idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
+            request.has_run_in_pool() && !(request.is_start_unconfirmed() && is_idempotent)
+        };
+        let failed: Vec<RequestId> = self.requests.ids_where(has_failed);
+        warn!(self.log, "runs ended with the worker pool"; "runs" => failed.len());
+        for id in failed {
+            self.on_run_ended(id, RunOutcome::Failed, 0.0, Vec::new());
+        }
+    }
+
+    /// A new link is up: all commands that the old one may have lost are sent again.
+    fn on_link_up(&mut self, link: u64) {
+        self.pool.set_up(link);
+        let commands = self.requests.unconfirmed_commands();
+        info!(self.log, "worker pool link up"; "resent_commands" => commands.len());
+        for command in commands {
+            self.pool.send(command);
+        }
+    }
+
+    /// The worker pool rejected a command. A run that it does not know would never end by itself.
+    fn on_command_rejected(&mut self, command: &RejectedCommand, attempt: u64) {
+        if self.rejected_command_lines.allow() {
+            warn!(self.log, "worker pool rejected a command"; "command" => %command);
+        }
+        let Some(id) = self.requests.id_of_attempt(attempt) else { return };
+        let run_outcome = match command {
+            // It never ran: that is no sign of a sick machine, and its key stays free for other attempts.
+            RejectedCommand::Run => RunOutcome::NotStarted,
+            RejectedCommand::Resume => RunOutcome::Failed,
+            _ => return,
+        };
+        self.on_run_ended(id, run_outcome, 0.0, Vec::new());
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/request_table.rs
@@ -0,0 +1,56 @@
+//! The table of requests, found by their own number or by the number of the attempt.
+
+use super::request::Request;
+use crate::admission::RequestId;
+use crate::server::messages::PoolCommand;
+use std::collections::{BTreeMap, HashMap};
+
+/// All requests that have not been removed.
+///
+/// # Invariants
+/// Each request is found by its attempt's number, which no two requests share.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    requests: BTreeMap<RequestId, Request>,
+    ids_by_attempt: HashMap<u64, RequestId>,
+}
+
+impl RequestTable {
+    pub(super) fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&Request> {
+        self.requests.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(&id)
+    }
+
+    /// Returns the request with this attempt.
+    pub(super) fn id_of_attempt(&self, attempt: u64) -> Option<RequestId> {
+        self.ids_by_attempt.get(&attempt).copied()
+    }
+
+    pub(super) fn insert(&mut self, id: RequestId, request: Request) {
+        self.ids_by_attempt.insert(request.attempt, id);
+        self.requests.insert(id, request);
+    }
+
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
+        let request = self.requests.remove(&id)?;
+        self.ids_by_attempt.remove(&request.attempt);
+        Some(request)
+    }
+
+    /// Returns the requests for which the condition holds, in the order of their arrival.
+    pub(super) fn ids_where(&self, condition: impl Fn(&Request) -> bool) -> Vec<RequestId> {
+        self.requests.iter().filter(|(_, request)| condition(request)).map(|(id, _)| *id).collect()
+    }
+
+    /// Returns the unconfirmed commands of all requests, in the order of their arrival.
+    pub(super) fn unconfirmed_commands(&self) -> Vec<PoolCommand> {
+        self.requests.values().flat_map(|request| request.unconfirmed.iter().cloned()).collect()
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/responses.rs
@@ -0,0 +1,65 @@
+//! The final responses of requests in the table.
+
+use super::request::{ExecutionState, Request};
+use super::state::Dispatcher;
+use crate::admission::{Event, Outcome, RequestId, RetrySafety};
+use crate::server::messages::Response;
+use std::rc::Rc;
+
+impl Dispatcher {
+    /// Gives the final response, if it is still owed.
+    pub(super) fn respond(&mut self, id: RequestId, response: Response) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if let Some(reply) = request.reply.take() {
+            self.finish(id, reply, response, 0.0);
+            self.cancel_upstream_call(id);
+        }
+    }
+
+    /// Rejects a request, or fails it if it may have run.
+    pub(super) fn reject(&mut self, id: RequestId, rejection: Response) {
+        let may_have_run = self.requests.get(id).is_some_and(|request| self.may_have_run(request));
+        self.respond(id, if may_have_run { Response::Failed } else { rejection });
+        self.remove_if_idle(id);
+    }
+
+    /// Fails a request.
+    pub(super) fn fail(&mut self, id: RequestId) {
+        self.respond(id, Response::Failed);
+        self.remove_if_idle(id);
+    }
+
+    /// Returns whether a run of the request, or of another attempt of its key, may have had its effect.
+    fn may_have_run(&self, request: &Request) -> bool {
+        let has_effect = self.settings.classes[request.class].retry_safety != RetrySafety::Idempotent;
+        let left_queue = !matches!(request.state, ExecutionState::Queued);
+        left_queue && has_effect || self.keys.has_run(request)
+    }
+
+    /// Gives a request that waited for the result of another attempt that result, or its failure.
+    pub(super) fn finish_reuse(&mut self, id: RequestId, result: Option<Rc<[u8]>>) {
+        let now = self.clock.now();
+        let Some(ExecutionState::AwaitingResult { since }) =
+            self.requests.get(id).map(|request| &request.state)
+        else {
+            return;
+        };
+        let took_ms = now - since;
+        let outcome = if result.is_some() { Outcome::Ok } else { Outcome::Error };
+        self.respond(id, result.map_or(Response::Failed, Response::Completed));
+        self.remove(id);
+        self.events.push_back(Event::RunEnded { id, outcome, took_ms });
+    }
+
+    /// The client cancelled the request or closed its connection.
+    pub(super) fn on_client_gone(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        if request.reply.take().is_none() {
+            return;
+        }
+        self.bill_cancelled(id);
+        self.cancel_upstream_call(id);
+        self.remove_if_idle(id);
+        self.dispatch_event(Event::ClientGone(id));
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/runs.rs
@@ -0,0 +1,130 @@
+//! Runs: their start, their end, and the reuse of their results.
+
+use super::request::ExecutionState;
+use super::state::Dispatcher;
+use crate::admission::{Event, Outcome, Preemption, RequestId};
+use crate::server::messages::{PoolCommand, Response, RunOutcome};
+use dunlinspread_idempotency::{ReuseOutcome, RunResult};
+use slog::warn;
+use std::rc::Rc;
+
+impl Dispatcher {
+    /// Starts the run of a queued request, or resumes a paused one.
+    pub(super) fn run_request(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        match request.state {
+            ExecutionState::Paused => {
+                request.state = ExecutionState::Running;
+                let attempt = request.attempt;
+                self.request_command(id, PoolCommand::Resume { attempt });
+            }
+            ExecutionState::Queued => self.start_run(id),
+            _ => {}
+        }
+    }
+
+    /// Starts the run of a queued request, unless its key was run in the same window.
+    fn start_run(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        match self.keys.begin_run(id, request) {
+            // The superseded run outlasted its own window, and its duplicates would no longer be found.
+            Ok(waiters) => waiters.into_iter().for_each(|waiter| self.finish_reuse(waiter, None)),
+            Err(duplicate_run) => {
+                warn!(self.log, "run prevented"; "reason" => %duplicate_run);
+                self.respond(id, Response::Failed);
+                self.remove(id);
+                let outcome = Outcome::Error;
+                return self.events.push_back(Event::RunEnded { id, outcome, took_ms: 0.0 });
+            }
+        }
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.state = ExecutionState::Running;
+        let (attempt, class, body) = (request.attempt, request.class, request.body.clone());
+        self.request_command(id, PoolCommand::Run { attempt, class, body });
+    }
+
+    /// Stops or pauses a run.
+    pub(super) fn preempt(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else { return };
+        if matches!(request.state, ExecutionState::Running) {
+            let attempt = request.attempt;
+            self.request_command(id, PoolCommand::Suspend { attempt });
+        }
+    }
+
+    /// Answers a duplicate with the result of its key's run, at once or when that ends.
+    pub(super) fn reuse_result(&mut self, now: f64, id: RequestId) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.state = ExecutionState::AwaitingResult { since: now };
+        match self.keys.reuse_result(id, request) {
+            ReuseOutcome::Ready(result) => self.finish_reuse(id, result),
+            ReuseOutcome::Pending => {}
+            ReuseOutcome::NotRun => self.finish_reuse(id, None),
+        }
+    }
+
+    /// Ends a run: the request is answered, or waits for another run if it was preempted.
+    pub(super) fn on_run_ended(
+        &mut self,
+        id: RequestId,
+        reported: RunOutcome,
+        took_ms: f64,
+        result: Vec<u8>,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        // "Not started" is true of the run only while its start is the first unconfirmed command: a run that was stopped
+        // at an upstream call and told to continue has run, and its key must not become free.
+        let disproved = reported == RunOutcome::NotStarted && !request.is_start_unconfirmed();
+        let run_outcome = if disproved { RunOutcome::Failed } else { reported };
+        request.unconfirmed.clear();
+        let preemption = self.settings.preemption;
+        let was_preempted = run_outcome == RunOutcome::Stopped && preemption != Preemption::Off;
+        if was_preempted && request.reply.is_some() {
+            let restarts = preemption == Preemption::Abort;
+            request.state = if restarts { ExecutionState::Queued } else { ExecutionState::Paused };
+            return self.dispatch_event(Event::RunEnded { id, outcome: Outcome::Cancelled, took_ms });
+        }
+        let result = (run_outcome == RunOutcome::Completed).then(|| Rc::from(result));
+        self.answer_run(id, result.clone(), took_ms);
+        self.finish_key_run(id, run_outcome, result);
+        self.remove(id);
+        let outcome = controller_outcome(run_outcome);
+        self.dispatch_event(Event::RunEnded { id, outcome, took_ms });
+    }
+
+    /// Answers a request with the result of its run, or bills the run if no response is owed.
+    fn answer_run(&mut self, id: RequestId, result: Option<Rc<[u8]>>, took_ms: f64) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let reply = request.reply.take();
+        self.cancel_upstream_call(id);
+        let response = result.map_or(Response::Failed, Response::Completed);
+        match reply {
+            Some(reply) => self.finish(id, reply, response, took_ms),
+            None => self.bill_run_after_response(id, took_ms),
+        }
+    }
+
+    /// Records the end of a run with its key, and answers the duplicates that waited for it.
+    fn finish_key_run(&mut self, id: RequestId, run_outcome: RunOutcome, result: Option<Rc<[u8]>>) {
+        let Some(request) = self.requests.get(id) else { return };
+        let run_result = match result {
+            Some(result) => RunResult::Completed(result),
+            None if run_outcome == RunOutcome::NotStarted => RunResult::NotStarted,
+            None => RunResult::Failed,
+        };
+        let finished = self.keys.finish_run(id, request, run_result);
+        for waiter in finished.waiters {
+            self.finish_reuse(waiter, finished.result.clone());
+        }
+    }
+}
+
+/// Returns the outcome that is reported to the controller.
+fn controller_outcome(run_outcome: RunOutcome) -> Outcome {
+    match run_outcome {
+        RunOutcome::Completed => Outcome::Ok,
+        RunOutcome::Failed => Outcome::Error,
+        RunOutcome::Stopped => Outcome::Cancelled,
+        RunOutcome::NotStarted => Outcome::NotStarted,
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/state.rs
@@ -0,0 +1,212 @@
+//! The state of the dispatcher, and the two ways in which it acts: events for the admission controller, and messages to
+//! other tasks.
+
+use super::gauge_poll::GaugePoll;
+use super::idempotency_keys::IdempotencyKeys;
+use super::log_limit::LogLimit;
+use super::pool_link::PoolLink;
+use super::request::Request;
+use super::request_table::RequestTable;
+use crate::admission::{AdmissionController, Event, RequestId, Settings};
+use crate::config::Config;
+use crate::server::messages::{
+    ConnectionMessage, DispatcherMessage, ListenerMessage, PoolCommand, RegistryMessage, ReplyHandle,
+    Response, UpstreamMessage, WorkerPoolMessage,
+};
+use crate::server::timer_wheel::{Clock, TimerWheel};
+use crate::server::usage::billing::Billing;
+use async_channel::{Sender, TrySendError};
+use async_executor::LocalExecutor;
+use slog::Logger;
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+/// The mailboxes of the tasks that the dispatcher writes to.
+pub struct Mailboxes {
+    /// The link to the worker pool.
+    pub worker_pool: Sender<WorkerPoolMessage>,
+    /// The client of the upstream service; the last tier has none.
+    pub upstream: Option<Sender<UpstreamMessage>>,
+    /// The reporter of health to the registry.
+    pub registry: Sender<RegistryMessage>,
+    /// The listener.
+    pub listener: Sender<ListenerMessage>,
+}
+
+/// How the worker pool started.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PoolStart {
+    /// Whether it started cold.
+    pub(super) cold: bool,
+    /// How long ago, ms.
+    pub(super) ago_ms: f64,
+}
+
+/// The task that owns all requests and gives their final responses.
+pub struct Dispatcher {
+    pub(super) settings: Settings,
+    /// The most requests in the table.
+    max_requests: usize,
+    /// The names of the worker pool's gauges, in the order of their values.
+    pub(super) gauge_names: Vec<String>,
+    pub(super) controller: Option<AdmissionController>,
+    /// Events that wait for the controller; carrying out actions adds some.
+    pub(super) events: VecDeque<Event>,
+    pub(super) requests: RequestTable,
+    pub(super) keys: IdempotencyKeys,
+    pub(super) pool: PoolLink,
+    pub(super) upstream: Option<Sender<UpstreamMessage>>,
+    registry: Sender<RegistryMessage>,
+    pub(super) listener: Sender<ListenerMessage>,
+    pub(super) gauge_poll: GaugePoll,
+    /// Whether the controller takes the server for healthy.
+    pub(super) healthy: bool,
+    /// The share that goes out with every response.
+    pub(super) advertised_share: Option<f64>,
+    /// The usage ledger, if responses are billed.
+    pub(super) usage: Option<Box<Billing>>,
+    /// How often the time of the usage ledger advances, ms.
+    pub(super) usage_tick_ms: f64,
+    pub(super) controller_lines: LogLimit,
+    pub(super) rejected_command_lines: LogLimit,
+    pub(super) clock: Clock,
+    wheel: Rc<TimerWheel>,
+    executor: Rc<LocalExecutor<'static>>,
+    own_mailbox: Sender<DispatcherMessage>,
+    pub(super) log: Logger,
+}
+
+impl Dispatcher {
+    /// Returns a dispatcher without requests. `own_mailbox` is where its timers send to.
+    pub fn new(
+        config: &Config,
+        clock: Clock,
+        wheel: Rc<TimerWheel>,
+        executor: Rc<LocalExecutor<'static>>,
+        own_mailbox: Sender<DispatcherMessage>,
+        mailboxes: Mailboxes,
+        log: Logger,
+    ) -> Self {
+        Dispatcher {
+            settings: config.settings.clone(),
+            max_requests: config.bounds.requests,
+            gauge_names: config.gauges.clone(),
+            controller: None,
+            events: VecDeque::new(),
+            requests: RequestTable::default(),
+            keys: IdempotencyKeys::new(config),
+            pool: PoolLink::new(mailboxes.worker_pool, log.clone()),
+            upstream: mailboxes.upstream,
+            registry: mailboxes.registry,
+            listener: mailboxes.listener,
+            gauge_poll: GaugePoll::default(),
+            healthy: true,
+            advertised_share: None,
+            usage: None,
+            usage_tick_ms: 0.0,
+            controller_lines: LogLimit::default(),
+            rejected_command_lines: LogLimit::default(),
+            clock,
+            wheel,
+            executor,
+            own_mailbox,
+            log,
+        }
+    }
+
+    /// Bills every final response from now on; the time of the ledger advances every `tick_ms`.
+    pub fn enable_billing(&mut self, billing: Billing, tick_ms: f64) {
+        self.usage = Some(Box::new(billing));
+        self.usage_tick_ms = tick_ms;
+    }
+
+    /// Starts the admission controller if it has not started.
+    ///
+    /// How the worker pool started, known before the first request, tells better than the settings how warm the machine
+    /// is.
+    pub(super) fn start_controller(&mut self, pool: Option<PoolStart>) {
+        if self.controller.is_some() {
+            return;
+        }
+        let mut started_at = self.clock.now();
+        if let Some(pool) = pool {
+            self.settings.cold_start = pool.cold;
+            started_at -= pool.ago_ms;
+        }
+        self.controller = Some(AdmissionController::new(started_at, self.settings.clone()));
+        self.dispatch_event(Event::Start);
+    }
+
+    /// Passes an event to the controller and carries out its actions, with all events that these cause.
+    pub(super) fn dispatch_event(&mut self, event: Event) {
+        self.events.push_back(event);
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            let now = self.clock.now();
+            if let Some(controller) = &mut self.controller {
+                controller.on_event(now, event, &mut actions);
+            }
+            for action in actions.drain(..) {
+                self.carry_out(now, action);
+            }
+        }
+    }
+
+    /// Sends a message to this task after a delay.
+    pub(super) fn schedule(&self, delay_ms: f64, message: DispatcherMessage) {
+        let (sleep, mailbox) = (self.wheel.sleep(delay_ms), self.own_mailbox.clone());
+        let timer = async move {
+            sleep.await;
+            // The mailbox closes only at the end of the process.
+            let _ = mailbox.send(message).await;
+        };
+        self.executor.spawn(timer).detach();
+    }
+
+    /// Sends a response to the connection of its request.
+    pub(super) fn send_response(&self, reply: ReplyHandle, response: Response) {
+        let advertised_share = self.advertised_share;
+        let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
+        if let Err(TrySendError::Full(_)) = reply.mailbox.try_send(message) {
+            // So slow a reader would take memory without bound: its connection ends.
+            reply.mailbox.close();
+        }
+    }
+
+    /// Returns whether the server is healthy: the controller says so, and responses can be billed.
+    pub(super) fn is_healthy(&self) -> bool {
+        self.healthy && self.can_bill()
+    }
+
+    /// Reports health to the registry.
+    pub(super) fn report_health(&self) {
+        // The mailbox is unbounded and closes only at the end of the process.
+        let _ = self.registry.try_send(RegistryMessage::SetHealth(self.is_healthy()));
+    }
+
+    /// Returns whether the table has room for one more request.
+    pub(super) fn has_room(&self) -> bool {
+        self.requests.len() < self.max_requests
+    }
+
+    /// Sends a command for a request to the worker pool, at once or when a link is up again.
+    pub(super) fn request_command(&mut self, id: RequestId, command: PoolCommand) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.unconfirmed.push(command.clone());
+        self.pool.send(command);
+    }
+
+    /// Removes a request; the reservation of its key is released if it never ran.
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
+        let request = self.requests.remove(id)?;
+        self.keys.finish_attempt(id, &request);
+        Some(request)
+    }
+
+    /// Removes a request that is over, unless the worker pool has still to report its run.
+    pub(super) fn remove_if_idle(&mut self, id: RequestId) {
+        if self.requests.get(id).is_some_and(Request::is_idle) {
+            self.remove(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/dispatcher/timers.rs
@@ -0,0 +1,55 @@
+//! Timers of the admission controller with the gauges that they wait for, the sweep of keys, and changes of settings.
+
+use super::state::Dispatcher;
+use crate::admission::{Event, Gauges};
+use crate::server::messages::{DispatcherMessage, PoolCommand, Reconfigured};
+
+/// How long a timer waits for the gauges before it fires without them, ms.
+const GAUGES_TIMEOUT_MS: f64 = 20.0;
+/// How often expired keys are removed, ms.
+pub(super) const SWEEP_INTERVAL_MS: f64 = 1000.0;
+
+impl Dispatcher {
+    /// A timer is due: it fires with the gauges, or without them if they are late or no link is up.
+    pub(super) fn on_timer(&mut self, token: u64) {
+        if let Some(earlier) = self.gauge_poll.abandon() {
+            self.fire_timer(earlier, Gauges::default());
+        }
+        let tag = self.gauge_poll.begin(token);
+        if self.pool.send(PoolCommand::ReadGauges { tag }) {
+            self.schedule(GAUGES_TIMEOUT_MS, DispatcherMessage::GaugesTimedOut(tag));
+        } else {
+            self.on_gauges(tag, Gauges::default());
+        }
+    }
+
+    /// The gauges of the reading with this tag are there, or late.
+    pub(super) fn on_gauges(&mut self, tag: u64, gauges: Gauges) {
+        if let Some(token) = self.gauge_poll.complete(tag) {
+            self.fire_timer(token, gauges);
+        }
+    }
+
+    fn fire_timer(&mut self, token: u64, gauges: Gauges) {
+        self.dispatch_event(Event::Timer { token, gauges });
+    }
+
+    /// Settings change: in the controller, or for its start if that is yet to come.
+    pub(super) fn on_reconfigured(&mut self, reconfigured: Reconfigured) {
+        let Reconfigured { changes, done } = reconfigured;
+        match self.controller {
+            Some(_) => self.dispatch_event(Event::Reconfigured(Box::new(changes))),
+            None => self.settings.reconfigure(&changes),
+        }
+        // The channel has room for this one message; the sender of the changes waits for it.
+        let _ = done.try_send(());
+    }
+
+    /// Removes expired keys and resets the limits of the log.
+    pub(super) fn on_sweep(&mut self) {
+        self.schedule(SWEEP_INTERVAL_MS, DispatcherMessage::SweepKeys);
+        self.controller_lines.reset();
+        self.rejected_command_lines.reset();
+        self.keys.sweep(self.clock.now());
+    }
+}
