--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,7 +1,7 @@
-//! Peers that hang, actors that die, floods, and many starts at once, on real sockets. What crosses is brought about by
-//! holding a played party; times are measured and printed, and no sleep decides.
+//! Peers that hang, tasks that fail, floods, and many starts at once, on real sockets. Events are made to cross by holding
+//! back a peer; times are measured and printed, and no sleep decides.
 
-#[allow(dead_code)]
+#[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
 use dunlinspread::server::supervisor;
@@ -22,11 +22,11 @@
     (listener, address)
 }
 
-/// The next connection with a whole first report, left open and unanswered. On a starved machine the program may give a
-/// report up before it was read; the connection then ends, and the next one counts.
-fn report(catalog: &TcpListener) -> (BufReader<TcpStream>, Instant) {
+/// Returns the next connection with a complete first report, open and unanswered. On a starved machine the server may give
+/// a report up before it was read; the connection then ends, and the next one counts.
+fn report(registry: &TcpListener) -> (BufReader<TcpStream>, Instant) {
     loop {
-        let (stream, _) = catalog.accept().expect("the program connects");
+        let (stream, _) = registry.accept().expect("the server connects");
         stream.set_read_timeout(Some(HANG)).expect("a time limit");
         let mut reader = BufReader::new(stream);
         if read_report(&mut reader) {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Reads a report to its end; false if the connection ended before.
+/// Reads a report to its end and returns whether the connection lasted so long.
 fn read_report(reader: &mut BufReader<TcpStream>) -> bool {
     let mut line = String::new();
     while line != "\r\n" {
@@ -48,14 +48,14 @@
     reader.read_exact(&mut body).is_ok()
 }
 
-/// A catalog that takes reports and answers none of them hears the next one while the one before still hangs, so that no
-/// answer that stays away lets the entry lapse.
+/// A registry that answers no report receives the next one while the one before still hangs, so that a missing response
+/// does not let the entry expire.
 #[test]
 fn reports_go_on_beside_one_that_hangs() {
-    let (catalog, address) = bind();
-    let _program = Alone::new(&config("127.0.0.1:1", &address, "127.0.0.1:1", &[]));
-    let (mut first, began) = report(&catalog);
-    let (_second, then) = report(&catalog);
+    let (registry, address) = bind();
+    let _server = Alone::new(&config("127.0.0.1:1", &address, "127.0.0.1:1", &[]));
+    let (mut first, began) = report(&registry);
+    let (_second, then) = report(&registry);
     first.get_mut().set_nonblocking(true).expect("a socket");
     let still = first.get_mut().read(&mut [0]);
     println!("the second report came after {} ms", (then - began).as_millis());
@@ -63,14 +63,14 @@
     assert!(open, "the first was given up before the second was made: {still:?}");
 }
 
-/// A catalog that answers 204 and lists nobody may be one that was replaced: before the entry can lapse a report comes on a
+/// A registry that answers 204 and lists nobody may have been replaced: before the entry can expire a report is made on a
 /// new connection, though the old one answers.
 #[test]
-fn a_catalog_that_answers_is_asked_anew_before_the_lapse() {
-    let (catalog, address) = bind();
-    let _program = Alone::new(&config("127.0.0.1:1", &address, "127.0.0.1:1", &[]));
-    let (mut first, began) = report(&catalog);
-    let (tell, told) = channel();
+fn reports_move_to_a_new_connection_before_the_entry_expires() {
+    let (registry, address) = bind();
+    let _server = Alone::new(&config("127.0.0.1:1", &address, "127.0.0.1:1", &[]));
+    let (mut first, began) = report(&registry);
+    let (sender, receiver) = channel();
     std::thread::spawn(move || {
         let answer = b"HTTP/1.1 204 No Content\r\n\r\n";
         while first.get_mut().write_all(answer).is_ok() {
@@ -87,17 +87,17 @@
             if line.is_empty() {
                 return;
             }
-            let _ = tell.send(());
+            let _ = sender.send(());
         }
     });
-    let (_second, then) = report(&catalog);
-    let kept = told.try_iter().count();
+    let (_second, then) = report(&registry);
+    let kept = receiver.try_iter().count();
     println!(
         "a new connection after {} ms, {kept} further reports on the old one",
         (then - began).as_millis()
     );
     assert!(kept > 0, "the old connection was not used again");
-    assert!(then - began < Duration::from_secs(3), "the entry could lapse");
+    assert!(then - began < Duration::from_secs(3), "the entry could expire");
 }
 
 /// A panic of a supervised task is reported with its name and message, and so is its unexpected end.
@@ -131,18 +131,18 @@
     assert!(advanced && failures.is_empty());
 }
 
-/// Bad clients by the hundred beside a good one: silent ones, halves of a message, a class that is none, noise. Each check of
-/// the good one is answered.
+/// Hundreds of faulty clients beside a good one: silent ones, incomplete messages, an unknown class, noise. Each health
+/// check of the good one is answered.
 #[test]
-fn floods_cost_good_clients_nothing() {
+fn floods_do_not_delay_good_clients() {
     let (_pool, pool) = bind();
-    let mut program = Alone::new(&config(
+    let mut server = Alone::new(&config(
         &pool,
         "127.0.0.1:1",
         "127.0.0.1:1",
         &[(r#""sockets":1024"#.to_owned(), r#""sockets":384"#.to_owned())],
     ));
-    let address = program.address.clone();
+    let address = server.address.clone();
     let mut bad: Vec<TcpStream> = Vec::new();
     let mut slowest = Duration::ZERO;
     for round in 0..40u8 {
@@ -161,7 +161,7 @@
         bad.drain(..bad.len().saturating_sub(300));
         let since = Instant::now();
         assert_eq!(
-            program.check(),
+            server.check(),
             r"\x94\x01\x01\xc0\x92\xc3\x81\xa4load\xa11".replace(r"\x81\xa4load\xa11", r"\x80"),
             "round {round}"
         );
@@ -171,29 +171,29 @@
     assert!(slowest < Duration::from_secs(5));
 }
 
-/// Idle clients hold all descriptors that clients may have while the catalog and the pool are down. Both links still come up
-/// afterwards, the server reports, and a good client is served.
+/// Idle clients hold all descriptors that clients may have while the registry and the worker pool are down. Both links still
+/// come up afterwards, the server reports, and a good client is served.
 #[test]
-fn idle_clients_may_fill_the_descriptors_while_the_catalog_is_down() {
-    let ((pool, pool_at), (catalog, catalog_at)) = (bind(), bind());
-    let (pool_later, catalog_later) = (pool_at.clone(), catalog_at.clone());
-    drop((pool, catalog));
+fn idle_clients_may_take_all_their_descriptors_while_the_registry_is_down() {
+    let ((pool, pool_at), (registry, registry_at)) = (bind(), bind());
+    let (pool_later, registry_later) = (pool_at.clone(), registry_at.clone());
+    drop((pool, registry));
     let changes = [(r#""sockets":1024"#.to_owned(), r#""sockets":128"#.to_owned())];
-    let program = Alone::limited(&config(&pool_at, &catalog_at, "127.0.0.1:1", &changes), "128");
+    let server = Alone::limited(&config(&pool_at, &registry_at, "127.0.0.1:1", &changes), "128");
     // Each asks once and then rests.
-    let resting: Vec<Client> = (0..200).filter_map(|_| Client::resting(&program.address)).collect();
+    let resting: Vec<Client> = (0..200).filter_map(|_| Client::resting(&server.address)).collect();
     println!("{} clients asked and rest", resting.len());
     assert!(resting.len() >= 64, "only {} were taken", resting.len());
     let pool = TcpListener::bind(&pool_later).expect("its port is free again");
-    let catalog = TcpListener::bind(&catalog_later).expect("its port is free again");
+    let registry = TcpListener::bind(&registry_later).expect("its port is free again");
     let since = Instant::now();
-    let _report = report(&catalog);
+    let _report = report(&registry);
     let mut link = BufReader::new(pool.accept().expect("the link comes").0);
     let mut bind = String::new();
     link.read_line(&mut bind).expect("a line");
     assert!(bind.contains("bind"), "{bind}");
     link.get_mut().write_all(b"{\"op\":\"bound\",\"end\":\"old\",\"ms\":5000}\n").expect("the link stands");
-    let mut good = Client::new(&program.address);
+    let mut good = Client::new(&server.address);
     good.ask(1, "route-sheet");
     link.get_ref().set_read_timeout(Some(HANG)).expect("a time limit");
     let spawn = loop {
@@ -208,29 +208,29 @@
     assert!(spawn.contains("spawn") && spawn.contains("route-sheet"), "{spawn}");
 }
 
-/// Twenty-four processes that start at once, with the catalog down and the pool late for some: nine in ten are ready within
-/// 10 s. Ready is: it listens, and answers a health check; nobody else has to be up.
+/// Twenty-four processes start at once, with the registry and the worker pool down for some: nine in ten are ready within
+/// 10 s. Ready means that the server listens and answers a health check; no peer has to be up.
 #[test]
-fn nine_in_ten_of_many_starts_are_ready_in_time() {
-    let (pools, catalogs): (Vec<_>, Vec<_>) = (0..24).map(|_| (bind(), bind())).unzip();
-    let (tell, told) = channel();
+fn nine_in_ten_of_many_simultaneous_starts_are_ready_in_time() {
+    let (pools, registries): (Vec<_>, Vec<_>) = (0..24).map(|_| (bind(), bind())).unzip();
+    let (sender, receiver) = channel();
     let began = Instant::now();
     let threads: Vec<_> = (0..24usize)
         .map(|at| {
             let pool = if at % 3 == 0 { "127.0.0.1:1".to_owned() } else { pools[at].1.clone() };
-            let catalog = if at % 2 == 0 { "127.0.0.1:1".to_owned() } else { catalogs[at].1.clone() };
-            let tell = tell.clone();
+            let registry = if at % 2 == 0 { "127.0.0.1:1".to_owned() } else { registries[at].1.clone() };
+            let sender = sender.clone();
             std::thread::spawn(move || {
-                let text = config(&pool, &catalog, "127.0.0.1:1", &[]);
-                let mut program = Alone::new(&text);
-                let good = program.check().starts_with(r"\x94\x01\x01\xc0\x92\xc3");
-                tell.send((at, good, began.elapsed())).expect("somebody counts");
-                program
+                let text = config(&pool, &registry, "127.0.0.1:1", &[]);
+                let mut server = Alone::new(&text);
+                let good = server.check().starts_with(r"\x94\x01\x01\xc0\x92\xc3");
+                sender.send((at, good, began.elapsed())).expect("somebody counts");
+                server
             })
         })
         .collect();
-    let ready: Vec<_> = (0..24).map(|_| told.recv_timeout(HANG).expect("it is ready")).collect();
-    let _programs: Vec<Alone> = threads.into_iter().map(|t| t.join().expect("it started")).collect();
+    let ready: Vec<_> = (0..24).map(|_| receiver.recv_timeout(HANG).expect("it is ready")).collect();
+    let _servers: Vec<Alone> = threads.into_iter().map(|t| t.join().expect("it started")).collect();
     let slowest = ready.iter().map(|r| r.2).max().expect("some");
     let in_time = ready.iter().filter(|(_, good, took)| *good && *took < Duration::from_secs(10)).count();
     let all: BTreeSet<usize> = ready.iter().map(|r| r.0).collect();
--- a/tests/key_classes.rs
+++ b/tests/key_classes.rs
@@ -1,14 +1,15 @@
-//! Keys of different classes never meet, however many classes there are: the real server with 300 keyed classes.
+//! Idempotency keys of different classes are different keys, however many classes there are: the built server with 300
+//! classes with idempotency keys.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
-/// Keyed classes in the configuration.
+/// Classes with idempotency keys in the configuration.
 const CLASSES: usize = 300;
-/// Classes so far apart have the same lowest byte.
+/// Classes this far apart have the same lowest byte.
 const BYTE_VALUES: usize = 256;
 
-/// A configuration line that puts keyed classes `k0`, `k1` and so on before the ordinary ones.
+/// A configuration line that puts classes `k0`, `k1` and so on, with idempotency keys, before the ordinary ones.
 fn keyed_classes() -> String {
     let class = |at: usize| {
         format!(
@@ -19,7 +20,8 @@
     format!("config \"profiles\":[ -> \"profiles\":[{classes}\n")
 }
 
-/// The client's request `id` of that class under the one key, which has to be run; its result is the class's number.
+/// Adds the client's request `id` of that class with the one key, which has to be run; its result is the number of the
+/// class.
 fn run_once(script: &mut String, id: usize, class: usize) {
     use base64::Engine as _;
     let result = base64::engine::general_purpose::STANDARD.encode(format!("{class:03}"));
--- a/tests/play/bytes.rs
+++ b/tests/play/bytes.rs
@@ -5,11 +5,11 @@
 use std::net::TcpStream;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub fn unix_ms() -> u128 {
+fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock past 1970").as_millis()
 }
 
-/// Bytes as text: a backslash begins `\xNN`.
+/// Returns the bytes of a text in which `\xNN` stands for a byte.
 pub fn unescape(text: &str) -> Vec<u8> {
     let mut parts = text.split("\\x");
     let mut out = parts.next().unwrap_or("").as_bytes().to_vec();
@@ -20,25 +20,25 @@
     out
 }
 
-/// `ID CLASS key=value…` as a request. Fields not named get plain values; an empty one is left out.
+/// Returns the request `ID CLASS key=value…`. Fields that are not named get default values; an empty one is left out.
 pub fn request(name: &str, text: &str) -> Vec<u8> {
     let mut words = text.split(' ');
-    let id: u64 = words.next().and_then(|w| w.parse().ok()).expect("a message id");
+    let id: u64 = words.next().and_then(|word| word.parse().ok()).expect("a message id");
     let class = words.next().expect("a class");
     let mut fields = vec![
-        ("call", format!("{}{id:014}", name.bytes().map(|b| format!("{b:02x}")).collect::<String>())),
+        ("call", format!("{}{id:014}", name.bytes().map(|byte| format!("{byte:02x}")).collect::<String>())),
         ("recv", unix_ms().to_string()),
         ("src", "4".to_owned()),
         ("heap", "20".to_owned()),
         ("crit", "0.9".to_owned()),
         ("body", "b".to_owned()),
     ];
-    for (key, value) in words.filter_map(|w| w.split_once('=')) {
+    for (key, value) in words.filter_map(|word| word.split_once('=')) {
         let value = match value.strip_prefix("now-") {
             Some(ago) => (unix_ms() - ago.parse::<u128>().expect("milliseconds")).to_string(),
             None => value
                 .strip_prefix("x*")
-                .map_or(value.to_owned(), |n| "x".repeat(n.parse().expect("a number"))),
+                .map_or(value.to_owned(), |count| "x".repeat(count.parse().expect("a number"))),
         };
         fields.retain(|(k, _)| *k != key);
         fields.push((key, value));
@@ -61,7 +61,7 @@
     out
 }
 
-/// The next whole message's bytes, escaped, or how the connection ended.
+/// Reads the next complete message and returns its bytes, escaped, or how the connection ended.
 pub fn message(stream: &mut TcpStream) -> String {
     let (mut decoder, mut all, mut byte) = (msgpack::Decoder::default(), Vec::new(), [0]);
     loop {
--- a/tests/swap.rs
+++ b/tests/swap.rs
@@ -1,4 +1,5 @@
-//! A change is swapped in between two requests, whatever waits at the core's mailbox: no request is judged by half of it.
+//! A change of the settings takes effect between two requests, whatever waits at the dispatcher's mailbox: no request is
+//! judged by half of it.
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -15,10 +16,10 @@
 use std::sync::Arc;
 
 const CLASSES: usize = 7;
-const FRONTS: u64 = 16;
+const FRONTENDS: u64 = 16;
 const REQUESTS: u64 = 400;
 const CHANGES: u64 = 120;
-/// Far fewer than there are fronts, so that many of them wait to send.
+/// Far fewer than there are frontends, so that many of them wait to send.
 const MAILBOX: usize = 2;
 
 fn platform() -> Arc<Platform> {
@@ -46,21 +47,22 @@
     changes
 }
 
-struct Parties {
+/// The tasks under test, and what they share.
+struct Tasks {
     distributed: Rc<Distributed>,
-    core: Sender<DispatcherMessage>,
+    dispatcher: Sender<DispatcherMessage>,
     wheel: Rc<TimerWheel>,
-    fronts_left: Rc<Cell<u64>>,
+    frontends_left: Rc<Cell<u64>>,
 }
 
-/// Looks names up and sends as a connection does, with turns given away at random.
-async fn front(parties: Rc<Parties>, seed: u64) {
+/// Looks names up and sends as a connection does, and yields at random.
+async fn run_frontend(tasks: Rc<Tasks>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mailbox, _answers) = async_channel::bounded(1);
     for id in 0..REQUESTS {
-        parties.distributed.may_look_up(&parties.wheel).await;
-        let class = parties.distributed.route(b"r").expect("the route is there");
-        let tenant = parties.distributed.tenant(Some("t")).expect("the tenant is there");
+        tasks.distributed.may_look_up(&tasks.wheel).await;
+        let class = tasks.distributed.route(b"r").expect("the route is there");
+        let tenant = tasks.distributed.tenant(Some("t")).expect("the tenant is there");
         let incoming = IncomingRequest {
             id,
             attempt: 0,
@@ -76,18 +78,22 @@
             body: Vec::new(),
             reply: ReplyHandle { mailbox: mailbox.clone(), tag: id },
         };
-        let pass = parties.distributed.pass();
-        parties.core.send(DispatcherMessage::Request(Box::new(incoming))).await.expect("the core is there");
+        let pass = tasks.distributed.pass();
+        tasks
+            .dispatcher
+            .send(DispatcherMessage::Request(Box::new(incoming)))
+            .await
+            .expect("the dispatcher runs");
         drop(pass);
         while random.random_bool(0.3) {
             yield_now().await;
         }
     }
-    parties.fronts_left.set(parties.fronts_left.get() - 1);
+    tasks.frontends_left.set(tasks.frontends_left.get() - 1);
 }
 
 /// Checks that each request has the class that goes with the allowance in force; counts the requests.
-async fn core(inbox: Receiver<DispatcherMessage>, seed: u64) -> (u64, u64) {
+async fn run_dispatcher(inbox: Receiver<DispatcherMessage>, seed: u64) -> (u64, u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mut requests, mut changes) = (0, 0);
     let mut allowance = 0.0;
@@ -113,43 +119,43 @@
     (requests, changes)
 }
 
-async fn put_change(parties: &Parties, number: u64) {
-    let put = parties.distributed.put_in_force(change(number), &parties.core, &parties.wheel);
+async fn put_change(tasks: &Tasks, number: u64) {
+    let put = tasks.distributed.put_in_force(change(number), &tasks.dispatcher, &tasks.wheel);
     put.await.expect("it is put in force");
 }
 
-fn crossings(seed: u64) {
+fn interleave(seed: u64) {
     let executor = Rc::new(LocalExecutor::new());
     let (sender, inbox) = async_channel::bounded(MAILBOX);
     let wheel = TimerWheel::new(Clock::start(), 1.0);
     executor.spawn(wheel.clone().advance()).detach();
-    let counted = executor.spawn(core(inbox, seed));
-    let parties = Rc::new(Parties {
+    let counted = executor.spawn(run_dispatcher(inbox, seed));
+    let tasks = Rc::new(Tasks {
         distributed: Rc::new(Distributed::new(InForce::new(platform()))),
-        core: sender,
+        dispatcher: sender,
         wheel,
-        fronts_left: Rc::new(Cell::new(FRONTS)),
+        frontends_left: Rc::new(Cell::new(FRONTENDS)),
     });
     let (requests, changes) = block_on(executor.run(async {
-        put_change(&parties, 0).await;
-        for at in 0..FRONTS {
-            executor.spawn(front(parties.clone(), seed * 1000 + at)).detach();
+        put_change(&tasks, 0).await;
+        for at in 0..FRONTENDS {
+            executor.spawn(run_frontend(tasks.clone(), seed * 1000 + at)).detach();
         }
         for number in 1..CHANGES {
-            put_change(&parties, number).await;
+            put_change(&tasks, number).await;
         }
-        while parties.fronts_left.get() > 0 {
+        while tasks.frontends_left.get() > 0 {
             yield_now().await;
         }
-        drop(parties);
+        drop(tasks);
         counted.await
     }));
-    assert_eq!((requests, changes), (FRONTS * REQUESTS, CHANGES), "seed {seed}");
+    assert_eq!((requests, changes), (FRONTENDS * REQUESTS, CHANGES), "seed {seed}");
 }
 
 #[test]
 fn no_request_is_judged_by_half_a_change() {
     for seed in 1..=5 {
-        crossings(seed);
+        interleave(seed);
     }
 }
