--- /dev/null
+++ b/tests/recorded/random.rs
@@ -0,0 +1,26 @@
+//! Random integers: the raw words of ChaCha8, so that no library's way of drawing from ranges matters.
+
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+pub struct Random(ChaCha8Rng);
+
+impl Random {
+    pub fn new(seed: u64) -> Random {
+        Random(ChaCha8Rng::seed_from_u64(seed))
+    }
+
+    /// A number below `n`, which is above 0.
+    pub fn below(&mut self, n: u64) -> u64 {
+        self.0.next_u64() % n
+    }
+
+    /// Whether something that happens so often in a hundred happens.
+    pub fn percent(&mut self, percent: u64) -> bool {
+        self.below(100) < percent
+    }
+
+    pub fn pick<T: Copy>(&mut self, from: &[T]) -> T {
+        from[self.below(from.len() as u64) as usize]
+    }
+}
