--- a/tests/config_sync.rs
+++ b/tests/config_sync.rs
@@ -255,6 +255,6 @@
     assert!(threads.iter().all(|name| !name.contains("config")), "{threads:?}");
     let other = fleet::folder("off-beside-on");
     let on = site(&other, "");
-    let threads = on.daemon.threads();
-    assert!(threads.iter().any(|name| name == "config-sync"), "{threads:?}");
+    // A thread names itself once it runs, which may be after the daemon has opened its port.
+    wait_for("the subscriber's thread", || on.daemon.threads().iter().any(|name| name == "config-sync"));
 }
