--- a/crates/ledger/benches/bill.rs
+++ b/crates/ledger/benches/bill.rs
@@ -1,5 +1,5 @@
-//! What billing an answer costs the serving thread, in ns: the book alone, with a store that is done at once, in both
-//! modes, for one event an answer and for 16 answers an event. The figures are in `docs/measurements/ledger.md`.
+//! The cost of billing a reply on the serving thread, in ns: the accumulator alone, with a store that is durable at once,
+//! in both modes, with one reply an event and with 16. The figures are in `docs/measurements/ledger.md`.
 
 use dunlinspread_ledger::{
     AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, Outcome, RecoveredLedger,
@@ -8,7 +8,8 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-const ANSWERS: u64 = 2_000_000;
+/// Replies in a run.
+const REPLIES: u64 = 2_000_000;
 
 fn run(name: &str, mode: DurabilityMode, together: u64) {
     let settings = LedgerSettings {
@@ -24,7 +25,7 @@
     let mut accumulator = UsageAccumulator::start(now, settings, RecoveredLedger::default(), &mut actions);
     let names: Vec<String> = (0..100).map(|n| format!("society-{n}")).collect();
     let began = Instant::now();
-    for n in 0..ANSWERS {
+    for n in 0..REPLIES {
         let account = AccountName::parse(&names[(n % 100) as usize]).unwrap_or(AccountName::unattributed());
         let used = UsageRecord {
             requests: 1,
@@ -44,7 +45,7 @@
             now += 1;
         }
     }
-    println!("{name:<24} {together:>4} {:>8.0}", began.elapsed().as_secs_f64() * 1e9 / ANSWERS as f64);
+    println!("{name:<24} {together:>4} {:>8.0}", began.elapsed().as_secs_f64() * 1e9 / REPLIES as f64);
 }
 
 fn main() {
--- a/crates/ledger/benches/table.rs
+++ b/crates/ledger/benches/table.rs
@@ -1,5 +1,5 @@
-//! The table of open aggregates against the maps of the standard library: bytes a cell (by a counting allocator's stand-in,
-//! the growth of the process) and ns an addition, at 100, 10,000 and 1,000,000 societies. The figures are in
+//! The table of open aggregates against the maps of the standard library: bytes a cell (by the growth of the process) and
+//! ns an addition, at 100, 10,000 and 1,000,000 tenants. The figures are in
 //! `docs/measurements/ledger.md`.
 
 use dunlinspread_ledger::{Amount, Outcome, UsageKey, UsageTable};
@@ -19,7 +19,7 @@
     line.and_then(|l| l.split_whitespace().nth(1)).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// Additions to cells of so many societies, drawn ahead; two classes with two outcomes each.
+/// Draws additions to cells of so many tenants; two classes with two outcomes each.
 fn draw(tenants: usize) -> (Vec<String>, Vec<(u32, u16, Outcome)>) {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let names = (0..tenants).map(|n| format!("society-{n}-of-the-rounds")).collect();
@@ -58,7 +58,7 @@
     if only.is_none() {
         println!(
             "{:<10} {:>9} {:>9} {:>9} {:>9} {:>9}",
-            "", "societies", "cells", "first ns", "then ns", "bytes"
+            "", "tenants", "cells", "first ns", "then ns", "bytes"
         );
         let own = std::env::current_exe().expect("this program");
         for what in ["table", "HashMap", "BTreeMap"] {
--- a/crates/ledger/src/accumulator/action.rs
+++ b/crates/ledger/src/accumulator/action.rs
@@ -1,6 +1,7 @@
 //! What the accumulator takes in and gives out.
 
 use crate::account_name::AccountName;
+use crate::line::LineError;
 use crate::outcome::Outcome;
 
 /// The usage of one request, as it is billed.
@@ -92,7 +93,7 @@
     QueueFull(usize),
     /// The entry contradicts the lines before it, or could not be read again.
     #[error(transparent)]
-    Invalid(#[from] crate::line::LineError),
+    Invalid(#[from] LineError),
 }
 
 /// Why periods were not closed early; nothing was changed.
--- a/crates/ledger/src/accumulator/mod.rs
+++ b/crates/ledger/src/accumulator/mod.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Lets the store try the oldest record again, once it has told the fate of each record that it had.
+    /// Lets the store try the oldest record again, once it has reported on each record that it had.
     fn retry_store(&mut self, actions: &mut Vec<Action>) {
         if self.lines.queue.store_is_idle() && self.lines.queue.len() > 0 {
             actions.push(Action::Resume);
--- a/crates/ledger/src/accumulator/recovery.rs
+++ b/crates/ledger/src/accumulator/recovery.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns the line that tells of replies that the start before may have sent without a line.
+/// Returns the line that counts the replies that the start before may have sent without a line.
 fn unclean_shutdown_line(now_ms: u64, before: &LedgerState, closed_cleanly: bool) -> Option<Unbilled> {
     let last = before.start.as_ref()?;
     if closed_cleanly || (last.at_risk == 0 && !last.continues_on_failure) {
--- a/crates/ledger/src/accumulator/unbilled.rs
+++ b/crates/ledger/src/accumulator/unbilled.rs
@@ -2,10 +2,10 @@
 
 use crate::line::Unbilled;
 
-/// Requests that fit in no line: those that no line tells of yet, and all since the start.
+/// Requests that fit in no line: those that no unbilled line counts yet, and all since the start.
 #[derive(Debug, Default)]
 pub(super) struct UnbilledRequests {
-    /// Not yet told by a line.
+    /// Not yet in an unbilled line.
     pending: u64,
     /// When the first of those was counted, Unix ms.
     since_ms: u64,
@@ -22,7 +22,7 @@
         self.total += requests;
     }
 
-    /// Returns the requests that no line tells of yet.
+    /// Returns the requests that no unbilled line counts yet.
     pub(super) fn pending(&self) -> u64 {
         self.pending
     }
@@ -32,7 +32,7 @@
         self.total
     }
 
-    /// Returns the content of the line that tells of what is pending, if anything is; nothing is pending afterwards.
+    /// Returns the content of the line that counts what is pending, if anything is; nothing is pending afterwards.
     pub(super) fn take(&mut self, time_ms: u64) -> Option<Unbilled> {
         if self.pending == 0 {
             return None;
--- a/crates/ledger/src/batch/build.rs
+++ b/crates/ledger/src/batch/build.rs
@@ -1,6 +1,6 @@
 //! Building a batch from the lines up to its close.
 
-use super::{Batch, CorrectionItem, UsageItem};
+use super::content::{Batch, CorrectionItem, UsageItem};
 use crate::line::{Close, Correction, Line, LineKind, Unbilled};
 use crate::line_id::LineId;
 use crate::state::LedgerState;
--- a/crates/ledger/src/digest_comparison.rs
+++ b/crates/ledger/src/digest_comparison.rs
@@ -59,7 +59,7 @@
         server: String,
         /// The batch's number.
         batch: u64,
-        /// Who told the digest known before, and who the other.
+        /// The servers that reported the digest known before, and the other one.
         reporters: (String, String),
     },
     /// Another server knows a later batch of this server's own ledger than this one ever made.
@@ -68,14 +68,14 @@
         batch: u64,
         /// The last that is known here.
         known: u64,
-        /// The server that told.
+        /// The server that reported it.
         reporter: String,
     },
     /// Another server knows another ledger of this server.
     OtherLedger {
         /// That ledger's id.
         ledger_id: u64,
-        /// The server that told.
+        /// The server that reported it.
         reporter: String,
     },
 }
@@ -99,7 +99,7 @@
     }
 }
 
-/// A claim and the server that told it first.
+/// A claim and the server that reported it first.
 struct KnownClaim {
     claim: DigestClaim,
     reporter: String,
@@ -143,11 +143,11 @@
     }
 
     /// Takes in what another server tells; returns the mismatches not reported before.
-    pub fn add_claims(&mut self, told: &DigestClaims) -> Vec<DigestMismatch> {
+    pub fn add_claims(&mut self, reported: &DigestClaims) -> Vec<DigestMismatch> {
         let mut mismatches = Vec::new();
-        for claim in &told.claims {
-            mismatches.extend(self.compare_with_own_ledger(claim, &told.reporter));
-            mismatches.extend(self.compare_and_remember(claim, &told.reporter));
+        for claim in &reported.claims {
+            mismatches.extend(self.compare_with_own_ledger(claim, &reported.reporter));
+            mismatches.extend(self.compare_and_remember(claim, &reported.reporter));
         }
         mismatches
             .retain(|mismatch| self.reported.len() < MAX_REPORTED && self.reported.insert(mismatch.clone()));
--- a/crates/ledger/src/operator_request.rs
+++ b/crates/ledger/src/operator_request.rs
@@ -3,9 +3,9 @@
 //! A request is a file in the ledger's folder [`REQUESTS_FOLDER`], written atomically, and is answered by a file beside
 //! it. The file's name holds the request's idempotency token.
 
+use crate::account_name::{AccountName, UNATTRIBUTED};
 use crate::line::{Correction, LineError};
 use crate::outcome::Outcome;
-use crate::{AccountName, UNATTRIBUTED};
 use prost::Message;
 
 /// The folder of requests, within that of the ledger.
--- a/crates/ledger/tests/accumulator.rs
+++ b/crates/ledger/tests/accumulator.rs
@@ -1,5 +1,5 @@
-//! The book against a store that loses, fails and comes back, in any order of events: no answer is out before its line
-//! is durable (or more than the stated number), nothing is counted twice or dropped, periods close in order.
+//! The accumulator against a store that loses, fails and recovers, in any order of events: no reply is sent before its
+//! line is durable (or more than the stated number), nothing is counted twice or dropped, periods close in order.
 
 use dunlinspread_ledger::{
     AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineKind, Notice,
@@ -22,7 +22,7 @@
     }
 }
 
-/// A server's ledger with a store in memory, and the truth about what it answered.
+/// A server's ledger with a store in memory, and the true count of its replies.
 struct World {
     settings: LedgerSettings,
     /// Durable records.
@@ -33,12 +33,12 @@
     stopped: bool,
     accumulator: UsageAccumulator,
     now: u64,
-    /// Marks of answers that are held.
+    /// Marks of replies that are held.
     held: Vec<u64>,
     billed: u64,
-    /// Answers out, of all starts.
+    /// Replies sent, of all starts.
     out: u64,
-    /// Answers that were held when a server died.
+    /// Replies that were held when a server was killed.
     cut: u64,
     notes: Vec<Notice>,
 }
@@ -177,7 +177,7 @@
             self.tick(20);
             self.sync(usize::MAX);
         }
-        assert!(self.held.is_empty(), "answers are held for ever");
+        assert!(self.held.is_empty(), "replies are held for ever");
         assert_eq!(self.accumulator.gauges().at_risk, 0);
     }
 }
@@ -222,11 +222,11 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn strict_loses_and_doubles_nothing(steps in steps(true), cells in 1usize..12) {
+    fn strict_mode_loses_and_duplicates_nothing(steps in steps(true), cells in 1usize..12) {
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, cells));
         play(&mut world, steps, |w| {
             let (billed, _) = w.durable();
-            assert!(billed >= w.out, "{} answers are out, {billed} in lines", w.out);
+            assert!(billed >= w.out, "{} replies are sent, {billed} in lines", w.out);
             assert!(billed <= w.billed, "more is billed than was answered");
         });
         world.settle();
@@ -239,7 +239,7 @@
     }
 
     #[test]
-    fn interval_risks_no_more_than_it_says(steps in steps(true), cells in 1usize..12, at_risk in 1u64..9) {
+    fn interval_mode_risks_no_more_than_configured(steps in steps(true), cells in 1usize..12, at_risk in 1u64..9) {
         let mode = DurabilityMode::Interval { every_ms: 150, at_risk };
         let mut world = World::new(settings(mode, FailurePolicy::Reject, cells));
         let mut crashes = 0;
@@ -257,9 +257,9 @@
         prop_assert!(world.out <= billed + crashes * at_risk, "{} out, {billed} billed", world.out);
     }
 
-    /// Without a crash, every answer is in a line or in the count of those that are in none.
+    /// Without a crash, every reply is in a line or in the count of those that are in none.
     #[test]
-    fn serving_on_counts_what_it_can_not_bill(steps in steps(false), cells in 1usize..12) {
+    fn continuing_on_failure_counts_unbilled_requests(steps in steps(false), cells in 1usize..12) {
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Continue, cells));
         play(&mut world, steps, |w| assert!(w.accumulator.accepts_requests()));
         world.settle();
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn answers_wait_for_their_line_and_share_commits() {
+fn replies_wait_for_their_line_and_share_commits() {
     let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 100));
     world.sync(9);
     for _ in 0..5 {
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn what_ended_while_the_server_was_down_is_closed_late_in_one_line() {
+fn periods_that_ended_while_the_server_was_down_are_closed_late_in_one_line() {
     let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 100));
     world.bill(1, 0, 0);
     world.sync(9);
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn an_unclean_end_in_interval_mode_is_said_in_a_line() {
+fn an_unclean_shutdown_in_interval_mode_is_recorded_in_a_line() {
     let mode = DurabilityMode::Interval { every_ms: 1000, at_risk: 7 };
     let mut world = World::new(settings(mode, FailurePolicy::Reject, 100));
     world.sync(9);
@@ -358,7 +358,7 @@
     world.sync(9);
     let said = |k: &LineKind| matches!(k, LineKind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
     assert!(kinds(&world).iter().any(said));
-    // A good end leaves none.
+    // A clean shutdown leaves none.
     let before = world.store.len();
     world.restart(true);
     world.sync(9);
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn a_failing_disk_stops_what_is_new_or_not_as_set() {
+fn a_failing_store_rejects_new_requests_or_not_as_configured() {
     for on_failure in [FailurePolicy::Reject, FailurePolicy::Continue] {
         let mut world = World::new(settings(DurabilityMode::Strict, on_failure, 100));
         world.sync(9);
--- a/crates/ledger/tests/batch_receiver.rs
+++ b/crates/ledger/tests/batch_receiver.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn batches_are_taken_once_and_in_order() {
+fn batches_are_accepted_once_and_in_order() {
     let (disk, chain) = (SimDisk::new(1), chain(3));
     let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
     let mut decision = |bytes: &[u8]| receiver.receive(bytes).expect("judged").0;
--- a/crates/ledger/tests/digest_comparison.rs
+++ b/crates/ledger/tests/digest_comparison.rs
@@ -5,7 +5,7 @@
 };
 
 #[test]
-fn servers_that_agree_say_nothing() {
+fn servers_that_agree_report_no_mismatch() {
     let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
     for batch in 1..=100 {
         assert_eq!(a.add_own_batch(batch, &[batch as u8], batch..batch + 1), []);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_old_copy_is_noticed_by_what_others_know_of_it() {
+fn an_old_copy_is_reported_by_what_others_know_of_it() {
     let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
     a.add_own_batch(1, &[1], 0..1);
     a.add_own_batch(2, &[2], 1..2);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_lost_ledger_is_noticed() {
+fn a_lost_ledger_is_reported() {
     let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
     a.add_own_batch(1, &[1], 0..1);
     b.add_claims(&a.claims());
--- a/crates/ledger/tests/export_protocol_model.rs
+++ b/crates/ledger/tests/export_protocol_model.rs
@@ -233,7 +233,7 @@
 
 /// The model bites.
 #[test]
-fn acknowledging_before_it_is_durable_is_found_out() {
+fn acknowledging_before_it_is_durable_is_detected() {
     let checker = Delivery { acknowledges_early: true }.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("none that is settled is lost").expect("a counterexample");
     println!("{} steps: {found}", found.clone().into_actions().len());
--- a/crates/ledger/tests/reconcile.rs
+++ b/crates/ledger/tests/reconcile.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn servers_add_up_and_the_missing_one_is_awaited() {
+fn servers_are_added_up_and_the_missing_one_is_awaited() {
     let listed_spans =
         listed_spans(&[("n1", 10_000, 29_999), ("n2", 10_000, 29_999), ("n3", 21_000, 29_000)]);
     let mut all = Reconciler::new(&listed_spans);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_disagrees_is_named_by_its_line() {
+fn discrepancies_are_named_by_their_line() {
     let listed_spans = listed_spans(&[("n1", 10_000, 40_000), ("n2", 10_000, 12_000)]);
     let mut all = Reconciler::new(&listed_spans);
     let mut late = batch("n1", 1, 1, (10_000, 20_000), vec![]);
--- a/crates/ledger/tests/totals.rs
+++ b/crates/ledger/tests/totals.rs
@@ -20,7 +20,7 @@
 
     /// However little fits at a time, each sum comes once and is right, and the order is the same each time.
     #[test]
-    fn sums_are_exact_in_any_memory(
+    fn totals_are_exact_in_any_memory(
         uses in proptest::collection::vec((0u64..3, 0u32..50, 0u32..2, 1u64..9), 0..200),
         cells in 1usize..40,
     ) {
@@ -32,11 +32,11 @@
         }
         let run = |cells| {
             let mut sums = Vec::new();
-            let walk = |show: &mut dyn FnMut(u64, &Line)| {
+            let show_lines = |show: &mut dyn FnMut(u64, &Line)| {
                 lines.iter().zip(1..).for_each(|(line, n)| show(n, line));
                 Ok(())
             };
-            totals(&classes, cells, walk, |p| p != 1, |sum, net| sums.push((sum, net))).expect("it walks");
+            totals(&classes, cells, show_lines, |p| p != 1, |sum, net| sums.push((sum, net))).expect("the lines are shown");
             sums
         };
         let sums = run(cells);
--- a/crates/ledger/tests/usage_table.rs
+++ b/crates/ledger/tests/usage_table.rs
@@ -10,7 +10,7 @@
 
     /// It counts as a map does, and what does not fit changes nothing.
     #[test]
-    fn it_counts_as_a_map(
+    fn the_table_counts_as_a_map_does(
         adds in proptest::collection::vec((0u64..3, 0u32..40, 0u16..4, 0usize..6, 1u64..100), 0..400),
         most in 1usize..200,
     ) {
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -55,7 +55,7 @@
             now_ms,
         };
         // The store's thread may wait for the dispatcher; the dispatcher never waits for it.
-        let on_progress = move |told| drop(progress.send_blocking(UsageMessage::StoreProgress(told)));
+        let on_progress = move |event| drop(progress.send_blocking(UsageMessage::StoreProgress(event)));
         let mut billing = Billing::start(store, &options, on_progress, log.clone())?;
         executor.spawn(forward_messages(from_threads, self.dispatcher.clone())).detach();
         let (to_worker, messages) = std::sync::mpsc::channel();
--- a/src/server/usage/batch_exporter.rs
+++ b/src/server/usage/batch_exporter.rs
@@ -50,7 +50,7 @@
 pub(super) struct BatchExporter {
     options: ExporterOptions,
     sender: ExportSender,
-    /// Whether the collector told its watermark since the start.
+    /// Whether the collector reported its watermark since the start.
     watermark_known: bool,
     /// The number of the last close line all batches of which are acknowledged.
     last_exported_close: u64,
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -63,7 +63,7 @@
 pub struct Billing {
     accumulator: UsageAccumulator,
     writer: Writer,
-    /// The last record whose fate the writer told.
+    /// The last record that the writer reported durable or failed.
     settled_through: u64,
     /// The writer's generation after its last failure.
     generation: u64,
@@ -231,14 +231,14 @@
         self.accumulator.on_failed(&reason, count, &mut self.actions);
     }
 
-    /// Takes note that the fate of all records up to one is told; returns how many that are.
+    /// Takes note that all records up to one are durable or failed; returns how many were not before.
     fn settle(&mut self, through: u64) -> usize {
         let count = through - self.settled_through;
         self.settled_through = through;
         count as usize
     }
 
-    /// Appends a line for the export worker, which is told of its fate.
+    /// Appends a line for the export worker, which is notified once it is durable or rejected.
     pub fn append_entry(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
         let appended = self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions);
         if appended.is_err() {
