--- a/src/server/worker_pool/mod.rs
+++ b/src/server/worker_pool/mod.rs
@@ -1,5 +1,14 @@
-//! The link to the worker pool.
+//! The link to the worker pool: JSON lines over TCP.
+//!
+//! [`WorkerPoolLink`] keeps one connection, carries commands to the pool and its notices to the dispatcher, and
+//! connects again whenever the connection ends or the pool's address changes.
 
+mod codec;
+mod connect;
+mod error;
 mod link;
+mod protocol;
+mod reader;
+mod writer;
 
 pub use link::WorkerPoolLink;
