--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -17,7 +17,7 @@
 use crate::server::registry::RegistryReporter;
 use crate::server::supervisor::{self, TaskFailure};
 use crate::server::timer_wheel::{Clock, TimerWheel};
-use crate::server::upstream::UpstreamClient;
+use crate::server::upstream::{UpstreamClient, UpstreamClientSettings};
 use crate::server::worker_pool::WorkerPoolLink;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -233,16 +233,16 @@
     let index_box = config.index.map(|address| {
         let (index_box, letters) = async_channel::unbounded();
         let (core, own, exe) = (core_box.clone(), index_box.clone(), executor.clone());
-        let index = UpstreamClient::new(
+        let index = UpstreamClient::new(UpstreamClientSettings {
             address,
-            config.bounds.calls,
-            core,
-            own,
-            exe,
+            max_connections: config.bounds.calls,
+            dispatcher: core,
+            sender: own,
+            executor: exe,
             clock,
-            wheel.clone(),
-            log.clone(),
-        );
+            wheel: wheel.clone(),
+            log: log.clone(),
+        });
         supervise("upstream client", Box::pin(index.run(letters)));
         index_box
     });
--- /dev/null
+++ b/src/server/upstream/call.rs
@@ -0,0 +1,189 @@
+//! One call to the upstream service.
+
+use super::connection_pool::ConnectionPool;
+use super::protocol;
+use crate::admission::Outcome;
+use crate::codec::http;
+use crate::server::messages::UpstreamCall;
+use crate::server::supervisor::catch_panic;
+use crate::server::timer_wheel::{Clock, TimerWheel};
+use async_io::Async;
+use futures_lite::future::or;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use slog::{Logger, error, warn};
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+
+/// The least time between two log lines about failed calls, ms.
+const LOG_INTERVAL_MS: f64 = 1000.0;
+/// Bytes read at once.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
+
+/// What all calls share.
+pub(super) struct CallContext {
+    /// Where the service listens.
+    pub(super) address: Cell<SocketAddr>,
+    /// Connections kept between calls.
+    pub(super) connections: RefCell<ConnectionPool>,
+    /// The clock.
+    pub(super) clock: Clock,
+    /// The timers.
+    pub(super) wheel: Rc<TimerWheel>,
+    /// The log.
+    pub(super) log: Logger,
+    /// When a failed call was last logged, ms.
+    pub(super) logged_at: Cell<f64>,
+}
+
+/// Why a call has no reply.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum CallError {
+    /// All connections are in use until the call's deadline.
+    #[error("waiting for a connection: all are in use")]
+    NoFreeConnection,
+    /// The service can't be reached.
+    #[error("connecting: {0}")]
+    Connect(io::Error),
+    /// The request could not be written.
+    #[error("writing the request: {0}")]
+    Write(io::Error),
+    /// The reply could not be read.
+    #[error("reading the reply: {0}")]
+    Read(io::Error),
+    /// The service closed the connection before the reply was whole.
+    #[error("reading the reply: closed by the upstream service")]
+    Closed,
+    /// The reply is no HTTP or past its limits.
+    #[error("reading the reply: {0}")]
+    Decode(http::Error),
+}
+
+impl CallError {
+    /// Returns the outcome of a call with this error. Before the first byte is written it is proved that no call ran.
+    pub(super) fn outcome(&self) -> Outcome {
+        match self {
+            CallError::NoFreeConnection | CallError::Connect(_) => Outcome::Unreachable,
+            CallError::Write(_) | CallError::Read(_) | CallError::Closed | CallError::Decode(_) => {
+                Outcome::ConnectionLost
+            }
+        }
+    }
+}
+
+/// The outcome of a call, with the body of its reply.
+pub(super) struct CallResult {
+    /// How the call ended.
+    pub(super) outcome: Outcome,
+    /// The body of the reply; empty without one.
+    pub(super) body: Vec<u8>,
+}
+
+impl CallResult {
+    /// Returns a result without a reply.
+    pub(super) fn without_reply(outcome: Outcome) -> CallResult {
+        CallResult { outcome, body: Vec::new() }
+    }
+}
+
+impl CallContext {
+    /// Makes a call that was asked for at `requested_at`, within its time limit.
+    pub(super) async fn make_call(&self, call: &UpstreamCall, requested_at: f64) -> CallResult {
+        let time_left_ms = call.timeout_ms - (self.clock.now() - requested_at);
+        // Until the first byte is written no call has run, whatever becomes of the connection.
+        let request_sent = Cell::new(false);
+        let timed_out = async {
+            self.wheel.sleep(time_left_ms).await;
+            let outcome = if request_sent.get() { Outcome::TimedOut } else { Outcome::Unreachable };
+            CallResult::without_reply(outcome)
+        };
+        let exchange = async {
+            match self.exchange(call, time_left_ms, &request_sent).await {
+                Ok(result) => result,
+                Err(error) => {
+                    self.log_error(&error);
+                    CallResult::without_reply(error.outcome())
+                }
+            }
+        };
+        match catch_panic(or(exchange, timed_out)).await {
+            Ok(result) => result,
+            Err(panic) => {
+                error!(self.log, "upstream call task panicked"; "component" => "upstream", "error" => %panic);
+                let outcome = if request_sent.get() { Outcome::ConnectionLost } else { Outcome::Unreachable };
+                CallResult::without_reply(outcome)
+            }
+        }
+    }
+
+    /// Logs why a call failed, at most one line in [`LOG_INTERVAL_MS`].
+    pub(super) fn log_error(&self, error: &CallError) {
+        let now = self.clock.now();
+        if now - self.logged_at.get() > LOG_INTERVAL_MS {
+            self.logged_at.set(now);
+            warn!(self.log, "upstream call failed"; "component" => "upstream", "error" => error.to_string());
+        }
+    }
+
+    async fn exchange(
+        &self,
+        call: &UpstreamCall,
+        time_left_ms: f64,
+        request_sent: &Cell<bool>,
+    ) -> Result<CallResult, CallError> {
+        let address = self.address.get();
+        let kept = self.kept_connection(call);
+        let is_reused = kept.is_some();
+        let stream = match kept {
+            Some(stream) => stream,
+            None => Async::<TcpStream>::connect(address).await.map_err(CallError::Connect)?,
+        };
+        let _ = stream.get_ref().set_nodelay(true);
+        let request = protocol::encode_call(call.attempt, time_left_ms, &address.to_string(), &call.body);
+        request_sent.set(true);
+        let mut writer = &stream;
+        writer.write_all(&request).await.map_err(CallError::Write)?;
+        let (reply, may_reuse) = match read_reply(&stream).await {
+            Ok(reply) => reply,
+            Err(error) => {
+                if is_reused && matches!(error, CallError::Read(_)) {
+                    // The others were kept as long: the next call shall not fail the same way.
+                    self.connections.borrow_mut().clear();
+                }
+                return Err(error);
+            }
+        };
+        if may_reuse && address == self.address.get() {
+            self.connections.borrow_mut().put(self.clock.now(), stream);
+        }
+        Ok(CallResult { outcome: protocol::outcome(&reply), body: reply.body })
+    }
+
+    /// Returns a kept connection for a call. The service may close one under the call, which proves nothing though the
+    /// call never ran, so a call that can't be made again gets a connection of its own.
+    fn kept_connection(&self, call: &UpstreamCall) -> Option<Async<TcpStream>> {
+        if call.at_most_once {
+            return None;
+        }
+        self.connections.borrow_mut().take(self.clock.now())
+    }
+}
+
+/// Reads a reply, and returns it with whether the connection can be used again.
+async fn read_reply(mut stream: &Async<TcpStream>) -> Result<(http::Reply, bool), CallError> {
+    let mut decoder = http::Decoder::default();
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    loop {
+        let length = stream.read(&mut buffer).await.map_err(CallError::Read)?;
+        let is_closed = length == 0;
+        decoder.feed(&buffer[..length]);
+        if let Some(reply) = decoder.next_reply(is_closed).map_err(CallError::Decode)? {
+            let may_reuse = reply.keep_alive && !is_closed && decoder.is_empty();
+            return Ok((reply, may_reuse));
+        }
+        if is_closed {
+            return Err(CallError::Closed);
+        }
+    }
+}
--- /dev/null
+++ b/src/server/upstream/mod.rs
@@ -0,0 +1,8 @@
+//! The client of the upstream service: one task for each call, over connections that are kept between calls.
+
+mod call;
+mod client;
+mod connection_pool;
+mod protocol;
+
+pub use client::{UpstreamClient, UpstreamClientSettings};
