--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -1,9 +1,9 @@
 //! Messages to the dispatcher.
 
 use super::connection::ReplyHandle;
+use super::usage::UsageMessage;
 use super::worker_pool::PoolEvent;
 use crate::admission::{Outcome, Reconfiguration, RequestId};
-use crate::server::usage::billing::FromLedger;
 use async_channel::Sender;
 use dunlinspread_store::Writer;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
     /// Remove expired idempotency keys.
     SweepKeys,
     /// A message of the usage ledger's threads.
-    Usage(Box<FromLedger>),
+    Usage(Box<UsageMessage>),
     /// Advance the time of the usage ledger.
     UsageTick,
     /// The process ends: hand over the writer of the usage ledger, if there is one.
