--- /dev/null
+++ b/src/config/server.rs
@@ -0,0 +1,194 @@
+//! The server's configuration file.
+
+use super::keys;
+use super::{ConfigError, ResourceLimits, StatedSettings};
+use crate::admission::Settings;
+use crate::codec::json::{self, Value};
+use std::fmt;
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::time::Duration;
+
+/// Names of one kind that are printed at most.
+const MAX_PRINTED_NAMES: usize = 20;
+/// Time from the shutdown request to the kill where none is stated, and the longest, ms.
+const DEFAULT_STOP_MS: f64 = 3200.0;
+const MAX_STOP_MS: f64 = 3.6e6;
+/// Descriptors where none are stated, and their range.
+const DEFAULT_SOCKETS: f64 = 1024.0;
+const SOCKETS: Range<f64> = 64.0..1e6;
+/// Memory where none is stated, and its range, MB.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+const MEMORY_MB: Range<f64> = 16.0..1e6;
+/// Bytes of a MB.
+const MB: f64 = 1024.0 * 1024.0;
+
+/// The configuration of a server.
+#[derive(Clone, Debug)]
+pub struct Config {
+    /// The name of the server.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// The worker pool.
+    pub worker_pool: SocketAddr,
+    /// The registry.
+    pub registry: SocketAddr,
+    /// The upstream service; the last tier has none.
+    pub upstream: Option<SocketAddr>,
+    /// Time from the shutdown request to the kill.
+    pub stop_timeout: Duration,
+    /// What the process may hold.
+    pub limits: ResourceLimits,
+    /// The admission controller's settings.
+    pub settings: Settings,
+    /// The names of the classes, in order.
+    pub classes: Vec<String>,
+    /// The names of the tenants, in order; empty at a site that has none.
+    pub tenants: Vec<String>,
+    /// The names of the gauges, in order.
+    pub gauge_names: Vec<String>,
+}
+
+impl Config {
+    /// Reads the text of the configuration file. `name` and `listen` stand in for keys that it lacks.
+    ///
+    /// # Errors
+    /// If a key is missing or can't be read.
+    pub fn read(text: &[u8], name: Option<&str>, listen: Option<&str>) -> Result<Config, ConfigError> {
+        let root =
+            json::parse(text).map_err(|e| ConfigError::new(keys::CONFIG_FILE_VARIABLE, e.to_string()))?;
+        let file = File(&root);
+        let name = file.server_name(name)?;
+        let seed = file.seed()?;
+        let stop_timeout = file.stop_timeout()?;
+        let limits = file.limits()?;
+        let stated = root.get(keys::SETTINGS).ok_or_else(|| ConfigError::missing(keys::SETTINGS))?;
+        let stated = StatedSettings::from(stated);
+        let within = |error: ConfigError| error.within(keys::SETTINGS);
+        let settings = stated.settings(seed).map_err(within)?;
+        if settings.classes.is_empty() {
+            return Err(within(ConfigError::new(keys::CLASSES, "lists no class")));
+        }
+        Ok(Config {
+            classes: stated.names(keys::CLASSES).map_err(within)?,
+            tenants: stated.names(keys::TENANTS).map_err(within)?,
+            gauge_names: stated.gauge_names(),
+            listen: file.required_address(keys::LISTEN, listen)?,
+            worker_pool: file.required_address(keys::WORKER_POOL, None)?,
+            registry: file.required_address(keys::REGISTRY, None)?,
+            upstream: file.address(keys::UPSTREAM, None)?,
+            name,
+            stop_timeout,
+            limits,
+            settings,
+        })
+    }
+}
+
+/// The root object of a configuration file.
+struct File<'a>(&'a Value);
+
+impl File<'_> {
+    fn server_name(&self, fallback: Option<&str>) -> Result<String, ConfigError> {
+        let name = self.word(keys::NAME, fallback)?.ok_or_else(|| ConfigError::missing(keys::NAME))?;
+        if name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.~".contains(&byte)) {
+            return Ok(name);
+        }
+        Err(ConfigError::new(keys::NAME, format!("can't stand in a path: {name}")))
+    }
+
+    fn seed(&self) -> Result<u64, ConfigError> {
+        let Some(digits) = self.word(keys::SEED, None)? else { return Ok(0) };
+        u64::from_str_radix(&digits, 16).map_err(|_| ConfigError::new(keys::SEED, "is no hexadecimal number"))
+    }
+
+    fn stop_timeout(&self) -> Result<Duration, ConfigError> {
+        let ms = number(self.0, keys::STOP_MS, keys::STOP_MS, DEFAULT_STOP_MS)?;
+        if ms > MAX_STOP_MS {
+            return Err(ConfigError::new(keys::STOP_MS, "is over an hour"));
+        }
+        Ok(Duration::from_secs_f64(ms / 1000.0))
+    }
+
+    fn limits(&self) -> Result<ResourceLimits, ConfigError> {
+        let limits = self.0.get(keys::LIMITS).unwrap_or(&Value::Null);
+        let path = |key: &str| format!("{}.{key}", keys::LIMITS);
+        let sockets_path = path(keys::SOCKETS);
+        let sockets = number(limits, keys::SOCKETS, &sockets_path, DEFAULT_SOCKETS)?;
+        if !SOCKETS.contains(&sockets) {
+            return Err(ConfigError::new(sockets_path, "is under 64 or absurd"));
+        }
+        let memory_path = path(keys::MEMORY_MB);
+        let memory_mb = number(limits, keys::MEMORY_MB, &memory_path, DEFAULT_MEMORY_MB)?;
+        if !MEMORY_MB.contains(&memory_mb) {
+            return Err(ConfigError::new(memory_path, "is under 16 or absurd"));
+        }
+        Ok(ResourceLimits::new((memory_mb * MB) as usize, sockets as usize))
+    }
+
+    /// Returns the text of a key, or the fallback if it is missing.
+    fn word(&self, key: &str, fallback: Option<&str>) -> Result<Option<String>, ConfigError> {
+        match self.0.get(key) {
+            Some(Value::Str(text)) if !text.is_empty() => Ok(Some(text.clone())),
+            None | Some(Value::Null) => Ok(fallback.map(str::to_owned)),
+            Some(_) => Err(ConfigError::new(key, "is no word")),
+        }
+    }
+
+    fn address(&self, key: &str, fallback: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
+        let Some(text) = self.word(key, fallback)? else { return Ok(None) };
+        match text.parse() {
+            Ok(address) => Ok(Some(address)),
+            Err(_) => Err(ConfigError::new(key, format!("is no address: {text}"))),
+        }
+    }
+
+    fn required_address(&self, key: &str, fallback: Option<&str>) -> Result<SocketAddr, ConfigError> {
+        self.address(key, fallback)?.ok_or_else(|| ConfigError::missing(key))
+    }
+}
+
+/// Returns a number above 0; `path` is the key's path for errors.
+fn number(object: &Value, key: &str, path: &str, default: f64) -> Result<f64, ConfigError> {
+    match object.get(key) {
+        None | Some(Value::Null) => Ok(default),
+        Some(Value::Number(number)) if *number > 0.0 => Ok(*number),
+        Some(_) => Err(ConfigError::new(path, "is no number above 0")),
+    }
+}
+
+/// Returns names on one line: all of them, or their number and the first few.
+fn listed(names: &[String]) -> String {
+    match names.get(..MAX_PRINTED_NAMES) {
+        Some(first) if names.len() > MAX_PRINTED_NAMES => {
+            format!("{}: {}, ...", names.len(), first.join(", "))
+        }
+        _ => names.join(", "),
+    }
+}
+
+impl fmt::Display for Config {
+    /// Writes what is in force, a key a line; the bounds are what follows from the limits.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let upstream = self.upstream.map_or("none".to_owned(), |address| address.to_string());
+        writeln!(f, "name      {}\nlisten    {}\npool      {}", self.name, self.listen, self.worker_pool)?;
+        writeln!(f, "directory {}\nindex     {upstream}", self.registry)?;
+        writeln!(f, "stop_ms   {}", self.stop_timeout.as_millis())?;
+        writeln!(f, "classes   {}", listed(&self.classes))?;
+        let tenants = if self.tenants.is_empty() { "none".to_owned() } else { listed(&self.tenants) };
+        let waits = if self.settings.passes_deadline { "told by each request" } else { "not told" };
+        writeln!(f, "tenants   {tenants}\nwaits     {waits}")?;
+        let limits = &self.limits;
+        writeln!(
+            f,
+            "bounds    clients {}, calls {}, requests {}, keys {}",
+            limits.client_connections, limits.upstream_connections, limits.requests, limits.idempotency_keys
+        )?;
+        writeln!(
+            f,
+            "          result bytes {}, core mailbox {}, log lines {}",
+            limits.result_bytes, limits.dispatcher_mailbox, limits.log_lines
+        )
+    }
+}
--- a/src/config/stated.rs
+++ b/src/config/stated.rs
@@ -1,18 +1,19 @@
-//! Settings as they are stated: a tree from the configuration file, or the simulator's pairs of paths and values. Both
-//! are read under the same paths: a list of plain values as its values joined by commas, a list of objects by the number
-//! of an item and the item's key. Nothing is copied that is not asked for.
+//! Settings as they are stated: a tree from the configuration file, or the simulator's pairs of paths and values.
+//!
+//! Both are read under the same paths. A list of plain values is read as its values joined by commas, a list of objects
+//! by the index of an item and the item's key. Values are borrowed until they are asked for.
 
-use super::Fault;
+use super::{ConfigError, keys};
 use crate::codec::json::Value;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
 /// The most items of a list.
-const ITEMS_MAX: usize = 1_000_000;
+const MAX_ITEMS: usize = 1_000_000;
 
-/// The stated settings.
+/// Settings as a file or the simulator states them.
 #[derive(Clone, Debug)]
-pub struct Pairs<'a>(Source<'a>);
+pub struct StatedSettings<'a>(Source<'a>);
 
 #[derive(Clone, Debug)]
 enum Source<'a> {
@@ -32,20 +33,20 @@
     Tree(&'a [Value]),
 }
 
-impl<'a> FromIterator<(&'a str, &'a str)> for Pairs<'a> {
+impl<'a> FromIterator<(&'a str, &'a str)> for StatedSettings<'a> {
     fn from_iter<T: IntoIterator<Item = (&'a str, &'a str)>>(pairs: T) -> Self {
-        Pairs(Source::Pairs(pairs.into_iter().collect()))
+        StatedSettings(Source::Pairs(pairs.into_iter().collect()))
     }
 }
 
-impl<'a> From<&'a Value> for Pairs<'a> {
+impl<'a> From<&'a Value> for StatedSettings<'a> {
     fn from(value: &'a Value) -> Self {
-        Pairs(Source::Tree(value))
+        StatedSettings(Source::Tree(value))
     }
 }
 
-impl Pairs<'_> {
-    /// The value at a path of one or two keys.
+impl StatedSettings<'_> {
+    /// Returns the value at a path of one or two keys.
     pub(super) fn text(&self, path: &str) -> Option<Cow<'_, str>> {
         match &self.0 {
             Source::Pairs(pairs) => pairs.get(path).copied().map(Cow::Borrowed),
@@ -53,31 +54,31 @@
         }
     }
 
-    pub(super) fn number(&self, key: &str, default: f64) -> Result<f64, Fault> {
-        self.text(key).map_or(Ok(default), |value| read(key, &value))
+    pub(super) fn number(&self, key: &str, default: f64) -> Result<f64, ConfigError> {
+        self.text(key).map_or(Ok(default), |value| parse(key, &value))
     }
 
-    pub(super) fn flag(&self, key: &str) -> Result<bool, Fault> {
+    pub(super) fn flag(&self, key: &str) -> Result<bool, ConfigError> {
         match self.text(key).as_deref() {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(value) => Err(unreadable(key, value)),
+            Some(value) => Err(ConfigError::unreadable(key, value)),
         }
     }
 
-    /// The values of a list of plain values.
+    /// Returns the values of a list of plain values.
     pub(super) fn values(&self, key: &str) -> Vec<String> {
         let text = self.text(key).unwrap_or_default();
         text.split(',').map(str::to_owned).collect()
     }
 
-    /// A list of objects; without such a list, an empty one.
-    pub(super) fn list(&self, path: &'static str) -> Result<List<'_>, Fault> {
-        let count_key = || format!("{path}.count");
+    /// Returns a list of objects; an empty one if there is none.
+    pub(super) fn list(&self, path: &'static str) -> Result<List<'_>, ConfigError> {
+        let count_key = || format!("{path}{}", keys::COUNT_SUFFIX);
         let items = match &self.0 {
             Source::Pairs(pairs) => {
                 let count = pairs.get(count_key().as_str());
-                Items::Pairs(pairs, count.map_or(Ok(0), |value| read(&count_key(), value))?)
+                Items::Pairs(pairs, count.map_or(Ok(0), |value| parse(&count_key(), value))?)
             }
             Source::Tree(root) => match member(root, path) {
                 Some(Value::Array(items)) if has_objects(items) => Items::Tree(items),
@@ -85,25 +86,25 @@
             },
         };
         let list = List { path, items };
-        if list.len() > ITEMS_MAX {
-            return Err(Fault::new(count_key(), format!("is too large: {}", list.len())));
+        if list.len() > MAX_ITEMS {
+            return Err(ConfigError::new(count_key(), format!("is too large: {}", list.len())));
         }
         Ok(list)
     }
 
-    /// The names of a list's items, in order; an item without one can't be told from the others.
-    pub(super) fn names(&self, path: &'static str) -> Result<Vec<String>, Fault> {
+    /// Returns the names of a list's items, in order. An item without a name is an error.
+    pub(super) fn names(&self, path: &'static str) -> Result<Vec<String>, ConfigError> {
         let list = self.list(path)?;
-        let name = |at| {
-            let text = list.text(at, "name").filter(|text| !text.is_empty());
-            text.map(Cow::into_owned).ok_or_else(|| Fault::new(list.key(at, "name"), "is missing"))
+        let name = |index| {
+            let text = list.text(index, keys::ITEM_NAME).filter(|text| !text.is_empty());
+            text.map(Cow::into_owned).ok_or_else(|| ConfigError::missing(list.key(index, keys::ITEM_NAME)))
         };
         (0..list.len()).map(name).collect()
     }
 
-    /// What the gauges are called, in the order in which they come.
+    /// Returns the names of the gauges, in the order in which their values come.
     pub fn gauge_names(&self) -> Vec<String> {
-        self.values("specifics.gauges")
+        self.values(keys::GAUGE_NAMES)
     }
 }
 
@@ -115,34 +116,32 @@
         }
     }
 
-    /// The path of an item's key.
-    fn key(&self, at: usize, key: &str) -> String {
-        format!("{}.{at}.{key}", self.path)
+    /// Returns the path of an item's key.
+    fn key(&self, index: usize, key: &str) -> String {
+        format!("{}.{index}.{key}", self.path)
     }
 
-    pub(super) fn text(&self, at: usize, key: &str) -> Option<Cow<'_, str>> {
+    pub(super) fn text(&self, index: usize, key: &str) -> Option<Cow<'_, str>> {
         match &self.items {
-            Items::Pairs(pairs, _) => pairs.get(self.key(at, key).as_str()).copied().map(Cow::Borrowed),
-            Items::Tree(items) => plain(member(items.get(at)?, key)?),
+            Items::Pairs(pairs, _) => pairs.get(self.key(index, key).as_str()).copied().map(Cow::Borrowed),
+            Items::Tree(items) => plain(member(items.get(index)?, key)?),
         }
     }
 
-    pub(super) fn number(&self, at: usize, key: &str, default: f64) -> Result<f64, Fault> {
-        let value = self.text(at, key);
-        value.map_or(Ok(default), |value| value.parse().map_err(|_| unreadable(&self.key(at, key), &value)))
+    pub(super) fn number(&self, index: usize, key: &str, default: f64) -> Result<f64, ConfigError> {
+        let value = self.text(index, key);
+        value.map_or(Ok(default), |value| {
+            value.parse().map_err(|_| ConfigError::unreadable(self.key(index, key), &value))
+        })
     }
 }
 
-/// Reads a value.
-pub(super) fn read<T: std::str::FromStr>(key: &str, value: &str) -> Result<T, Fault> {
-    value.parse().map_err(|_| unreadable(key, value))
+/// Parses a value.
+pub(super) fn parse<T: std::str::FromStr>(key: &str, value: &str) -> Result<T, ConfigError> {
+    value.parse().map_err(|_| ConfigError::unreadable(key, value))
 }
 
-fn unreadable(key: &str, value: &str) -> Fault {
-    Fault::new(key, format!("can't be read: {value}"))
-}
-
-/// An object's member. Of members with one name the last that says something counts.
+/// Returns a member of an object. Of members with one name the last that is not null counts.
 fn member<'a>(value: &'a Value, key: &str) -> Option<&'a Value> {
     let Value::Object(members) = value else { return None };
     let found = members.iter().rev().find(|(name, value)| name == key && *value != Value::Null);
@@ -157,7 +156,7 @@
     items.iter().any(|item| matches!(item, Value::Object(_)))
 }
 
-/// A plain value, or a list of plain values joined by commas, as text.
+/// Returns a plain value, or a list of plain values joined by commas, as text.
 fn plain(value: &Value) -> Option<Cow<'_, str>> {
     match value {
         Value::Str(text) => Some(Cow::Borrowed(text)),
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -51,7 +51,7 @@
         let options = BillingOptions {
             config: self.ledger_config,
             classes: &self.config.classes,
-            max_aggregates: self.config.bounds.ledger_cells,
+            max_aggregates: self.config.limits.ledger_aggregates,
             now_ms,
         };
         // The store's thread may wait for the dispatcher; the dispatcher never waits for it.
@@ -89,7 +89,7 @@
             target: self.ledger_config.export.clone(),
             batch_lines: self.ledger_config.batch_lines,
             keep_ms: self.ledger_config.keep_ms,
-            cells: self.config.bounds.ledger_cells,
+            cells: self.config.limits.ledger_aggregates,
             ledger_id,
             opened,
             digest_exchange,
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -110,7 +110,7 @@
         return ExitCode::SUCCESS;
     }
     let format = cli.log_format.unwrap_or(operator.log.format);
-    let (drain, flush) = log_drain(format, config.bounds.log_lines);
+    let (drain, flush) = log_drain(format, config.limits.log_lines);
     let level = match operator.log.level {
         LogLevel::Error => slog::Level::Error,
         LogLevel::Warning => slog::Level::Warning,
@@ -166,14 +166,14 @@
             Err(e) => return warn!(log, "configuration is faulty, the running one stays"; "why" => e),
         };
         // The mailboxes have no bound and close only when the program ends.
-        if new.pool != config.pool {
-            let _ = self.pool.try_send(WorkerPoolMessage::SetAddress(new.pool));
+        if new.worker_pool != config.worker_pool {
+            let _ = self.pool.try_send(WorkerPoolMessage::SetAddress(new.worker_pool));
         }
-        if new.directory != config.directory {
-            let _ = self.catalog.try_send(RegistryMessage::SetAddress(new.directory));
+        if new.registry != config.registry {
+            let _ = self.catalog.try_send(RegistryMessage::SetAddress(new.registry));
         }
-        match (&self.index, new.index) {
-            (Some(index), Some(to)) if Some(to) != config.index => {
+        match (&self.index, new.upstream) {
+            (Some(index), Some(to)) if Some(to) != config.upstream => {
                 let _ = index.try_send(UpstreamMessage::SetAddress(to));
             }
             (Some(_), Some(_)) | (None, None) => {}
@@ -185,11 +185,11 @@
         if operator != self.operator {
             warn!(log, "operator file: changes only with a restart");
         }
-        (config.pool, config.directory) = (new.pool, new.directory);
-        config.index = config.index.and(new.index).or(config.index);
-        info!(log, "configuration reread"; "pool" => config.pool.to_string(),
-            "directory" => config.directory.to_string(),
-            "index" => config.index.map_or("none".to_owned(), |i| i.to_string()));
+        (config.worker_pool, config.registry) = (new.worker_pool, new.registry);
+        config.upstream = config.upstream.and(new.upstream).or(config.upstream);
+        info!(log, "configuration reread"; "pool" => config.worker_pool.to_string(),
+            "directory" => config.registry.to_string(),
+            "index" => config.upstream.map_or("none".to_owned(), |i| i.to_string()));
     }
 
     /// Hears signals until the notice to leave, for ever if none comes.
@@ -221,7 +221,7 @@
 
     let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
 
-    let (core_box, core_letters) = async_channel::bounded(config.bounds.core_mailbox);
+    let (core_box, core_letters) = async_channel::bounded(config.limits.dispatcher_mailbox);
     let (pool_box, pool_letters) = async_channel::unbounded();
     let (catalog_box, catalog_letters) = async_channel::unbounded();
     let (list_box, list_letters) = async_channel::unbounded();
@@ -230,12 +230,12 @@
     let supervise = |name, work: BoxedLocal<()>| {
         executor.spawn(supervisor::supervise(name, work, failures.clone())).detach()
     };
-    let index_box = config.index.map(|address| {
+    let index_box = config.upstream.map(|address| {
         let (index_box, letters) = async_channel::unbounded();
         let (core, own, exe) = (core_box.clone(), index_box.clone(), executor.clone());
         let index = UpstreamClient::new(UpstreamClientSettings {
             address,
-            max_connections: config.bounds.calls,
+            max_connections: config.limits.upstream_connections,
             dispatcher: core,
             sender: own,
             executor: exe,
@@ -247,10 +247,10 @@
         index_box
     });
     let (classes, wheel_for) = (config.classes.clone(), wheel.clone());
-    let pool = WorkerPoolLink::new(config.pool, classes, core_box.clone(), wheel_for, log.clone());
+    let pool = WorkerPoolLink::new(config.worker_pool, classes, core_box.clone(), wheel_for, log.clone());
     supervise("worker pool link", Box::pin(pool.run(pool_letters)));
     let catalog = RegistryReporter {
-        address: config.directory,
+        address: config.registry,
         name: config.name.clone(),
         clock,
         wheel: wheel.clone(),
@@ -329,7 +329,7 @@
         socket: listener,
         sender: list_box.clone(),
         executor: executor.clone(),
-        max_connections: config.bounds.clients,
+        max_connections: config.limits.client_connections,
     };
     let (left, (list_ends, list_over)) = (Rc::new(Cell::new(false)), async_channel::bounded(1));
     let (may_end, list_failures) = (left.clone(), failures.clone());
@@ -352,7 +352,7 @@
     };
     let leaving = async {
         links.hear(&mut signals, &mut config, &log).await;
-        let (stop_ms, notice) = (config.stop.as_secs_f64() * 1000.0, clock.now());
+        let (stop_ms, notice) = (config.stop_timeout.as_secs_f64() * 1000.0, clock.now());
         info!(log, "notice to leave"; "stop_ms" => stop_ms);
         let stop_at = notice + (stop_ms - ANSWER_MARGIN_MS).max(0.0);
         core_box.send(DispatcherMessage::Drain { stop_at }).await.map_err(|e| e.to_string())?;
--- a/src/server/dispatcher/idempotency_keys.rs
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -21,7 +21,8 @@
 
 impl IdempotencyKeys {
     pub(super) fn new(config: &Config) -> Self {
-        let bounds = Bounds { keys: config.bounds.keys, result_bytes: config.bounds.result_bytes };
+        let bounds =
+            Bounds { keys: config.limits.idempotency_keys, result_bytes: config.limits.result_bytes };
         let windows = config.settings.classes.iter().map(key_window).collect();
         IdempotencyKeys { table: IdempotencyTable::new(bounds, windows), body_hasher: RandomState::new() }
     }
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -89,8 +89,8 @@
     ) -> Self {
         Dispatcher {
             settings: config.settings.clone(),
-            max_requests: config.bounds.requests,
-            gauge_names: config.gauges.clone(),
+            max_requests: config.limits.requests,
+            gauge_names: config.gauge_names.clone(),
             controller: None,
             events: VecDeque::new(),
             requests: RequestTable::default(),
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::admission::AdmissionController;
 use crate::admission::*;
-use crate::config::{Fault, Pairs, set_gauge};
+use crate::config::{ConfigError, StatedSettings, set_gauge};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
@@ -73,8 +73,8 @@
     }
 
     fn settings(&self) -> Result<Settings, WireError> {
-        let pairs: Pairs = self.rest.split(' ').filter_map(|p| p.split_once('=')).collect();
-        let fault = |f: Fault| self.fault(format_args!("field `{}` {}", f.key, f.what));
+        let pairs: StatedSettings = self.rest.split(' ').filter_map(|p| p.split_once('=')).collect();
+        let fault = |error: ConfigError| self.fault(format_args!("field `{}` {}", error.key, error.reason));
         pairs.settings(self.required("nonce64")?).map_err(fault)
     }
 
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,7 +1,7 @@
 //! Recorded exchanges of bytes with the built round server; each text file in `exchanges/` is one test.
 
 use dunlinspread::codec::{http, json, msgpack};
-use dunlinspread::config::Bounds;
+use dunlinspread::config::ResourceLimits;
 
 mod play;
 
@@ -70,12 +70,19 @@
 #[test]
 fn the_bounds_fit_the_limits() {
     for (memory_mb, sockets) in [(32, 384), (48, 512), (192, 384), (192, 1024)] {
-        let b = Bounds::new(memory_mb << 20, sockets);
-        let held = b.clients * (32 << 10) + (b.requests + b.core_mailbox) * (5 << 10);
-        let all = held + b.keys * 400 + b.result_bytes + b.log_lines * 1024;
-        assert!(all < (memory_mb << 20) * 7 / 8, "{b:?} hold {all} bytes");
-        assert!(b.clients + b.calls < sockets, "{b:?}");
-        assert!(b.clients >= sockets / 2 && b.requests >= 1000 && b.keys >= 5000 && b.calls >= 100, "{b:?}");
+        let limits = ResourceLimits::new(memory_mb << 20, sockets);
+        let held = limits.client_connections * (32 << 10)
+            + (limits.requests + limits.dispatcher_mailbox) * (5 << 10);
+        let all = held + limits.idempotency_keys * 400 + limits.result_bytes + limits.log_lines * 1024;
+        assert!(all < (memory_mb << 20) * 7 / 8, "{limits:?} hold {all} bytes");
+        assert!(limits.client_connections + limits.upstream_connections < sockets, "{limits:?}");
+        assert!(
+            limits.client_connections >= sockets / 2
+                && limits.requests >= 1000
+                && limits.idempotency_keys >= 5000
+                && limits.upstream_connections >= 100,
+            "{limits:?}"
+        );
     }
 }
 
--- a/tests/stated_settings.rs
+++ b/tests/stated_settings.rs
@@ -2,7 +2,7 @@
 //! which the simulator still sends; faults name their keys.
 
 use dunlinspread::codec::json::{self, Value};
-use dunlinspread::config::{Config, Pairs};
+use dunlinspread::config::{Config, StatedSettings};
 use std::collections::BTreeMap;
 
 /// The paths and values of a tree: a list of plain values is joined by commas, a list of objects gives its length under
@@ -57,8 +57,8 @@
         let tree = json::parse(text.as_bytes()).expect(text);
         let mut pairs = BTreeMap::new();
         flatten("", &tree, &mut pairs);
-        let flat: Pairs = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
-        let tree = Pairs::from(&tree);
+        let flat: StatedSettings = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
+        let tree = StatedSettings::from(&tree);
         assert_eq!(format!("{:?}", tree.settings(7)), format!("{:?}", flat.settings(7)), "{text}");
         assert_eq!(tree.gauge_names(), flat.gauge_names(), "{text}");
     }
@@ -95,7 +95,7 @@
         fault(&format!(r#"{{"profiles":[{{"name":"c"}}],"accounts":[{accounts}]}}"#)),
         "`settings.accounts.count`: is too large: 1000001"
     );
-    let pairs: Pairs = [("accounts.count", "1000001")].into_iter().collect();
+    let pairs: StatedSettings = [("accounts.count", "1000001")].into_iter().collect();
     let said = pairs.settings(0).expect_err("a fault").to_string();
     assert_eq!(said, "`accounts.count`: is too large: 1000001");
 }
