--- a/src/admission/callers.rs
+++ b/src/admission/callers.rs
@@ -1,6 +1,7 @@
 //! What callers are told beside answers (the share, advice, the idle limit), and what a tenant may send.
 
 use super::level::BUSY_FULL;
+use super::settings::MIN_IDLE_TIMEOUT_MS;
 use super::*;
 
 /// Room a tenant has over its allowance, since callers spread unevenly, and standard deviations of chance.
@@ -8,8 +9,6 @@
 const ALLOWANCE_NOISE: f64 = 1.0;
 /// Uses of a caller's connection, within the callers' own idle limit, from which it is kept that long.
 const USES_TO_KEEP: f64 = 1.0;
-/// Idle limit for connections used less, ms: a prompt further request still finds its connection open.
-pub(super) const IDLE_SHORT_MS: f64 = 200.0;
 /// Other work a core, past its usual measure, from which such connections are kept as long as the callers do.
 const IDLE_CROWD: f64 = 1.0;
 /// Largest step of that limit a timer, as a factor.
@@ -58,8 +57,9 @@
         let uses = self.arrivals / self.watched_ms * self.settings.client_idle_timeout_ms
             / self.settings.client_count;
         let part = (self.other_work / self.settings.cores / IDLE_CROWD).min(1.0);
-        let target =
-            (IDLE_SHORT_MS * (self.settings.client_idle_timeout_ms / IDLE_SHORT_MS).powf(part)).round();
+        let target = (MIN_IDLE_TIMEOUT_MS
+            * (self.settings.client_idle_timeout_ms / MIN_IDLE_TIMEOUT_MS).powf(part))
+        .round();
         let limit = if uses >= USES_TO_KEEP {
             self.settings.client_idle_timeout_ms
         } else if target > self.idle_limit {
--- a/src/admission/calls.rs
+++ b/src/admission/calls.rs
@@ -25,7 +25,7 @@
         let linger = if never_ran || outcome == Outcome::Ok { 0.0 } else { self.settings.call_linger_ms };
         self.call_over(id, now + linger);
         if !never_ran {
-            self.usual_call += (sane(took_ms, 0.0, 1e9) - self.usual_call) * BLEND;
+            self.usual_call += (clamp_finite(took_ms, 0.0, 1e9) - self.usual_call) * BLEND;
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         if outcome == Outcome::Ok {
--- a/src/admission/events.rs
+++ b/src/admission/events.rs
@@ -32,7 +32,7 @@
             l.part += (if at == a.class { 1.0 } else { 0.0 } - l.part) * MIX_BLEND;
         }
         self.arrivals += 1.0;
-        let age = sane(a.age_ms, 0.0, class.client_timeout_ms);
+        let age = clamp_finite(a.age_ms, 0.0, class.client_timeout_ms);
         self.age.add(age);
         let arrived = now - age;
         let told = a.deadline.filter(|d| d.is_finite() && *d > 0.0);
@@ -40,7 +40,7 @@
         if let Some((_, stop)) = self.leaving {
             due = due.min(stop);
         }
-        let cost = sane(a.cost_ms.unwrap_or(0.0), 0.0, 1e9);
+        let cost = clamp_finite(a.cost_ms.unwrap_or(0.0), 0.0, 1e9);
         let over = self.over_allowance(a.tenant);
         self.over_allowance_arrivals += f64::from(u8::from(over));
         // A further try has spent part of its aim, and refusing a first try only brings another one to read.
@@ -53,8 +53,8 @@
         let prior = a.duplicate_of.filter(|p| keyed || shared && self.can_share(*p));
         let request = Request {
             class: a.class,
-            request_kb: sane(a.request_kb, 0.0, 1e12),
-            priority: self.place(sane(a.priority, 0.0, 1.0), over)
+            request_kb: clamp_finite(a.request_kb, 0.0, 1e12),
+            priority: self.place(clamp_finite(a.priority, 0.0, 1.0), over)
                 * if a.is_retry { RETRY_PART } else { 1.0 },
             priority_weight: class.priority_weight * part,
             arrived,
@@ -136,7 +136,7 @@
         }
         // What a run that stood still took says nothing of the next one.
         if outcome == Outcome::Ok && !reused && now - took_ms > self.stood_still {
-            self.learn(now, class, sane(took_ms, 0.0, 1e9));
+            self.learn(now, class, clamp_finite(took_ms, 0.0, 1e9));
         }
         if lost {
             // A run we did not stop came back: it is answered, since it may have had its effect.
@@ -169,7 +169,7 @@
     }
 
     pub(super) fn on_drain(&mut self, now: f64, stop_at: f64, actions: &mut Actions) {
-        let stop = sane(stop_at, now, f64::MAX);
+        let stop = clamp_finite(stop_at, now, f64::MAX);
         self.leaving = Some((now, stop));
         for r in self.requests.values_mut() {
             r.due = r.due.min(stop);
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,4 +1,4 @@
-//! The decision module. Its types, events and actions are in `src/interface.rs`.
+//! The decision module.
 //!
 //! Mechanism ("The IN SCP's overload protection mechanism (synchronization of call gapping)"): a periodic
 //! timer reads the instance's gauges and steps an overload level between 0 and 3 with hysteresis. Each level
@@ -6,19 +6,24 @@
 //! Above level 0 a rank cut rises a step a timer, at level 0 it falls a step a timer; arrivals ranked under
 //! it are refused. Around that stand the hold's order, the run limit and the guards of the four rules.
 
+mod action;
 mod answers;
 mod callers;
 mod calls;
+mod clamp;
+mod event;
 mod events;
 mod level;
 mod order;
+mod settings;
 
 use crate::decaying_counts::DecayingCounts;
-pub use crate::interface::{
-    Action, Arrival, Class, ClassLimitChange, Event, Gauges, Outcome, Preemption, QuotaChange,
-    Reconfiguration, RequestId, RetrySafety, Settings, Signal,
+pub use action::Action;
+use clamp::clamp_finite;
+pub use event::{Arrival, Event, Gauges, Outcome, RequestId};
+pub use settings::{
+    Class, ClassLimitChange, Preemption, QuotaChange, Reconfiguration, RetrySafety, Settings, Signal,
 };
-use callers::IDLE_SHORT_MS;
 use std::collections::BTreeMap;
 
 /// Period of the one timer, ms: short against every aim, long against a round of events.
@@ -152,43 +157,10 @@
     age: Mean,
 }
 
-/// `x` within the bounds; what is no number becomes the lower one.
-fn sane(x: f64, low: f64, high: f64) -> f64 {
-    if x.is_nan() { low } else { x.clamp(low, high) }
-}
-
 impl AdmissionController {
     /// A new instance; absurd settings are brought into a safe range.
-    pub fn new(now: f64, mut settings: Settings) -> Self {
-        let year = 3.2e10;
-        settings.server_count = sane(settings.server_count, 1.0, 1e6);
-        settings.cores = sane(settings.cores, 1.0, 1e5);
-        settings.tick_ms = sane(settings.tick_ms, 0.0, 1e4);
-        settings.cold_start_speed = sane(settings.cold_start_speed, 0.01, 1.0);
-        settings.warm_up_ms = sane(settings.warm_up_ms, 0.0, year);
-        settings.survivable_runs_per_core = sane(settings.survivable_runs_per_core, 1.0, 1e6);
-        settings.memory_kb = sane(settings.memory_kb, 0.0, 1e15);
-        settings.run_memory_factor = sane(settings.run_memory_factor, 1.0, 1e6);
-        settings.key_memory_kb = sane(settings.key_memory_kb, 0.0, 1e12);
-        settings.upstream_call_share = settings.upstream_call_share.map(|s| sane(s, 0.0, 1e9));
-        settings.upstream_window_ms = sane(settings.upstream_window_ms, 1.0, year);
-        settings.call_linger_ms = sane(settings.call_linger_ms, 0.0, year);
-        settings.drain_grace_ms = sane(settings.drain_grace_ms, 0.0, year);
-        settings.shared_result_ttl_ms = sane(settings.shared_result_ttl_ms, 0.0, year);
-        settings.max_retry_after_ms = sane(settings.max_retry_after_ms, 0.0, year);
-        settings.client_count = sane(settings.client_count, 1.0, 1e9);
-        settings.client_idle_timeout_ms = sane(settings.client_idle_timeout_ms, IDLE_SHORT_MS, year);
-        settings.over_quota_weight = sane(settings.over_quota_weight, 0.0, 1.0);
-        settings.tenant_quotas.iter_mut().for_each(|t| *t = sane(*t, 0.0, 1e9));
-        for c in &mut settings.classes {
-            c.client_timeout_ms = sane(c.client_timeout_ms, 0.0, year);
-            c.latency_objective_ms = sane(c.latency_objective_ms, 0.0, year);
-            c.objective_per_cost = sane(c.objective_per_cost, 0.0, 1e6);
-            c.key_window_ms = sane(c.key_window_ms, 0.0, year);
-            c.priority_weight = sane(c.priority_weight, 0.0, 1e9);
-            c.late_weight = sane(c.late_weight, 0.0, 1.0);
-            c.degraded_weight = sane(c.degraded_weight, 0.0, 1.0);
-        }
+    pub fn new(now: f64, settings: Settings) -> Self {
+        let settings = settings.sanitized();
         let guess = |c: &Class| Learned {
             usual: c.latency_objective_ms * FIRST_GUESS,
             part: 1.0 / settings.classes.len() as f64,
--- a/src/admission/order.rs
+++ b/src/admission/order.rs
@@ -156,7 +156,7 @@
         let Some(l) = self.learned.get_mut(class) else { return };
         l.seen = l.seen.saturating_add(1);
         let weight = (1.0 / f64::from(l.seen)).max(0.01);
-        let ratio = sane(took_ms / l.usual.max(1.0), 0.0, 10.0);
+        let ratio = clamp_finite(took_ms / l.usual.max(1.0), 0.0, 10.0);
         if l.seen > 10 {
             self.pace += (ratio - self.pace) * BLEND;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,6 @@
 pub mod config;
 pub mod daemon;
 pub mod decaying_counts;
-mod interface;
 pub mod operator;
 pub mod server;
 pub mod simulator;
--- a/tests/allowances.rs
+++ b/tests/allowances.rs
@@ -1,7 +1,11 @@
-//! Tenants' counters that fade one by one decide as those did that were all faded with each timer and summed with each
-//! arrival: the module, compiled here a second time over that old computation, does the same, event by event.
+//! Tenants' counters that decay one by one decide as those did that were all decayed with each timer and summed with
+//! each arrival: the controller, compiled here a second time over that old computation, does the same, event by event.
 
-use dunlinspread::*;
+use common::settings;
+use dunlinspread::{
+    Action, AdmissionController, Arrival, Class, Event, Gauges, Outcome, Preemption, RequestId, RetrySafety,
+    Settings, Signal,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
@@ -10,10 +14,6 @@
 
 mod common;
 
-mod interface {
-    pub use dunlinspread::*;
-}
-
 /// The old computation, which walks through all members, in place of `src/decaying_counts.rs`.
 mod decaying_counts {
     #[derive(Default)]
@@ -54,6 +54,117 @@
 #[path = "../src/admission/mod.rs"]
 mod admission;
 
+/// Builds a struct of the second controller from the fields, all of them, of the first one's.
+macro_rules! copy_fields {
+    ($target:ident, $source:expr, $($field:ident),+ $(,)?) => {
+        admission::$target { $($field: $source.$field.clone()),+ }
+    };
+}
+
+/// The variant of the second controller's enum that has the same name.
+macro_rules! same_variant {
+    ($enum:ident, $value:expr, $($variant:ident),+ $(,)?) => {
+        match $value { $($enum::$variant => admission::$enum::$variant),+ }
+    };
+}
+
+fn second_class(class: &Class) -> admission::Class {
+    let retry_safety = same_variant!(RetrySafety, class.retry_safety, Idempotent, IdempotencyKey, AtMostOnce);
+    admission::Class {
+        retry_safety,
+        latency_objective_ms: class.latency_objective_ms,
+        objective_per_cost: class.objective_per_cost,
+        client_timeout_ms: class.client_timeout_ms,
+        key_window_ms: class.key_window_ms,
+        priority_weight: class.priority_weight,
+        late_weight: class.late_weight,
+        makes_upstream_calls: class.makes_upstream_calls,
+        degraded_weight: class.degraded_weight,
+    }
+}
+
+fn second_settings(settings: &Settings) -> admission::Settings {
+    admission::Settings {
+        seed: settings.seed,
+        server_count: settings.server_count,
+        cores: settings.cores,
+        tick_ms: settings.tick_ms,
+        cold_start: settings.cold_start,
+        cold_start_speed: settings.cold_start_speed,
+        warm_up_ms: settings.warm_up_ms,
+        response_slack_ms: settings.response_slack_ms,
+        drain_grace_ms: settings.drain_grace_ms,
+        survivable_runs_per_core: settings.survivable_runs_per_core,
+        overload_window_ms: settings.overload_window_ms,
+        memory_kb: settings.memory_kb,
+        run_memory_factor: settings.run_memory_factor,
+        key_memory_kb: settings.key_memory_kb,
+        signal: same_variant!(Signal, settings.signal, Off, Share, Other),
+        preemption: same_variant!(Preemption, settings.preemption, Off, Abort, Suspend),
+        has_upstream: settings.has_upstream,
+        upstream_call_share: settings.upstream_call_share,
+        upstream_window_ms: settings.upstream_window_ms,
+        call_linger_ms: settings.call_linger_ms,
+        shared_result_ttl_ms: settings.shared_result_ttl_ms,
+        retry_after: settings.retry_after,
+        max_retry_after_ms: settings.max_retry_after_ms,
+        passes_deadline: settings.passes_deadline,
+        client_count: settings.client_count,
+        client_idle_timeout_ms: settings.client_idle_timeout_ms,
+        over_quota_weight: settings.over_quota_weight,
+        classes: settings.classes.iter().map(second_class).collect(),
+        tenant_quotas: settings.tenant_quotas.clone(),
+        class_limits: settings.class_limits.clone(),
+    }
+}
+
+fn second_outcome(outcome: Outcome) -> admission::Outcome {
+    same_variant!(
+        Outcome,
+        outcome,
+        Ok,
+        Error,
+        Rejected,
+        TimedOut,
+        Unreachable,
+        ConnectionLost,
+        Cancelled,
+        NotStarted
+    )
+}
+
+/// The same event for the second controller.
+fn second_event(event: &Event) -> admission::Event {
+    match event {
+        Event::Start => admission::Event::Start,
+        Event::Arrival(arrival) => admission::Event::Arrival(copy_fields!(
+            Arrival,
+            arrival,
+            id,
+            class,
+            tenant,
+            shareable,
+            deadline,
+            cost_ms,
+            request_kb,
+            priority,
+            is_retry,
+            age_ms,
+            duplicate_of,
+        )),
+        Event::RunEnded { id, outcome, took_ms } => {
+            let outcome = second_outcome(*outcome);
+            admission::Event::RunEnded { id: *id, outcome, took_ms: *took_ms }
+        }
+        Event::ClientGone(id) => admission::Event::ClientGone(*id),
+        Event::Timer { token, gauges } => {
+            let gauges = copy_fields!(Gauges, gauges, busy, run_queue, memory, connections);
+            admission::Event::Timer { token: *token, gauges }
+        }
+        other => panic!("no play has this event: {other:?}"),
+    }
+}
+
 /// What a play is made of.
 #[derive(Clone, Debug)]
 struct Plan {
@@ -92,18 +203,18 @@
             _ => usual,
         });
         let tenants = tenants.collect();
-        let set = Settings {
+        let settings = Settings {
             server_count: plan.servers,
             tenant_quotas: tenants,
             memory_kb: 3000.0,
             retry_after: true,
             max_retry_after_ms: 1000.0,
             over_quota_weight: 0.05,
-            ..common::settings()
+            ..settings()
         };
         Play {
-            new: AdmissionController::new(0.0, set.clone()),
-            old: admission::AdmissionController::new(0.0, set),
+            new: AdmissionController::new(0.0, settings.clone()),
+            old: admission::AdmissionController::new(0.0, second_settings(&settings)),
             plan,
             rng,
             now: 0.0,
@@ -118,11 +229,16 @@
     /// Tells both, which have to do the same, and notes what was done.
     fn tell(&mut self, event: Event) {
         let (mut new, mut old) = (Vec::new(), Vec::new());
-        self.new.on_event(self.now, event.clone(), &mut new);
-        self.old.on_event(self.now, event.clone(), &mut old);
-        assert_eq!(new, old, "{:?}, at {} ms: {event:?}", self.plan, self.now);
-        let (new_state, old_state) = ((self.new.level(), self.new.cut()), (self.old.level(), self.old.cut()));
-        assert_eq!(new_state, old_state, "{:?}, at {} ms: {event:?}", self.plan, self.now);
+        let context = format!("{:?}, at {} ms: {event:?}", self.plan, self.now);
+        self.old.on_event(self.now, second_event(&event), &mut old);
+        self.new.on_event(self.now, event, &mut new);
+        // The text of a number gives it to the last digit; NaN alone would equal itself here.
+        let (new_text, old_text) = (format!("{new:?}"), format!("{old:?}"));
+        assert!(!new_text.contains("NaN"), "{context}: {new_text}");
+        assert_eq!(new_text, old_text, "{context}");
+        let new_state = (self.new.level(), self.new.cut());
+        let old_state = (self.old.level(), self.old.cut());
+        assert_eq!(new_state, old_state, "{context}");
         for action in new {
             match action {
                 Action::Run(id) => self.running.push_back(id),
