--- a/src/admission/run_end.rs
+++ b/src/admission/run_end.rs
@@ -93,9 +93,7 @@
         let free_kb = self.free_memory_kb();
         let is_ready = |request: &Request| match request.state {
             RequestState::Queued => {
-                !request.answered
-                    && !self.requests.waits_for_original(request)
-                    && !self.is_after_grace(request.arrived_at)
+                self.may_start(request)
                     && self.memory.start_kb(request) <= free_kb
                     && !(calls_blocked && self.requires_upstream_call(request))
             }
@@ -105,6 +103,12 @@
         self.scheduler(now).best(|request| is_ready(request) && !saturated.contains(request.class))
     }
 
+    /// Returns whether a queued request is to be run at all, and not the one that it duplicates.
+    fn may_start(&self, request: &Request) -> bool {
+        let too_late = request.answered || self.is_after_grace(request.arrived_at);
+        !too_late && !self.requests.waits_for_original(request)
+    }
+
     /// Returns whether the request cannot complete without its upstream call.
     fn requires_upstream_call(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
