--- a/src/server/dispatcher/billing.rs
+++ b/src/server/dispatcher/billing.rs
@@ -6,8 +6,8 @@
 use super::request::Request;
 use super::state::Dispatcher;
 use crate::admission::RequestId;
-use crate::server::messages::{DispatcherMessage, IncomingRequest, ReplyHandle, Response};
-use crate::server::usage::billing::{Billing, FromLedger, Used};
+use crate::server::messages::{DispatcherMessage, IncomingRequest, ReplyHandle, Response, UsageMessage};
+use crate::server::usage::{Billing, RequestUsage};
 use async_channel::Sender;
 use dunlinspread_ledger::Outcome as BilledOutcome;
 use dunlinspread_store::Writer;
@@ -16,7 +16,7 @@
 impl Dispatcher {
     /// Returns whether new requests can be billed, or need not be.
     pub(super) fn can_bill(&self) -> bool {
-        self.usage.as_ref().is_none_or(|usage| usage.serving())
+        self.usage.as_ref().is_none_or(|usage| usage.accepts_requests())
     }
 
     /// Sends the final response of a request, once it is billed; its run took `pool_ms`.
@@ -30,7 +30,7 @@
         let is_late = now - request.received_at > latency_objective_ms;
         let outcome = billed_outcome(&response, request, is_late);
         request.billed = Some(outcome);
-        let used = Used {
+        let request_usage = RequestUsage {
             class: request.class,
             outcome,
             pool_ms,
@@ -38,26 +38,32 @@
             bytes_out: result_bytes(&response),
         };
         let account = request.account.clone();
-        self.bill(account.as_ref(), &used, reply, response);
+        self.bill(account.as_ref(), &request_usage, reply, response);
     }
 
     /// Answers a request that does not enter the table, once it is billed.
     pub(super) fn answer_unadmitted(&mut self, incoming: IncomingRequest, response: Response) {
         let rejected = matches!(response, Response::Rejected { .. });
-        let used = Used {
+        let request_usage = RequestUsage {
             class: incoming.class,
             outcome: if rejected { BilledOutcome::Rejected } else { BilledOutcome::Failed },
             pool_ms: 0.0,
             bytes_in: incoming.body.len(),
             bytes_out: 0,
         };
-        self.bill(incoming.account.as_ref(), &used, incoming.reply, response);
+        self.bill(incoming.account.as_ref(), &request_usage, incoming.reply, response);
     }
 
     /// Sends a response once it is billed, at once without a ledger.
-    fn bill(&mut self, account: Option<&Rc<str>>, used: &Used, reply: ReplyHandle, response: Response) {
+    fn bill(
+        &mut self,
+        account: Option<&Rc<str>>,
+        request_usage: &RequestUsage,
+        reply: ReplyHandle,
+        response: Response,
+    ) {
         let released = match &mut self.usage {
-            Some(usage) => usage.bill(self.clock.now(), account, used, reply, response),
+            Some(usage) => usage.bill(self.clock.now(), account, request_usage, reply, response),
             None => Some((reply, response)),
         };
         if let Some((reply, response)) = released {
@@ -72,8 +78,9 @@
         let outcome = BilledOutcome::Cancelled;
         request.billed = Some(outcome);
         let bytes_in = request.body.len();
-        let used = Used { class: request.class, outcome, pool_ms: 0.0, bytes_in, bytes_out: 0 };
-        usage.bill_silent(self.clock.now(), request.account.as_ref(), &used, 1);
+        let request_usage =
+            RequestUsage { class: request.class, outcome, pool_ms: 0.0, bytes_in, bytes_out: 0 };
+        usage.bill_without_reply(self.clock.now(), request.account.as_ref(), &request_usage, 1);
     }
 
     /// Bills what the run of a request used after the request itself was billed.
@@ -82,18 +89,19 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         let outcome = request.billed.unwrap_or(BilledOutcome::Cancelled);
         request.billed = Some(outcome);
-        let used = Used { class: request.class, outcome, pool_ms, bytes_in: 0, bytes_out: 0 };
-        usage.bill_silent(self.clock.now(), request.account.as_ref(), &used, 0);
+        let request_usage =
+            RequestUsage { class: request.class, outcome, pool_ms, bytes_in: 0, bytes_out: 0 };
+        usage.bill_without_reply(self.clock.now(), request.account.as_ref(), &request_usage, 0);
     }
 
     /// Handles a message of the ledger's threads.
-    pub(super) fn on_usage_message(&mut self, message: FromLedger) {
+    pub(super) fn on_usage_message(&mut self, message: UsageMessage) {
         let now = self.clock.now();
         self.with_usage(|usage| match message {
-            FromLedger::Progress(progress) => usage.progress(now, progress),
-            FromLedger::Enter { kind, tag } => usage.enter(now, kind, tag),
-            FromLedger::Forget { before, sum } => usage.forget(before, sum),
-            FromLedger::Close { tag } => usage.close_early(now, tag),
+            UsageMessage::StoreProgress(progress) => usage.on_store_progress(now, progress),
+            UsageMessage::AppendEntry { kind, tag } => usage.append_entry(now, kind, tag),
+            UsageMessage::ReleaseLines { before, state } => usage.release_lines(before, state),
+            UsageMessage::ClosePeriods { tag } => usage.close_periods(now, tag),
         });
     }
 
@@ -107,9 +115,9 @@
     /// Runs an operation on the ledger, and reports health if it changed whether requests can be billed.
     fn with_usage(&mut self, operation: impl FnOnce(&mut Billing)) {
         let Some(usage) = &mut self.usage else { return };
-        let served = usage.serving();
+        let served = usage.accepts_requests();
         operation(usage);
-        if usage.serving() != served {
+        if usage.accepts_requests() != served {
             self.report_health();
         }
     }
@@ -117,8 +125,8 @@
     /// After each message: passes new entries to the store if it is idle, and sends the responses that it released.
     pub(super) fn flush_usage(&mut self) {
         let Some(usage) = &mut self.usage else { return };
-        usage.turn(self.clock.now());
-        let released: Vec<(ReplyHandle, Response)> = usage.free().collect();
+        usage.flush_if_due(self.clock.now());
+        let released: Vec<(ReplyHandle, Response)> = usage.take_ready_replies().collect();
         for (reply, response) in released {
             self.send_response(reply, response);
         }
@@ -128,7 +136,7 @@
     pub(super) fn close_usage(&mut self, writer: &Sender<Writer>) {
         if let Some(usage) = self.usage.take() {
             // The channel has room for this one message; its receiver waits for it.
-            let _ = writer.try_send(usage.end(self.clock.now()));
+            let _ = writer.try_send(usage.shut_down(self.clock.now()));
         }
     }
 }
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -14,7 +14,7 @@
     Response, UpstreamMessage, WorkerPoolMessage,
 };
 use crate::server::timer_wheel::{Clock, TimerWheel};
-use crate::server::usage::billing::Billing;
+use crate::server::usage::Billing;
 use async_channel::{Sender, TrySendError};
 use async_executor::LocalExecutor;
 use slog::Logger;
