--- a/tests/recorded/module.rs
+++ b/tests/recorded/module.rs
@@ -88,7 +88,7 @@
     }
 
     pub fn cut(&self) -> f64 {
-        self.policy.cut()
+        self.policy.priority_threshold()
     }
 }
 
