--- a/src/daemon/config_sync.rs
+++ b/src/daemon/config_sync.rs
@@ -222,7 +222,7 @@
             role: Role::Subscriber,
         },
         servers: settings.relays.iter().map(server).collect(),
-        fleet_key: settings.fleet_key()?,
+        fleet_key: settings.fleet_key().map_err(|error| error.to_string())?,
         state_directory: settings.state_directory.as_ref().map(PathBuf::from),
         // Jitter is there to set servers apart; nothing has to be repeatable.
         seed: RandomState::new().hash_one(name),
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::config::Config;
 use crate::daemon::config_sync::ConfigSync;
-use crate::operator::{LogFormat, LogLevel, Operator};
+use crate::operator::{LogFormat, LogLevel, OperatorConfig};
 use crate::server::dispatcher::{Dispatcher, Mailboxes};
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
 use crate::server::messages::{
@@ -81,15 +81,15 @@
 }
 
 impl Files {
-    fn read(&self) -> Result<(Config, Operator), String> {
+    fn read(&self) -> Result<(Config, OperatorConfig), String> {
         let path = self.config.as_ref().ok_or("`RELAY_CONFIG`: is not set")?;
         let text = std::fs::read(path).map_err(|e| format!("`RELAY_CONFIG`: {}: {e}", path.display()))?;
         let (name, listen) = (std::env::var("RELAY_NAME").ok(), std::env::var("RELAY_LISTEN").ok());
         let config = Config::read(&text, name.as_deref(), listen.as_deref())
             .map_err(|e| format!("{}: {e}", path.display()))?;
         let operator = match &self.operator {
-            Some(path) => Operator::load(path).map_err(|e| e.to_string())?,
-            None => Operator::default(),
+            Some(path) => OperatorConfig::load(path).map_err(|e| e.to_string())?,
+            None => OperatorConfig::default(),
         };
         Ok((config, operator))
     }
@@ -151,7 +151,7 @@
 /// The mailboxes of the actors whose peers can move.
 struct Links {
     files: Files,
-    operator: Operator,
+    operator: OperatorConfig,
     pool: async_channel::Sender<WorkerPoolMessage>,
     index: Option<async_channel::Sender<UpstreamMessage>>,
     catalog: async_channel::Sender<RegistryMessage>,
@@ -208,7 +208,7 @@
 async fn serve(
     files: Files,
     mut config: Config,
-    operator: Operator,
+    operator: OperatorConfig,
     executor: Rc<LocalExecutor<'static>>,
     log: Logger,
 ) -> Result<(), String> {
--- a/src/operator/config_sync.rs
+++ b/src/operator/config_sync.rs
@@ -1,8 +1,8 @@
 //! The block `config_sync`: tenant allowances, routes and class limits that come from the fleet's publisher by way of
 //! relays, in force without a restart.
 
-use super::OperatorFault;
-use super::fault::Source;
+use super::error::{FleetKeyError, KeyError, OperatorConfigError};
+use super::source::Source;
 use hcl_edit::Span as _;
 use hcl_edit::structure::Block;
 use serde::Deserialize;
@@ -11,17 +11,19 @@
 use std::io::Read as _;
 use std::net::SocketAddr;
 
+/// Name of the blocks of relays.
+const BLOCK_RELAY: &str = "relay";
 /// The longest name of a relay, zone or region, in bytes.
-const MAX_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// The most relays that one server may be given.
 const MAX_RELAYS: usize = 64;
-/// Tenants at most where the file does not say, and the most that it may say.
+/// The most tenants where nothing is stated, and the largest value that may be stated.
 const DEFAULT_MAX_TENANTS: usize = 1_000_000;
-const MOST_TENANTS: usize = 4_000_000;
-/// Routes at most where the file does not say, and the most that it may say.
+const LARGEST_MAX_TENANTS: usize = 4_000_000;
+/// The most routes where nothing is stated, and the largest value that may be stated.
 const DEFAULT_MAX_ROUTES: usize = 200_000;
-const MOST_ROUTES: usize = 1_000_000;
-/// The fleet's key, in bytes.
+const LARGEST_MAX_ROUTES: usize = 1_000_000;
+/// The length of the fleet's key, in bytes.
 const KEY_BYTES: std::ops::RangeInclusive<usize> = 16..=1024;
 
 /// A relay or publisher that may be watched.
@@ -46,13 +48,13 @@
     pub region: String,
     /// The file that holds the fleet's key.
     pub key_file: String,
-    /// Where the last good state is kept; without one, a restart begins with what the platform says.
+    /// Where the last good state is stored; without it, a restart begins with the platform's settings.
     pub state_directory: Option<String>,
-    /// Tenants at most, the platform's among them.
+    /// The most tenants, including the platform's.
     pub max_tenants: usize,
-    /// Routes at most.
+    /// The most routes.
     pub max_routes: usize,
-    /// Whom to watch, by name.
+    /// The servers to watch, by name.
     pub relays: Vec<RelaySettings>,
 }
 
@@ -60,17 +62,17 @@
     /// Reads the fleet's key.
     ///
     /// # Errors
-    /// If the file can't be read or the key is too short or too long; the key itself is never part of the text.
-    pub fn fleet_key(&self) -> Result<Vec<u8>, String> {
-        let fault = |what: String| format!("config_sync: `key_file`: {}: {what}", self.key_file);
-        let file = std::fs::File::open(&self.key_file).map_err(|e| fault(format!("can't be read: {e}")))?;
-        let (mut key, longest) = (Vec::new(), *KEY_BYTES.end());
-        let read = file.take(longest as u64 + 1).read_to_end(&mut key);
-        read.map_err(|e| fault(format!("can't be read: {e}")))?;
+    /// If the file can't be read, or the key is too short or too long.
+    pub fn fleet_key(&self) -> Result<Vec<u8>, FleetKeyError> {
+        let read_error = |source| FleetKeyError::Read { file: self.key_file.clone(), source };
+        let (shortest, longest) = (*KEY_BYTES.start(), *KEY_BYTES.end());
+        let file = std::fs::File::open(&self.key_file).map_err(read_error)?;
+        let mut key = Vec::new();
+        file.take(longest as u64 + 1).read_to_end(&mut key).map_err(read_error)?;
         if KEY_BYTES.contains(&key.len()) {
             return Ok(key);
         }
-        Err(fault(format!("wanted a key of {} to {longest} bytes", KEY_BYTES.start())))
+        Err(FleetKeyError::Length { file: self.key_file.clone(), shortest, longest })
     }
 }
 
@@ -96,26 +98,24 @@
     region: Option<String>,
 }
 
-/// A key, as a path within the block, and what is wrong with it.
-type KeyFault = (String, String);
-
 /// Reads the block.
-pub(super) fn read(source: &Source, block: &Block) -> Result<ConfigSyncSettings, OperatorFault> {
+pub(super) fn read(source: &Source, block: &Block) -> Result<ConfigSyncSettings, OperatorConfigError> {
     check_relay_labels(source, block)?;
     let raw: RawConfigSync = source.block(block)?;
-    raw.check().map_err(|(key, what)| source.key_fault(block, &key, what))
+    raw.check().map_err(|error| source.key_error(block, error))
 }
 
-fn check_relay_labels(source: &Source, block: &Block) -> Result<(), OperatorFault> {
+fn check_relay_labels(source: &Source, block: &Block) -> Result<(), OperatorConfigError> {
     let mut seen: Vec<&str> = Vec::new();
-    for relay in block.body.get_blocks("relay") {
-        let fault = |what: &str| Err(source.fault(relay.span(), Some(block), Some("relay"), what.to_owned()));
+    for relay in block.body.get_blocks(BLOCK_RELAY) {
+        let error =
+            |reason: &str| Err(source.error(relay.span(), Some(block), Some(BLOCK_RELAY), reason.to_owned()));
         let [label] = &relay.labels[..] else {
-            return fault("takes one label, its name: relay \"name\" {");
+            return error("takes one label, its name: relay \"name\" {");
         };
         let name = label.as_str();
         if seen.contains(&name) {
-            return fault(&format!("\"{name}\" stands here a second time"));
+            return error(&format!("\"{name}\" stands here a second time"));
         }
         seen.push(name);
     }
@@ -123,23 +123,23 @@
 }
 
 impl RawConfigSync {
-    fn check(self) -> Result<ConfigSyncSettings, KeyFault> {
+    fn check(self) -> Result<ConfigSyncSettings, KeyError> {
         check_name("zone", &self.zone)?;
         check_name("region", &self.region)?;
         check_given("key_file", &self.key_file)?;
         self.state_directory.iter().try_for_each(|directory| check_given("state_directory", directory))?;
         if self.relay.is_empty() {
-            return Err(("relay".to_owned(), "is missing: name at least one to watch".to_owned()));
+            return Err(KeyError::new(BLOCK_RELAY, "is missing: name at least one to watch"));
         }
         if self.relay.len() > MAX_RELAYS {
-            return Err(("relay".to_owned(), format!("names more than {MAX_RELAYS}")));
+            return Err(KeyError::new(BLOCK_RELAY, format!("names more than {MAX_RELAYS}")));
         }
         let region = &self.region;
         let relays = self.relay.into_iter().map(|(name, relay)| relay.check(name, region));
         Ok(ConfigSyncSettings {
             relays: relays.collect::<Result<_, _>>()?,
-            max_tenants: count("max_tenants", self.max_tenants, DEFAULT_MAX_TENANTS, MOST_TENANTS)?,
-            max_routes: count("max_routes", self.max_routes, DEFAULT_MAX_ROUTES, MOST_ROUTES)?,
+            max_tenants: count("max_tenants", self.max_tenants, DEFAULT_MAX_TENANTS, LARGEST_MAX_TENANTS)?,
+            max_routes: count("max_routes", self.max_routes, DEFAULT_MAX_ROUTES, LARGEST_MAX_ROUTES)?,
             zone: self.zone,
             region: self.region,
             key_file: self.key_file,
@@ -149,7 +149,7 @@
 }
 
 impl RawRelay {
-    fn check(self, name: String, own_region: &str) -> Result<RelaySettings, KeyFault> {
+    fn check(self, name: String, own_region: &str) -> Result<RelaySettings, KeyError> {
         check_name(&format!("relay.{name}"), &name)?;
         if let Some(zone) = &self.zone {
             check_name(&format!("relay.{name}.zone"), zone)?;
@@ -160,23 +160,24 @@
     }
 }
 
-fn check_name(key: &str, name: &str) -> Result<(), KeyFault> {
-    if (1..=MAX_NAME).contains(&name.len()) {
+fn check_name(key: &str, name: &str) -> Result<(), KeyError> {
+    if (1..=MAX_NAME_BYTES).contains(&name.len()) {
         return Ok(());
     }
-    Err((key.to_owned(), format!("a name of {} bytes, wanted 1 to {MAX_NAME}", name.len())))
+    let reason = format!("a name of {} bytes, wanted 1 to {MAX_NAME_BYTES}", name.len());
+    Err(KeyError::new(key.to_owned(), reason))
 }
 
-fn check_given(key: &str, text: &str) -> Result<(), KeyFault> {
-    if text.is_empty() { Err((key.to_owned(), "is empty".to_owned())) } else { Ok(()) }
+fn check_given(key: &str, text: &str) -> Result<(), KeyError> {
+    if text.is_empty() { Err(KeyError::new(key.to_owned(), "is empty")) } else { Ok(()) }
 }
 
-fn count(key: &str, stated: Option<u64>, default: usize, most: usize) -> Result<usize, KeyFault> {
-    let n = stated.map_or(default as u64, |n| n);
-    if (1..=most as u64).contains(&n) {
-        return Ok(n as usize);
+fn count(key: &'static str, stated: Option<u64>, default: usize, largest: usize) -> Result<usize, KeyError> {
+    let count = stated.unwrap_or(default as u64);
+    if (1..=largest as u64).contains(&count) {
+        return Ok(count as usize);
     }
-    Err((key.to_owned(), format!("{n} is not within 1 and {most}")))
+    Err(KeyError::new(key, format!("{count} is not within 1 and {largest}")))
 }
 
 impl fmt::Display for ConfigSyncSettings {
@@ -208,7 +209,7 @@
     }
 }
 
-/// Text as HCL quotes it.
+/// Returns a text as HCL quotes it.
 fn quoted(text: &str) -> hcl::Expression {
     hcl::Expression::from(text)
 }
--- a/src/operator/duration.rs
+++ b/src/operator/duration.rs
@@ -1,6 +1,6 @@
 //! Lengths of time in an operator file: as text such as `15m`, and within a range.
 
-use super::fault::KeyFault;
+use super::error::KeyError;
 use std::time::Duration;
 
 /// Lengths of time as text: `50ms`, `15m`, `1h 30m`.
@@ -31,11 +31,11 @@
     default: u64,
     least: u64,
     most: u64,
-) -> Result<u64, KeyFault> {
+) -> Result<u64, KeyError> {
     let ms = value.map_or(default, |d| d.as_millis().min(u128::from(u64::MAX)) as u64);
     if (least..=most).contains(&ms) {
         Ok(ms)
     } else {
-        Err(KeyFault::new(key, format!("{} is not within {} and {}", text(ms), text(least), text(most))))
+        Err(KeyError::new(key, format!("{} is not within {} and {}", text(ms), text(least), text(most))))
     }
 }
--- a/src/operator/ledger.rs
+++ b/src/operator/ledger.rs
@@ -1,7 +1,7 @@
 //! The block `ledger` of the operator file: where and how usage is billed.
 
 use super::duration::{humantime_text, range_ms, text};
-use super::fault::KeyFault;
+use super::error::KeyError;
 use dunlinspread_ledger::{DurabilityMode, FailurePolicy};
 use serde::Deserialize;
 use std::fmt;
@@ -142,7 +142,7 @@
     ///
     /// # Errors
     /// With the first key that is faulty.
-    pub(super) fn check(self, name: &str) -> Result<LedgerConfig, KeyFault> {
+    pub(super) fn check(self, name: &str) -> Result<LedgerConfig, KeyError> {
         let period_ms = range_ms("period", self.period, DEFAULT_PERIOD_MS, MIN_PERIOD_MS, MAX_PERIOD_MS)?;
         let default_grace_ms = period_ms.min(DEFAULT_GRACE_MS);
         let grace_ms = range_ms("grace", self.grace, default_grace_ms, 0, period_ms)?;
@@ -152,7 +152,7 @@
         let peers = self.peers.map(RawPeers::check).transpose()?;
         let batch_lines = check_batch_lines(self.batch_lines)?;
         if self.directory.is_empty() {
-            return Err(KeyFault::new("directory", "is empty"));
+            return Err(KeyError::new("directory", "is empty"));
         }
         Ok(LedgerConfig {
             name: name.to_owned(),
@@ -171,13 +171,13 @@
 
 impl RawMode {
     /// Returns the mode with its two keys, which belong to interval mode alone.
-    fn check(self, interval: Option<Duration>, at_risk: Option<u64>) -> Result<DurabilityMode, KeyFault> {
+    fn check(self, interval: Option<Duration>, at_risk: Option<u64>) -> Result<DurabilityMode, KeyError> {
         match self {
             RawMode::Strict if interval.is_some() => {
-                Err(KeyFault::new("interval", "belongs to mode \"interval\""))
+                Err(KeyError::new("interval", "belongs to mode \"interval\""))
             }
             RawMode::Strict if at_risk.is_some() => {
-                Err(KeyFault::new("at_risk", "belongs to mode \"interval\""))
+                Err(KeyError::new("at_risk", "belongs to mode \"interval\""))
             }
             RawMode::Strict => Ok(DurabilityMode::Strict),
             RawMode::Interval => {
@@ -186,7 +186,7 @@
                 let at_risk = at_risk.unwrap_or(DEFAULT_AT_RISK);
                 if at_risk == 0 {
                     let what = "with 0 no answer could leave; mode \"strict\" is that";
-                    return Err(KeyFault::new("at_risk", what));
+                    return Err(KeyError::new("at_risk", what));
                 }
                 Ok(DurabilityMode::Interval { every_ms, at_risk })
             }
@@ -204,22 +204,22 @@
 }
 
 impl RawExport {
-    fn check(self) -> Result<ExportTarget, KeyFault> {
+    fn check(self) -> Result<ExportTarget, KeyError> {
         match (self.folder, self.collector) {
             (Some(folder), None) => Ok(ExportTarget::Folder(folder)),
             (None, Some(address)) => Ok(ExportTarget::Collector(address)),
-            _ => Err(KeyFault::new("export", "takes either `folder` or `collector`")),
+            _ => Err(KeyError::new("export", "takes either `folder` or `collector`")),
         }
     }
 }
 
 impl RawPeers {
-    fn check(self) -> Result<PeerSettings, KeyFault> {
+    fn check(self) -> Result<PeerSettings, KeyError> {
         if self.listen.is_none() && self.ask.is_empty() {
-            return Err(KeyFault::new("peers", "names neither `listen` nor whom to `ask`"));
+            return Err(KeyError::new("peers", "names neither `listen` nor whom to `ask`"));
         }
         if self.ask.len() > MAX_PEERS_ASKED {
-            return Err(KeyFault::new("peers", format!("asks more than {MAX_PEERS_ASKED}")));
+            return Err(KeyError::new("peers", format!("asks more than {MAX_PEERS_ASKED}")));
         }
         let every_ms = range_ms(
             "peers",
@@ -232,13 +232,13 @@
     }
 }
 
-fn check_batch_lines(batch_lines: Option<u64>) -> Result<usize, KeyFault> {
+fn check_batch_lines(batch_lines: Option<u64>) -> Result<usize, KeyError> {
     let batch_lines = batch_lines.unwrap_or(DEFAULT_BATCH_LINES);
     if BATCH_LINES.contains(&batch_lines) {
         return Ok(batch_lines as usize);
     }
     let (least, most) = (BATCH_LINES.start(), BATCH_LINES.end());
-    Err(KeyFault::new("batch_lines", format!("{batch_lines} is not within {least} and {most}")))
+    Err(KeyError::new("batch_lines", format!("{batch_lines} is not within {least} and {most}")))
 }
 
 impl fmt::Display for LedgerConfig {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,23 +1,23 @@
 //! The operator file: what it sets reads back, and faults name file, line, block and key.
 
-use dunlinspread::operator::{LogFormat, LogLevel, LogSettings, Operator};
+use dunlinspread::operator::{LogFormat, LogLevel, LogSettings, OperatorConfig};
 use dunlinspread_ledger::DurabilityMode;
 
 fn fault(text: &str) -> String {
-    Operator::read(text, "op.hcl").expect_err("it is faulty").to_string()
+    OperatorConfig::read(text, "op.hcl").expect_err("it is faulty").to_string()
 }
 
 #[test]
 fn an_empty_file_sets_nothing() {
-    assert_eq!(Operator::read("# nothing\n", "op.hcl"), Ok(Operator::default()));
+    assert_eq!(OperatorConfig::read("# nothing\n", "op.hcl"), Ok(OperatorConfig::default()));
 }
 
 #[test]
 fn what_is_in_force_reads_back() {
-    let operator =
-        Operator::read("log {\n  format = \"json\"\n  level = \"warning\"\n}\n", "op.hcl").expect("good");
+    let operator = OperatorConfig::read("log {\n  format = \"json\"\n  level = \"warning\"\n}\n", "op.hcl")
+        .expect("good");
     assert_eq!(operator.log, LogSettings { format: LogFormat::Json, level: LogLevel::Warning });
-    assert_eq!(Operator::read(&operator.to_string(), "printed"), Ok(operator));
+    assert_eq!(OperatorConfig::read(&operator.to_string(), "printed"), Ok(operator));
 }
 
 #[test]
@@ -25,11 +25,11 @@
     let text = "ledger \"rounds\" {\n  directory = \"/var/lib/x\"\n  period = \"1h\"\n  mode = \"interval\"\n  \
                 export {\n    collector = \"127.0.0.1:9000\"\n  }\n  peers {\n    listen = \"127.0.0.1:9001\"\n    \
                 ask = [\"127.0.0.1:9002\"]\n  }\n}\n";
-    let operator = Operator::read(text, "op.hcl").expect("good");
+    let operator = OperatorConfig::read(text, "op.hcl").expect("good");
     let ledger = operator.ledger.as_ref().expect("a ledger");
     assert_eq!((ledger.period_ms, ledger.grace_ms), (3_600_000, 5000));
     assert_eq!(ledger.mode, DurabilityMode::Interval { every_ms: 50, at_risk: 1000 });
-    assert_eq!(Operator::read(&operator.to_string(), "printed"), Ok(operator));
+    assert_eq!(OperatorConfig::read(&operator.to_string(), "printed"), Ok(operator));
 }
 
 #[test]
@@ -84,7 +84,7 @@
 
 #[test]
 fn config_sync_reads_back_with_its_defaults() {
-    let operator = Operator::read(CONFIG_SYNC, "op.hcl").expect("good");
+    let operator = OperatorConfig::read(CONFIG_SYNC, "op.hcl").expect("good");
     let settings = operator.config_sync.as_ref().expect("the block");
     assert_eq!((settings.max_tenants, settings.max_routes), (1_000_000, 200_000));
     assert_eq!(settings.state_directory, None);
@@ -94,15 +94,15 @@
         .map(|r| (r.name.as_str(), r.address.port(), r.zone.as_deref(), r.region.as_str()))
         .collect();
     assert_eq!(relays, [("r2-a", 7002, None, "r2"), ("z3-a", 7001, Some("z3"), "r1")]);
-    assert_eq!(Operator::read(&operator.to_string(), "printed"), Ok(operator));
+    assert_eq!(OperatorConfig::read(&operator.to_string(), "printed"), Ok(operator));
 }
 
 #[test]
 fn config_sync_reads_back_whatever_its_names_hold() {
     let odd = CONFIG_SYNC.replace("/etc/dunlinspread/fleet.key", r#"a \"quoted\" $${path} %%{x} \\ \n"#);
-    let operator = Operator::read(&odd, "op.hcl").expect("good");
+    let operator = OperatorConfig::read(&odd, "op.hcl").expect("good");
     let printed = operator.to_string();
-    assert_eq!(Operator::read(&printed, "printed"), Ok(operator), "{printed}");
+    assert_eq!(OperatorConfig::read(&printed, "printed"), Ok(operator), "{printed}");
 }
 
 #[test]
@@ -150,14 +150,14 @@
 fn a_fleet_key_of_a_wrong_length_is_refused_and_not_printed() {
     let path = std::env::temp_dir().join(format!("dunlinspread-membership-key-{}", std::process::id()));
     let text = CONFIG_SYNC.replace("/etc/dunlinspread/fleet.key", &path.display().to_string());
-    let settings = Operator::read(&text, "op.hcl").expect("good").config_sync.expect("the block");
-    let missing = settings.fleet_key().expect_err("there is no file");
+    let settings = OperatorConfig::read(&text, "op.hcl").expect("good").config_sync.expect("the block");
+    let missing = settings.fleet_key().expect_err("there is no file").to_string();
     assert!(missing.contains("`key_file`") && missing.contains("can't be read"), "{missing}");
     let outcomes: Vec<_> = [15, 16, 1024, 1025]
         .into_iter()
         .map(|length| {
             std::fs::write(&path, "k".repeat(length)).expect("a temporary file");
-            settings.fleet_key().map(|key| key.len())
+            settings.fleet_key().map(|key| key.len()).map_err(|error| error.to_string())
         })
         .collect();
     std::fs::remove_file(&path).expect("it is there");
@@ -168,6 +168,6 @@
 #[test]
 fn the_annotated_example_is_good() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.example.hcl");
-    let operator = Operator::load(std::path::Path::new(path)).expect("good");
+    let operator = OperatorConfig::load(std::path::Path::new(path)).expect("good");
     assert!(operator.ledger.is_some() && operator.config_sync.is_some());
 }
