--- a/src/daemon/config_sync.rs
+++ b/src/daemon/config_sync.rs
@@ -1,11 +1,12 @@
-//! Distributed configuration in the process: starts the subscriber's thread, puts its updates in force on the serving
+//! DistributedSettings configuration in the process: starts the subscriber's thread, puts its updates in force on the serving
 //! thread, confirms them, and says in the log when it is cut off and when it is healed. Serving never waits for a relay:
 //! only the state on disk, if there is one, is in force before the first request.
 
 use crate::config::Config;
 use crate::operator::{ConfigSyncSettings, RelaySettings};
 use crate::server::distributed_config::{
-    Capacity, Distributed, InForce, Platform, PutError, ServerJudge, Taken,
+    AppliedCounts, ApplyError, Capacity, ChangeValidator, DistributedSettings, EffectiveSettings,
+    PlatformSettings,
 };
 use crate::server::messages::DispatcherMessage;
 use crate::server::name_table::NameTable;
@@ -51,7 +52,7 @@
 pub struct Following {
     client: Client,
     updates: Receiver<Update>,
-    distributed: Rc<Distributed>,
+    distributed: Rc<DistributedSettings>,
     core: Sender<DispatcherMessage>,
     wheel: Rc<TimerWheel>,
     clock: Clock,
@@ -61,8 +62,8 @@
 
 impl ConfigSync<'_> {
     /// Starts the subscriber's thread and puts the state on disk, if there is one, in force.
-    pub async fn start(self) -> Result<(Rc<Distributed>, Following), String> {
-        let platform = Platform {
+    pub async fn start(self) -> Result<(Rc<DistributedSettings>, Following), String> {
+        let platform = PlatformSettings {
             classes: self.classes.clone(),
             tenants: self.tenants.clone(),
             quotas: self.config.settings.tenant_quotas.clone(),
@@ -73,14 +74,14 @@
             let (listed, most) = (self.tenants.len(), capacity.max_tenants);
             return Err(format!("config_sync: `max_tenants`: {most}, and the platform lists {listed}"));
         }
-        let judge = ServerJudge::new(self.classes, self.tenants, capacity, self.log.clone());
+        let judge = ChangeValidator::new(self.classes, self.tenants, capacity, self.log.clone());
         let (send_updates, updates) = async_channel::bounded(UPDATES);
         let settings = client_settings(self.settings, &self.config.name)?;
         let client = Client::start(settings, Box::new(judge), send_updates, self.log.clone());
         let mut following = Following {
             client: client.map_err(|e| format!("config_sync: {e}"))?,
             updates,
-            distributed: Rc::new(Distributed::new(InForce::new(Arc::new(platform)))),
+            distributed: Rc::new(DistributedSettings::new(EffectiveSettings::new(Arc::new(platform)))),
             core: self.core,
             wheel: self.wheel,
             link: LinkWatch::new(self.clock.now()),
@@ -126,15 +127,15 @@
         }
     }
 
-    async fn put_in_force(&mut self, update: Update) -> Result<(), PutError> {
+    async fn put_in_force(&mut self, update: Update) -> Result<(), ApplyError> {
         let position = update.position;
-        let taken = self.distributed.put_in_force(update.changes, &self.core, &self.wheel).await?;
+        let taken = self.distributed.apply(update.changes, &self.core, &self.wheel).await?;
         self.client.applied(position);
         self.say_first(&taken, position.epoch, position.revision);
         Ok(())
     }
 
-    fn say_first(&mut self, taken: &Taken, epoch: u64, revision: u64) {
+    fn say_first(&mut self, taken: &AppliedCounts, epoch: u64, revision: u64) {
         let first = self.link.position.is_none();
         self.link.position = Some((epoch, revision));
         if first {
--- a/src/server/distributed_config/mod.rs
+++ b/src/server/distributed_config/mod.rs
@@ -1,14 +1,16 @@
-//! Distributed settings in a round server: tenant allowances, routes and class limits that come from the fleet's
-//! publisher and are in force beside what the platform's file says.
+//! Distributed settings of a server: tenant quotas, routes and class limits that come from the fleet's publisher and are
+//! in force beside the platform's file.
 //!
-//! [`InForce`] holds what is in force as positions of tenants and classes by their names, without I/O. [`ServerJudge`]
-//! refuses what this server can't put in force. [`Distributed`] is the serving thread's side: it swaps the state in one
-//! step between two requests, so that none is judged by half a change.
+//! [`EffectiveSettings`] holds what is in force as positions of tenants and classes by name, without I/O.
+//! [`ChangeValidator`] rejects changes that this server can't apply. [`DistributedSettings`] is the serving thread's
+//! side: it swaps the state in one step between two requests, so that no request sees half a change.
 
-mod in_force;
-mod judge;
-mod serving;
+mod change_validator;
+mod distributed_settings;
+mod effective_settings;
+mod error;
 
-pub use in_force::{InForce, Platform};
-pub use judge::{Capacity, ServerJudge};
-pub use serving::{Distributed, Pass, PutError, Taken};
+pub use change_validator::{Capacity, ChangeValidator};
+pub use distributed_settings::{AppliedCounts, DistributedSettings, LookupGuard};
+pub use effective_settings::{EffectiveSettings, PlatformSettings};
+pub use error::{ApplyError, ChangeError};
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -1,7 +1,7 @@
 //! State and settings shared by all client connections.
 
 use crate::admission::{Class, RequestId};
-use crate::server::distributed_config::Distributed;
+use crate::server::distributed_config::DistributedSettings;
 use crate::server::messages::DispatcherMessage;
 use crate::server::name_table::NameTable;
 use crate::server::timer_wheel::{Clock, TimerWheel};
@@ -25,7 +25,7 @@
     /// The tenants by name; empty at a site that has none.
     pub tenants: Arc<NameTable>,
     /// The distributed settings, if there are any.
-    pub distributed: Option<Rc<Distributed>>,
+    pub distributed: Option<Rc<DistributedSettings>>,
     /// Whether each request states how long its client waits.
     pub passes_deadline: bool,
     /// The clock.
--- a/src/server/frontend/reader.rs
+++ b/src/server/frontend/reader.rs
@@ -57,7 +57,7 @@
             match self.decoder.next_message() {
                 Ok(Some(message)) => {
                     if let Some(distributed) = &self.context.distributed {
-                        distributed.may_look_up(&self.context.wheel).await;
+                        distributed.wait_for_pending_change(&self.context.wheel).await;
                     }
                     // The client was notified, or its time is up: what crosses the close is not accepted.
                     if !self.connection.accepts_requests() {
@@ -155,7 +155,7 @@
 
     /// Sends a message whose names were looked up, so that no change of settings passes it on its way.
     async fn send(&self, message: DispatcherMessage) {
-        let _guard = self.context.distributed.as_ref().map(|distributed| distributed.pass());
+        let _guard = self.context.distributed.as_ref().map(|distributed| distributed.guard_lookup());
         // The dispatcher's queue closes only at the end of the process.
         let _ = self.context.dispatcher.send(message).await;
     }
--- a/tests/config_sync.rs
+++ b/tests/config_sync.rs
@@ -115,7 +115,7 @@
     });
     assert_eq!((&*reasons[0].member, reasons[0].position), ("n3", refused));
     assert!(reasons[0].reason.contains("class `sing` is not known"), "{reasons:?}");
-    let line = site.daemon.logged("a change is refused");
+    let line = site.daemon.logged("configuration change rejected");
     assert!(line.contains("class `sing` is not known"), "{line}");
     let mut caller = Caller::new(site.daemon.address);
     assert_eq!(caller.ask("shelf", "t0"), Answer::Served);
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -1,6 +1,8 @@
-//! What distributed settings are in force, against a plain map; and what a server's judge lets through.
+//! Effective settings against a plain map of the resources, and the validation of changes.
 
-use dunlinspread::server::distributed_config::{Capacity, InForce, Platform, ServerJudge};
+use dunlinspread::server::distributed_config::{
+    Capacity, ChangeValidator, EffectiveSettings, PlatformSettings,
+};
 use dunlinspread::server::name_table::NameTable;
 use dunlinspread::{ClassLimitChange, Reconfiguration};
 use dunlinspread_config_sync::client::Judge;
@@ -20,8 +22,8 @@
     Arc::new(NameTable::new(&list))
 }
 
-fn platform() -> Platform {
-    Platform {
+fn platform() -> PlatformSettings {
+    PlatformSettings {
         classes: names(&CLASSES),
         tenants: names(&TENANTS[..OF_PLATFORM]),
         quotas: vec![10.0, 11.0, 12.0],
@@ -85,27 +87,27 @@
 
 proptest! {
     #[test]
-    fn what_is_in_force_is_what_a_map_of_the_resources_says(
+    fn effective_settings_match_a_map_of_the_resources(
         updates in prop::collection::vec(any_update(), 1..40),
     ) {
-        let mut in_force = InForce::new(Arc::new(platform()));
+        let mut effective = EffectiveSettings::new(Arc::new(platform()));
         let mut module = Module { quotas: [(0, 10.0), (1, 11.0), (2, 12.0)].into(), ..Module::default() };
         let mut model: BTreeMap<Key, Resource> = BTreeMap::new();
         // Positions that a request read before a change could still carry.
         let mut carried: BTreeSet<usize> = BTreeSet::new();
         for (changes, settled) in updates {
             let before: BTreeMap<&str, usize> =
-                TENANTS.iter().filter_map(|t| Some((*t, in_force.tenant(t)?))).collect();
-            module.take(&in_force.apply(&changes));
+                TENANTS.iter().filter_map(|t| Some((*t, effective.tenant(t)?))).collect();
+            module.take(&effective.apply(&changes));
             for change in changes {
                 match change {
                     Change::Put(resource) => drop(model.insert(resource.key(), resource)),
                     Change::Delete(key) => drop(model.remove(&key)),
                 }
             }
-            check(&in_force, &module, &model)?;
+            check(&effective, &module, &model)?;
             for (at, tenant) in TENANTS.iter().enumerate() {
-                let after = in_force.tenant(tenant);
+                let after = effective.tenant(tenant);
                 match (before.get(tenant), after) {
                     (Some(before), Some(after)) => prop_assert_eq!(*before, after, "{} moved", tenant),
                     (None, Some(after)) => prop_assert!(!carried.contains(&after), "{} reused too early", after),
@@ -115,21 +117,25 @@
                 prop_assert!(at >= OF_PLATFORM || after == Some(at));
             }
             if settled {
-                in_force.settle();
+                effective.recycle_positions();
                 carried.clear();
             }
         }
         // All positions but the platform's are given back and serve anew.
         let gone: Vec<Change> = TENANTS.iter().map(|t| Change::Delete(Key::Tenant((*t).into()))).collect();
-        module.take(&in_force.apply(&gone));
-        in_force.settle();
+        module.take(&effective.apply(&gone));
+        effective.recycle_positions();
         let most = module.quotas.keys().max().copied().unwrap_or(0);
         prop_assert_eq!(most, OF_PLATFORM - 1);
-        prop_assert_eq!(in_force.counts().0, 0);
+        prop_assert_eq!(effective.tenant_count(), 0);
     }
 }
 
-fn check(in_force: &InForce, module: &Module, model: &BTreeMap<Key, Resource>) -> Result<(), TestCaseError> {
+fn check(
+    effective: &EffectiveSettings,
+    module: &Module,
+    model: &BTreeMap<Key, Resource>,
+) -> Result<(), TestCaseError> {
     let mut positions = BTreeSet::new();
     for (at, tenant) in TENANTS.iter().enumerate() {
         let stated = match model.get(&Key::Tenant((*tenant).into())) {
@@ -139,7 +145,7 @@
             _ if at < OF_PLATFORM => Some(10.0 + at as f64),
             _ => None,
         };
-        let position = in_force.tenant(tenant);
+        let position = effective.tenant(tenant);
         prop_assert_eq!(position.is_some(), stated.is_some(), "{}", tenant);
         prop_assert_eq!(position.and_then(|p| module.quotas.get(&p).copied()), stated, "{}", tenant);
         prop_assert!(position.is_none_or(|p| positions.insert(p)), "a position stands for two tenants");
@@ -150,7 +156,7 @@
             Some(Resource::Route { class, .. }) => CLASSES.iter().position(|c| **c == **class),
             _ => None,
         };
-        prop_assert_eq!(in_force.route(route.as_bytes()), class, "{}", route);
+        prop_assert_eq!(effective.route(route.as_bytes()), class, "{}", route);
     }
     for (at, class) in CLASSES.iter().enumerate() {
         let limit = match model.get(&Key::Class((*class).into())) {
@@ -162,40 +168,40 @@
     Ok(())
 }
 
-fn judge(max_tenants: usize, max_routes: usize) -> ServerJudge {
+fn validator(max_tenants: usize, max_routes: usize) -> ChangeValidator {
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let capacity = Capacity { max_tenants, max_routes };
-    ServerJudge::new(names(&CLASSES), names(&TENANTS[..OF_PLATFORM]), capacity, log)
+    ChangeValidator::new(names(&CLASSES), names(&TENANTS[..OF_PLATFORM]), capacity, log)
 }
 
 #[test]
 fn a_class_that_this_server_has_not_is_refused_by_name() {
-    let judge = judge(10, 10);
-    assert_eq!(judge.judge(&[put_route("r0", "read"), put_limit("write", 3)]), Ok(()));
+    let validator = validator(10, 10);
+    assert_eq!(validator.judge(&[put_route("r0", "read"), put_limit("write", 3)]), Ok(()));
     assert_eq!(
-        judge.judge(&[put_route("r1", "read"), put_route("r2", "sing")]),
+        validator.judge(&[put_route("r1", "read"), put_route("r2", "sing")]),
         Err("route `r2`: class `sing` is not known on this server".to_owned())
     );
     assert_eq!(
-        judge.judge(&[put_limit("sing", 3)]),
+        validator.judge(&[put_limit("sing", 3)]),
         Err("class `sing` is not known on this server".to_owned())
     );
-    assert_eq!(judge.judge(&[Change::Delete(Key::Class("sing".into()))]), Ok(()));
+    assert_eq!(validator.judge(&[Change::Delete(Key::Class("sing".into()))]), Ok(()));
 }
 
 #[test]
 fn a_change_past_the_capacity_is_refused_and_counts_for_nothing() {
-    let judge = judge(5, 1);
-    assert_eq!(judge.judge(&[put_tenant("t3", 1), put_tenant("t4", 1)]), Ok(()));
+    let validator = validator(5, 1);
+    assert_eq!(validator.judge(&[put_tenant("t3", 1), put_tenant("t4", 1)]), Ok(()));
     let full = Err("6 tenants, this server takes 5".to_owned());
-    assert_eq!(judge.judge(&[put_tenant("t5", 1)]), full);
+    assert_eq!(validator.judge(&[put_tenant("t5", 1)]), full);
     // The platform's and those that are there may change.
-    assert_eq!(judge.judge(&[put_tenant("t0", 1), put_tenant("t4", 2)]), Ok(()));
-    assert_eq!(judge.judge(&[put_tenant("t5", 1), Change::Delete(Key::Tenant("t4".into()))]), Ok(()));
-    assert_eq!(judge.judge(&[put_tenant("t4", 1)]), full);
+    assert_eq!(validator.judge(&[put_tenant("t0", 1), put_tenant("t4", 2)]), Ok(()));
+    assert_eq!(validator.judge(&[put_tenant("t5", 1), Change::Delete(Key::Tenant("t4".into()))]), Ok(()));
+    assert_eq!(validator.judge(&[put_tenant("t4", 1)]), full);
     // Deleting a platform's tenant's allowance gives no place free: the platform's value comes back.
-    assert_eq!(judge.judge(&[put_tenant("t4", 1), Change::Delete(Key::Tenant("t0".into()))]), full);
-    assert_eq!(judge.judge(&[put_route("r0", "read")]), Ok(()));
-    assert_eq!(judge.judge(&[put_route("r0", "write")]), Ok(()));
-    assert_eq!(judge.judge(&[put_route("r1", "read")]), Err("2 routes, this server takes 1".to_owned()));
+    assert_eq!(validator.judge(&[put_tenant("t4", 1), Change::Delete(Key::Tenant("t0".into()))]), full);
+    assert_eq!(validator.judge(&[put_route("r0", "read")]), Ok(()));
+    assert_eq!(validator.judge(&[put_route("r0", "write")]), Ok(()));
+    assert_eq!(validator.judge(&[put_route("r1", "read")]), Err("2 routes, this server takes 1".to_owned()));
 }
--- a/tests/swap.rs
+++ b/tests/swap.rs
@@ -3,7 +3,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use dunlinspread::server::distributed_config::{Distributed, InForce, Platform};
+use dunlinspread::server::distributed_config::{DistributedSettings, EffectiveSettings, PlatformSettings};
 use dunlinspread::server::messages::{DispatcherMessage, IncomingRequest, ReplyHandle};
 use dunlinspread::server::name_table::NameTable;
 use dunlinspread::server::timer_wheel::{Clock, TimerWheel};
@@ -22,9 +22,9 @@
 /// Far fewer than there are frontends, so that many of them wait to send.
 const MAILBOX: usize = 2;
 
-fn platform() -> Arc<Platform> {
+fn platform() -> Arc<PlatformSettings> {
     let classes: Vec<String> = (0..CLASSES).map(|class| format!("c{class}")).collect();
-    Arc::new(Platform {
+    Arc::new(PlatformSettings {
         classes: Arc::new(NameTable::new(&classes)),
         tenants: Arc::new(NameTable::new(&["own".to_owned()])),
         quotas: vec![1.0],
@@ -49,7 +49,7 @@
 
 /// The tasks under test, and what they share.
 struct Tasks {
-    distributed: Rc<Distributed>,
+    distributed: Rc<DistributedSettings>,
     dispatcher: Sender<DispatcherMessage>,
     wheel: Rc<TimerWheel>,
     frontends_left: Rc<Cell<u64>>,
@@ -60,7 +60,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mailbox, _answers) = async_channel::bounded(1);
     for id in 0..REQUESTS {
-        tasks.distributed.may_look_up(&tasks.wheel).await;
+        tasks.distributed.wait_for_pending_change(&tasks.wheel).await;
         let class = tasks.distributed.route(b"r").expect("the route is there");
         let tenant = tasks.distributed.tenant(Some("t")).expect("the tenant is there");
         let incoming = IncomingRequest {
@@ -78,13 +78,13 @@
             body: Vec::new(),
             reply: ReplyHandle { mailbox: mailbox.clone(), tag: id },
         };
-        let pass = tasks.distributed.pass();
+        let guard = tasks.distributed.guard_lookup();
         tasks
             .dispatcher
             .send(DispatcherMessage::Request(Box::new(incoming)))
             .await
             .expect("the dispatcher runs");
-        drop(pass);
+        drop(guard);
         while random.random_bool(0.3) {
             yield_now().await;
         }
@@ -120,7 +120,7 @@
 }
 
 async fn put_change(tasks: &Tasks, number: u64) {
-    let put = tasks.distributed.put_in_force(change(number), &tasks.dispatcher, &tasks.wheel);
+    let put = tasks.distributed.apply(change(number), &tasks.dispatcher, &tasks.wheel);
     put.await.expect("it is put in force");
 }
 
@@ -131,7 +131,7 @@
     executor.spawn(wheel.clone().advance()).detach();
     let counted = executor.spawn(run_dispatcher(inbox, seed));
     let tasks = Rc::new(Tasks {
-        distributed: Rc::new(Distributed::new(InForce::new(platform()))),
+        distributed: Rc::new(DistributedSettings::new(EffectiveSettings::new(platform()))),
         dispatcher: sender,
         wheel,
         frontends_left: Rc::new(Cell::new(FRONTENDS)),
