--- a/crates/scale/src/propagation/node/mod.rs
+++ b/crates/scale/src/propagation/node/mod.rs
@@ -1,5 +1,6 @@
 //! The processes of a run: each reads its setup and then commands from its standard input, and ends with it.
 
+mod coordinator_link;
 mod file_log;
 mod proxy;
 mod publisher;
@@ -9,7 +10,7 @@
 
 use super::control::{Command, Event};
 use anyhow::{Context, Result, bail};
-use std::io::{BufRead, Lines, StdinLock, Write};
+use coordinator_link::{Commands, emit};
 
 /// Runs the process that the first command describes.
 ///
@@ -24,7 +25,7 @@
 }
 
 fn run_role() -> Result<()> {
-    let mut commands = Commands { lines: std::io::stdin().lock().lines() };
+    let mut commands = Commands::from_standard_input();
     match commands.next().context("no setup")?? {
         Command::Publisher(setup) => publisher::run(&setup, commands),
         Command::Relay(setup) => relay::run(&setup, commands),
@@ -33,29 +34,3 @@
         other => bail!("not a setup: {other:?}"),
     }
 }
-
-/// The commands on the standard input.
-struct Commands {
-    lines: Lines<StdinLock<'static>>,
-}
-
-impl Iterator for Commands {
-    type Item = Result<Command>;
-
-    fn next(&mut self) -> Option<Result<Command>> {
-        let line = self.lines.next()?;
-        Some(
-            line.context("reading commands").and_then(|line| {
-                serde_json::from_str(&line).with_context(|| format!("not a command: {line}"))
-            }),
-        )
-    }
-}
-
-/// Tells the coordinator; if it is gone, so is this process soon.
-fn emit(event: &Event) {
-    let Ok(mut line) = serde_json::to_vec(event) else { return };
-    line.push(b'\n');
-    let mut output = std::io::stdout().lock();
-    let _ = output.write_all(&line).and_then(|()| output.flush());
-}
--- a/crates/scale/src/propagation/node/proxy.rs
+++ b/crates/scale/src/propagation/node/proxy.rs
@@ -1,6 +1,6 @@
 //! The process of a region's proxy.
 
-use super::{Commands, emit};
+use super::coordinator_link::{Commands, emit};
 use crate::propagation::control::{Command, Event, ProxySetup};
 use crate::propagation::fault_proxy::FaultProxy;
 use crate::propagation::process::allow_connections;
--- a/crates/scale/src/propagation/node/publisher.rs
+++ b/crates/scale/src/propagation/node/publisher.rs
@@ -1,7 +1,7 @@
 //! The process of the publisher.
 
+use super::coordinator_link::{Commands, emit};
 use super::file_log::file_logger;
-use super::{Commands, emit};
 use crate::propagation::changes::{PlannedTransaction, planned_transactions};
 use crate::propagation::control::{Command, Event, PublisherSetup};
 use crate::propagation::dataset::base_transactions;
--- a/crates/scale/src/propagation/node/relay.rs
+++ b/crates/scale/src/propagation/node/relay.rs
@@ -1,7 +1,7 @@
 //! The process of a relay.
 
+use super::coordinator_link::{Commands, emit};
 use super::file_log::file_logger;
-use super::{Commands, emit};
 use crate::propagation::control::{Command, Event, RelaySetup, Traffic};
 use crate::propagation::process::{UsageMeter, allow_connections};
 use crate::propagation::servers::servers;
--- a/crates/scale/src/propagation/node/subscribers.rs
+++ b/crates/scale/src/propagation/node/subscribers.rs
@@ -1,8 +1,8 @@
 //! The process of a zone's hollow subscribers: the real client code of each, one table for all, no round server.
 
+use super::coordinator_link::{Commands, emit};
 use super::file_log::file_logger;
 use super::zone_observer::ZoneObserver;
-use super::{Commands, emit};
 use crate::propagation::changes::refusing_zone;
 use crate::propagation::control::{Command, Event, SubscribersSetup, Traffic};
 use crate::propagation::dataset::{REFUSED_FROM, base_transactions};
