--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -5,10 +5,12 @@
 
 pub mod capacity;
 pub mod child;
+mod child_process;
 pub mod descriptors;
 pub mod fit;
 pub mod machine;
 pub mod probes;
 pub mod propagation;
+mod resident_growth;
 pub mod slope;
 pub mod slopes;
--- a/crates/scale/src/probes/config_sync.rs
+++ b/crates/scale/src/probes/config_sync.rs
@@ -1,10 +1,11 @@
 //! Distribution of configuration: what a table holds, what a change costs, and what snapshots and changes weigh on the
 //! wire.
 
-use crate::child::{self, Growth};
+use crate::child_process;
 use crate::fit::Quantity;
 use crate::probes::sample::{nanoseconds, points};
 use crate::probes::{Probe, ProbeOptions};
+use crate::resident_growth::Growth;
 use crate::slope::Slope;
 use anyhow::Result;
 use dunlinspread_config_sync::codec;
@@ -88,7 +89,9 @@
         let (sizes, seeds) = (options.sizes(SIZES, QUICK_SIZES), options.seeds());
         let changes = options.sizes(CHANGE_SIZES, QUICK_CHANGE_SIZES);
         Ok(vec![
-            MEMORY.slope(points(sizes, seeds, |size, seed| Ok(vec![child::measure(LOAD, size, seed)?]))?),
+            MEMORY.slope(points(sizes, seeds, |size, seed| {
+                Ok(vec![child_process::measure(LOAD, size, seed)?])
+            })?),
             APPLY.slope(points(sizes, seeds, |size, seed| Ok(apply_ns(options, size, seed)))?),
             SNAPSHOT.slope(points(sizes, seeds, |size, seed| Ok(vec![snapshot_bytes(size, seed)?]))?),
             DELTA.slope(points(changes, seeds, |count, seed| Ok(vec![delta_bytes(count, seed)?]))?),
--- a/crates/scale/src/probes/daemon_connections.rs
+++ b/crates/scale/src/probes/daemon_connections.rs
@@ -4,9 +4,9 @@
 use super::daemon_client::{Client, check_served};
 use super::daemon_process::{Daemon, Program};
 use super::daemon_site::{Size, Surroundings, TICK_MS, tenant_name};
-use super::{Probe, ProbeOptions};
 use crate::descriptors::raise_limit;
 use crate::fit::Quantity;
+use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
 use anyhow::{Context, Result};
 use rand::{RngExt, SeedableRng};
--- a/crates/scale/src/probes/idempotency.rs
+++ b/crates/scale/src/probes/idempotency.rs
@@ -1,9 +1,10 @@
 //! The table of idempotency keys: the memory of a key, and the cost of an arrival and of a sweep.
 
-use crate::child::{self, Growth};
+use crate::child_process;
 use crate::fit::Quantity;
 use crate::probes::sample::{nanoseconds, points};
 use crate::probes::{Probe, ProbeOptions};
+use crate::resident_growth::Growth;
 use crate::slope::{Point, Slope};
 use anyhow::{Result, ensure};
 use dunlinspread_idempotency::{Bounds, IdempotencyTable, KeyWindow, Lookup, RunResult};
@@ -79,7 +80,7 @@
             }
         }
         let memory =
-            points(sizes, options.seeds(), |size, seed| Ok(vec![child::measure(LOAD, size, seed)?]))?;
+            points(sizes, options.seeds(), |size, seed| Ok(vec![child_process::measure(LOAD, size, seed)?]))?;
         Ok(vec![FIRST.slope(first), REPEAT.slope(repeat), SWEEP.slope(sweep), MEMORY.slope(memory)])
     }
 }
--- a/crates/scale/src/probes/policy.rs
+++ b/crates/scale/src/probes/policy.rs
@@ -2,9 +2,10 @@
 //! running requests. Each state is built in a process of its own, whose growth in resident memory is the module's.
 
 use super::policy_load::{Costs, Length, Load, Shape};
-use super::{Probe, ProbeOptions};
-use crate::child::{self, Growth, ReportingLoad};
+use crate::child_process::{self, ReportingLoad};
 use crate::fit::Quantity;
+use crate::probes::{Probe, ProbeOptions};
+use crate::resident_growth::Growth;
 use crate::slope::{Point, Slope};
 use anyhow::{Result, ensure};
 use serde::{Deserialize, Serialize};
@@ -150,7 +151,7 @@
         let mut points: [Vec<Point>; 4] = Default::default();
         for &size in options.sizes(self.sizes, QUICK_SIZES) {
             for &seed in options.seeds() {
-                let figures: Figures = child::report(self.name, size, seed)?;
+                let figures: Figures = child_process::report(self.name, size, seed)?;
                 let of = |pick: fn(&Costs) -> f64| figures.costs.iter().map(pick).collect::<Vec<f64>>();
                 points[0].push(Point::of(size as f64, seed, &of(|costs| costs.arrival)));
                 points[1].push(Point::of(size as f64, seed, &of(|costs| costs.ending)));
--- a/crates/scale/src/probes/quota.rs
+++ b/crates/scale/src/probes/quota.rs
@@ -1,9 +1,10 @@
 //! Fleet limits: what an ask costs the allocator, what it weighs on the wire, and what an allocator holds.
 
-use crate::child::{self, Growth};
+use crate::child_process;
 use crate::fit::Quantity;
 use crate::probes::sample::{nanoseconds, points};
 use crate::probes::{Probe, ProbeOptions};
+use crate::resident_growth::Growth;
 use crate::slope::{Point, Slope};
 use anyhow::{Result, anyhow};
 use dunlinspread_membership::{MemberId, TAG_BYTES};
@@ -69,8 +70,9 @@
         let of_members = points(member_sizes, seeds, |size, seed| ask_ns(options, size, 1, seed))?;
         let of_budgets =
             points(budget_sizes, seeds, |size, seed| ask_ns(options, BUDGET_MEMBERS, size, seed))?;
-        let memory =
-            |load, sizes| points(sizes, seeds, |size, seed| Ok(vec![child::measure(load, size, seed)?]));
+        let memory = |load, sizes| {
+            points(sizes, seeds, |size, seed| Ok(vec![child_process::measure(load, size, seed)?]))
+        };
         Ok(vec![
             ASK_NS.slope(of_members.clone()),
             ASKS_A_SECOND.slope(of_members.iter().map(reciprocal).collect()),
