--- a/crates/scale/src/probes/membership/dissemination.rs
+++ b/crates/scale/src/probes/membership/dissemination.rs
@@ -1,7 +1,7 @@
 //! How word of some members spreads: when each running member first knows that each of them is up, or down.
 
-use super::network::{Network, node_of};
-use dunlinspread_membership::{MemberId, MemberState, Millis, ViewChange};
+use super::node_address::node_of;
+use dunlinspread_membership::{MemberId, MemberState, Membership, Millis, ViewChange};
 use std::collections::HashMap;
 
 /// What is to be known.
@@ -14,7 +14,7 @@
 }
 
 /// A watch over some members.
-pub struct Watch {
+pub struct DisseminationWatch {
     wanted: Wanted,
     since: Millis,
     /// The members by node, with their position and start.
@@ -27,22 +27,29 @@
     learned: Vec<u32>,
 }
 
-impl Watch {
-    /// From now on, for everyone who runs and does not know it yet. `subjects` themselves do not observe.
-    pub fn begin(network: &Network, nodes: usize, wanted: Wanted, subjects: &[MemberId]) -> Watch {
+impl DisseminationWatch {
+    /// Begins at `now`, ms, in a network of so many `nodes`, for every member of `running` (by node) that does not know it
+    /// yet. `subjects` themselves do not observe.
+    pub fn begin<'a>(
+        now: Millis,
+        nodes: usize,
+        running: impl Iterator<Item = (usize, &'a Membership)>,
+        wanted: Wanted,
+        subjects: &[MemberId],
+    ) -> DisseminationWatch {
         let positions = subjects.iter().enumerate();
         let subjects: HashMap<usize, (usize, u64)> =
             positions.map(|(position, id)| (node_of(&id.address), (position, id.start))).collect();
-        let mut watch = Watch {
+        let mut watch = DisseminationWatch {
             wanted,
-            since: network.now(),
+            since: now,
             pending: vec![false; subjects.len() * nodes],
             subjects,
             nodes,
             left: 0,
             learned: Vec::new(),
         };
-        let observers = network.running().filter(|(node, _)| !watch.subjects.contains_key(node));
+        let observers = running.filter(|(node, _)| !watch.subjects.contains_key(node));
         let mut pending = std::mem::take(&mut watch.pending);
         for (observer, member) in observers {
             for (position, _) in watch.subjects.values() {
--- a/crates/scale/src/probes/membership/mod.rs
+++ b/crates/scale/src/probes/membership/mod.rs
@@ -1,18 +1,22 @@
 //! Membership: what a member sends, computes and holds, and how fast word of others reaches it.
 
+mod case;
+mod dissemination;
 mod network;
+mod node_address;
 mod scenarios;
 mod series;
-mod watch;
 
-use crate::child::{self, Growth};
+use crate::child_process;
 use crate::fit::Quantity;
 use crate::probes::sample::{in_parallel, points};
 use crate::probes::{Probe, ProbeOptions};
+use crate::resident_growth::Growth;
 use crate::slope::{Point, Slope};
 use anyhow::{Result, anyhow};
+use case::Case;
 use dunlinspread_membership::{MemberId, Membership};
-use network::address;
+use node_address::address;
 use scenarios::{Results, SingleResults, TARGET_MEMBERS, settings};
 use series::{SERIES, SINGLE_SERIES};
 
@@ -44,9 +48,9 @@
 const LARGE_SEED: u64 = 1;
 
 /// The probe of `crates/membership`.
-pub struct FleetProbe;
+pub struct MembershipProbe;
 
-impl Probe for FleetProbe {
+impl Probe for MembershipProbe {
     fn prefix(&self) -> &'static str {
         "fleet"
     }
@@ -63,15 +67,12 @@
     }
 }
 
-/// The size and the seed of a fleet that was measured.
-type Case = (u64, u64);
-
 /// Runs the scenarios at all sizes and seeds, in processes of their own.
 fn run_cases(options: &ProbeOptions) -> Result<Vec<(Case, Results)>> {
     let sizes = options.sizes(SIZES, QUICK_SIZES);
     let inputs: Vec<Case> =
-        sizes.iter().flat_map(|size| options.seeds().iter().map(|seed| (*size, *seed))).collect();
-    let results = in_parallel(&inputs, |(size, seed)| child::report(SCENARIOS_LOAD, *size, *seed))?;
+        sizes.iter().flat_map(|&size| options.seeds().iter().map(move |&seed| Case { size, seed })).collect();
+    let results = in_parallel(&inputs, |case| child_process::report(SCENARIOS_LOAD, case.size, case.seed))?;
     let mut measured: Vec<(Case, Results)> = inputs.into_iter().zip(results).collect();
     measured.sort_by_key(|(case, _)| *case);
     Ok(measured)
@@ -79,7 +80,8 @@
 
 /// Runs the scenarios of the large run.
 fn run_large() -> Result<(Case, SingleResults)> {
-    Ok(((TARGET_MEMBERS, LARGE_SEED), child::report(SINGLE_LOAD, TARGET_MEMBERS, LARGE_SEED)?))
+    let case = Case { size: TARGET_MEMBERS, seed: LARGE_SEED };
+    Ok((case, child_process::report(SINGLE_LOAD, case.size, case.seed)?))
 }
 
 /// A report of all scenarios at one size.
@@ -101,8 +103,9 @@
 /// The memory of one member's view against its members.
 fn view_slope(options: &ProbeOptions) -> Result<Slope> {
     let sizes = options.sizes(VIEW_SIZES, QUICK_VIEW_SIZES);
-    let points: Vec<Point> =
-        points(sizes, options.seeds(), |size, seed| Ok(vec![child::measure(VIEW_LOAD, size, seed)?]))?;
+    let points: Vec<Point> = points(sizes, options.seeds(), |size, seed| {
+        Ok(vec![child_process::measure(VIEW_LOAD, size, seed)?])
+    })?;
     let quantity = Quantity {
         id: "fleet.view_bytes.members",
         quantity: "resident memory of one member's membership, all others just heard of",
--- a/crates/scale/src/probes/membership/network.rs
+++ b/crates/scale/src/probes/membership/network.rs
@@ -1,14 +1,14 @@
 //! A network of members in one process on a virtual clock: an event queue of datagrams under way and of timers.
 
+use super::dissemination::DisseminationWatch;
+use super::node_address::{address, node_of};
 use anyhow::{Result, anyhow};
 use dunlinspread_membership::{MemberId, Membership, Millis, Settings, ViewChange};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
-use std::net::{Ipv4Addr, SocketAddrV4};
-
-use super::watch::Watch;
+use std::net::SocketAddrV4;
 
 /// Bytes of the headers of a datagram over IPv4: 20 of IP, 8 of UDP.
 pub const UDP_HEADERS: u64 = 28;
@@ -16,9 +16,6 @@
 /// The delay of a datagram, ms, drawn evenly.
 const DELAY: std::ops::RangeInclusive<Millis> = 1..=5;
 
-/// The port of every member.
-const PORT: u16 = 7946;
-
 /// The time over which members that know each other start, ms.
 const START_SPAN: Millis = 1_000;
 
@@ -67,20 +64,10 @@
     sequence: u64,
     loss: f64,
     traffic: Traffic,
-    watch: Option<Watch>,
+    watch: Option<DisseminationWatch>,
     downs: u64,
 }
 
-/// The address of a node.
-pub fn address(node: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + node as u32), PORT)
-}
-
-/// The node of an address.
-pub fn node_of(address: &SocketAddrV4) -> usize {
-    (u32::from(*address.ip()) & 0x00ff_ffff) as usize
-}
-
 impl Network {
     /// A network of so many nodes, nobody there yet.
     pub fn new(seed: u64, nodes: usize, settings: Settings) -> Network {
@@ -185,18 +172,18 @@
     }
 
     /// Watches how word of these members spreads from now on.
-    pub fn set_watch(&mut self, watch: Watch) {
+    pub fn set_watch(&mut self, watch: DisseminationWatch) {
         self.watch = Some(watch);
     }
 
     /// The watch, over now.
-    pub fn take_watch(&mut self) -> Option<Watch> {
+    pub fn take_watch(&mut self) -> Option<DisseminationWatch> {
         self.watch.take()
     }
 
     /// Whether everyone knows what is watched, or nothing is.
     pub fn is_watch_complete(&self) -> bool {
-        self.watch.as_ref().is_none_or(Watch::is_complete)
+        self.watch.as_ref().is_none_or(DisseminationWatch::is_complete)
     }
 
     /// Runs until then.
--- a/crates/scale/src/probes/membership/scenarios.rs
+++ b/crates/scale/src/probes/membership/scenarios.rs
@@ -1,8 +1,8 @@
 //! The scenarios, one after the other in one simulated network: nothing happens, a member joins, a member fails,
 //! datagrams are lost, members are restarted all the time, a rack fails, a zone fails, and the zone joins again.
 
+use super::dissemination::{DisseminationWatch, Wanted};
 use super::network::{Network, Traffic};
-use super::watch::{Wanted, Watch};
 use anyhow::{Result, bail};
 use dunlinspread_membership::{MemberId, Millis, Settings};
 use rustix::time::{ClockId, clock_gettime};
@@ -216,7 +216,8 @@
 
     /// How word of these members spreads; then the fleet rests.
     fn spread(&mut self, wanted: Wanted, ids: &[MemberId], rest: Millis) -> Result<Dissemination> {
-        let watch = Watch::begin(&self.network, self.size + 1, wanted, ids);
+        let watch =
+            DisseminationWatch::begin(self.network.now(), self.size + 1, self.network.running(), wanted, ids);
         self.network.set_watch(watch);
         let meter = Meter::begin(&self.network);
         let end = self.network.now() + SPREAD_LIMIT;
--- a/crates/scale/src/probes/membership/series.rs
+++ b/crates/scale/src/probes/membership/series.rs
@@ -1,6 +1,6 @@
 //! Which figures of the scenarios become slopes.
 
-use super::Case;
+use super::case::Case;
 use super::scenarios::{LOSS, RESTARTS_PER_DAY, Results, SingleResults, TARGET_MEMBERS};
 use crate::fit::Quantity;
 use crate::slope::{Point, Slope};
@@ -17,8 +17,8 @@
 impl<Outcome> Series<Outcome> {
     /// The slope through what was measured, and through the large run if there is one.
     pub fn slope(&self, measured: &[(Case, Outcome)], large: &[(Case, Outcome)]) -> Slope {
-        let point = |((size, seed), scenarios): &(Case, Outcome)| {
-            Point::of(*size as f64, *seed, &[(self.figure)(scenarios)])
+        let point = |(case, results): &(Case, Outcome)| {
+            Point::of(case.size as f64, case.seed, &[(self.figure)(results)])
         };
         let Series { id, quantity, unit, fixed, .. } = *self;
         let target_size = TARGET_MEMBERS as f64;
--- a/crates/scale/src/probes/mod.rs
+++ b/crates/scale/src/probes/mod.rs
@@ -6,10 +6,10 @@
 mod daemon_process;
 mod daemon_site;
 mod daemon_tables;
-mod fleet;
 mod idempotency;
 mod latency;
 mod ledger;
+mod membership;
 pub mod open_loop;
 mod policy;
 mod policy_load;
@@ -34,7 +34,7 @@
         Box::new(latency::LatencyProbe),
         Box::new(registry::RegistryProbe),
         Box::new(config_sync::ConfigSyncProbe),
-        Box::new(fleet::FleetProbe),
+        Box::new(membership::MembershipProbe),
         Box::new(idempotency::IdempotencyProbe),
         Box::new(ledger::LedgerProbe),
         Box::new(quota::QuotaProbe),
@@ -46,7 +46,7 @@
 pub fn child_loads() -> Vec<(&'static str, Load)> {
     vec![
         (config_sync::LOAD, config_sync::table_load),
-        (fleet::VIEW_LOAD, fleet::view_load),
+        (membership::VIEW_LOAD, membership::view_load),
         (idempotency::LOAD, idempotency::table_load),
         (quota::MEMBERS_LOAD, quota::members_load),
         (quota::BUDGETS_LOAD, quota::budgets_load),
@@ -56,8 +56,8 @@
 /// The same for loads with several figures.
 pub fn reporting_loads() -> Vec<(&'static str, ReportingLoad)> {
     let mut loads: Vec<(&'static str, ReportingLoad)> = vec![
-        (fleet::SCENARIOS_LOAD, fleet::scenarios_load),
-        (fleet::SINGLE_LOAD, fleet::single_load),
+        (membership::SCENARIOS_LOAD, membership::scenarios_load),
+        (membership::SINGLE_LOAD, membership::single_load),
     ];
     loads.extend(policy::reporting_loads());
     loads
