--- a/crates/config-sync/src/net/mod.rs
+++ b/crates/config-sync/src/net/mod.rs
@@ -7,6 +7,7 @@
 mod link;
 mod node;
 mod notify;
+mod proposal;
 mod publisher;
 mod publisher_core;
 mod publisher_store;
@@ -21,7 +22,8 @@
 mod update_queue;
 
 pub use node::NodeStatus;
-pub use publisher::{OpenError, Pending, ProposeFailure, PublisherNode, PublisherNodeSettings};
+pub use proposal::{Pending, ProposeFailure};
+pub use publisher::{OpenError, PublisherNode, PublisherNodeSettings};
 pub use relay::{RelayNode, RelayNodeSettings};
 pub use shared_tables::SharedTables;
 pub use subscriber::{Confirmation, Observer, SubscriberTask};
--- a/crates/config-sync/src/net/publisher.rs
+++ b/crates/config-sync/src/net/publisher.rs
@@ -1,6 +1,7 @@
 //! The publisher as a process: its store, its listener, and a handle through which changes are proposed.
 
 use super::node::NodeStatus;
+use super::proposal::{Pending, ProposeFailure};
 use super::publisher_core::{Command, Core, run};
 use super::publisher_store::{self, StoreFault};
 use super::settings::frame_key;
@@ -97,44 +98,6 @@
     move |source| OpenError::Io { what, source }
 }
 
-/// Why a proposal is not published.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ProposeFailure {
-    /// The publisher refused it; nothing was written or told.
-    #[error(transparent)]
-    Refused(#[from] ProposeError),
-    /// It could not be made durable, and nobody was told. After a failure of the disk, other than a full one, it may be
-    /// there when the publisher is opened again.
-    #[error("the store failed: {0}")]
-    NotDurable(String),
-    /// The publisher has ended.
-    #[error("the publisher has ended")]
-    Ended,
-}
-
-/// A proposal under way.
-pub struct Pending {
-    answer: async_channel::Receiver<Result<Position, ProposeFailure>>,
-}
-
-impl Pending {
-    /// Waits until it is durable (and so on its way to all), or failed.
-    ///
-    /// # Errors
-    /// Why it is not published.
-    pub fn wait(self) -> Result<Position, ProposeFailure> {
-        self.answer.recv_blocking().unwrap_or(Err(ProposeFailure::Ended))
-    }
-
-    /// The same for a task.
-    ///
-    /// # Errors
-    /// Why it is not published.
-    pub async fn done(self) -> Result<Position, ProposeFailure> {
-        self.answer.recv().await.unwrap_or(Err(ProposeFailure::Ended))
-    }
-}
-
 /// A running publisher. Dropping it ends its threads; all that was proposed and durable is there when it is opened again.
 pub struct PublisherNode {
     address: SocketAddr,
@@ -205,7 +168,7 @@
             // The answer has room for one.
             let _ = reply.try_send(Err(refused));
         }
-        Pending { answer }
+        Pending::new(answer)
     }
 
     /// Proposes changes and waits until they are durable.
--- a/crates/config-sync/src/net/publisher_core.rs
+++ b/crates/config-sync/src/net/publisher_core.rs
@@ -2,8 +2,8 @@
 
 use super::clock::{Clock, unix_ms};
 use super::node::{Node, NodeStatus, Ticker, accept, tick};
-use super::publisher::ProposeFailure;
-use super::publisher_store::{Opened, PublisherStore, Reply};
+use super::proposal::{ProposeFailure, Reply};
+use super::publisher_store::{Opened, PublisherStore};
 use super::sessions::Sessions;
 use crate::fanout::FanoutEvent;
 use crate::frame::FrameKey;
--- a/crates/config-sync/src/net/publisher_store.rs
+++ b/crates/config-sync/src/net/publisher_store.rs
@@ -1,12 +1,11 @@
 //! The publisher's store: what opening it finds, and the writer with what is under way in it.
 
-use super::publisher::ProposeFailure;
+use super::proposal::Reply;
 use crate::codec::{Record, decode_record, encode_record};
 use crate::publisher::{Publisher, PublisherSettings, RestoreError};
 use crate::resource::{Position, Transaction};
 use crate::state_store::{StateError, owner_of, read_snapshot, replay};
 use crate::subscriber::PersistedState;
-use async_channel::Sender;
 use dunlinspread_store::{
     Disk, Log, Options, Progress, ReplayItem, ReplayRejection, StoreError, Writer, WriterOptions,
 };
@@ -105,9 +104,6 @@
     Ok(Opened { publisher: history.into_publisher(settings)?, log, appended })
 }
 
-/// Who waits for a proposal.
-pub(super) type Reply = Sender<Result<Position, ProposeFailure>>;
-
 struct UnderWay {
     ticket: u64,
     position: Position,
