--- a/crates/config-sync/src/fanout.rs
+++ b/crates/config-sync/src/fanout.rs
@@ -8,138 +8,24 @@
 
 mod interface;
 mod progress;
+mod report;
 mod session;
+mod shared_deltas;
 mod snapshot;
+mod snapshot_transfer;
+mod state;
 mod watch;
 
 pub use interface::{CloseReason, FanoutAction, FanoutEvent, FanoutSettings, ProtocolFault, SessionId};
+pub use state::Fanout;
 
-use crate::delta_log::DeltaLog;
-use crate::message::{Refusal, ToClient, ToServer, ZoneProgress};
-use crate::resource::{Digest, Millis, Position, Transaction};
-use crate::state_age::ServerAge;
+use crate::message::ToServer;
+use crate::resource::{Millis, Position, Transaction};
 use crate::table::Table;
-use progress::Progress;
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
 use session::{Session, Stage};
-use snapshot::SharedPieces;
-use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use watch::SharedDeltas;
-
-/// The server's side of all sessions.
-#[derive(Debug)]
-pub struct Fanout {
-    settings: FanoutSettings,
-    log: DeltaLog,
-    /// The table at the head.
-    table: Table,
-    /// When the head's transaction was accepted.
-    published_unix_ms: u64,
-    /// How old the table is.
-    age: ServerAge,
-    /// What all live sessions have been sent.
-    flushed: Position,
-    last_flush: Option<Millis>,
-    last_heartbeat: Option<Millis>,
-    last_tick: Option<Millis>,
-    sessions: BTreeMap<SessionId, Session>,
-    /// The session of each member that watches.
-    names: BTreeMap<Arc<str>, SessionId>,
-    /// Sessions that catch up with the log.
-    catching_up: BTreeSet<SessionId>,
-    /// Sessions whose stage takes a place for a snapshot.
-    places_taken: usize,
-    progress: Progress,
-    shared_deltas: SharedDeltas,
-    shared_pieces: SharedPieces,
-    random: ChaCha8Rng,
-}
 
 impl Fanout {
-    /// One without sessions, its table empty, its head the default position.
-    pub fn new(settings: FanoutSettings) -> Fanout {
-        Fanout {
-            log: DeltaLog::new(settings.log, Position::default(), Digest::default()),
-            table: Table::new(),
-            published_unix_ms: 0,
-            age: ServerAge::Publisher,
-            flushed: Position::default(),
-            last_flush: None,
-            last_heartbeat: None,
-            last_tick: None,
-            sessions: BTreeMap::new(),
-            names: BTreeMap::new(),
-            catching_up: BTreeSet::new(),
-            places_taken: 0,
-            progress: Progress::new(settings.max_zones, settings.max_refusals),
-            shared_deltas: SharedDeltas::default(),
-            shared_pieces: SharedPieces::default(),
-            random: ChaCha8Rng::seed_from_u64(settings.seed),
-            settings,
-        }
-    }
-
-    /// The position of the table that is served.
-    pub fn head(&self) -> Position {
-        self.log.head()
-    }
-
-    /// The table at the head.
-    pub fn table(&self) -> &Table {
-        &self.table
-    }
-
-    /// How old the table is from now on, for heartbeats: a relay says so before each event. Without it, the fan-out is a
-    /// publisher's.
-    pub fn set_age(&mut self, age: ServerAge) {
-        self.age = age;
-    }
-
-    /// The log of deltas.
-    pub fn log(&self) -> &DeltaLog {
-        &self.log
-    }
-
-    /// The number of sessions.
-    pub fn sessions(&self) -> usize {
-        self.sessions.len()
-    }
-
-    /// Snapshots under way or announced.
-    pub fn snapshots(&self) -> usize {
-        self.places_taken
-    }
-
-    /// Sessions whose clients have more than this server. At a publisher this means that its store was set back.
-    pub fn sessions_ahead(&self) -> usize {
-        self.sessions.values().filter(|session| matches!(session.stage, Stage::Ahead { .. })).count()
-    }
-
-    /// The progress of the subscribers below, by zone.
-    pub fn zones(&self) -> Vec<ZoneProgress> {
-        self.progress.zones()
-    }
-
-    /// Takes the oldest refusals, as many as one report may name; call again until none is left.
-    pub fn take_refusals(&mut self) -> Vec<Refusal> {
-        self.progress.take_refusals()
-    }
-
-    /// Refusals that found no room, since the start.
-    pub fn refusals_dropped(&self) -> u64 {
-        self.progress.refusals_dropped()
-    }
-
-    /// When the next [`FanoutEvent::Tick`] has something to do; at once if there was none yet.
-    pub fn deadline(&self) -> Millis {
-        let heartbeat = self.last_heartbeat.map_or(0, |last| last.saturating_add(self.settings.heartbeat_ms));
-        let flush = if self.flushed == self.head() { Millis::MAX } else { self.flush_due() };
-        let catch_up = if self.catching_up.is_empty() { Millis::MAX } else { self.catch_up_due() };
-        heartbeat.min(flush).min(catch_up)
-    }
-
     /// Takes one event in.
     pub fn on_event(&mut self, now: Millis, event: FanoutEvent, out: &mut Vec<FanoutAction>) {
         match event {
@@ -267,11 +153,6 @@
         }
     }
 
-    /// What this server has, and how old it is.
-    fn heartbeat(&self, now: Millis) -> ToClient {
-        ToClient::Heartbeat { head: self.head(), age_ms: self.age.at(now) }
-    }
-
     fn close_silent(&mut self, now: Millis, out: &mut Vec<FanoutAction>) {
         let overdue: Vec<(SessionId, CloseReason)> =
             self.sessions.iter().filter_map(|(&id, state)| Some((id, self.silence(now, state)?))).collect();
@@ -296,52 +177,4 @@
         let time = self.settings.heartbeat_ms.saturating_mul(heartbeats.into());
         (time >= self.settings.client_silence_ms).then_some(CloseReason::Silent { heartbeats })
     }
-
-    fn flush_due(&self) -> Millis {
-        self.last_flush.map_or(0, |last| last.saturating_add(self.settings.flush_ms))
-    }
-
-    fn catch_up_due(&self) -> Millis {
-        self.last_tick.map_or(0, |last| last.saturating_add(self.settings.flush_ms))
-    }
-
-    fn busy(&mut self) -> ToClient {
-        let least = self.settings.busy_retry_ms;
-        ToClient::Busy { retry_after_ms: self.random.random_range(least..=least.saturating_mul(2)) }
-    }
-
-    fn send(&self, session: SessionId, message: ToClient, out: &mut Vec<FanoutAction>) {
-        out.push(FanoutAction::Send { session, message: Arc::new(message) });
-    }
-
-    /// Closes a session that is open; nothing otherwise.
-    fn close(&mut self, session: SessionId, why: CloseReason, out: &mut Vec<FanoutAction>) {
-        if self.sessions.contains_key(&session) {
-            self.forget(session);
-            out.push(FanoutAction::Close { session, why });
-        }
-    }
-
-    fn forget(&mut self, id: SessionId) {
-        let Some(session) = self.sessions.remove(&id) else { return };
-        self.progress.withdraw(&session.reported);
-        self.places_taken -= usize::from(session.stage.takes_place());
-        self.catching_up.remove(&id);
-        if let Some(member) = &session.member {
-            self.names.remove(&member.name);
-        }
-    }
-
-    fn set_stage(&mut self, now: Millis, id: SessionId, stage: Stage) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        self.places_taken += usize::from(stage.takes_place());
-        self.places_taken -= usize::from(session.stage.takes_place());
-        if matches!(stage, Stage::CatchingUp { .. }) {
-            self.catching_up.insert(id);
-        } else {
-            self.catching_up.remove(&id);
-        }
-        session.stage = stage;
-        session.since = now;
-    }
 }
--- a/crates/config-sync/src/fanout/snapshot.rs
+++ b/crates/config-sync/src/fanout/snapshot.rs
@@ -1,9 +1,7 @@
-//! Snapshots: the buckets that differ, as they stood at one position, in pieces with a bounded number unconfirmed.
+//! A snapshot under way: the buckets that differ, as they stood at one position, and the pieces that several share.
 
-use super::session::Stage;
-use super::{CloseReason, Fanout, FanoutAction, ProtocolFault, SessionId};
-use crate::message::{BUCKETS, BucketContent, PIECE_BYTES, PIECE_WINDOW, ToClient};
-use crate::resource::{Digest, Millis, Position};
+use crate::message::{BucketContent, PIECE_BYTES, ToClient};
+use crate::resource::{Digest, Position};
 use crate::size::resource_bytes;
 use crate::table::Table;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,18 +13,18 @@
 /// A snapshot under way. The table is a clone: it shares with the head's all buckets that did not change since.
 #[derive(Debug)]
 pub(super) struct Snapshot {
-    table: Table,
-    position: Position,
-    published_unix_ms: u64,
+    pub(super) table: Table,
+    pub(super) position: Position,
+    pub(super) published_unix_ms: u64,
     /// The buckets not sent yet.
-    remaining: VecDeque<u16>,
+    pub(super) remaining: VecDeque<u16>,
     /// Whether all buckets were asked for, so that its pieces are those of others at this position.
-    whole: bool,
+    pub(super) whole: bool,
 }
 
 impl Snapshot {
     /// Takes the buckets of the next piece, one at least.
-    fn next_piece(&mut self, sequence: u32) -> ToClient {
+    pub(super) fn next_piece(&mut self, sequence: u32) -> ToClient {
         let mut buckets = Vec::new();
         let mut bytes = 0;
         while let Some(&bucket) = self.remaining.front() {
@@ -41,7 +39,7 @@
         ToClient::Piece { sequence, buckets }
     }
 
-    fn skip(&mut self, piece: &ToClient) {
+    pub(super) fn skip(&mut self, piece: &ToClient) {
         if let ToClient::Piece { buckets, .. } = piece {
             self.remaining.drain(..buckets.len().min(self.remaining.len()));
         }
@@ -58,11 +56,11 @@
 }
 
 impl SharedPieces {
-    fn get(&self, of: (Position, Digest), sequence: u32) -> Option<Arc<ToClient>> {
+    pub(super) fn get(&self, of: (Position, Digest), sequence: u32) -> Option<Arc<ToClient>> {
         if self.of == of { self.pieces.get(&sequence)?.upgrade() } else { None }
     }
 
-    fn remember(&mut self, of: (Position, Digest), sequence: u32, piece: &Arc<ToClient>) {
+    pub(super) fn remember(&mut self, of: (Position, Digest), sequence: u32, piece: &Arc<ToClient>) {
         if of.0 > self.of.0 {
             *self = SharedPieces { of, pieces: BTreeMap::new() };
         }
@@ -75,108 +73,3 @@
         *self = SharedPieces::default();
     }
 }
-
-impl Fanout {
-    /// Sends a `Resync`, or sends the client away if no place for a snapshot is left.
-    pub(super) fn require_resync(&mut self, now: Millis, id: SessionId, out: &mut Vec<FanoutAction>) {
-        if !self.has_place(id) {
-            return self.send_away(id, out);
-        }
-        self.set_stage(now, id, Stage::Resync);
-        self.send(id, ToClient::Resync { head: self.head() }, out);
-    }
-
-    pub(super) fn on_fetch(
-        &mut self,
-        now: Millis,
-        id: SessionId,
-        bucket_digests: &[u64],
-        out: &mut Vec<FanoutAction>,
-    ) {
-        if !matches!(bucket_digests.len(), 0 | BUCKETS) {
-            let fault = ProtocolFault::BucketDigests(bucket_digests.len());
-            return self.close(id, fault.into(), out);
-        }
-        match self.sessions.get(&id).map(|session| &session.stage) {
-            // A client that finds its table spoilt may ask without a `Resync`.
-            Some(Stage::Resync | Stage::Live | Stage::CatchingUp { .. }) => {}
-            _ => return self.close(id, ProtocolFault::UnexpectedFetch.into(), out),
-        }
-        if !self.has_place(id) {
-            return self.send_away(id, out);
-        }
-        let snapshot = Snapshot {
-            table: self.table.clone(),
-            position: self.head(),
-            published_unix_ms: self.published_unix_ms,
-            remaining: self.table.differing(bucket_digests).into(),
-            whole: bucket_digests.is_empty(),
-        };
-        self.set_stage(now, id, Stage::Snapshot(Box::new(snapshot)));
-        if let Some(session) = self.sessions.get_mut(&id) {
-            (session.pieces_sent, session.pieces_taken) = (0, 0);
-        }
-        self.send_pieces(now, id, out);
-    }
-
-    pub(super) fn on_piece_taken(
-        &mut self,
-        now: Millis,
-        id: SessionId,
-        sequence: u32,
-        out: &mut Vec<FanoutAction>,
-    ) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        if sequence != session.pieces_taken || sequence >= session.pieces_sent {
-            return self.close(id, ProtocolFault::UnexpectedPiece(sequence).into(), out);
-        }
-        session.pieces_taken += 1;
-        if matches!(session.stage, Stage::Snapshot(_)) {
-            session.since = now;
-            self.send_pieces(now, id, out);
-        }
-    }
-
-    /// Sends as many pieces as the window allows; after the last one the end, and then the deltas from there.
-    fn send_pieces(&mut self, now: Millis, id: SessionId, out: &mut Vec<FanoutAction>) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let Stage::Snapshot(snapshot) = &mut session.stage else { return };
-        let of = (snapshot.position, snapshot.table.digest());
-        while !snapshot.remaining.is_empty() && session.pieces_sent - session.pieces_taken < PIECE_WINDOW {
-            let sequence = session.pieces_sent;
-            let shared = if snapshot.whole { self.shared_pieces.get(of, sequence) } else { None };
-            let piece = match shared {
-                Some(piece) => {
-                    snapshot.skip(&piece);
-                    piece
-                }
-                None => Arc::new(snapshot.next_piece(sequence)),
-            };
-            if snapshot.whole {
-                self.shared_pieces.remember(of, sequence, &piece);
-            }
-            session.pieces_sent += 1;
-            out.push(FanoutAction::Send { session: id, message: piece });
-        }
-        if !snapshot.remaining.is_empty() {
-            return;
-        }
-        let (position, digest) = of;
-        let pieces = session.pieces_sent;
-        let published_unix_ms = snapshot.published_unix_ms;
-        self.send(id, ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }, out);
-        self.begin(now, id, position, digest, out);
-    }
-
-    /// Whether the session has, or could get, a place for a snapshot.
-    fn has_place(&self, id: SessionId) -> bool {
-        let has_one = self.sessions.get(&id).is_some_and(|session| session.stage.takes_place());
-        has_one || self.places_taken < self.settings.max_snapshots
-    }
-
-    fn send_away(&mut self, id: SessionId, out: &mut Vec<FanoutAction>) {
-        let busy = self.busy();
-        self.send(id, busy, out);
-        self.close(id, CloseReason::NoSnapshotPlace, out);
-    }
-}
