--- a/crates/config-sync/src/client.rs
+++ b/crates/config-sync/src/client.rs
@@ -1,65 +1,18 @@
 //! What a round server uses: a subscriber on a thread of its own, which hands over each change that comes in force.
 
-use crate::message::Member;
 use crate::net::{SubscriberHandle, SubscriberStatus, SubscriberTask, update_queue};
-use crate::resource::{Change, Position};
+use crate::resource::Position;
 use async_channel::Sender;
 use async_io::block_on;
 use futures_lite::future::or;
 use slog::{Logger, info};
 use std::io;
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// A relay or publisher that can be watched.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Server {
-    /// Its name, by which clients rank it.
-    pub name: Arc<str>,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// Its zone; a region's relay serves the whole region and has none.
-    pub zone: Option<Arc<str>>,
-    /// Its region.
-    pub region: Arc<str>,
-}
-
-/// How a subscriber is set up.
-#[derive(Clone, Debug)]
-pub struct ClientSettings {
-    /// Who it is; [`crate::message::Role::Subscriber`].
-    pub member: Member,
-    /// Whom it may watch: its zone's first, then its region's, then any.
-    pub servers: Vec<Server>,
-    /// The fleet's key for the tags of frames, 16 to 1,024 bytes.
-    pub fleet_key: Vec<u8>,
-    /// Where the last good state is kept; without one, a restart begins with nothing.
-    pub state_directory: Option<PathBuf>,
-    /// Seed of the jitter.
-    pub seed: u64,
-}
-
-/// Changes that come in force together, to be applied in one step.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Update {
-    /// What the server's settings are at once they are applied.
-    pub position: Position,
-    /// The changes, each key at most once; more than a transaction's where a snapshot or the state on disk is applied.
-    pub changes: Vec<Change>,
-    /// When the last transaction in it was accepted by the publisher, Unix ms.
-    pub published_unix_ms: u64,
-}
-
-/// Says whether a round server can put changes in force.
-pub trait Judge: Send {
-    /// Nothing, or why these changes can't come in force together; the old settings stay then.
-    ///
-    /// # Errors
-    /// The reason, for the operators.
-    fn judge(&self, changes: &[Change]) -> Result<(), String>;
-}
+pub use crate::judge::Judge;
+pub use crate::net::ClientSettings;
+pub use crate::server::Server;
+pub use crate::update::Update;
 
 /// A subscriber on a thread of its own. Dropping it ends the thread; what was to be kept on disk is written first.
 pub struct Client {
--- a/crates/config-sync/src/follower/api.rs
+++ b/crates/config-sync/src/follower/api.rs
@@ -1,9 +1,9 @@
 //! What goes into and comes out of a [`Follower`](super::Follower).
 
 use crate::backoff::BackoffSettings;
-use crate::client::Server;
 use crate::message::{Member, Role, ToClient, ToServer};
 use crate::resource::{Millis, Position, Transaction};
+use crate::server::Server;
 use crate::table::Table;
 use std::sync::Arc;
 
--- a/crates/config-sync/src/follower/candidates.rs
+++ b/crates/config-sync/src/follower/candidates.rs
@@ -2,9 +2,9 @@
 
 use super::api::FollowerSettings;
 use crate::backoff::Backoff;
-use crate::client::Server;
 use crate::resource::Millis;
 use crate::selection::{proximity, ranked};
+use crate::server::Server;
 use crate::state_age::StateAge;
 
 /// So many times in a row a server without a place for a snapshot is asked again before the next one is tried.
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -9,7 +9,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod judge;
 mod progress;
+mod server;
+mod update;
 
 pub mod backoff;
 pub mod client;
--- a/crates/config-sync/src/net/link.rs
+++ b/crates/config-sync/src/net/link.rs
@@ -1,10 +1,10 @@
 //! The client's side of a connection: connects, sends and receives as the state machine asks.
 
 use super::socket::{ConnectionError, try_read, try_write};
-use crate::client::Server;
 use crate::codec::{decode_to_client, encode_to_server};
 use crate::frame::{FrameDecoder, FrameKey};
 use crate::message::{ToClient, ToServer};
+use crate::server::Server;
 use async_io::Async;
 use futures_lite::future::{or, pending};
 use std::collections::VecDeque;
--- a/crates/config-sync/src/net/mod.rs
+++ b/crates/config-sync/src/net/mod.rs
@@ -2,6 +2,7 @@
 //! `async-executor`: a publisher or relay on a thread of its own, subscribers as futures, thousands of them on one
 //! executor if wanted.
 
+mod client_settings;
 mod clock;
 mod encoder;
 mod link;
@@ -21,6 +22,7 @@
 mod subscriber_handle;
 mod update_queue;
 
+pub use client_settings::ClientSettings;
 pub use node::NodeStatus;
 pub use proposal::{Pending, ProposeFailure};
 pub use publisher::{OpenError, PublisherNode, PublisherNodeSettings};
--- a/crates/config-sync/src/net/subscriber.rs
+++ b/crates/config-sync/src/net/subscriber.rs
@@ -1,5 +1,6 @@
 //! A subscriber as a future: its connection, its timer, its state on disk, and whoever puts updates in force.
 
+use super::client_settings::ClientSettings;
 use super::clock::{Alarm, Clock};
 use super::link::{Link, LinkEvent};
 use super::settings::{check_member, frame_key};
@@ -7,10 +8,11 @@
 use super::socket::Turn;
 use super::state_keeper::StateKeeper;
 use super::subscriber_handle::{Shared, SubscriberHandle};
-use crate::client::{ClientSettings, Judge, Update};
 use crate::follower::{DisconnectReason, FollowerEvent, FollowerSettings, LinkAction};
+use crate::judge::Judge;
 use crate::resource::{Millis, Position};
 use crate::subscriber::{PersistedState, Subscriber, SubscriberAction, SubscriberEvent, SubscriberSettings};
+use crate::update::Update;
 use async_channel::Receiver;
 use futures_lite::future::or;
 use slog::{Logger, debug, info, warn};
--- a/crates/config-sync/src/net/update_queue.rs
+++ b/crates/config-sync/src/net/update_queue.rs
@@ -2,8 +2,8 @@
 //! that takes none costs no more than the changed keys.
 
 use super::subscriber::{Confirmation, Observer};
-use crate::client::Update;
 use crate::resource::Key;
+use crate::update::Update;
 use async_channel::{Receiver, Sender, TrySendError};
 use std::collections::{HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/config-sync/src/selection.rs
+++ b/crates/config-sync/src/selection.rs
@@ -1,8 +1,8 @@
 //! Which server a client watches: rendezvous hashing (highest random weight) within the client's zone, then within its
 //! region, then anywhere. When a server is lost, only its own clients move, and they spread over those that are left.
 
-use crate::client::Server;
 use crate::message::Member;
+use crate::server::Server;
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::Xxh3;
 
--- a/crates/config-sync/src/subscriber.rs
+++ b/crates/config-sync/src/subscriber.rs
@@ -17,13 +17,14 @@
 pub use api::{SubscriberAction, SubscriberCounters, SubscriberEvent, SubscriberSettings};
 pub use persistence::{Persist, PersistedState};
 
-use crate::client::{Judge, Update};
 use crate::follower::{Advance, Follower, FollowerAction, FollowerEvent, LinkAction};
+use crate::judge::Judge;
 use crate::message::{Refusal, ToServer, ZoneProgress};
 use crate::progress::ProgressReporter;
 use crate::resource::{Change, Key, Millis, Position, Resource};
 use crate::shared_steps::SharedSteps;
 use crate::table::Table;
+use crate::update::Update;
 use held_back::HeldBack;
 use persistence::WaitingRecords;
 use reason::reported_reason;
--- a/crates/config-sync/src/subscriber/api.rs
+++ b/crates/config-sync/src/subscriber/api.rs
@@ -1,9 +1,9 @@
 //! What goes into and comes out of a [`Subscriber`](super::Subscriber).
 
 use super::persistence::Persist;
-use crate::client::Update;
 use crate::follower::{FollowerEvent, FollowerSettings, LinkAction};
 use crate::resource::Position;
+use crate::update::Update;
 
 /// How a subscriber is set up.
 #[derive(Clone, Debug)]
