--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -89,8 +89,8 @@
     ) -> Self {
         Dispatcher {
             settings: config.settings.clone(),
-            max_requests: config.bounds.requests,
-            gauge_names: config.gauges.clone(),
+            max_requests: config.limits.requests,
+            gauge_names: config.gauge_names.clone(),
             controller: None,
             events: VecDeque::new(),
             requests: RequestTable::default(),
@@ -197,10 +197,10 @@
     }
 
     /// Removes a request; the reservation of its key is released if it never ran.
-    pub(super) fn remove(&mut self, id: RequestId) -> Option<Request> {
-        let request = self.requests.remove(id)?;
-        self.keys.finish_attempt(id, &request);
-        Some(request)
+    pub(super) fn remove(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.remove(id) {
+            self.keys.finish_attempt(id, &request);
+        }
     }
 
     /// Removes a request that is over, unless the worker pool has still to report its run.
