--- a/crates/ctl/src/crash_drill.rs
+++ b/crates/ctl/src/ledger/crash_drill.rs
@@ -2,7 +2,7 @@
 //! proxies counted is the truth; the ledgers, and what the collector has of them, have to agree with it to the request.
 
 use crate::fleet::Server;
-use crate::ledger::by_society;
+use crate::ledger::replay::by_society;
 use anyhow::{Context as _, Result};
 use clap::Args;
 use dunlinspread_fakes::{
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,12 +1,10 @@
 //! The operators' command line: trying the program out, and the subsystems' own commands.
 #![forbid(unsafe_code)]
 
-mod crash_drill;
+mod clock;
 mod demo;
-mod export;
 mod fleet;
 mod ledger;
-mod operator_requests;
 mod table;
 
 use clap::{Parser, Subcommand};
