--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -1,6 +1,6 @@
-//! The newcomer's first run: one round server among played parties, under a mixed load.
+//! `try`: the newcomer's first run, one server among fakes under a mixed load.
 
-use crate::fleet::Server;
+use crate::server_process::ServerProcess;
 use crate::table::table;
 use anyhow::{Context as _, Result};
 use clap::Args;
@@ -8,12 +8,24 @@
     Catalog, Habits, Index, IndexFaults, Load, Outcome, Pool, PoolFaults, Proxies, Site, Tally,
 };
 use indicatif::{ProgressBar, ProgressStyle};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Societies that send.
-const SOCIETIES: [&str; 9] = [
+/// The part of link messages and calls that go wrong, with faults.
+const FAULT_RATE: f64 = 0.02;
+/// The mean time of an upstream call, ms.
+const UPSTREAM_CALL_MS: f64 = 8.0;
+/// A load that ran further behind its times than this, ms, is reported.
+const LATE_LOAD_MS: f64 = 20.0;
+/// Time between two updates of the progress shown.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a server may take beyond its time for a graceful shutdown.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(2);
+/// The class with idempotency keys; its requests' bodies start with this.
+const IDEMPOTENT_CLASS: &[u8] = b"pour-entry";
+/// Tenants that send.
+const TENANTS: [&str; 9] = [
     "aluva",
     "angamaly",
     "kakkanad",
@@ -62,96 +74,124 @@
     Strict,
 }
 
+/// The server of a demo and the fakes around it.
+struct Surroundings {
+    server: ServerProcess,
+    pool: Pool,
+    _index: Index,
+    _catalog: Catalog,
+    site: Site,
+}
+
 impl Demo {
-    /// Plays it and prints what came of it.
+    /// Runs it and prints what came of it.
+    ///
+    /// # Errors
+    /// If a fake or the server cannot be started.
     pub fn run(&self) -> Result<ExitCode> {
-        let site = Site::rounds(self.cores.max(1));
-        let faults = if self.faults { 0.02 } else { 0.0 };
-        let pool_faults =
-            PoolFaults { duplicate: faults, split: faults, chatter: faults, reset: faults / 10.0, bad: 0.0 };
-        let index_faults = IndexFaults { shed: faults, error: faults, reset: faults, stall: faults / 4.0 };
-        let pool = Pool::start(&site, self.seed, pool_faults).context("starting the worker pool")?;
-        let index = Index::start(8.0, self.seed, index_faults).context("starting the index")?;
-        let catalog = Catalog::start().context("starting the catalog")?;
         let folder = tempfile::tempdir().context("making a folder")?;
-        let mode = match self.ledger {
-            Billing::Off => None,
-            Billing::Interval => Some("interval"),
-            Billing::Strict => Some("strict"),
-        };
-        let directory = folder.path().join("ledger").display().to_string();
-        let operator = mode
-            .map(|mode| format!("ledger \"try\" {{\n  directory = {directory:?}\n  mode = \"{mode}\"\n}}\n"));
-        let mut server = Server::new(folder.path(), "n1", self.daemon.as_deref(), operator.as_deref())?;
-        server.start(|listen| {
-            site.config("n1", listen, pool.address(), catalog.address(), Some(index.address()))
-        })?;
-        let address = server.address().context("the round server's address")?;
-        let rate = self.load * site.capacity();
+        let mut around = self.start_surroundings(folder.path())?;
+        let rate = self.load * around.site.capacity();
         let requests = (rate * self.seconds).round().max(1.0) as u64;
         println!(
             "One round server before {} played cores, {rate:.0} requests a second for {:.0} s ({:.0}% of what the cores \
              can do).",
-            site.cores,
+            around.site.cores,
             self.seconds,
             self.load * 100.0
         );
-        let load = Load {
-            rate,
-            requests,
-            societies: SOCIETIES.map(|s| Some(s.to_owned())).to_vec(),
-            seed: self.seed,
-        };
-        let before = server.cpu_ms().unwrap_or(0.0);
-        let proxies = Proxies::start(&site, vec![address], load, Habits::default())?;
-        let bar = ProgressBar::new(requests);
-        bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} answered, {msg} open")?);
-        while !bar.is_finished() {
-            let progress = proxies.progress();
-            bar.set_position(progress.over);
-            bar.set_message((progress.begun - progress.over).to_string());
-            if progress.over >= requests {
-                bar.finish_and_clear();
-            }
-            std::thread::sleep(Duration::from_millis(50));
-        }
-        let tally = proxies.finish();
-        println!("{}", show(&site, &tally));
-        if let Some(cpu) = server.cpu_ms() {
+        let cpu_before = around.server.cpu_ms().unwrap_or(0.0);
+        let tally = self.send_load(&around, rate, requests)?;
+        println!("{}", outcome_table(&around.site, &tally));
+        if let Some(cpu) = around.server.cpu_ms() {
             println!(
                 "the round server used {:.0} µs of processor a request",
-                (cpu - before) * 1000.0 / requests as f64
+                (cpu - cpu_before) * 1000.0 / requests as f64
             );
         }
-        if tally.behind_ms > 20.0 {
+        if tally.behind_ms > LATE_LOAD_MS {
             println!(
                 "The load itself ran up to {:.0} ms behind: this machine was too busy.",
                 tally.behind_ms
             );
         }
-        let doubles =
-            pool.ran().iter().filter(|(body, n)| **n > 1 && body.starts_with(b"pour-entry")).count();
-        let left = server.leave(Duration::from_millis(site.stop_ms + 2000))?;
-        let count = tally.sum(|_, _| true);
-        let broken = tally.wrong + tally.doubled + doubles as u64 + count[Outcome::Cut as usize];
-        println!(
-            "wrong results {}, second answers {}, keyed requests run twice {doubles}, answers lost {}, left in good \
-             order: {}",
-            tally.wrong,
-            tally.doubled,
-            count[Outcome::Cut as usize],
-            if left { "yes" } else { "no" }
-        );
-        if broken > 0 || !left {
-            println!("The round server's log:\n{}", server.log());
-            return Ok(ExitCode::FAILURE);
+        check_rules(&mut around, &tally)
+    }
+
+    fn start_surroundings(&self, folder: &Path) -> Result<Surroundings> {
+        let site = Site::rounds(self.cores.max(1));
+        let rate = if self.faults { FAULT_RATE } else { 0.0 };
+        let pool_faults =
+            PoolFaults { duplicate: rate, split: rate, chatter: rate, reset: rate / 10.0, bad: 0.0 };
+        let index_faults = IndexFaults { shed: rate, error: rate, reset: rate, stall: rate / 4.0 };
+        let pool = Pool::start(&site, self.seed, pool_faults).context("starting the worker pool")?;
+        let index = Index::start(UPSTREAM_CALL_MS, self.seed, index_faults).context("starting the index")?;
+        let catalog = Catalog::start().context("starting the catalog")?;
+        let operator = self.ledger.operator_file(&folder.join("ledger"));
+        let mut server = ServerProcess::new(folder, "n1", self.daemon.as_deref(), operator.as_deref())?;
+        server.start(|listen| {
+            site.config("n1", listen, pool.address(), catalog.address(), Some(index.address()))
+        })?;
+        Ok(Surroundings { server, pool, _index: index, _catalog: catalog, site })
+    }
+
+    /// Sends the load, shows how far it is, and returns what became of it.
+    fn send_load(&self, around: &Surroundings, rate: f64, requests: u64) -> Result<Tally> {
+        let address = around.server.address().context("the round server's address")?;
+        let societies = TENANTS.map(|tenant| Some(tenant.to_owned())).to_vec();
+        let load = Load { rate, requests, societies, seed: self.seed };
+        let proxies = Proxies::start(&around.site, vec![address], load, Habits::default())?;
+        let bar = ProgressBar::new(requests);
+        bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} answered, {msg} open")?);
+        while !bar.is_finished() {
+            let progress = proxies.progress();
+            bar.set_position(progress.over);
+            bar.set_message((progress.begun - progress.over).to_string());
+            if progress.over >= requests {
+                bar.finish_and_clear();
+            }
+            std::thread::sleep(PROGRESS_INTERVAL);
         }
-        Ok(ExitCode::SUCCESS)
+        Ok(proxies.finish())
+    }
+}
+
+impl Billing {
+    /// Returns the operators' file of a server that bills in this way; `None` without billing.
+    fn operator_file(self, directory: &Path) -> Option<String> {
+        let mode = match self {
+            Billing::Off => return None,
+            Billing::Interval => "interval",
+            Billing::Strict => "strict",
+        };
+        let directory = directory.display().to_string();
+        Some(format!("ledger \"try\" {{\n  directory = {directory:?}\n  mode = \"{mode}\"\n}}\n"))
+    }
+}
+
+/// Shuts the server down and prints whether every rule held; fails if one did not.
+fn check_rules(around: &mut Surroundings, tally: &Tally) -> Result<ExitCode> {
+    let runs = around.pool.ran();
+    let run_twice = runs.iter().filter(|(body, n)| **n > 1 && body.starts_with(IDEMPOTENT_CLASS)).count();
+    let timeout = Duration::from_millis(around.site.stop_ms) + SHUTDOWN_MARGIN;
+    let graceful = around.server.shut_down(timeout)?;
+    let lost = tally.sum(|_, _| true)[Outcome::Cut as usize];
+    println!(
+        "wrong results {}, second answers {}, keyed requests run twice {run_twice}, answers lost {lost}, left in good \
+         order: {}",
+        tally.wrong,
+        tally.doubled,
+        if graceful { "yes" } else { "no" }
+    );
+    if tally.wrong + tally.doubled + run_twice as u64 + lost > 0 || !graceful {
+        println!("The round server's log:\n{}", around.server.recent_log());
+        return Ok(ExitCode::FAILURE);
     }
+    Ok(ExitCode::SUCCESS)
 }
 
-/// What became of the tries, by class.
-fn show(site: &Site, tally: &Tally) -> String {
+/// Returns a table of what became of the attempts, by class.
+fn outcome_table(site: &Site, tally: &Tally) -> String {
     let mut table = table(&[
         "class",
         "tries",
@@ -165,16 +205,16 @@
         "p99 ms",
         "aim ms",
     ]);
-    for (at, class) in site.classes.iter().enumerate() {
-        let count = tally.sum(|c, _| c == at);
+    for (index, class) in site.classes.iter().enumerate() {
+        let counts = tally.sum(|other, _| other == index);
         let percentile = |p: f64| {
-            let histogram = tally.latency.get(at).and_then(Option::as_ref);
+            let histogram = tally.latency.get(index).and_then(Option::as_ref);
             histogram.map_or("-".to_owned(), |h| format!("{:.1}", h.value_at_percentile(p) as f64 / 1000.0))
         };
-        let of = |outcome: Outcome| count[outcome as usize].to_string();
+        let of = |outcome: Outcome| counts[outcome as usize].to_string();
         table.add_row([
             class.name.to_owned(),
-            count.iter().sum::<u64>().to_string(),
+            counts.iter().sum::<u64>().to_string(),
             of(Outcome::Served),
             of(Outcome::Late),
             of(Outcome::Refused),
--- a/crates/ctl/src/ledger/close.rs
+++ b/crates/ctl/src/ledger/close.rs
@@ -1,8 +1,8 @@
 //! `ledger close`: closes all periods up to now.
 
 use crate::clock::now_ms;
-use crate::ledger::location::Place;
-use crate::ledger::operator_requests::ask;
+use crate::ledger::location::LedgerLocation;
+use crate::ledger::operator_requests::{RequestOptions, submit};
 use anyhow::Result;
 use clap::Args;
 use dunlinspread_ledger::operator_request::OperatorRequest;
@@ -10,18 +10,22 @@
 
 /// Settings of `close`.
 #[derive(Args)]
-pub struct CloseNow {
+pub struct ClosePeriods {
     #[command(flatten)]
-    place: Place,
+    location: LedgerLocation,
     /// Answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
-impl CloseNow {
-    /// Closes.
+impl ClosePeriods {
+    /// Closes the periods.
+    ///
+    /// # Errors
+    /// If the ledger cannot be opened or the server that has it open does not answer.
     pub fn run(&self) -> Result<ExitCode> {
-        let (disk, server) = self.place.open()?;
-        ask(&self.place, &disk, &server, OperatorRequest::Close(now_ms()), None, self.json)
+        let ledger = self.location.open()?;
+        let options = RequestOptions { token: None, json: self.json };
+        submit(&self.location.directory, &ledger, OperatorRequest::Close(now_ms()), options)
     }
 }
--- a/crates/ctl/src/ledger/format.rs
+++ b/crates/ctl/src/ledger/format.rs
@@ -1,19 +1,19 @@
 //! Usage and times as the commands print them.
 
 use dunlinspread_ledger::{NetUsage, UsageGroup};
-use serde_json::json;
+use serde_json::{Value, json};
+use std::time::{Duration, UNIX_EPOCH};
 
-/// Returns the usage of a group as a JSON object.
-pub fn sum_json(sum: &UsageGroup, net: &NetUsage) -> serde_json::Value {
+/// Returns the net usage of a group as a JSON object.
+pub fn usage_json(group: &UsageGroup, net: &NetUsage) -> Value {
     json!({
-        "society": sum.tenant, "period_ms": sum.period, "of_ms": sum.original_period, "class": sum.class,
-        "outcome": sum.outcome.as_str(), "requests": net.requests as i64, "pool_us": net.pool_us as i64,
+        "society": group.tenant, "period_ms": group.period, "of_ms": group.original_period, "class": group.class,
+        "outcome": group.outcome.as_str(), "requests": net.requests as i64, "pool_us": net.pool_us as i64,
         "bytes_in": net.bytes_in as i64, "bytes_out": net.bytes_out as i64,
     })
 }
 
-/// A period's first ms as UTC.
-pub fn period_text(ms: u64) -> String {
-    let time = std::time::UNIX_EPOCH + std::time::Duration::from_millis(ms);
-    humantime::format_rfc3339_millis(time).to_string()
+/// Returns a Unix time in ms as text in UTC.
+pub fn utc_text(unix_ms: u64) -> String {
+    humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(unix_ms)).to_string()
 }
--- a/crates/ctl/src/ledger/location.rs
+++ b/crates/ctl/src/ledger/location.rs
@@ -2,12 +2,13 @@
 
 use anyhow::{Context as _, Result, bail};
 use clap::Args;
+use dunlinspread_store::format::{FileHeader, parse_file_name};
 use dunlinspread_store::{Disk as _, RealDisk};
 use std::path::{Path, PathBuf};
 
 /// Where a ledger lies.
 #[derive(Args)]
-pub struct Place {
+pub struct LedgerLocation {
     /// The ledger's directory.
     pub directory: PathBuf,
     /// The server it belongs to; found out from the files without it.
@@ -15,28 +16,39 @@
     pub server: Option<String>,
 }
 
-impl Place {
-    /// The disk and the server's name.
-    pub fn open(&self) -> Result<(RealDisk, String)> {
+/// The disk of a ledger and the name of the server that it belongs to.
+pub struct OpenLedger {
+    /// The disk.
+    pub disk: RealDisk,
+    /// The server's name.
+    pub server: String,
+}
+
+impl LedgerLocation {
+    /// Returns the ledger's disk and the name of its server, without taking the ledger's lock.
+    ///
+    /// # Errors
+    /// If the directory is none, holds no ledger or cannot be read.
+    pub fn open(&self) -> Result<OpenLedger> {
         if !self.directory.is_dir() {
             bail!("{} is no directory", self.directory.display());
         }
         let disk = RealDisk::new(&self.directory)?;
         let server = match &self.server {
             Some(server) => server.clone(),
-            None => owner(&disk, &self.directory)?,
+            None => read_owner(&disk, &self.directory)?,
         };
-        Ok((disk, server))
+        Ok(OpenLedger { disk, server })
     }
 }
 
-/// Whose store it is, by the header of one of its files.
-fn owner(disk: &RealDisk, directory: &Path) -> Result<String> {
+/// Returns the owner that the header of the store's first file names.
+fn read_owner(disk: &RealDisk, directory: &Path) -> Result<String> {
     let names = disk.list().with_context(|| format!("listing {}", directory.display()))?;
-    let name = names.iter().find(|n| dunlinspread_store::format::parse_file_name(n).is_some());
+    let name = names.iter().find(|name| parse_file_name(name).is_some());
     let name = name.with_context(|| format!("{} holds no ledger", directory.display()))?;
     let bytes = std::fs::read(directory.join(name)).with_context(|| format!("reading {name}"))?;
-    match dunlinspread_store::format::FileHeader::decode(&bytes) {
+    match FileHeader::decode(&bytes) {
         Ok(header) => Ok(header.owner),
         Err(e) => bail!("{name}: {e:?}"),
     }
--- a/crates/ctl/src/ledger/mod.rs
+++ b/crates/ctl/src/ledger/mod.rs
@@ -3,8 +3,11 @@
 mod close;
 mod correct;
 mod crash_drill;
+mod drill_comparison;
+mod drill_fleet;
 mod export;
 mod format;
+mod line_json;
 mod location;
 mod offline_request;
 mod operator_requests;
@@ -16,7 +19,7 @@
 
 use anyhow::Result;
 use clap::Subcommand;
-use close::CloseNow;
+use close::ClosePeriods;
 use correct::Correct;
 use crash_drill::CrashDrill;
 use export::Export;
@@ -35,7 +38,7 @@
     /// Enter a correction: a new line that names the one it corrects. The ledger may be in use.
     Correct(Correct),
     /// Close all periods up to now before their time. The ledger may be in use.
-    Close(CloseNow),
+    Close(ClosePeriods),
     /// Write what was used in closed periods to a file, from a ledger or from a folder of exports.
     Export(Export),
     /// Add up what several servers exported, and say who is awaited and what disagrees.
@@ -46,6 +49,9 @@
 
 impl Command {
     /// Runs it.
+    ///
+    /// # Errors
+    /// As the command that is run.
     pub fn run(&self) -> Result<ExitCode> {
         match self {
             Command::Show(show) => show.run(),
--- a/crates/ctl/src/ledger/parquet_file.rs
+++ b/crates/ctl/src/ledger/parquet_file.rs
@@ -1,72 +1,126 @@
 //! A Parquet file of usage; `docs/formats/export.md` has its schema.
 
-use anyhow::{Context as _, Result, bail};
+use anyhow::{Context as _, Result};
 use dunlinspread_ledger::{NetUsage, UsageGroup};
-use parquet::basic::{Compression, Repetition, Type as Physical};
+use parquet::basic::{Compression, LogicalType, Repetition, Type as Physical};
 use parquet::data_type::{ByteArray, ByteArrayType, Int64Type};
 use parquet::file::properties::WriterProperties;
-use parquet::file::writer::SerializedFileWriter;
+use parquet::file::writer::{SerializedColumnWriter, SerializedFileWriter};
 use parquet::schema::types::Type;
 use std::fs::File;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 /// Rows of one group in a Parquet file.
-const ROWS: usize = 64 * 1024;
+const ROWS_PER_GROUP: usize = 64 * 1024;
 
 /// One row of a file.
-pub struct Row {
-    /// Its server.
+pub struct UsageRow {
+    /// The server that served the requests.
     pub server: String,
-    /// Its group.
-    pub sum: UsageGroup,
-    /// Its usage.
+    /// The group that is summed up.
+    pub group: UsageGroup,
+    /// Its net usage.
     pub net: NetUsage,
 }
 
+/// The values of a column.
+enum ColumnValues {
+    Text(fn(&UsageRow) -> &str),
+    Number(fn(&UsageRow) -> i128),
+    OptionalNumber(fn(&UsageRow) -> Option<u64>),
+}
+
+/// A column's name and values.
+struct Column {
+    name: &'static str,
+    values: ColumnValues,
+}
+
+/// The columns, in the order of the schema.
+const COLUMNS: [Column; 10] = [
+    Column { name: "server", values: ColumnValues::Text(|row| &row.server) },
+    Column { name: "society", values: ColumnValues::Text(|row| &row.group.tenant) },
+    Column { name: "period_ms", values: ColumnValues::Number(|row| row.group.period.into()) },
+    Column { name: "of_ms", values: ColumnValues::OptionalNumber(|row| row.group.original_period) },
+    Column { name: "class", values: ColumnValues::Text(|row| &row.group.class) },
+    Column { name: "outcome", values: ColumnValues::Text(|row| row.group.outcome.as_str()) },
+    Column { name: "requests", values: ColumnValues::Number(|row| row.net.requests) },
+    Column { name: "pool_us", values: ColumnValues::Number(|row| row.net.pool_us) },
+    Column { name: "bytes_in", values: ColumnValues::Number(|row| row.net.bytes_in) },
+    Column { name: "bytes_out", values: ColumnValues::Number(|row| row.net.bytes_out) },
+];
+
+impl Column {
+    fn schema(&self) -> Result<Type> {
+        let (physical, repetition) = match self.values {
+            ColumnValues::Text(_) => (Physical::BYTE_ARRAY, Repetition::REQUIRED),
+            ColumnValues::Number(_) => (Physical::INT64, Repetition::REQUIRED),
+            ColumnValues::OptionalNumber(_) => (Physical::INT64, Repetition::OPTIONAL),
+        };
+        let mut builder = Type::primitive_type_builder(self.name, physical).with_repetition(repetition);
+        if matches!(self.values, ColumnValues::Text(_)) {
+            builder = builder.with_logical_type(Some(LogicalType::String));
+        }
+        Ok(builder.build()?)
+    }
+
+    fn write(&self, rows: &[UsageRow], writer: &mut SerializedColumnWriter<'_>) -> Result<()> {
+        match self.values {
+            ColumnValues::Text(text) => {
+                let values: Vec<ByteArray> = rows.iter().map(|row| ByteArray::from(text(row))).collect();
+                writer.typed::<ByteArrayType>().write_batch(&values, None, None)?;
+            }
+            ColumnValues::Number(number) => {
+                let values = rows.iter().map(|row| to_i64(number(row))).collect::<Result<Vec<i64>>>()?;
+                writer.typed::<Int64Type>().write_batch(&values, None, None)?;
+            }
+            ColumnValues::OptionalNumber(number) => {
+                let values: Vec<i64> = rows.iter().filter_map(number).map(|value| value as i64).collect();
+                let definition_levels: Vec<i16> =
+                    rows.iter().map(|row| i16::from(number(row).is_some())).collect();
+                writer.typed::<Int64Type>().write_batch(&values, Some(&definition_levels), None)?;
+            }
+        }
+        Ok(())
+    }
+}
+
+fn to_i64(sum: i128) -> Result<i64> {
+    i64::try_from(sum).context("a sum is out of range")
+}
+
 /// A Parquet file that is being written.
-pub struct Sheet {
+pub struct UsageFile {
     path: PathBuf,
-    making: PathBuf,
+    temporary: PathBuf,
     writer: SerializedFileWriter<File>,
-    rows: Vec<Row>,
+    rows: Vec<UsageRow>,
 }
 
-impl Sheet {
-    pub fn create(path: &Path) -> Result<Sheet> {
-        let column = |name: &str, physical: Physical, repetition: Repetition| -> Result<_> {
-            let built = Type::primitive_type_builder(name, physical).with_repetition(repetition);
-            let built = match physical {
-                Physical::BYTE_ARRAY => built.with_logical_type(Some(parquet::basic::LogicalType::String)),
-                _ => built,
-            };
-            Ok(Arc::new(built.build()?))
-        };
-        let text = |name| column(name, Physical::BYTE_ARRAY, Repetition::REQUIRED);
-        let number = |name| column(name, Physical::INT64, Repetition::REQUIRED);
-        let fields = vec![
-            text("server")?,
-            text("society")?,
-            number("period_ms")?,
-            column("of_ms", Physical::INT64, Repetition::OPTIONAL)?,
-            text("class")?,
-            text("outcome")?,
-            number("requests")?,
-            number("pool_us")?,
-            number("bytes_in")?,
-            number("bytes_out")?,
-        ];
-        let schema = Type::group_type_builder("usage").with_fields(fields).build()?;
+impl UsageFile {
+    /// Creates the file under a temporary name.
+    ///
+    /// # Errors
+    /// If the file cannot be created.
+    pub fn create(path: &Path) -> Result<UsageFile> {
+        let columns = COLUMNS.iter().map(|column| Ok(Arc::new(column.schema()?)));
+        let columns = columns.collect::<Result<Vec<_>>>()?;
+        let schema = Type::group_type_builder("usage").with_fields(columns).build()?;
         let properties = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
-        let making = path.with_extension("tmp");
-        let file = File::create(&making).with_context(|| format!("making {}", making.display()))?;
+        let temporary = path.with_extension("tmp");
+        let file = File::create(&temporary).with_context(|| format!("making {}", temporary.display()))?;
         let writer = SerializedFileWriter::new(file, Arc::new(schema), Arc::new(properties))?;
-        Ok(Sheet { path: path.to_owned(), making, writer, rows: Vec::new() })
+        Ok(UsageFile { path: path.to_owned(), temporary, writer, rows: Vec::new() })
     }
 
-    pub fn put(&mut self, row: Row) -> Result<()> {
+    /// Appends a row; rows are written a group at a time.
+    ///
+    /// # Errors
+    /// If a group cannot be written.
+    pub fn write(&mut self, row: UsageRow) -> Result<()> {
         self.rows.push(row);
-        if self.rows.len() >= ROWS { self.flush() } else { Ok(()) }
+        if self.rows.len() >= ROWS_PER_GROUP { self.flush() } else { Ok(()) }
     }
 
     fn flush(&mut self) -> Result<()> {
@@ -74,50 +128,24 @@
         if rows.is_empty() {
             return Ok(());
         }
-        let number = |n: i128| i64::try_from(n).context("a sum is out of range");
         let mut group = self.writer.next_row_group()?;
-        let texts: [fn(&Row) -> &str; 4] =
-            [|r| &r.server, |r| &r.sum.tenant, |r| &r.sum.class, |r| r.sum.outcome.as_str()];
-        // In the order of the schema.
-        for column in
-            [Some(0), Some(1), None, None, Some(2), Some(3), None, None, None, None].into_iter().enumerate()
-        {
-            let Some(mut writer) = group.next_column()? else { bail!("the schema has too few columns") };
-            match column {
-                (_, Some(text)) => {
-                    let values: Vec<ByteArray> =
-                        rows.iter().map(|r| ByteArray::from(texts[text](r))).collect();
-                    writer.typed::<ByteArrayType>().write_batch(&values, None, None)?;
-                }
-                (3, None) => {
-                    let values: Vec<i64> =
-                        rows.iter().filter_map(|r| r.sum.original_period).map(|of| of as i64).collect();
-                    let there: Vec<i16> =
-                        rows.iter().map(|r| i16::from(r.sum.original_period.is_some())).collect();
-                    writer.typed::<Int64Type>().write_batch(&values, Some(&there), None)?;
-                }
-                (at, None) => {
-                    let value = |r: &Row| match at {
-                        2 => number(r.sum.period.into()),
-                        6 => number(r.net.requests),
-                        7 => number(r.net.pool_us),
-                        8 => number(r.net.bytes_in),
-                        _ => number(r.net.bytes_out),
-                    };
-                    let values = rows.iter().map(value).collect::<Result<Vec<i64>>>()?;
-                    writer.typed::<Int64Type>().write_batch(&values, None, None)?;
-                }
-            }
+        for column in &COLUMNS {
+            let mut writer = group.next_column()?.context("the schema has too few columns")?;
+            column.write(&rows, &mut writer)?;
             writer.close()?;
         }
         group.close()?;
         Ok(())
     }
 
-    /// Only a whole file gets its name.
+    /// Completes the file and gives it its name.
+    ///
+    /// # Errors
+    /// If the file cannot be written or renamed.
     pub fn finish(mut self) -> Result<()> {
         self.flush()?;
         self.writer.close()?;
-        std::fs::rename(&self.making, &self.path).with_context(|| format!("writing {}", self.path.display()))
+        std::fs::rename(&self.temporary, &self.path)
+            .with_context(|| format!("writing {}", self.path.display()))
     }
 }
--- a/crates/ctl/src/ledger/show.rs
+++ b/crates/ctl/src/ledger/show.rs
@@ -1,28 +1,28 @@
 //! `ledger show`: usage by tenant, class and outcome, or the lines themselves.
 
-use crate::ledger::format::{period_text, sum_json};
-use crate::ledger::location::Place;
-use crate::ledger::replay::walk;
+use crate::ledger::format::{usage_json, utc_text};
+use crate::ledger::line_json::{LineSelection, line_json};
+use crate::ledger::location::{LedgerLocation, OpenLedger};
+use crate::ledger::replay::replay_lines;
 use crate::table::table;
 use anyhow::Result;
 use clap::Args;
-use dunlinspread_ledger::batch::hex;
-use dunlinspread_ledger::{Line, LineId, LineIdText, LineKind, NetUsage, Outcome, read_lines, totals};
-use dunlinspread_store::RealDisk;
+use comfy_table::Table;
+use dunlinspread_ledger::{LineId, LineIdText, LineKind, NetUsage, UsageGroup, read_lines, totals};
 use serde_json::json;
 use std::process::ExitCode;
 
-/// Sums held at a time by commands.
-const CELLS: usize = 1_000_000;
+/// Usage groups summed up at a time, at most.
+const MAX_GROUPS: usize = 1_000_000;
 
 /// Settings of `show`.
 #[derive(Args)]
 pub struct Show {
     #[command(flatten)]
-    place: Place,
+    location: LedgerLocation,
     /// Only this society.
-    #[arg(long)]
-    society: Option<String>,
+    #[arg(long = "society", value_name = "SOCIETY")]
+    tenant: Option<String>,
     /// Only periods from this time on, Unix ms.
     #[arg(long, default_value_t = 0)]
     from: u64,
@@ -38,114 +38,87 @@
 }
 
 impl Show {
-    /// Runs it.
+    /// Prints the usage or the lines.
+    ///
+    /// # Errors
+    /// If the ledger cannot be read.
     pub fn run(&self) -> Result<ExitCode> {
-        let (disk, server) = self.place.open()?;
+        let ledger = self.location.open()?;
         if self.lines {
-            return self.show_lines(&disk, &server);
+            self.show_lines(&ledger)?;
+        } else {
+            self.show_usage(&ledger)?;
         }
+        Ok(ExitCode::SUCCESS)
+    }
+
+    /// Prints the usage of each group, and the sum of all in a table.
+    fn show_usage(&self, ledger: &OpenLedger) -> Result<()> {
         // The last line that is there now: a ledger in use goes on growing.
-        let mut end = 0;
-        let first = walk(&disk, &server, |number, _| end = number)?.first.max(1);
+        let mut last_line = 0;
+        let first_line = replay_lines(ledger, |number, _| last_line = number)?.first_line.max(1);
+        let lines = first_line..last_line + 1;
         let mut rows =
             table(&["society", "period", "class", "outcome", "requests", "pool s", "kB in", "kB out"]);
         let mut all = NetUsage::default();
         totals(
             &[],
-            CELLS,
-            |show| read_lines(&disk, &server, first..end + 1, show),
-            |period| period >= self.from && period < self.to,
-            |sum, net| {
-                if self.society.as_ref().is_some_and(|s| *s != sum.tenant) {
+            MAX_GROUPS,
+            |visit| read_lines(&ledger.disk, &ledger.server, lines.clone(), visit),
+            |period| (self.from..self.to).contains(&period),
+            |group, net| {
+                if self.tenant.as_ref().is_some_and(|tenant| *tenant != group.tenant) {
                     return;
                 }
                 all.requests += net.requests;
                 all.pool_us += net.pool_us;
                 if self.json {
-                    println!("{}", sum_json(&sum, &net));
+                    println!("{}", usage_json(&group, &net));
                 } else {
-                    rows.add_row([
-                        sum.tenant.clone(),
-                        period_text(sum.period),
-                        sum.class.clone(),
-                        sum.outcome.as_str().to_owned(),
-                        net.requests.to_string(),
-                        format!("{:.3}", net.pool_us as f64 / 1e6),
-                        format!("{:.1}", net.bytes_in as f64 / 1e3),
-                        format!("{:.1}", net.bytes_out as f64 / 1e3),
-                    ]);
+                    add_usage_row(&mut rows, &group, &net);
                 }
             },
         )?;
         if !self.json {
-            println!(
-                "{rows}\n{} requests, {:.3} s in the worker pool",
-                all.requests,
-                all.pool_us as f64 / 1e6
-            );
+            let pool_seconds = all.pool_us as f64 / 1e6;
+            println!("{rows}\n{} requests, {pool_seconds:.3} s in the worker pool", all.requests);
         }
-        Ok(ExitCode::SUCCESS)
+        Ok(())
     }
-}
 
-impl Show {
-    /// The lines as they stand, one a row.
-    fn show_lines(&self, disk: &RealDisk, server: &str) -> Result<ExitCode> {
+    /// Prints the lines as they stand, one a row.
+    fn show_lines(&self, ledger: &OpenLedger) -> Result<()> {
         let (mut start, mut classes) = (0, Vec::new());
-        walk(disk, server, |number, line| {
-            if let Some(LineKind::Start(s)) = &line.kind {
-                (start, classes) = (s.start, s.classes.clone());
+        replay_lines(ledger, |number, line| {
+            if let Some(LineKind::Start(started)) = &line.kind {
+                (start, classes) = (started.start, started.classes.clone());
             }
-            if line.at_ms < self.from || line.at_ms >= self.to {
+            if !(self.from..self.to).contains(&line.at_ms) {
                 return;
             }
-            let id = LineId { server: server.to_owned(), start, number };
-            let Some(what) = self.describe(line, &classes) else { return };
+            let selection = LineSelection { tenant: self.tenant.as_deref(), classes: &classes };
+            let Some(content) = line_json(line, selection) else { return };
+            let id = LineId { server: ledger.server.clone(), start, number };
             if self.json {
                 let id = LineIdText(&id).to_string();
-                println!("{}", json!({"id": id, "at_ms": line.at_ms, "line": what}));
+                println!("{}", json!({"id": id, "at_ms": line.at_ms, "line": content}));
             } else {
-                println!("{} {} {what}", LineIdText(&id), period_text(line.at_ms));
+                println!("{} {} {content}", LineIdText(&id), utc_text(line.at_ms));
             }
         })?;
-        Ok(ExitCode::SUCCESS)
+        Ok(())
     }
+}
 
-    /// A line's content; none if it is not of the society that is looked for.
-    fn describe(&self, line: &Line, classes: &[String]) -> Option<serde_json::Value> {
-        let class = |at: u32| classes.get(at as usize).map_or("?", String::as_str);
-        let outcome = |o: i32| Outcome::try_from(o).unwrap_or(Outcome::Unknown).as_str();
-        let wanted = |society: &str| self.society.as_ref().is_none_or(|s| s == society);
-        let what = match line.kind.as_ref()? {
-            LineKind::Start(s) => json!({"start": s.start, "period_ms": s.period_ms, "classes": s.classes,
-                "at_risk": s.at_risk, "serves_on": s.continues_on_failure}),
-            LineKind::Usage(usage) => {
-                let entries: Vec<_> = usage
-                    .entries
-                    .iter()
-                    .filter(|e| wanted(&e.tenant))
-                    .map(|e| {
-                        json!({"society": e.tenant, "class": class(e.class), "outcome": outcome(e.outcome),
-                            "requests": e.amount.requests, "pool_us": e.amount.pool_us})
-                    })
-                    .collect();
-                if entries.is_empty() {
-                    return None;
-                }
-                json!({"usage": entries, "period_ms": usage.period, "of_ms": usage.original_period})
-            }
-            LineKind::Correction(c) if !wanted(&c.tenant) => return None,
-            LineKind::Correction(c) => json!({"correction": {"corrects": LineIdText(&c.corrects).to_string(),
-                "society": c.tenant, "class": c.class, "outcome": outcome(c.outcome), "requests": c.requests,
-                "pool_us": c.pool_us, "reason": c.reason, "token": c.token}, "period_ms": c.period}),
-            LineKind::Close(c) => json!({"close": {"from_ms": c.from, "to_ms": c.to, "late": c.late}}),
-            LineKind::Export(e) => {
-                json!({"export": {"batch": e.batch, "digest": hex(&e.digest), "close": e.close,
-                "last": e.last, "acknowledged": e.acknowledged}})
-            }
-            LineKind::Unbilled(u) => json!({"unbilled": {"requests": u.requests, "at_most": u.at_most,
-                "unbounded": u.unbounded, "from_ms": u.from_ms, "to_ms": u.to_ms, "why": u.reason}}),
-        };
-        Some(what)
-    }
+fn add_usage_row(rows: &mut Table, group: &UsageGroup, net: &NetUsage) {
+    rows.add_row([
+        group.tenant.clone(),
+        utc_text(group.period),
+        group.class.clone(),
+        group.outcome.as_str().to_owned(),
+        net.requests.to_string(),
+        format!("{:.3}", net.pool_us as f64 / 1e6),
+        format!("{:.1}", net.bytes_in as f64 / 1e3),
+        format!("{:.1}", net.bytes_out as f64 / 1e3),
+    ]);
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -3,8 +3,8 @@
 
 mod clock;
 mod demo;
-mod fleet;
 mod ledger;
+mod server_process;
 mod table;
 
 use clap::{Parser, Subcommand};
