--- a/src/simulator/parse.rs
+++ b/src/simulator/parse.rs
@@ -4,7 +4,7 @@
 use super::request_ids::RequestIds;
 use super::words::{field, message, outcome};
 use crate::admission::{Arrival, Event, Gauges, Outcome, Settings};
-use crate::config::{Pairs, set_gauge};
+use crate::config::{StatedSettings, set_gauge};
 use std::str::FromStr;
 
 /// Value of the field of a duplicated request that stands for none.
@@ -38,11 +38,11 @@
 
     /// Returns the settings of an instance that starts.
     pub(super) fn settings(&self) -> Result<Settings, ProtocolError> {
-        let pairs: Pairs = self.pairs().collect();
+        let pairs: StatedSettings = self.pairs().collect();
         let seed = self.required(field::SEED)?;
-        pairs
-            .settings(seed)
-            .map_err(|fault| self.error(MessageError::InvalidSetting { key: fault.key, problem: fault.what }))
+        pairs.settings(seed).map_err(|error| {
+            self.error(MessageError::InvalidSetting { key: error.key, problem: error.reason })
+        })
     }
 
     /// Returns the event that the message tells a running instance.
