--- a/crates/ledger/tests/export_protocol_model.rs
+++ b/crates/ledger/tests/export_protocol_model.rs
@@ -1,6 +1,6 @@
-//! Delivery as a model: a sender, a way that loses, doubles and reorders, a collector, and crashes of both between any
-//! two steps, over the very functions that the program uses. Every state is explored. A variant that acknowledges before
-//! it has made a batch durable has to be found out.
+//! The export protocol as a model: a sender, a network that loses, duplicates and reorders, a collector, and crashes of
+//! both between any two steps, over the functions that the program uses. Every state is explored. A variant that
+//! acknowledges before it has made a batch durable has to be detected.
 
 use dunlinspread_ledger::export_protocol::{
     CollectorReply, ExportCollector, ExportSender, OfferDecision, SenderAction,
@@ -8,9 +8,9 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Batches to deliver, messages under way at once, crashes of each side.
+/// Batches to export, messages in flight at once, crashes of each end.
 const BATCHES: u64 = 4;
-const UNDER_WAY: usize = 5;
+const MAX_IN_FLIGHT: usize = 5;
 const CRASHES: u8 = 3;
 
 /// The digest of a batch.
@@ -36,7 +36,7 @@
     /// A broken collector replies before this is durable.
     taking: Option<u64>,
     /// A message stays until it is lost: it may arrive any number of times, in any order.
-    way: BTreeSet<Message>,
+    network: BTreeSet<Message>,
     crashes: (u8, u8),
 }
 
@@ -54,7 +54,7 @@
     CollectorStarts,
 }
 
-struct Delivery {
+struct ExportModel {
     /// The collector replies before its batch is durable.
     acknowledges_early: bool,
 }
@@ -65,7 +65,7 @@
         .map_or(ExportCollector::default(), |last| ExportCollector::new(counted.len() as u64, digest(*last)))
 }
 
-impl Model for Delivery {
+impl Model for ExportModel {
     type State = World;
     type Action = Step;
 
@@ -76,7 +76,7 @@
             collector: Some(ExportCollector::default()),
             counted: Vec::new(),
             taking: None,
-            way: BTreeSet::new(),
+            network: BTreeSet::new(),
             crashes: (0, 0),
         }]
     }
@@ -84,14 +84,14 @@
     fn actions(&self, w: &World, steps: &mut Vec<Step>) {
         match w.sender.next() {
             SenderAction::Idle if w.sender_disk.0 < BATCHES => steps.push(Step::Prepare),
-            SenderAction::Send(_) if w.way.len() < UNDER_WAY => steps.push(Step::Send),
+            SenderAction::Send(_) if w.network.len() < MAX_IN_FLIGHT => steps.push(Step::Send),
             SenderAction::RecordAcknowledgement(_) => steps.push(Step::Settle),
             _ => {}
         }
-        for message in &w.way {
+        for message in &w.network {
             steps.push(Step::Lose(message.clone()));
             match message {
-                Message::Offer(n) if w.collector.is_some() && w.way.len() <= UNDER_WAY => {
+                Message::Offer(n) if w.collector.is_some() && w.network.len() <= MAX_IN_FLIGHT => {
                     steps.push(Step::OfferArrives(*n));
                 }
                 Message::Reply(reply) => steps.push(Step::ReplyArrives(*reply)),
@@ -120,13 +120,13 @@
             }
             Step::Send => {
                 let SenderAction::Send(n) = w.sender.next() else { return None };
-                w.way.insert(Message::Offer(n));
+                w.network.insert(Message::Offer(n));
             }
             Step::Settle => {
                 w.sender_disk = (w.sender_disk.0 + 1, false);
                 w.sender.acknowledgement_recorded();
             }
-            Step::Lose(message) => drop(w.way.remove(&message)),
+            Step::Lose(message) => drop(w.network.remove(&message)),
             Step::OfferArrives(n) => {
                 let collector = w.collector.as_mut()?;
                 let previous = if n == 1 { Vec::new() } else { digest(n - 1).to_vec() };
@@ -142,7 +142,7 @@
                     }
                 }
                 let reply = collector.reply(decision);
-                w.way.insert(Message::Reply(reply));
+                w.network.insert(Message::Reply(reply));
             }
             Step::ReplyArrives(reply) => w.sender.on_reply(&reply),
             Step::TakingIsDurable => w.counted.extend(w.taking.take()),
@@ -177,14 +177,14 @@
                 w.sender_disk.0 == BATCHES && w.crashes == (CRASHES, CRASHES)
             }),
             Property::always(
-                "a short run on a good way always gets through",
-                |model: &Delivery, w: &World| model.gets_through(w),
+                "a short run on a reliable network always gets through",
+                |model: &ExportModel, w: &World| model.gets_through(w),
             ),
         ]
     }
 }
 
-impl Delivery {
+impl ExportModel {
     /// From this state on nothing more is lost and nobody crashes: is all delivered?
     fn gets_through(&self, from: &World) -> bool {
         if self.acknowledges_early {
@@ -201,14 +201,14 @@
             if w.sender_disk.0 == BATCHES {
                 return true;
             }
-            // What is still under way arrives first: old messages may not lead astray.
-            match w.way.first().cloned() {
+            // What is still in flight arrives first: old messages may not mislead either end.
+            match w.network.first().cloned() {
                 Some(Message::Offer(n)) => {
-                    w.way.remove(&Message::Offer(n));
+                    w.network.remove(&Message::Offer(n));
                     go(&mut w, Step::OfferArrives(n));
                 }
                 Some(Message::Reply(reply)) => {
-                    w.way.remove(&Message::Reply(reply));
+                    w.network.remove(&Message::Reply(reply));
                     go(&mut w, Step::ReplyArrives(reply));
                 }
                 None => match w.sender.next() {
@@ -225,7 +225,7 @@
 
 #[test]
 fn every_batch_is_counted_once() {
-    let checker = Delivery { acknowledges_early: false }.checker().threads(4).spawn_bfs().join();
+    let checker = ExportModel { acknowledges_early: false }.checker().threads(4).spawn_bfs().join();
     println!("states: {} in all, {} different", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
@@ -234,7 +234,7 @@
 /// The model bites.
 #[test]
 fn acknowledging_before_it_is_durable_is_detected() {
-    let checker = Delivery { acknowledges_early: true }.checker().threads(4).spawn_bfs().join();
+    let checker = ExportModel { acknowledges_early: true }.checker().threads(4).spawn_bfs().join();
     let found = checker.discovery("none that is settled is lost").expect("a counterexample");
     println!("{} steps: {found}", found.clone().into_actions().len());
 }
