--- /dev/null
+++ b/crates/ctl/src/ledger/close.rs
@@ -0,0 +1,31 @@
+//! `ledger close`: closes all periods up to now.
+
+use crate::clock::now_ms;
+use crate::ledger::location::LedgerLocation;
+use crate::ledger::operator_requests::{RequestOptions, submit};
+use anyhow::Result;
+use clap::Args;
+use dunlinspread_ledger::operator_request::OperatorRequest;
+use std::process::ExitCode;
+
+/// Settings of `close`.
+#[derive(Args)]
+pub struct ClosePeriods {
+    #[command(flatten)]
+    location: LedgerLocation,
+    /// Answer as JSON.
+    #[arg(long)]
+    json: bool,
+}
+
+impl ClosePeriods {
+    /// Closes the periods.
+    ///
+    /// # Errors
+    /// If the ledger cannot be opened or the server that has it open does not answer.
+    pub fn run(&self) -> Result<ExitCode> {
+        let ledger = self.location.open()?;
+        let options = RequestOptions { token: None, json: self.json };
+        submit(&self.location.directory, &ledger, OperatorRequest::Close(now_ms()), options)
+    }
+}
