--- a/crates/scale/src/capacity/assumptions.rs
+++ b/crates/scale/src/capacity/assumptions.rs
@@ -4,8 +4,8 @@
 pub const SUBSET: f64 = 20.0;
 /// Lease of fleet limits, s.
 pub const LEASE_SECONDS: f64 = 2.0;
-/// Asks of a server for each budget in a lease.
-pub const ASKS_PER_LEASE: f64 = 4.0;
+/// Lease requests of a server for each budget in a lease.
+pub const REQUESTS_PER_LEASE: f64 = 4.0;
 /// Fleet-wide budgets that a server takes part in: one a class, of some twenty classes.
 pub const BUDGETS_OF_CLASSES: f64 = 20.0;
 /// Work of the machine for a new connection, ms: between the 28 and 48 that the operators state for today's site.
--- a/crates/scale/src/capacity/roles/configuration.rs
+++ b/crates/scale/src/capacity/roles/configuration.rs
@@ -72,12 +72,17 @@
 /// # Errors
 /// If a measurement is missing.
 pub fn relay(book: &Book) -> Result<Role> {
+    let mut rows = relay_session_rows();
+    rows.extend(relay_load_rows(book)?);
+    rows.extend(relay_restart_rows(book)?);
+    Ok(Role { id: "relay", rows })
+}
+
+/// Returns the rows of the sessions that a zone's relay serves.
+fn relay_session_rows() -> Vec<Row> {
     let of_a_zone = target::SERVERS_OF_A_ZONE / RELAYS_OF_A_ZONE;
     let after_a_loss = target::SERVERS_OF_A_ZONE;
-    let snapshot = book.at_target("config.snapshot_bytes.resources")?;
-    let cold_rate = snapshot.clone().times(target::SERVERS_OF_A_ZONE / RELAYS_OF_A_ZONE / COLD_ZONE_SECONDS);
-    let from_disk = book.propagated("cold_zone_ms")?;
-    let rows = vec![
+    vec![
         Row::new(
             "sessions of a zone's relay",
             When::Steady,
@@ -94,6 +99,12 @@
             "444",
         )
         .carried_by("rendezvous order in the zone"),
+    ]
+}
+
+/// Returns the rows of what a relay sends, computes and holds.
+fn relay_load_rows(book: &Book) -> Result<Vec<Row>> {
+    Ok(vec![
         Row::new(
             "bytes out",
             When::ChangeBurst,
@@ -121,6 +132,15 @@
         )
         .limit(CONTROL_MACHINE_MEMORY_BYTES)
         .carried_by("`crates/config-sync` relay"),
+    ])
+}
+
+/// Returns the rows of a relay whose zone starts anew.
+fn relay_restart_rows(book: &Book) -> Result<Vec<Row>> {
+    let from_disk = book.propagated("cold_zone_ms")?;
+    let snapshot = book.at_target("config.snapshot_bytes.resources")?;
+    let cold_rate = snapshot.times(target::SERVERS_OF_A_ZONE / RELAYS_OF_A_ZONE / COLD_ZONE_SECONDS);
+    Ok(vec![
         Row::new(
             "a zone restarted from its state on disk, until in force",
             When::ZoneCold,
@@ -139,6 +159,5 @@
         )
         .limit(CONTROL_MACHINE_BYTES_PER_SECOND)
         .carried_by("snapshots in bounded pieces, a bounded number at once"),
-    ];
-    Ok(Role { id: "relay", rows })
+    ])
 }
--- a/crates/scale/src/capacity/roles/neighbours.rs
+++ b/crates/scale/src/capacity/roles/neighbours.rs
@@ -1,8 +1,8 @@
 //! Roles beside the round server: allocator of fleet limits, worker pool, next tier, collector of the usage ledger.
 
 use crate::capacity::assumptions::{
-    ASKS_PER_LEASE, BUDGETS_OF_CLASSES, CALLS_PER_REQUEST, CONTROL_MACHINE_BYTES_PER_SECOND,
-    CONTROL_MACHINE_MEMORY_BYTES, LEASE_SECONDS, LEDGER_PERIOD_SECONDS, TENANTS_PER_SERVER_AND_PERIOD,
+    BUDGETS_OF_CLASSES, CALLS_PER_REQUEST, CONTROL_MACHINE_BYTES_PER_SECOND, CONTROL_MACHINE_MEMORY_BYTES,
+    LEASE_SECONDS, LEDGER_PERIOD_SECONDS, REQUESTS_PER_LEASE, TENANTS_PER_SERVER_AND_PERIOD,
 };
 use crate::capacity::book::Book;
 use crate::capacity::estimate::Estimate;
@@ -18,23 +18,39 @@
 /// # Errors
 /// If a measurement is missing.
 pub fn quota_allocator(book: &Book) -> Result<Role> {
-    let asks = target::SERVERS * ASKS_PER_LEASE / LEASE_SECONDS;
-    let ask = book.at_target("quota.ask_ns.members")?;
-    let of_classes = ask.clone().times(asks * BUDGETS_OF_CLASSES / NS_PER_SECOND).by(Estimate::assumed(1.0));
-    let of_tenants = ask.clone().times(asks * target::TENANTS / NS_PER_SECOND).by(Estimate::assumed(1.0));
+    let mut rows = quota_request_rows(book)?;
+    rows.extend(quota_memory_rows(book)?);
+    rows.push(
+        Row::new(
+            "extras still in use after a cut",
+            When::RegionsApart,
+            Unit::Seconds,
+            Estimate::assumed(LEASE_SECONDS),
+            "one lease",
+        )
+        .carried_by("`crates/quota`: the guaranteed minimum stays"),
+    );
+    Ok(Role { id: "quota_allocator", rows })
+}
+
+/// Returns the rows of an allocator's lease requests: their rate, and what they take of a core.
+fn quota_request_rows(book: &Book) -> Result<Vec<Row>> {
+    let requests = target::SERVERS * REQUESTS_PER_LEASE / LEASE_SECONDS;
+    let request_ns = book.at_target("quota.ask_ns.members")?;
+    let core_share = |budgets: f64| request_ns.clone().times(requests * budgets / NS_PER_SECOND);
+    let of_classes = core_share(BUDGETS_OF_CLASSES).by(Estimate::assumed(1.0));
+    let of_tenants = core_share(target::TENANTS).by(Estimate::assumed(1.0));
+    let zone_requests = target::SERVERS_OF_A_ZONE * REQUESTS_PER_LEASE / LEASE_SECONDS;
     let by_zone = book
         .at("quota.ask_ns.members", target::SERVERS_OF_A_ZONE)?
-        .times(
-            target::SERVERS_OF_A_ZONE * ASKS_PER_LEASE / LEASE_SECONDS * BUDGETS_OF_CLASSES / NS_PER_SECOND,
-        )
+        .times(zone_requests * BUDGETS_OF_CLASSES / NS_PER_SECOND)
         .by(Estimate::assumed(1.0));
-    let memory = book.at_target("quota.allocator_bytes.members")?;
-    let rows = vec![
+    Ok(vec![
         Row::new(
             "asks for one budget",
             When::Steady,
             Unit::PerSecond,
-            Estimate::assumed(asks),
+            Estimate::assumed(requests),
             "7,100 x 4 a lease of 2 s",
         )
         .carried_by("`crates/quota`"),
@@ -42,7 +58,7 @@
             "core, one budget, one allocator for all",
             When::Steady,
             Unit::CoreShare,
-            ask.times(asks / NS_PER_SECOND),
+            request_ns.clone().times(requests / NS_PER_SECOND),
             "`quota.ask_ns.members` x 14,200/s, sockets not counted",
         )
         .limit(1.0)
@@ -75,6 +91,13 @@
         )
         .limit(1.0)
         .carried_by("`crates/quota`, flat; a budget a tenant needs asks for active tenants alone"),
+    ])
+}
+
+/// Returns the rows of an allocator's memory.
+fn quota_memory_rows(book: &Book) -> Result<Vec<Row>> {
+    let memory = book.at_target("quota.allocator_bytes.members")?;
+    Ok(vec![
         Row::new(
             "memory, 20 budgets",
             When::Steady,
@@ -93,16 +116,7 @@
         )
         .limit(CONTROL_MACHINE_MEMORY_BYTES)
         .carried_by("`crates/quota`, flat"),
-        Row::new(
-            "extras still in use after a cut",
-            When::RegionsApart,
-            Unit::Seconds,
-            Estimate::assumed(LEASE_SECONDS),
-            "one lease",
-        )
-        .carried_by("`crates/quota`: the guaranteed minimum stays"),
-    ];
-    Ok(Role { id: "quota_allocator", rows })
+    ])
 }
 
 /// The rows of a worker pool.
@@ -180,10 +194,8 @@
     let batch =
         book.at("ledger.batch_bytes.tenants", TENANTS_PER_SERVER_AND_PERIOD)?.by(Estimate::assumed(1.0));
     let a_second = batch.clone().times(target::SERVERS / LEDGER_PERIOD_SECONDS);
-    let table =
-        book.at("ledger.table_bytes.tenants", TENANTS_PER_SERVER_AND_PERIOD)?.by(Estimate::assumed(1.0));
     let burst = batch.clone().times(target::SERVERS / 60.0);
-    let rows = vec![
+    let mut rows = vec![
         Row::new(
             "bytes of a server's batches a period",
             When::Steady,
@@ -211,6 +223,16 @@
         .limit(CONTROL_MACHINE_BYTES_PER_SECOND)
         .carried_by("jitter of the exports over the period")
         .not_built(),
+    ];
+    rows.extend(ledger_server_rows(book)?);
+    Ok(Role { id: "ledger_collector", rows })
+}
+
+/// Returns the rows of what the ledger takes of each server.
+fn ledger_server_rows(book: &Book) -> Result<Vec<Row>> {
+    let table =
+        book.at("ledger.table_bytes.tenants", TENANTS_PER_SERVER_AND_PERIOD)?.by(Estimate::assumed(1.0));
+    Ok(vec![
         Row::new(
             "memory of a server's open aggregates",
             When::Steady,
@@ -236,6 +258,5 @@
             "`store.recovery_ms.records` at an hour of 282/s",
         )
         .carried_by("`crates/store`"),
-    ];
-    Ok(Role { id: "ledger_collector", rows })
+    ])
 }
