--- a/crates/scale/src/probes/policy.rs
+++ b/crates/scale/src/probes/admission.rs
@@ -1,7 +1,7 @@
-//! The decision module: ns of an arrival, an ending and a timer, and its memory, against tenants, classes, held and
-//! running requests. Each state is built in a process of its own, whose growth in resident memory is the module's.
+//! The admission controller: ns of an arrival, an ending and a timer, and its memory, against tenants, classes, queued and
+//! running requests. Each state is built in a process of its own, whose growth in resident memory is the controller's.
 
-use super::policy_load::{Costs, Length, Load, Shape};
+use super::admission_load::{Costs, Length, Load, Shape};
 use crate::child_process::{self, ReportingLoad};
 use crate::fit::Quantity;
 use crate::probes::{Probe, ProbeOptions};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The state but for the size that varies.
-const USUAL: Shape = Shape { tenants: 40, classes: 8, held: 0, running: 8 };
+const USUAL: Shape = Shape { tenants: 40, classes: 8, queued: 0, running: 8 };
 /// Runs of the load at each size and seed.
 const RUNS: usize = 5;
 /// How long a run is.
@@ -71,7 +71,7 @@
         words: "held requests; an arrival adds one, an ending runs the best of them",
         sizes: &[10, 100, 1_000, 10_000],
         target: 10_000.0,
-        shape: |held| Shape { held, ..USUAL },
+        shape: |queued| Shape { queued, ..USUAL },
         fixed: &[("tenants", 40.0), ("classes", 8.0), ("running", 8.0)],
         ids: Ids {
             arrival: "policy.arrival_ns.held",
@@ -98,10 +98,10 @@
 /// The sizes that show whether the probe works.
 const QUICK_SIZES: &[u64] = &[10, 40];
 
-/// The probe of the decision module.
-pub struct PolicyProbe;
+/// The probe of the admission controller.
+pub struct AdmissionProbe;
 
-impl Probe for PolicyProbe {
+impl Probe for AdmissionProbe {
     fn prefix(&self) -> &'static str {
         "policy"
     }
--- a/crates/scale/src/probes/policy_load.rs
+++ b/crates/scale/src/probes/admission_load.rs
@@ -1,4 +1,4 @@
-//! A decision module brought to a given state and kept there while events are timed.
+//! An admission controller brought to a given state and kept there while events are timed.
 
 use dunlinspread::{
     Action, AdmissionController, Arrival, Class, Event, Gauges, Outcome, RequestId, RetrySafety, Settings,
@@ -11,13 +11,13 @@
 
 /// The step of the virtual clock between two events, ms: so small that nothing is due and no run counts as stalled.
 const STEP_MS: f64 = 0.001;
-/// The wanted time of every class, ms: nothing is late.
-const AIM_MS: f64 = 1e7;
+/// The latency objective of every class, ms: nothing is late.
+const LATENCY_OBJECTIVE_MS: f64 = 1e7;
 /// What a run is said to have taken, ms.
 const RUN_MS: f64 = 10.0;
 /// The running requests a core that the machine survives; only that it is well over the run limit matters.
 const SURVIVABLE_PER_CORE: f64 = 8.0;
-/// The runs that the module allows for each core.
+/// The runs that the controller allows for each core.
 const RUNS_PER_CORE: f64 = 1.25;
 /// Requests that are run and ended before anything is measured, at least, so that run times are known.
 const WARM_UP: usize = 64;
@@ -32,7 +32,7 @@
     /// Classes of requests.
     pub classes: usize,
     /// Requests that wait for a run.
-    pub held: usize,
+    pub queued: usize,
     /// Requests that run.
     pub running: usize,
 }
@@ -40,9 +40,9 @@
 /// The mean cost of each event in one run of the load, ns.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Costs {
-    /// Of an arrival: with none held it is run at once, else it is held.
+    /// Of an arrival: with none queued it is run at once, else it is queued.
     pub arrival: f64,
-    /// Of the end of a run: with some held, the best of them is run.
+    /// Of the end of a run: with some queued, the best of them is run.
     pub ending: f64,
     /// Of the periodic timer.
     pub timer: f64,
@@ -57,10 +57,10 @@
     pub time: Duration,
 }
 
-/// A decision module in such a state.
+/// An admission controller in such a state.
 pub struct Load {
     shape: Shape,
-    policy: AdmissionController,
+    controller: AdmissionController,
     now: f64,
     last_id: RequestId,
     timer: u64,
@@ -77,7 +77,7 @@
         let settings = settings(shape, &mut random);
         let mut load = Load {
             shape,
-            policy: AdmissionController::new(0.0, settings),
+            controller: AdmissionController::new(0.0, settings),
             now: 0.0,
             last_id: 0,
             timer: 0,
@@ -92,7 +92,7 @@
             load.arrival_of(tenant % shape.tenants.max(1));
             load.ending();
         }
-        for _ in 0..shape.running + shape.held {
+        for _ in 0..shape.running + shape.queued {
             load.arrival();
         }
         load
@@ -150,12 +150,12 @@
         self.event(Event::Timer { token: self.timer, gauges })
     }
 
-    /// Gives an event to the module, and takes what it answers; how long the module took.
+    /// Gives an event to the controller and takes its actions. Returns how long it took.
     fn event(&mut self, event: Event) -> Duration {
         self.now += STEP_MS;
         self.actions.clear();
         let began = Instant::now();
-        self.policy.on_event(self.now, event, &mut self.actions);
+        self.controller.on_event(self.now, event, &mut self.actions);
         let took = began.elapsed().saturating_sub(self.clock);
         for action in &self.actions {
             match action {
@@ -168,21 +168,21 @@
     }
 }
 
-/// Settings under which just the wanted number runs and the others are held.
+/// Settings under which just the wanted number runs and the others are queued.
 fn settings(shape: Shape, random: &mut ChaCha8Rng) -> Settings {
     let class = Class {
         retry_safety: RetrySafety::Idempotent,
-        latency_objective_ms: AIM_MS,
+        latency_objective_ms: LATENCY_OBJECTIVE_MS,
         objective_per_cost: 0.0,
-        client_timeout_ms: 2.0 * AIM_MS,
+        client_timeout_ms: 2.0 * LATENCY_OBJECTIVE_MS,
         key_window_ms: 0.0,
         priority_weight: 1.0,
         late_weight: 0.1,
         makes_upstream_calls: false,
         degraded_weight: 0.0,
     };
-    // With none held, one more may run: the one that arrives.
-    let limit = shape.running + usize::from(shape.held == 0);
+    // With none queued, one more may run: the one that arrives.
+    let limit = shape.running + usize::from(shape.queued == 0);
     Settings {
         server_count: 7100.0,
         cores: (limit as f64 + 0.5) / RUNS_PER_CORE,
--- a/crates/scale/src/probes/mod.rs
+++ b/crates/scale/src/probes/mod.rs
@@ -1,5 +1,7 @@
 //! The probes: each measures the slopes of one part. A new one is added to [`all`], its child loads to [`child_loads`].
 
+mod admission;
+mod admission_load;
 mod config_sync;
 mod daemon_client;
 mod daemon_connections;
@@ -11,8 +13,6 @@
 mod ledger;
 mod membership;
 pub mod open_loop;
-mod policy;
-mod policy_load;
 mod probe;
 mod quota;
 mod registry;
@@ -28,7 +28,7 @@
 /// All probes.
 pub fn all() -> Vec<Box<dyn Probe>> {
     vec![
-        Box::new(policy::PolicyProbe),
+        Box::new(admission::AdmissionProbe),
         Box::new(daemon_tables::TablesProbe),
         Box::new(daemon_connections::ConnectionsProbe),
         Box::new(latency::LatencyProbe),
@@ -59,6 +59,6 @@
         (membership::SCENARIOS_LOAD, membership::scenarios_load),
         (membership::SINGLE_LOAD, membership::single_load),
     ];
-    loads.extend(policy::reporting_loads());
+    loads.extend(admission::reporting_loads());
     loads
 }
--- a/crates/scale/src/probes/quota.rs
+++ b/crates/scale/src/probes/quota.rs
@@ -1,4 +1,4 @@
-//! Fleet limits: what an ask costs the allocator, what it weighs on the wire, and what an allocator holds.
+//! Fleet limits: what a lease request costs the allocator, what it weighs on the wire, and what an allocator holds.
 
 use crate::child_process;
 use crate::fit::Quantity;
@@ -29,22 +29,25 @@
 const QUICK_BUDGET_SIZES: &[u64] = &[1, 10];
 const BUDGET_MEMBERS: u64 = 1_000;
 
-/// Budgets of a member whose asks go to one allocator, for what that weighs on the wire.
+/// Budgets of a member whose requests go to one allocator, for what that weighs on the wire.
 const WIRE_SIZES: &[u64] = &[1, 10, 100, 1_000, 10_000, TARGET_BUDGETS];
 
 /// How long a grant holds. An assumption: no budget of the fleet is configured yet.
-const LEASE: Millis = 2_000;
+const LEASE_MS: Millis = 2_000;
 
-/// Asks of a holder in a lease.
-const ASKS_A_LEASE: u64 = 4;
+/// Lease requests of a holder in a lease.
+const REQUESTS_PER_LEASE: u64 = 4;
 
-/// Asks in a run, and runs at a size.
-const ASKS: u64 = 1_000;
+/// Lease requests in a run, and runs at a size.
+const REQUESTS_PER_RUN: u64 = 1_000;
 const RUNS: usize = 5;
 
 /// Bytes of payload in a datagram, the tag included, as in `crates/membership`.
 const DATAGRAM: u64 = 1_400;
 
+/// A day, ms.
+const DAY_MS: Millis = 86_400_000;
+
 /// Bytes of the headers of a datagram over IPv4.
 const UDP_HEADERS: u64 = 28;
 
@@ -67,49 +70,50 @@
         let member_sizes = options.sizes(MEMBER_SIZES, QUICK_MEMBER_SIZES);
         let budget_sizes = options.sizes(BUDGET_SIZES, QUICK_BUDGET_SIZES);
         let seeds = options.seeds();
-        let of_members = points(member_sizes, seeds, |size, seed| ask_ns(options, size, 1, seed))?;
+        let of_members = points(member_sizes, seeds, |size, seed| request_ns(options, size, 1, seed))?;
         let of_budgets =
-            points(budget_sizes, seeds, |size, seed| ask_ns(options, BUDGET_MEMBERS, size, seed))?;
+            points(budget_sizes, seeds, |size, seed| request_ns(options, BUDGET_MEMBERS, size, seed))?;
         let memory = |load, sizes| {
             points(sizes, seeds, |size, seed| Ok(vec![child_process::measure(load, size, seed)?]))
         };
         Ok(vec![
-            ASK_NS.slope(of_members.clone()),
-            ASKS_A_SECOND.slope(of_members.iter().map(reciprocal).collect()),
-            ASKS_NEEDED.slope(exact(seeds, member_sizes, asks_needed)),
-            ASK_NS_BUDGETS.slope(of_budgets),
+            REQUEST_NS.slope(of_members.clone()),
+            REQUESTS_PER_SECOND.slope(of_members.iter().map(reciprocal).collect()),
+            REQUESTS_NEEDED.slope(exact(seeds, member_sizes, requests_needed)),
+            REQUEST_NS_BUDGETS.slope(of_budgets),
             MEMORY.slope(memory(MEMBERS_LOAD, member_sizes)?),
             MEMORY_BUDGETS.slope(memory(BUDGETS_LOAD, budget_sizes)?),
-            ROUND_BYTES.slope(exact(seeds, WIRE_SIZES, |budgets| round_traffic(budgets).1 as f64)),
-            ROUND_DATAGRAMS.slope(exact(seeds, WIRE_SIZES, |budgets| round_traffic(budgets).0 as f64)),
+            ROUND_BYTES.slope(exact(seeds, WIRE_SIZES, |budgets| round_traffic(budgets).bytes as f64)),
+            ROUND_DATAGRAMS
+                .slope(exact(seeds, WIRE_SIZES, |budgets| round_traffic(budgets).datagrams as f64)),
             MEMBER_BYTES.slope(exact(seeds, WIRE_SIZES, |budgets| {
-                round_traffic(budgets).1 as f64 * ASKS_A_LEASE as f64 * 1000.0 / LEASE as f64
+                round_traffic(budgets).bytes as f64 * REQUESTS_PER_LEASE as f64 * 1000.0 / LEASE_MS as f64
             })),
         ])
     }
 }
 
-const ASK_NS: Quantity = Quantity {
+const REQUEST_NS: Quantity = Quantity {
     id: "quota.ask_ns.members",
     quantity: "the allocator answers an ask",
     unit: "ns",
     against: "members",
-    fixed: &[("budgets", 1.0), ("lease_ms", LEASE as f64)],
+    fixed: &[("budgets", 1.0), ("lease_ms", LEASE_MS as f64)],
     target_size: TARGET_MEMBERS as f64,
 };
 
-const ASKS_A_SECOND: Quantity = Quantity {
+const REQUESTS_PER_SECOND: Quantity = Quantity {
     id: "quota.asks_per_second.members",
     quantity: "asks that an allocator bears on one core, its sockets not counted",
     unit: "asks/s",
-    ..ASK_NS
+    ..REQUEST_NS
 };
 
-const ASKS_NEEDED: Quantity = Quantity {
+const REQUESTS_NEEDED: Quantity = Quantity {
     id: "quota.asks_needed_per_second.members",
     quantity: "asks of all members for one budget, four a lease",
     unit: "asks/s",
-    ..ASK_NS
+    ..REQUEST_NS
 };
 
 const MEMORY: Quantity = Quantity {
@@ -117,15 +121,15 @@
     quantity: "resident memory of an allocator",
     unit: "bytes",
     fixed: &[("budgets", 1.0)],
-    ..ASK_NS
+    ..REQUEST_NS
 };
 
-const ASK_NS_BUDGETS: Quantity = Quantity {
+const REQUEST_NS_BUDGETS: Quantity = Quantity {
     id: "quota.ask_ns.budgets",
     quantity: "the allocators answer an ask, each in its turn",
     unit: "ns",
     against: "budgets",
-    fixed: &[("members", BUDGET_MEMBERS as f64), ("lease_ms", LEASE as f64)],
+    fixed: &[("members", BUDGET_MEMBERS as f64), ("lease_ms", LEASE_MS as f64)],
     target_size: MOST_BUDGETS as f64,
 };
 
@@ -134,7 +138,7 @@
     quantity: "resident memory of the allocators of all budgets",
     unit: "bytes",
     target_size: TARGET_BUDGETS as f64,
-    ..ASK_NS_BUDGETS
+    ..REQUEST_NS_BUDGETS
 };
 
 const ROUND_BYTES: Quantity = Quantity {
@@ -160,7 +164,7 @@
     fixed: &[
         ("tag_bytes", TAG_BYTES as f64),
         ("headers_bytes", UDP_HEADERS as f64),
-        ("lease_ms", LEASE as f64),
+        ("lease_ms", LEASE_MS as f64),
     ],
     ..ROUND_BYTES
 };
@@ -183,83 +187,84 @@
     Point { runs: point.runs, ..Point::of(point.size, point.seed, &[median]) }
 }
 
-fn asks_needed(members: u64) -> f64 {
-    members as f64 * ASKS_A_LEASE as f64 * 1000.0 / LEASE as f64
+fn requests_needed(members: u64) -> f64 {
+    members as f64 * REQUESTS_PER_LEASE as f64 * 1000.0 / LEASE_MS as f64
 }
 
-/// The name of a member.
-fn name(member: u64) -> MemberId {
+/// Returns the id of a member.
+fn member_id(member: u64) -> MemberId {
     let address = SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + member as u32), 1);
     MemberId { address, start: 1, incarnation: 0 }
 }
 
 /// An allocator with its members' clock and numbers.
-struct Load {
+struct AllocatorLoad {
     allocator: Allocator<MemberId>,
     rng: ChaCha8Rng,
     now: Millis,
     members: u64,
-    seq: u64,
+    sequence: u64,
 }
 
-impl Load {
+impl AllocatorLoad {
     /// An allocator to whom all members have lent their shares, and all of whom hold leases.
-    fn new(members: u64, seed: u64) -> Result<Load> {
+    fn new(members: u64, seed: u64) -> Result<AllocatorLoad> {
         let config = Config {
             budget: members * 1_000,
-            lease_ms: LEASE,
+            lease_ms: LEASE_MS,
             guaranteed_share_ppm: MILLION / 2,
             max_members: 100_000,
             clock_drift_ppm: 1_000,
             fault: Fault::None,
         };
-        let mut allocator = Allocator::new(config, name(0));
+        let mut allocator = Allocator::new(config, member_id(0));
         for member in 1..members {
-            let known = allocator.update_member(0, name(member), Liveness::Alive);
+            let known = allocator.update_member(0, member_id(member), Liveness::Alive);
             known.map_err(|refusal| anyhow!("member {member}: {refusal}"))?;
         }
-        let mut load = Load { allocator, rng: ChaCha8Rng::seed_from_u64(seed), now: 0, members, seq: 0 };
+        let mut load =
+            AllocatorLoad { allocator, rng: ChaCha8Rng::seed_from_u64(seed), now: 0, members, sequence: 0 };
         load.round(None)?;
         load.round(Some(1))?;
         Ok(load)
     }
 
-    /// Every member asks once, within a quarter of a lease.
-    fn round(&mut self, ack: Option<u64>) -> Result<()> {
-        self.seq += 1;
+    /// Every member requests a lease once, within a quarter of a lease.
+    fn round(&mut self, acknowledged: Option<u64>) -> Result<()> {
+        self.sequence += 1;
         let began = self.now;
         for member in 0..self.members {
-            self.now = began + LEASE / ASKS_A_LEASE * member / self.members;
-            self.ask(member, ack)?;
+            self.now = began + LEASE_MS / REQUESTS_PER_LEASE * member / self.members;
+            self.request(member, acknowledged)?;
         }
-        self.now = began + LEASE / ASKS_A_LEASE;
+        self.now = began + LEASE_MS / REQUESTS_PER_LEASE;
         Ok(())
     }
 
-    /// One member asks. What members want is twice the pool in all, so that shares are cut.
-    fn ask(&mut self, member: u64, ack: Option<u64>) -> Result<Grant> {
-        let wants = self.rng.random_range(0..2_000);
-        let request = LeaseRequest { sequence: self.seq, wanted: wants, acknowledged: ack };
-        let granted = self.allocator.on_request(self.now, &name(member), request);
+    /// One member requests a lease. What members want is twice the pool in all, so that shares are cut.
+    fn request(&mut self, member: u64, acknowledged: Option<u64>) -> Result<Grant> {
+        let wanted = self.rng.random_range(0..2_000);
+        let request = LeaseRequest { sequence: self.sequence, wanted, acknowledged };
+        let granted = self.allocator.on_request(self.now, &member_id(member), request);
         granted.map_err(|refusal| anyhow!("member {member}: {refusal}"))
     }
 
-    /// The next member in turn asks, as the members of a fleet do: each of them four times a lease.
-    fn next_ask(&mut self, turn: u64) -> Result<Grant> {
+    /// The next member in turn requests a lease, as the members of a fleet do: each of them four times a lease.
+    fn next_request(&mut self, turn: u64) -> Result<Grant> {
         let member = turn % self.members;
         if member == 0 {
-            self.seq += 1;
+            self.sequence += 1;
         }
-        self.now += u64::from(turn % self.members.div_ceil(LEASE / ASKS_A_LEASE).max(1) == 0);
-        self.ask(member, Some(self.seq - 1))
+        self.now += u64::from(turn % self.members.div_ceil(LEASE_MS / REQUESTS_PER_LEASE).max(1) == 0);
+        self.request(member, Some(self.sequence - 1))
     }
 }
 
-/// Nanoseconds of an ask with so many members, among so many allocators in turn.
-fn ask_ns(options: &ProbeOptions, members: u64, budgets: u64, seed: u64) -> Result<Vec<f64>> {
-    let first = Load::new(members, seed)?;
-    let mut loads: Vec<Load> = (0..budgets)
-        .map(|budget| Load {
+/// Nanoseconds of a lease request with so many members, among so many allocators in turn.
+fn request_ns(options: &ProbeOptions, members: u64, budgets: u64, seed: u64) -> Result<Vec<f64>> {
+    let first = AllocatorLoad::new(members, seed)?;
+    let mut loads: Vec<AllocatorLoad> = (0..budgets)
+        .map(|budget| AllocatorLoad {
             allocator: first.allocator.clone(),
             rng: ChaCha8Rng::seed_from_u64(seed + budget),
             ..first
@@ -267,10 +272,10 @@
         .collect();
     let mut turn = 0;
     let mut failed = None;
-    let times = nanoseconds(options.runs(RUNS), ASKS, || {
-        for _ in 0..ASKS {
+    let times = nanoseconds(options.runs(RUNS), REQUESTS_PER_RUN, || {
+        for _ in 0..REQUESTS_PER_RUN {
             let load = &mut loads[(turn % budgets) as usize];
-            match load.next_ask(turn / budgets) {
+            match load.next_request(turn / budgets) {
                 Ok(grant) => drop(black_box(grant)),
                 Err(error) => failed = Some(error),
             }
@@ -283,7 +288,7 @@
 /// Resident bytes of an allocator of so many members.
 ///
 /// # Errors
-/// If an ask is refused.
+/// If a lease request is refused.
 pub fn members_load(members: u64, seed: u64) -> Result<f64> {
     let count = (MEASURED_MEMBERS / members).max(1);
     Ok(clones_bytes(members, count, seed)? / count as f64)
@@ -292,14 +297,14 @@
 /// Resident bytes of so many allocators of [`BUDGET_MEMBERS`] members.
 ///
 /// # Errors
-/// If an ask is refused.
+/// If a lease request is refused.
 pub fn budgets_load(budgets: u64, seed: u64) -> Result<f64> {
     clones_bytes(BUDGET_MEMBERS, budgets, seed)
 }
 
 /// Resident bytes of so many allocators alike.
 fn clones_bytes(members: u64, count: u64, seed: u64) -> Result<f64> {
-    let load = Load::new(members, seed)?;
+    let load = AllocatorLoad::new(members, seed)?;
     let growth = Growth::begin();
     let clones: Vec<Allocator<MemberId>> = (0..count).map(|_| load.allocator.clone()).collect();
     let bytes = growth.bytes();
@@ -313,29 +318,36 @@
     1 + varint
 }
 
-/// Datagrams and bytes of a member's round of asks and of its grants. A message names its budget by a number, and is
-/// preceded by its length; the figures are those of a number of a member that has asked for a day.
-fn round_traffic(budgets: u64) -> (u64, u64) {
-    let seq = 86_400_000 / (LEASE / ASKS_A_LEASE);
-    let ask = |budget| 1 + field(budget) + field(seq) + field(1_000) + field(seq - 1);
-    let grant = |budget| 1 + field(budget) + field(seq) + field(500);
-    let asks = packed((0..budgets).map(ask));
+/// Datagrams and bytes of a member's round of lease requests and of its grants. A message names its budget by a number,
+/// and is preceded by its length; the figures are those of a number of a member that has requested leases for a day.
+fn round_traffic(budgets: u64) -> Traffic {
+    let sequence = DAY_MS / (LEASE_MS / REQUESTS_PER_LEASE);
+    let request = |budget| 1 + field(budget) + field(sequence) + field(1_000) + field(sequence - 1);
+    let grant = |budget| 1 + field(budget) + field(sequence) + field(500);
+    let requests = packed((0..budgets).map(request));
     let grants = packed((0..budgets).map(grant));
-    (asks.0 + grants.0, asks.1 + grants.1)
+    Traffic { datagrams: requests.datagrams + grants.datagrams, bytes: requests.bytes + grants.bytes }
+}
+
+/// Datagrams and their bytes, tags and headers included.
+#[derive(Clone, Copy, Debug)]
+struct Traffic {
+    datagrams: u64,
+    bytes: u64,
 }
 
-/// Datagrams and bytes of messages of these lengths, packed in their order, tags and headers included.
-fn packed(lengths: impl Iterator<Item = u64>) -> (u64, u64) {
-    let room = DATAGRAM - TAG_BYTES as u64;
+/// Returns the traffic of messages of these lengths, packed in their order.
+fn packed(lengths: impl Iterator<Item = u64>) -> Traffic {
+    let capacity = DATAGRAM - TAG_BYTES as u64;
     let (mut datagrams, mut bytes, mut left) = (0, 0, 0);
     for length in lengths {
         if length > left {
             datagrams += 1;
             bytes += UDP_HEADERS + TAG_BYTES as u64;
-            left = room;
+            left = capacity;
         }
         left -= length;
         bytes += length;
     }
-    (datagrams, bytes)
+    Traffic { datagrams, bytes }
 }
