--- a/crates/scale/tests/propagation.rs
+++ b/crates/scale/tests/propagation.rs
@@ -34,7 +34,7 @@
         .args(["--in-force-limit-ms", IN_FORCE_LIMIT_MS, "--seed", seed])
         .stderr(Stdio::piped())
         .output()
-        .unwrap();
+        .expect("the program runs");
     let errors = String::from_utf8_lossy(&output.stderr);
     serde_json::from_slice(&output.stdout).unwrap_or_else(|error| {
         panic!("seed {seed}: {error}: {} {errors}", String::from_utf8_lossy(&output.stdout))
--- a/crates/scale/tests/propagation_proxy.rs
+++ b/crates/scale/tests/propagation_proxy.rs
@@ -24,7 +24,7 @@
 
 fn proxy() -> FaultProxy {
     let executor = Arc::new(Executor::new());
-    let proxy = FaultProxy::start(REGION, LINKS.to_vec(), &executor).unwrap();
+    let proxy = FaultProxy::start(REGION, LINKS.to_vec(), &executor).expect("the proxy listens");
     thread::spawn(move || async_io::block_on(executor.run(future::pending::<()>())));
     let target = echo_server();
     proxy.set_targets(vec![target; LINKS.len()]);
@@ -33,13 +33,13 @@
 
 /// Gives back what it receives.
 fn echo_server() -> SocketAddr {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-    let address = listener.local_addr().unwrap();
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("the target listens");
+    let address = listener.local_addr().expect("the target's address");
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let mut stream = stream.unwrap();
+            let mut stream = stream.expect("a connection to the target");
             thread::spawn(move || {
-                let mut reader = stream.try_clone().unwrap();
+                let mut reader = stream.try_clone().expect("the target's second handle");
                 let _ = std::io::copy(&mut reader, &mut stream);
             });
         }
@@ -48,8 +48,8 @@
 }
 
 fn connect(proxy: &FaultProxy, link: usize) -> TcpStream {
-    let stream = TcpStream::connect(proxy.addresses()[link]).unwrap();
-    stream.set_read_timeout(Some(ANSWER_LIMIT)).unwrap();
+    let stream = TcpStream::connect(proxy.addresses()[link]).expect("the proxy accepts");
+    stream.set_read_timeout(Some(ANSWER_LIMIT)).expect("a read timeout");
     stream
 }
 
