--- a/tests/recorded/streams.rs
+++ b/tests/recorded/streams.rs
@@ -39,7 +39,11 @@
 type Kind = (&'static str, fn(&mut Plan, &mut Script));
 
 const KINDS: [Kind; 21] = [
-    ("overload", |_, _| {}),
+    // Without tenants a priority is its own place, so that some are just at the cut.
+    ("overload", |plan, script| {
+        plan.quotas.clear();
+        script.loads = vec![60, 220, 250, 90, 320, 130];
+    }),
     ("overload_large", |plan, script| {
         (plan.cores, script.cores, plan.memory_kb) = (6.0, 6, 60_000.0);
     }),
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -15,7 +15,8 @@
 //! RECORD_DECISIONS=1 cargo test --test recorded_decisions
 //! ```
 //!
-//! Types and fields of the library are named in `recorded/module.rs` alone.
+//! Types and fields of the library are named in `recorded/module.rs` alone. The module takes `exp` and `powf` from
+//! the platform's mathematical library: on another platform the last digits, and so the digests, may differ.
 
 mod recorded;
 
