--- /dev/null
+++ b/src/daemon/wiring.rs
@@ -0,0 +1,289 @@
+//! The tasks of the server and the channels between them.
+
+use super::command_line::LoadedConfig;
+use super::config_follower::ConfigFollower;
+use super::error::DaemonError;
+use super::ledger::LedgerStart;
+use crate::config::Config;
+use crate::operator::LedgerConfig;
+use crate::server::dispatcher::{Dispatcher, Mailboxes};
+use crate::server::distributed_config::DistributedSettings;
+use crate::server::frontend::{FrontendContext, Listener, LogWindow};
+use crate::server::messages::{
+    DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
+};
+use crate::server::name_table::NameTable;
+use crate::server::registry::RegistryReporter;
+use crate::server::supervisor::{self, TaskFailure};
+use crate::server::timer_wheel::{Clock, TimerWheel};
+use crate::server::upstream::{UpstreamClient, UpstreamClientSettings};
+use crate::server::worker_pool::WorkerPoolLink;
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::Async;
+use dunlinspread_ledger::DurabilityMode;
+use futures_lite::future::BoxedLocal;
+use slog::Logger;
+use std::cell::Cell;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// Interval at which the usage ledger's time advances, ms, if its commit interval is not shorter.
+const LEDGER_TICK_MS: f64 = 100.0;
+
+/// The mailboxes of the tasks whose peers can move.
+#[derive(Clone)]
+pub(super) struct MovableMailboxes {
+    /// The worker pool's link.
+    pub(super) worker_pool: Sender<WorkerPoolMessage>,
+    /// The upstream client, where there is one.
+    pub(super) upstream: Option<Sender<UpstreamMessage>>,
+    /// The registry reporter.
+    pub(super) registry: Sender<RegistryMessage>,
+}
+
+/// The listener's task, as its shutdown sees it.
+pub(super) struct ListenerHandle {
+    /// The listener's mailbox.
+    pub(super) sender: Sender<ListenerMessage>,
+    /// Whether the end of the task is expected; otherwise it is a failure.
+    pub(super) may_end: Rc<Cell<bool>>,
+    /// Receives one message at the expected end of the task.
+    pub(super) ended: Receiver<()>,
+}
+
+/// A server whose tasks run.
+pub(super) struct RunningServer {
+    /// Where clients connect.
+    pub(super) listen: SocketAddr,
+    /// The clock.
+    pub(super) clock: Clock,
+    /// The timers.
+    pub(super) wheel: Rc<TimerWheel>,
+    /// The dispatcher's mailbox.
+    pub(super) dispatcher: Sender<DispatcherMessage>,
+    /// The mailboxes of the tasks whose peers can move.
+    pub(super) mailboxes: MovableMailboxes,
+    /// The listener.
+    pub(super) listener: ListenerHandle,
+    /// Failures of tasks that should last as long as the process.
+    pub(super) failures: Receiver<TaskFailure>,
+}
+
+/// What the tasks are made of.
+struct Wiring<'a> {
+    config: &'a Config,
+    executor: &'a Rc<LocalExecutor<'static>>,
+    clock: Clock,
+    wheel: Rc<TimerWheel>,
+    dispatcher: Sender<DispatcherMessage>,
+    failures: Sender<TaskFailure>,
+    log: &'a Logger,
+}
+
+/// Starts all tasks of a server.
+///
+/// # Errors
+/// If the address for clients can't be listened on, or a subsystem of the operator file can't be started.
+pub(super) async fn start_server(
+    loaded: &LoadedConfig,
+    executor: &Rc<LocalExecutor<'static>>,
+    log: &Logger,
+) -> Result<RunningServer, DaemonError> {
+    let LoadedConfig { platform: config, operator } = loaded;
+    let clock = Clock::start();
+    let wheel = TimerWheel::new(clock, config.settings.tick_ms);
+    let socket = listen(config.listen)?;
+    let listen = socket.get_ref().local_addr().unwrap_or(config.listen);
+    let (dispatcher, dispatcher_messages) = async_channel::bounded(config.limits.dispatcher_mailbox);
+    let (listener, listener_messages) = async_channel::unbounded();
+    let (failures, failed_tasks) = async_channel::unbounded();
+    let wiring = Wiring {
+        config,
+        executor,
+        clock,
+        wheel: wheel.clone(),
+        dispatcher: dispatcher.clone(),
+        failures,
+        log,
+    };
+    let mailboxes = wiring.start_peer_tasks();
+    wiring.start_dispatcher(&mailboxes, &listener, operator.ledger.as_ref(), dispatcher_messages)?;
+    wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
+    let context = wiring.start_frontend_context(loaded).await?;
+    let listener = wiring.start_listener(context, socket, listener, listener_messages);
+    Ok(RunningServer { listen, clock, wheel, dispatcher, mailboxes, listener, failures: failed_tasks })
+}
+
+fn listen(address: SocketAddr) -> Result<Async<TcpListener>, DaemonError> {
+    TcpListener::bind(address).and_then(Async::new).map_err(|source| DaemonError::Listen { address, source })
+}
+
+impl Wiring<'_> {
+    /// Starts a task that should last as long as the process.
+    fn supervise(&self, name: &'static str, task: BoxedLocal<()>) {
+        let supervised = supervisor::supervise(name, task, self.failures.clone());
+        self.executor.spawn(supervised).detach();
+    }
+
+    /// Starts the tasks of the server's peers.
+    fn start_peer_tasks(&self) -> MovableMailboxes {
+        let upstream = self.config.upstream.map(|address| self.start_upstream_client(address));
+        let (worker_pool, messages) = async_channel::unbounded();
+        let link = WorkerPoolLink::new(
+            self.config.worker_pool,
+            self.config.classes.clone(),
+            self.dispatcher.clone(),
+            self.wheel.clone(),
+            self.log.clone(),
+        );
+        self.supervise("worker pool link", Box::pin(link.run(messages)));
+        let (registry, messages) = async_channel::unbounded();
+        let reporter = RegistryReporter {
+            address: self.config.registry,
+            name: self.config.name.clone(),
+            clock: self.clock,
+            wheel: self.wheel.clone(),
+            log: self.log.clone(),
+        };
+        self.supervise("registry reporter", Box::pin(reporter.run(messages)));
+        MovableMailboxes { worker_pool, upstream, registry }
+    }
+
+    fn start_upstream_client(&self, address: SocketAddr) -> Sender<UpstreamMessage> {
+        let (sender, messages) = async_channel::unbounded();
+        let client = UpstreamClient::new(UpstreamClientSettings {
+            address,
+            max_connections: self.config.limits.upstream_connections,
+            dispatcher: self.dispatcher.clone(),
+            sender: sender.clone(),
+            executor: self.executor.clone(),
+            clock: self.clock,
+            wheel: self.wheel.clone(),
+            log: self.log.clone(),
+        });
+        self.supervise("upstream client", Box::pin(client.run(messages)));
+        sender
+    }
+
+    /// Starts the dispatcher, with the usage ledger if the operator file has one.
+    fn start_dispatcher(
+        &self,
+        mailboxes: &MovableMailboxes,
+        listener: &Sender<ListenerMessage>,
+        ledger: Option<&LedgerConfig>,
+        messages: Receiver<DispatcherMessage>,
+    ) -> Result<(), DaemonError> {
+        let mailboxes = Mailboxes {
+            worker_pool: mailboxes.worker_pool.clone(),
+            upstream: mailboxes.upstream.clone(),
+            registry: mailboxes.registry.clone(),
+            listener: listener.clone(),
+        };
+        let mut dispatcher = Dispatcher::new(
+            self.config,
+            self.clock,
+            self.wheel.clone(),
+            self.executor.clone(),
+            self.dispatcher.clone(),
+            mailboxes,
+            self.log.clone(),
+        );
+        if let Some(ledger_config) = ledger {
+            let start = LedgerStart {
+                ledger_config,
+                config: self.config,
+                clock: self.clock,
+                dispatcher: self.dispatcher.clone(),
+                failures: self.failures.clone(),
+                log: self.log,
+            };
+            dispatcher.enable_billing(start.open(self.executor)?, ledger_tick_ms(ledger_config.mode));
+        }
+        self.supervise("dispatcher", Box::pin(dispatcher.run(messages)));
+        Ok(())
+    }
+
+    /// Returns what the connections share, with distributed settings if the operator file has them.
+    async fn start_frontend_context(
+        &self,
+        loaded: &LoadedConfig,
+    ) -> Result<Rc<FrontendContext>, DaemonError> {
+        let class_names = Arc::new(NameTable::new(&self.config.classes));
+        let tenants = Arc::new(NameTable::new(&self.config.tenants));
+        let distributed = self.start_config_follower(loaded, &class_names, &tenants).await?;
+        Ok(Rc::new(FrontendContext {
+            classes: self.config.settings.classes.clone(),
+            class_names,
+            tenants,
+            distributed,
+            passes_deadline: self.config.settings.passes_deadline,
+            clock: self.clock,
+            wheel: self.wheel.clone(),
+            dispatcher: self.dispatcher.clone(),
+            log: self.log.clone(),
+            bills_accounts: loaded.operator.ledger.is_some(),
+            last_request_id: Cell::new(0),
+            fault_log: Cell::new(LogWindow::default()),
+        }))
+    }
+
+    async fn start_config_follower(
+        &self,
+        loaded: &LoadedConfig,
+        class_names: &Arc<NameTable>,
+        tenants: &Arc<NameTable>,
+    ) -> Result<Option<Rc<DistributedSettings>>, DaemonError> {
+        let Some(settings) = &loaded.operator.config_sync else { return Ok(None) };
+        let start = super::config_follower::FollowerStart {
+            settings,
+            config: self.config,
+            class_names: class_names.clone(),
+            tenants: tenants.clone(),
+            dispatcher: self.dispatcher.clone(),
+            wheel: self.wheel.clone(),
+            clock: self.clock,
+            log: self.log,
+        };
+        let follower: ConfigFollower = start.start().await?;
+        let distributed = follower.settings();
+        self.supervise("distributed configuration", Box::pin(follower.run()));
+        Ok(Some(distributed))
+    }
+
+    fn start_listener(
+        &self,
+        context: Rc<FrontendContext>,
+        socket: Async<TcpListener>,
+        sender: Sender<ListenerMessage>,
+        messages: Receiver<ListenerMessage>,
+    ) -> ListenerHandle {
+        let listener = Listener {
+            context,
+            socket,
+            sender: sender.clone(),
+            executor: self.executor.clone(),
+            max_connections: self.config.limits.client_connections,
+        };
+        let may_end = Rc::new(Cell::new(false));
+        let (end_sender, ended) = async_channel::bounded(1);
+        let (end_expected, failures) = (may_end.clone(), self.failures.clone());
+        let task = async move {
+            match supervisor::catch_panic(listener.run(messages)).await {
+                Ok(()) if end_expected.get() => drop(end_sender.send(()).await),
+                end => drop(failures.send(TaskFailure::new("listener", end)).await),
+            }
+        };
+        self.executor.spawn(task).detach();
+        ListenerHandle { sender, may_end, ended }
+    }
+}
+
+/// Returns the interval at which the usage ledger's time advances, ms.
+fn ledger_tick_ms(mode: DurabilityMode) -> f64 {
+    match mode {
+        DurabilityMode::Strict => LEDGER_TICK_MS,
+        DurabilityMode::Interval { every_ms, .. } => LEDGER_TICK_MS.min(every_ms as f64),
+    }
+}
--- a/src/server/distributed_config/change_validator.rs
+++ b/src/server/distributed_config/change_validator.rs
@@ -150,7 +150,7 @@
             accepted.not_logged += 1;
             return;
         }
-        warn!(self.log, "configuration change rejected"; "component" => "config_sync",
+        warn!(self.log, "configuration change rejected";
             "reason" => error.to_string(), "rejected_since_last_line" => accepted.not_logged);
         (accepted.logged_at, accepted.not_logged) = (Some(Instant::now()), 0);
     }
--- a/tests/config_sync.rs
+++ b/tests/config_sync.rs
@@ -213,7 +213,7 @@
     let relay = site.fleet.relay_address();
     site.daemon.rewrite_operator(&OperatorFile::ConfigSync { relay, more: "max_routes = 5" });
     site.daemon.signal("HUP");
-    site.daemon.logged("operator file: changes only with a restart");
+    site.daemon.logged("operator file not applied: it changes only with a restart");
     let mut caller = Caller::new(site.daemon.address);
     assert_eq!(caller.ask("shelf", "t0"), Answer::Served);
 }
