--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -5,7 +5,8 @@
 use anyhow::{Context as _, Result};
 use clap::Args;
 use dunlinspread_fakes::{
-    Catalog, Habits, Index, IndexFaults, Load, Outcome, Pool, PoolFaults, Proxies, Site, Tally,
+    AttemptOutcome, ClientBehavior, FakeClients, FakeRegistry, FakeUpstream, FakeWorkerPool, Load,
+    PlatformSettings, Tally, UpstreamFaults, WorkerPoolFaults,
 };
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
@@ -77,10 +78,10 @@
 /// The server of a demo and the fakes around it.
 struct Surroundings {
     server: ServerProcess,
-    pool: Pool,
-    _index: Index,
-    _catalog: Catalog,
-    site: Site,
+    pool: FakeWorkerPool,
+    _index: FakeUpstream,
+    _catalog: FakeRegistry,
+    site: PlatformSettings,
 }
 
 impl Demo {
@@ -119,14 +120,16 @@
     }
 
     fn start_surroundings(&self, folder: &Path) -> Result<Surroundings> {
-        let site = Site::rounds(self.cores.max(1));
+        let site = PlatformSettings::rounds(self.cores.max(1));
         let rate = if self.faults { FAULT_RATE } else { 0.0 };
         let pool_faults =
-            PoolFaults { duplicate: rate, split: rate, chatter: rate, reset: rate / 10.0, bad: 0.0 };
-        let index_faults = IndexFaults { shed: rate, error: rate, reset: rate, stall: rate / 4.0 };
-        let pool = Pool::start(&site, self.seed, pool_faults).context("starting the worker pool")?;
-        let index = Index::start(UPSTREAM_CALL_MS, self.seed, index_faults).context("starting the index")?;
-        let catalog = Catalog::start().context("starting the catalog")?;
+            WorkerPoolFaults { duplicate: rate, split: rate, chatter: rate, reset: rate / 10.0, bad: 0.0 };
+        let index_faults = UpstreamFaults { shed: rate, error: rate, reset: rate, stall: rate / 4.0 };
+        let pool =
+            FakeWorkerPool::start(&site, self.seed, pool_faults).context("starting the worker pool")?;
+        let index =
+            FakeUpstream::start(UPSTREAM_CALL_MS, self.seed, index_faults).context("starting the index")?;
+        let catalog = FakeRegistry::start().context("starting the catalog")?;
         let operator = self.ledger.operator_file(&folder.join("ledger"));
         let mut server = ServerProcess::new(folder, "n1", self.daemon.as_deref(), operator.as_deref())?;
         server.start(|listen| {
@@ -140,7 +143,7 @@
         let address = around.server.address().context("the round server's address")?;
         let societies = TENANTS.map(|tenant| Some(tenant.to_owned())).to_vec();
         let load = Load { rate, requests, societies, seed: self.seed };
-        let proxies = Proxies::start(&around.site, vec![address], load, Habits::default())?;
+        let proxies = FakeClients::start(&around.site, vec![address], load, ClientBehavior::default())?;
         let bar = ProgressBar::new(requests);
         bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} answered, {msg} open")?);
         while !bar.is_finished() {
@@ -175,7 +178,7 @@
     let run_twice = runs.iter().filter(|(body, n)| **n > 1 && body.starts_with(IDEMPOTENT_CLASS)).count();
     let timeout = Duration::from_millis(around.site.stop_ms) + SHUTDOWN_MARGIN;
     let graceful = around.server.shut_down(timeout)?;
-    let lost = tally.sum(|_, _| true)[Outcome::Cut as usize];
+    let lost = tally.sum(|_, _| true)[AttemptOutcome::Cut as usize];
     println!(
         "wrong results {}, second answers {}, keyed requests run twice {run_twice}, answers lost {lost}, left in good \
          order: {}",
@@ -191,7 +194,7 @@
 }
 
 /// Returns a table of what became of the attempts, by class.
-fn outcome_table(site: &Site, tally: &Tally) -> String {
+fn outcome_table(site: &PlatformSettings, tally: &Tally) -> String {
     let mut table = table(&[
         "class",
         "tries",
@@ -211,15 +214,15 @@
             let histogram = tally.latency.get(index).and_then(Option::as_ref);
             histogram.map_or("-".to_owned(), |h| format!("{:.1}", h.value_at_percentile(p) as f64 / 1000.0))
         };
-        let of = |outcome: Outcome| counts[outcome as usize].to_string();
+        let of = |outcome: AttemptOutcome| counts[outcome as usize].to_string();
         table.add_row([
             class.name.to_owned(),
             counts.iter().sum::<u64>().to_string(),
-            of(Outcome::Served),
-            of(Outcome::Late),
-            of(Outcome::Refused),
-            of(Outcome::Failed),
-            of(Outcome::Withdrawn),
+            of(AttemptOutcome::Served),
+            of(AttemptOutcome::Late),
+            of(AttemptOutcome::Refused),
+            of(AttemptOutcome::Failed),
+            of(AttemptOutcome::Withdrawn),
             percentile(50.0),
             percentile(90.0),
             percentile(99.0),
--- a/crates/ctl/src/ledger/crash_drill.rs
+++ b/crates/ctl/src/ledger/crash_drill.rs
@@ -5,7 +5,7 @@
 use crate::ledger::drill_fleet::{DrillFleet, FleetOptions, Instance};
 use anyhow::{Context as _, Result};
 use clap::Args;
-use dunlinspread_fakes::{Habits, Load, Proxies, Tally, unix_ms};
+use dunlinspread_fakes::{ClientBehavior, FakeClients, Load, Tally, unix_ms};
 use dunlinspread_ledger::batch::Batch;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::{RngExt, SeedableRng};
@@ -173,11 +173,11 @@
         Ok(if result.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn start_load(&self, fleet: &DrillFleet, rate: f64) -> Result<Proxies> {
+    fn start_load(&self, fleet: &DrillFleet, rate: f64) -> Result<FakeClients> {
         let societies = (0..TENANTS).map(|number| Some(format!("society-{number}"))).chain([None]).collect();
         let load = Load { rate, requests: self.requests, societies, seed: self.seed };
-        let habits = Habits { retries: 1, ..Habits::default() };
-        Ok(Proxies::start(fleet.site(), fleet.addresses(), load, habits)?)
+        let habits = ClientBehavior { retries: 1, ..ClientBehavior::default() };
+        Ok(FakeClients::start(fleet.site(), fleet.addresses(), load, habits)?)
     }
 
     /// Kills servers at random times under load and starts them again; returns the number of kills.
@@ -185,7 +185,7 @@
         &self,
         fleet: &mut DrillFleet,
         rate: f64,
-        proxies: &Proxies,
+        proxies: &FakeClients,
         bar: &ProgressBar,
     ) -> Result<u32> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ KILL_SEED_MASK);
--- a/crates/ctl/src/ledger/drill_comparison.rs
+++ b/crates/ctl/src/ledger/drill_comparison.rs
@@ -5,7 +5,7 @@
 use crate::ledger::replay::{RequestsByTenant, UnbilledRequests, requests_by_tenant};
 use crate::table::table;
 use anyhow::Result;
-use dunlinspread_fakes::{Outcome, Tally};
+use dunlinspread_fakes::{AttemptOutcome, Tally};
 use dunlinspread_ledger::{BatchReceiver, Outcome as BilledOutcome, UNATTRIBUTED};
 use dunlinspread_store::RealDisk;
 use std::collections::{BTreeMap, BTreeSet};
@@ -128,12 +128,15 @@
 /// Returns a tenant's requests and takes those of its ledger entries out of `billed`.
 fn tenant_counts(tally: &Tally, tenant: Option<&str>, billed: &mut BTreeMap<String, u64>) -> TenantCounts {
     let counts = tally.sum(|_, other| other == tenant);
-    let of = |outcome: Outcome| counts[outcome as usize];
+    let of = |outcome: AttemptOutcome| counts[outcome as usize];
     let name = tenant.unwrap_or(UNATTRIBUTED).to_owned();
     TenantCounts {
-        answered: of(Outcome::Served) + of(Outcome::Late) + of(Outcome::Refused) + of(Outcome::Failed),
-        withdrawn: of(Outcome::Withdrawn),
-        cut: of(Outcome::Cut),
+        answered: of(AttemptOutcome::Served)
+            + of(AttemptOutcome::Late)
+            + of(AttemptOutcome::Refused)
+            + of(AttemptOutcome::Failed),
+        withdrawn: of(AttemptOutcome::Withdrawn),
+        cut: of(AttemptOutcome::Cut),
         billed: billed.remove(&name).unwrap_or(0),
         tenant: name,
     }
--- a/crates/ctl/src/ledger/drill_fleet.rs
+++ b/crates/ctl/src/ledger/drill_fleet.rs
@@ -2,7 +2,10 @@
 
 use crate::server_process::ServerProcess;
 use anyhow::{Context as _, Result};
-use dunlinspread_fakes::{Catalog, Collector, Index, IndexFaults, Pool, PoolFaults, Site};
+use dunlinspread_fakes::{
+    FakeCollector, FakeRegistry, FakeUpstream, FakeWorkerPool, PlatformSettings, UpstreamFaults,
+    WorkerPoolFaults,
+};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -39,20 +42,20 @@
     /// The server.
     pub server: ServerProcess,
     /// The worker pool of its machine.
-    pub pool: Pool,
+    pub pool: FakeWorkerPool,
     /// The folder of its ledger.
     pub ledger: PathBuf,
 }
 
 /// The fakes that all servers share.
 struct SharedFakes {
-    site: Site,
-    index: Index,
-    catalog: Catalog,
+    site: PlatformSettings,
+    index: FakeUpstream,
+    catalog: FakeRegistry,
 }
 
 impl SharedFakes {
-    fn config(&self, name: &str, listen: &str, pool: &Pool) -> String {
+    fn config(&self, name: &str, listen: &str, pool: &FakeWorkerPool) -> String {
         self.site.config(name, listen, pool.address(), self.catalog.address(), Some(self.index.address()))
     }
 
@@ -63,7 +66,8 @@
         collector: SocketAddr,
     ) -> Result<Instance> {
         let name = format!("n{number}");
-        let pool = Pool::start(&self.site, options.seed + number as u64, PoolFaults::default())?;
+        let pool =
+            FakeWorkerPool::start(&self.site, options.seed + number as u64, WorkerPoolFaults::default())?;
         let ledger = options.folder.join(&name);
         let operator = operator_file(&ledger, collector);
         let mut server = ServerProcess::new(options.folder, &name, options.daemon, Some(&operator))?;
@@ -77,7 +81,7 @@
     /// The servers.
     pub instances: Vec<Instance>,
     /// The collector of exports.
-    pub collector: Collector,
+    pub collector: FakeCollector,
     /// The folder of what the collector has taken.
     pub exports: PathBuf,
     shared: SharedFakes,
@@ -89,11 +93,11 @@
     /// # Errors
     /// If a fake or a server cannot be started.
     pub fn start(options: &FleetOptions<'_>) -> Result<DrillFleet> {
-        let site = Site::rounds(CORES);
-        let index = Index::start(UPSTREAM_CALL_MS, options.seed, IndexFaults::default())?;
-        let shared = SharedFakes { site, index, catalog: Catalog::start()? };
+        let site = PlatformSettings::rounds(CORES);
+        let index = FakeUpstream::start(UPSTREAM_CALL_MS, options.seed, UpstreamFaults::default())?;
+        let shared = SharedFakes { site, index, catalog: FakeRegistry::start()? };
         let exports = options.folder.join("exports");
-        let collector = Collector::start(&exports, options.seed, options.export_faults)
+        let collector = FakeCollector::start(&exports, options.seed, options.export_faults)
             .context("starting the collector")?;
         let mut instances = Vec::new();
         for number in 0..options.instances.max(1) {
@@ -103,7 +107,7 @@
     }
 
     /// Returns the fake site of all servers.
-    pub fn site(&self) -> &Site {
+    pub fn site(&self) -> &PlatformSettings {
         &self.shared.site
     }
 
--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -1,6 +1,8 @@
 //! The operators' commands over the ledger of a round server that runs, and of one that does not.
 
-use dunlinspread_fakes::{Catalog, Habits, Load, Pool, PoolFaults, Proxies, Site};
+use dunlinspread_fakes::{
+    ClientBehavior, FakeClients, FakeRegistry, FakeWorkerPool, Load, PlatformSettings, WorkerPoolFaults,
+};
 use dunlinspread_ledger::digest_comparison::DigestClaims;
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use parquet::record::RowAccessor;
@@ -19,7 +21,7 @@
     child: Child,
     address: std::net::SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
-    _parties: (Pool, Catalog),
+    _parties: (FakeWorkerPool, FakeRegistry),
 }
 
 impl Running {
@@ -46,18 +48,18 @@
     }
 }
 
-fn start(site: &Site, folder: &Path, more: &str) -> Running {
+fn start(site: &PlatformSettings, folder: &Path, more: &str) -> Running {
     start_named("n1", site, folder, more)
 }
 
-fn start_named(name: &str, site: &Site, folder: &Path, more: &str) -> Running {
+fn start_named(name: &str, site: &PlatformSettings, folder: &Path, more: &str) -> Running {
     start_limited(name, site, folder, more, "unlimited")
 }
 
 /// With files of at most so many blocks of 512 bytes.
-fn start_limited(name: &str, site: &Site, folder: &Path, more: &str, blocks: &str) -> Running {
-    let pool = Pool::start(site, 1, PoolFaults::default()).expect("a pool");
-    let catalog = Catalog::start().expect("a catalog");
+fn start_limited(name: &str, site: &PlatformSettings, folder: &Path, more: &str, blocks: &str) -> Running {
+    let pool = FakeWorkerPool::start(site, 1, WorkerPoolFaults::default()).expect("a pool");
+    let catalog = FakeRegistry::start().expect("a catalog");
     let operator = format!(
         "ledger \"test\" {{\n  directory = {:?}\n  {more}\n  export {{\n    folder = {:?}\n  }}\n}}\n",
         folder.join("ledger").display().to_string(),
@@ -103,14 +105,15 @@
 
 #[test]
 fn operators_look_correct_close_export_and_reconcile() {
-    let (site, folder) = (Site::rounds(8), tempfile::tempdir().expect("a folder"));
+    let (site, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
     let (ledger, exports) = (folder.path().join("ledger"), folder.path().join("exports"));
     let (ledger, exports) = (ledger.to_str().expect("text"), exports.to_str().expect("text"));
     let mut running = start(&site, folder.path(), "period = \"1h\"");
     let societies = vec![Some("aluva".to_owned()), None];
     let load = Load { rate: 100.0, requests: 100, societies, seed: 5 };
-    let tally =
-        Proxies::start(&site, vec![running.address], load, Habits::default()).expect("proxies").finish();
+    let tally = FakeClients::start(&site, vec![running.address], load, ClientBehavior::default())
+        .expect("proxies")
+        .finish();
     let of = |society: Option<&str>| tally.sum(|_, s| s == society).iter().sum::<u64>() as i64;
 
     // While it runs: look, correct, close.
@@ -219,7 +222,7 @@
 /// Lines that are exported and old enough go; what they came to stays, across a kill as well.
 #[test]
 fn old_lines_go_and_the_ledger_goes_on() {
-    let (site, folder) = (Site::rounds(40), tempfile::tempdir().expect("a folder"));
+    let (site, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
     let ledger = folder.path().join("ledger");
     let ledger = ledger.to_str().expect("text");
     let settings = "period = \"100ms\"\n  grace = \"0s\"\n  keep = \"1s\"";
@@ -229,8 +232,9 @@
     // Each round is a second of load; on a slow machine it takes a few more until enough lines are old.
     for round in 0.. {
         let load = Load { rate: 700.0, requests: 700, societies: vec![None], seed: round };
-        let tally =
-            Proxies::start(&site, vec![running.address], load, Habits::default()).expect("proxies").finish();
+        let tally = FakeClients::start(&site, vec![running.address], load, ClientBehavior::default())
+            .expect("proxies")
+            .finish();
         sent += tally.sum(|_, _| true).iter().sum::<u64>();
         if found()["first"].as_u64().is_some_and(|n| n > 1000) {
             break;
@@ -271,12 +275,14 @@
 #[test]
 fn a_full_disk_is_borne_as_set() {
     for (on_failure, refuses) in [("refuse", true), ("continue", false)] {
-        let (site, folder) = (Site::rounds(40), tempfile::tempdir().expect("a folder"));
+        let (site, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
         let settings = format!("period = \"1h\"\n  on_failure = \"{on_failure}\"");
         let mut running = start_limited("n1", &site, folder.path(), &settings, "40");
         let send = |seed| {
             let load = Load { rate: 300.0, requests: 300, societies: vec![None], seed };
-            Proxies::start(&site, vec![running.address], load, Habits::default()).expect("proxies").finish()
+            FakeClients::start(&site, vec![running.address], load, ClientBehavior::default())
+                .expect("proxies")
+                .finish()
         };
         let mut tallies = Vec::new();
         let full =
@@ -326,7 +332,7 @@
 /// A ledger that is put back from an old copy: the server is told by another that knew it before.
 #[test]
 fn an_old_copy_of_a_ledger_is_noticed_by_the_others() {
-    let (site, folder) = (Site::rounds(8), tempfile::tempdir().expect("a folder"));
+    let (site, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
     let place = |name: &str| {
         let path = folder.path().join(name);
         std::fs::create_dir_all(&path).expect("a folder");
--- a/crates/fakes/src/proxy.rs
+++ b/crates/fakes/src/clients/mod.rs
@@ -2,10 +2,10 @@
 //! answer; latency counts from the time at which a request should have been sent. Each try is counted once, by what
 //! became of it as the proxy saw it: this is the truth that a server's own counts are held against.
 
-use crate::party::{Party, Tasks};
-use crate::pool::result_of;
-use crate::site::Site;
+use crate::fake_server::{FakeServer, Tasks};
+use crate::platform::PlatformSettings;
 use crate::unix_ms;
+use crate::worker_pool::result_of;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -34,7 +34,7 @@
 
 /// What became of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served within the aim.
     Served,
     /// Served after it.
@@ -51,21 +51,21 @@
     Unsent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// All of them, in order.
-    pub const ALL: [Outcome; 7] = [
-        Outcome::Served,
-        Outcome::Late,
-        Outcome::Refused,
-        Outcome::Failed,
-        Outcome::Withdrawn,
-        Outcome::Cut,
-        Outcome::Unsent,
+    pub const ALL: [AttemptOutcome; 7] = [
+        AttemptOutcome::Served,
+        AttemptOutcome::Late,
+        AttemptOutcome::Refused,
+        AttemptOutcome::Failed,
+        AttemptOutcome::Withdrawn,
+        AttemptOutcome::Cut,
+        AttemptOutcome::Unsent,
     ];
 }
 
 /// Tries by outcome.
-pub type Count = [u64; Outcome::ALL.len()];
+pub type OutcomeCounts = [u64; AttemptOutcome::ALL.len()];
 
 /// What is to be sent.
 #[derive(Clone, Debug, PartialEq)]
@@ -82,7 +82,7 @@
 
 /// How the proxies behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Habits {
+pub struct ClientBehavior {
     /// Connections to one round server at most.
     pub connections: usize,
     /// Further tries after one that was refused, failed or cut.
@@ -91,9 +91,9 @@
     pub retry_after: Duration,
 }
 
-impl Default for Habits {
+impl Default for ClientBehavior {
     fn default() -> Self {
-        Habits { connections: 32, retries: 0, retry_after: Duration::from_millis(50) }
+        ClientBehavior { connections: 32, retries: 0, retry_after: Duration::from_millis(50) }
     }
 }
 
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Tries by class, by position, and society.
-    pub counts: BTreeMap<(usize, Option<String>), Count>,
+    pub counts: BTreeMap<(usize, Option<String>), OutcomeCounts>,
     /// The latency of what was served, µs, by class.
     pub latency: Vec<Option<Histogram<u64>>>,
     /// Answers 'served' with what no run made of the request.
@@ -114,8 +114,8 @@
 
 impl Tally {
     /// The sum over all classes and societies that `of` picks.
-    pub fn sum(&self, of: impl Fn(usize, Option<&str>) -> bool) -> Count {
-        let mut sum = Count::default();
+    pub fn sum(&self, of: impl Fn(usize, Option<&str>) -> bool) -> OutcomeCounts {
+        let mut sum = OutcomeCounts::default();
         for ((class, society), count) in &self.counts {
             if of(*class, society.as_deref()) {
                 sum.iter_mut().zip(count).for_each(|(s, c)| *s += c);
@@ -135,22 +135,27 @@
 }
 
 /// Running proxies.
-pub struct Proxies {
-    party: Party,
+pub struct FakeClients {
+    party: FakeServer,
     progress: Arc<[AtomicU64; 2]>,
     tally: Receiver<Tally>,
 }
 
-impl Proxies {
+impl FakeClients {
     /// Sends a load to round servers at these addresses, in turn.
     ///
     /// # Errors
     /// If there is no thread.
-    pub fn start(site: &Site, targets: Vec<SocketAddr>, load: Load, habits: Habits) -> io::Result<Proxies> {
+    pub fn start(
+        site: &PlatformSettings,
+        targets: Vec<SocketAddr>,
+        load: Load,
+        habits: ClientBehavior,
+    ) -> io::Result<FakeClients> {
         let progress = Arc::new([AtomicU64::new(0), AtomicU64::new(0)]);
         let (done, tally) = async_channel::bounded(1);
         let (site, seen) = (site.clone(), progress.clone());
-        let party = Party::start("proxies", move |tasks| {
+        let party = FakeServer::start("proxies", move |tasks| {
             let targets =
                 targets.into_iter().map(|address| Target { address, connections: RefCell::default() });
             let latency = site.classes.iter().map(|_| None).collect();
@@ -170,7 +175,7 @@
                 let _ = done.send(tally).await;
             });
         })?;
-        Ok(Proxies { party, progress, tally })
+        Ok(FakeClients { party, progress, tally })
     }
 
     /// How far it is.
@@ -188,8 +193,8 @@
 }
 
 struct All {
-    site: Site,
-    habits: Habits,
+    site: PlatformSettings,
+    habits: ClientBehavior,
     targets: Vec<Target>,
     turn: Cell<usize>,
     tally: RefCell<Tally>,
@@ -277,8 +282,13 @@
         for (nth, call) in calls.iter().enumerate() {
             let outcome = self.a_try(wish, *call).await;
             self.count(wish, outcome);
-            let again =
-                matches!(outcome, Outcome::Refused | Outcome::Failed | Outcome::Cut | Outcome::Unsent);
+            let again = matches!(
+                outcome,
+                AttemptOutcome::Refused
+                    | AttemptOutcome::Failed
+                    | AttemptOutcome::Cut
+                    | AttemptOutcome::Unsent
+            );
             if !again || nth + 1 == calls.len() {
                 return;
             }
@@ -286,11 +296,11 @@
         }
     }
 
-    fn count(&self, wish: &Wish, outcome: Outcome) {
+    fn count(&self, wish: &Wish, outcome: AttemptOutcome) {
         let mut tally = self.tally.borrow_mut();
-        let at = Outcome::ALL.iter().position(|o| *o == outcome).unwrap_or(0);
+        let at = AttemptOutcome::ALL.iter().position(|o| *o == outcome).unwrap_or(0);
         tally.counts.entry((wish.class, wish.society.clone())).or_default()[at] += 1;
-        if matches!(outcome, Outcome::Served | Outcome::Late) {
+        if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Late) {
             let us = wish.due.elapsed().as_micros() as u64;
             let new = || Histogram::new_with_max(MAX_US, 3).ok();
             if tally.latency[wish.class].is_none() {
@@ -302,7 +312,7 @@
         }
     }
 
-    async fn a_try(&self, wish: &Wish, call: u64) -> Outcome {
+    async fn a_try(&self, wish: &Wish, call: u64) -> AttemptOutcome {
         let plan = &self.site.classes[wish.class];
         let turn = self.turn.get();
         self.turn.set(turn + 1);
@@ -311,7 +321,7 @@
         let recv = unix_ms();
         // Twice only if the first crossed a close in good order.
         for again in [true, false] {
-            let Some(connection) = self.connection(target).await else { return Outcome::Unsent };
+            let Some(connection) = self.connection(target).await else { return AttemptOutcome::Unsent };
             let id = connection.ids.get() + 1;
             connection.ids.set(id);
             let (answer, answered) = async_channel::bounded(1);
@@ -330,27 +340,27 @@
                     // If the connection ends before that was surely read, nobody knows what the round server made of it.
                     Timer::after(SURELY_READ).await;
                     let cut = connection.ended.get() && !connection.left.get();
-                    return if cut { Outcome::Cut } else { Outcome::Withdrawn };
+                    return if cut { AttemptOutcome::Cut } else { AttemptOutcome::Withdrawn };
                 }
                 Some(Ok(message)) => return self.judge(wish, &message, since, plan.aim_ms),
                 // One that was only cut off may have run and been billed: it counts, and is no crossing.
                 Some(Err(_)) if again && connection.told.get() && sent.elapsed() < CROSSED => {}
-                Some(Err(_)) => return Outcome::Cut,
+                Some(Err(_)) => return AttemptOutcome::Cut,
             }
         }
-        Outcome::Cut
+        AttemptOutcome::Cut
     }
 
-    fn judge(&self, wish: &Wish, message: &Value, since: Instant, aim_ms: f64) -> Outcome {
+    fn judge(&self, wish: &Wish, message: &Value, since: Instant, aim_ms: f64) -> AttemptOutcome {
         let error = &message[2];
         if error.is_nil() {
             if message[3][0].as_slice() != Some(&result_of(&wish.body)[..]) {
                 self.tally.borrow_mut().wrong += 1;
             }
             let late = since.elapsed().as_secs_f64() * 1000.0 > aim_ms;
-            return if late { Outcome::Late } else { Outcome::Served };
+            return if late { AttemptOutcome::Late } else { AttemptOutcome::Served };
         }
-        if error[0].as_str() == Some("Backoff") { Outcome::Refused } else { Outcome::Failed }
+        if error[0].as_str() == Some("Backoff") { AttemptOutcome::Refused } else { AttemptOutcome::Failed }
     }
 
     /// One that has room, or a new one.
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -1,8 +1,8 @@
 //! A collector of exported batches over HTTP, as `docs/formats/export.md` describes it, with faults: it dies before, between
 //! and after taking and acknowledging, answers late, twice, or with nonsense.
 
+use crate::fake_server::FakeServer;
 use crate::http;
-use crate::party::Party;
 use async_io::Timer;
 use dunlinspread_ledger::BatchReceiver;
 use dunlinspread_ledger::batch::hex;
@@ -34,25 +34,25 @@
 }
 
 /// A running collector.
-pub struct Collector {
-    _party: Party,
+pub struct FakeCollector {
+    _server: FakeServer,
     address: SocketAddr,
     counts: Arc<CollectorCounts>,
 }
 
-impl Collector {
+impl FakeCollector {
     /// Starts one that keeps batches in `folder`; `faulty` is the part of exchanges that go wrong, in any of the ways.
     ///
     /// # Errors
     /// If there is no port or thread, or the folder can't be opened.
-    pub fn start(folder: &Path, seed: u64, faulty: f64) -> io::Result<Collector> {
+    pub fn start(folder: &Path, seed: u64, faulty: f64) -> io::Result<FakeCollector> {
         let open = || -> Result<BatchReceiver, Box<dyn std::error::Error + Send + Sync>> {
             Ok(BatchReceiver::open(Arc::new(RealDisk::new(folder)?))?)
         };
         let inbox = open().map_err(io::Error::other)?;
         let counts = Arc::new(CollectorCounts::default());
         let shared = counts.clone();
-        let (party, address) = Party::listen("collector", move |_| {
+        let (party, address) = FakeServer::listen("collector", move |_| {
             let state = Rc::new(RefCell::new((inbox, ChaCha8Rng::seed_from_u64(seed))));
             move |stream| {
                 let (state, counts) = (state.clone(), shared.clone());
@@ -90,7 +90,7 @@
                 }
             }
         })?;
-        Ok(Collector { _party: party, address, counts })
+        Ok(FakeCollector { _server: party, address, counts })
     }
 
     /// Where it listens.
--- a/crates/fakes/src/party.rs
+++ b/crates/fakes/src/fake_server.rs
@@ -23,14 +23,14 @@
 }
 
 /// A running thread. Dropping it ends its tasks, closes its sockets and waits for it.
-pub(crate) struct Party {
+pub(crate) struct FakeServer {
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Party {
+impl FakeServer {
     /// Starts a thread on which `begin` spawns the party's tasks.
-    pub fn start(name: &str, begin: impl FnOnce(&Tasks) + Send + 'static) -> io::Result<Party> {
+    pub fn start(name: &str, begin: impl FnOnce(&Tasks) + Send + 'static) -> io::Result<FakeServer> {
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
@@ -40,21 +40,21 @@
                 let _ = stopped.recv().await;
             }));
         })?;
-        Ok(Party { stop: Some(stop), thread: Some(thread) })
+        Ok(FakeServer { stop: Some(stop), thread: Some(thread) })
     }
 
     /// A party that listens on a free port of the loopback address. `begin` gives what it does with each connection.
     pub fn listen<F, Fut>(
         name: &str,
         begin: impl FnOnce(&Tasks) -> F + Send + 'static,
-    ) -> io::Result<(Party, SocketAddr)>
+    ) -> io::Result<(FakeServer, SocketAddr)>
     where
         F: Fn(Async<TcpStream>) -> Fut + 'static,
         Fut: Future<Output = ()> + 'static,
     {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let party = Party::start(name, move |tasks| {
+        let party = FakeServer::start(name, move |tasks| {
             let serve = begin(tasks);
             let inner = tasks.clone();
             let accepting = async move {
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Party {
+impl Drop for FakeServer {
     fn drop(&mut self) {
         self.stop.take();
         if let Some(thread) = self.thread.take() {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -3,31 +3,31 @@
 //! fault here as well. Each party is a thread; its chance comes from a seed; faults are scripted.
 //!
 //! ```
-//! use dunlinspread_fakes::{Catalog, Pool, PoolFaults, Site};
+//! use dunlinspread_fakes::{FakeRegistry, FakeWorkerPool, WorkerPoolFaults, PlatformSettings};
 //!
-//! let site = Site::rounds(6);
-//! let pool = Pool::start(&site, 1, PoolFaults::default()).expect("a free port");
-//! let catalog = Catalog::start().expect("a free port");
+//! let site = PlatformSettings::rounds(6);
+//! let pool = FakeWorkerPool::start(&site, 1, WorkerPoolFaults::default()).expect("a free port");
+//! let catalog = FakeRegistry::start().expect("a free port");
 //! let config = site.config("n1", "127.0.0.1:0", pool.address(), catalog.address(), None);
 //! assert!(config.contains("\"pour-entry\""));
 //! ```
 #![forbid(unsafe_code)]
 
-mod catalog;
+mod clients;
 mod collector;
+mod fake_server;
 mod http;
-mod index;
-mod party;
-mod pool;
-mod proxy;
-mod site;
+mod platform;
+mod registry;
+mod upstream;
+mod worker_pool;
 
-pub use catalog::Catalog;
-pub use collector::{Collector, CollectorCounts};
-pub use index::{Index, IndexFaults};
-pub use pool::{Pool, PoolFaults};
-pub use proxy::{Count, Habits, Load, Outcome, Progress, Proxies, Tally};
-pub use site::{ClassPlan, Site};
+pub use clients::{AttemptOutcome, ClientBehavior, FakeClients, Load, OutcomeCounts, Progress, Tally};
+pub use collector::{CollectorCounts, FakeCollector};
+pub use platform::{PlatformSettings, RequestClass};
+pub use registry::FakeRegistry;
+pub use upstream::{FakeUpstream, UpstreamFaults};
+pub use worker_pool::{FakeWorkerPool, WorkerPoolFaults};
 
 /// Unix time now, ms.
 pub fn unix_ms() -> u64 {
--- a/crates/fakes/src/site.rs
+++ b/crates/fakes/src/platform.rs
@@ -5,7 +5,7 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassPlan {
+pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
     /// Its part of all requests.
@@ -28,9 +28,9 @@
 
 /// A site.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct PlatformSettings {
     /// Its classes.
-    pub classes: Vec<ClassPlan>,
+    pub classes: Vec<RequestClass>,
     /// Cores of a machine.
     pub cores: usize,
     /// The limits of a round server's process.
@@ -41,10 +41,10 @@
     pub stop_ms: u64,
 }
 
-impl Site {
+impl PlatformSettings {
     /// The four classes of the rounds, at a tenth of their work and times, so that seconds show what takes a minute.
-    pub fn rounds(cores: usize) -> Site {
-        let class = |name, share, work_ms, aim_ms, give_up_ms, worth| ClassPlan {
+    pub fn rounds(cores: usize) -> PlatformSettings {
+        let class = |name, share, work_ms, aim_ms, give_up_ms, worth| RequestClass {
             name,
             share,
             work_ms,
@@ -55,20 +55,20 @@
             skip_worth: 0.0,
             window_ms: None,
         };
-        Site {
+        PlatformSettings {
             classes: vec![
-                ClassPlan {
+                RequestClass {
                     calls: true,
                     skip_worth: 0.5,
                     ..class("route-sheet", 0.36, 38.0, 290.0, 870.0, 1.0)
                 },
                 class("rate-check", 0.27, 16.0, 72.0, 220.0, 2.0),
-                ClassPlan {
+                RequestClass {
                     calls: true,
                     skip_worth: 0.5,
                     ..class("farmer-ledger", 0.25, 38.0, 290.0, 870.0, 2.0)
                 },
-                ClassPlan {
+                RequestClass {
                     calls: true,
                     window_ms: Some(2170.0),
                     ..class("pour-entry", 0.12, 16.0, 220.0, 720.0, 5.0)
@@ -100,7 +100,7 @@
         directory: SocketAddr,
         index: Option<SocketAddr>,
     ) -> String {
-        let profile = |c: &ClassPlan| -> Value {
+        let profile = |c: &RequestClass| -> Value {
             let mut profile = json!({
                 "name": c.name, "effect": if c.window_ms.is_some() { "token" } else { "pure" },
                 "target_ms": c.aim_ms, "give_up_ms": c.give_up_ms, "worth": c.worth, "late_worth": 0.1 * c.worth,
--- a/crates/fakes/src/catalog.rs
+++ b/crates/fakes/src/registry.rs
@@ -1,7 +1,7 @@
 //! The catalog: takes reports and remembers who was alive when.
 
+use crate::fake_server::FakeServer;
 use crate::http;
-use crate::party::Party;
 use crate::unix_ms;
 use futures_lite::AsyncWriteExt;
 use std::collections::BTreeMap;
@@ -16,21 +16,21 @@
 type Record = BTreeMap<String, Vec<(u64, u64)>>;
 
 /// A running catalog.
-pub struct Catalog {
-    _party: Party,
+pub struct FakeRegistry {
+    _server: FakeServer,
     address: SocketAddr,
     record: Arc<Mutex<Record>>,
 }
 
-impl Catalog {
+impl FakeRegistry {
     /// Starts one on a free port.
     ///
     /// # Errors
     /// If there is no port or thread.
-    pub fn start() -> io::Result<Catalog> {
+    pub fn start() -> io::Result<FakeRegistry> {
         let record = Arc::new(Mutex::new(Record::new()));
         let shared = record.clone();
-        let (party, address) = Party::listen("catalog", move |_| {
+        let (party, address) = FakeServer::listen("catalog", move |_| {
             move |stream| {
                 let shared = shared.clone();
                 async move {
@@ -51,7 +51,7 @@
                 }
             }
         })?;
-        Ok(Catalog { _party: party, address, record })
+        Ok(FakeRegistry { _server: party, address, record })
     }
 
     /// Where it listens.
--- a/crates/fakes/src/index.rs
+++ b/crates/fakes/src/upstream.rs
@@ -1,7 +1,7 @@
 //! The index: answers calls after a while, or in one of the ways in which calls go wrong.
 
+use crate::fake_server::FakeServer;
 use crate::http;
-use crate::party::Party;
 use async_io::Timer;
 use futures_lite::AsyncWriteExt;
 use rand::{RngExt, SeedableRng};
@@ -14,7 +14,7 @@
 
 /// What goes wrong with calls, each as a part of all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct IndexFaults {
+pub struct UpstreamFaults {
     /// Turned away unrun.
     pub shed: f64,
     /// Failed after running.
@@ -26,18 +26,18 @@
 }
 
 /// A running index.
-pub struct Index {
-    _party: Party,
+pub struct FakeUpstream {
+    _server: FakeServer,
     address: SocketAddr,
 }
 
-impl Index {
+impl FakeUpstream {
     /// Starts one whose calls take about `work_ms`.
     ///
     /// # Errors
     /// If there is no port or thread.
-    pub fn start(work_ms: f64, seed: u64, faults: IndexFaults) -> io::Result<Index> {
-        let (party, address) = Party::listen("index", move |_| {
+    pub fn start(work_ms: f64, seed: u64, faults: UpstreamFaults) -> io::Result<FakeUpstream> {
+        let (party, address) = FakeServer::listen("index", move |_| {
             let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
             move |stream| {
                 let rng = rng.clone();
@@ -66,7 +66,7 @@
                 }
             }
         })?;
-        Ok(Index { _party: party, address })
+        Ok(FakeUpstream { _server: party, address })
     }
 
     /// Where it listens.
--- a/crates/fakes/src/pool.rs
+++ b/crates/fakes/src/worker_pool/mod.rs
@@ -1,7 +1,7 @@
 //! The worker pool: owns the cores of one machine, runs what it is told to, and tells of it in numbered notices.
 
-use crate::party::{Party, Tasks};
-use crate::site::Site;
+use crate::fake_server::{FakeServer, Tasks};
+use crate::platform::PlatformSettings;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use base64::Engine as _;
@@ -26,7 +26,7 @@
 
 /// What goes wrong on the link, beside what is asked for by hand.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PoolFaults {
+pub struct WorkerPoolFaults {
     /// A notice is written twice, as a part of all.
     pub duplicate: f64,
     /// A notice is written in two pieces with a pause between.
@@ -55,8 +55,8 @@
 }
 
 struct Machine {
-    site: Site,
-    faults: PoolFaults,
+    site: PlatformSettings,
+    faults: WorkerPoolFaults,
     rng: ChaCha8Rng,
     started: Instant,
     runs: HashMap<String, Run>,
@@ -75,23 +75,23 @@
 }
 
 /// A running worker pool.
-pub struct Pool {
-    _party: Party,
+pub struct FakeWorkerPool {
+    _server: FakeServer,
     address: SocketAddr,
     hand: Sender<Hand>,
     ran: Arc<Mutex<HashMap<Vec<u8>, u32>>>,
 }
 
-impl Pool {
+impl FakeWorkerPool {
     /// Starts one for a machine of that site.
     ///
     /// # Errors
     /// If there is no port or thread.
-    pub fn start(site: &Site, seed: u64, faults: PoolFaults) -> io::Result<Pool> {
+    pub fn start(site: &PlatformSettings, seed: u64, faults: WorkerPoolFaults) -> io::Result<FakeWorkerPool> {
         let (hand, hands) = async_channel::unbounded();
         let ran = Arc::new(Mutex::new(HashMap::new()));
         let (site, shared) = (site.clone(), ran.clone());
-        let (party, address) = Party::listen("worker pool", move |tasks| {
+        let (party, address) = FakeServer::listen("worker pool", move |tasks| {
             let machine = Rc::new(RefCell::new(Machine {
                 site,
                 faults,
@@ -109,7 +109,7 @@
             let tasks = tasks.clone();
             move |stream| serve(machine.clone(), tasks.clone(), stream)
         })?;
-        Ok(Pool { _party: party, address, hand, ran })
+        Ok(FakeWorkerPool { _server: party, address, hand, ran })
     }
 
     /// Where it listens.
--- a/crates/scale/src/probes/daemon_site.rs
+++ b/crates/scale/src/probes/daemon_site.rs
@@ -2,7 +2,7 @@
 //! with as many tenants and classes as wanted.
 
 use anyhow::{Context, Result};
-use dunlinspread_fakes::{Catalog, ClassPlan, Pool, PoolFaults, Site};
+use dunlinspread_fakes::{FakeRegistry, FakeWorkerPool, PlatformSettings, RequestClass, WorkerPoolFaults};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -45,8 +45,8 @@
 
 /// The stand-ins and the configuration file.
 pub struct Surroundings {
-    _pool: Pool,
-    _catalog: Catalog,
+    _pool: FakeWorkerPool,
+    _catalog: FakeRegistry,
     _folder: TempDir,
     /// The configuration file.
     pub config: PathBuf,
@@ -59,7 +59,7 @@
     /// If there is no port, thread or room on the disk.
     pub fn start(size: Size, seed: u64) -> Result<Surroundings> {
         let pool = start_pool(seed)?;
-        let catalog = Catalog::start().context("starting the stand-in registry")?;
+        let catalog = FakeRegistry::start().context("starting the stand-in registry")?;
         let folder = tempfile::tempdir().context("making a folder")?;
         let config = folder.path().join("daemon.json");
         let text = configuration(size, seed, pool.address(), catalog.address());
@@ -72,8 +72,8 @@
 ///
 /// # Errors
 /// If there is no port or thread.
-pub fn start_pool(seed: u64) -> Result<Pool> {
-    let plan = ClassPlan {
+pub fn start_pool(seed: u64) -> Result<FakeWorkerPool> {
+    let plan = RequestClass {
         name: ROUTE,
         share: 1.0,
         work_ms: WORK_MS,
@@ -84,8 +84,9 @@
         skip_worth: 0.0,
         window_ms: None,
     };
-    let site = Site { classes: vec![plan], ..Site::rounds(CORES) };
-    Pool::start(&site, seed, PoolFaults::default()).context("starting the stand-in worker pool")
+    let site = PlatformSettings { classes: vec![plan], ..PlatformSettings::rounds(CORES) };
+    FakeWorkerPool::start(&site, seed, WorkerPoolFaults::default())
+        .context("starting the stand-in worker pool")
 }
 
 /// The name of a tenant.
--- a/crates/scale/src/probes/latency.rs
+++ b/crates/scale/src/probes/latency.rs
@@ -112,7 +112,7 @@
 struct Pair {
     daemon: Daemon,
     _around: Surroundings,
-    pool: dunlinspread_fakes::Pool,
+    pool: dunlinspread_fakes::FakeWorkerPool,
 }
 
 impl Pair {
