--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -79,9 +79,9 @@
 struct Surroundings {
     server: ServerProcess,
     pool: FakeWorkerPool,
-    _index: FakeUpstream,
-    _catalog: FakeRegistry,
-    site: PlatformSettings,
+    _upstream: FakeUpstream,
+    _registry: FakeRegistry,
+    platform: PlatformSettings,
 }
 
 impl Demo {
@@ -92,70 +92,70 @@
     pub fn run(&self) -> Result<ExitCode> {
         let folder = tempfile::tempdir().context("making a folder")?;
         let mut around = self.start_surroundings(folder.path())?;
-        let rate = self.load * around.site.capacity();
+        let rate = self.load * around.platform.capacity();
         let requests = (rate * self.seconds).round().max(1.0) as u64;
         println!(
             "One round server before {} played cores, {rate:.0} requests a second for {:.0} s ({:.0}% of what the cores \
              can do).",
-            around.site.cores,
+            around.platform.cores,
             self.seconds,
             self.load * 100.0
         );
         let cpu_before = around.server.cpu_ms().unwrap_or(0.0);
         let tally = self.send_load(&around, rate, requests)?;
-        println!("{}", outcome_table(&around.site, &tally));
+        println!("{}", outcome_table(&around.platform, &tally));
         if let Some(cpu) = around.server.cpu_ms() {
             println!(
                 "the round server used {:.0} µs of processor a request",
                 (cpu - cpu_before) * 1000.0 / requests as f64
             );
         }
-        if tally.behind_ms > LATE_LOAD_MS {
+        if tally.max_send_delay_ms > LATE_LOAD_MS {
             println!(
                 "The load itself ran up to {:.0} ms behind: this machine was too busy.",
-                tally.behind_ms
+                tally.max_send_delay_ms
             );
         }
         check_rules(&mut around, &tally)
     }
 
     fn start_surroundings(&self, folder: &Path) -> Result<Surroundings> {
-        let site = PlatformSettings::rounds(self.cores.max(1));
+        let platform = PlatformSettings::rounds(self.cores.max(1));
         let rate = if self.faults { FAULT_RATE } else { 0.0 };
         let pool_faults =
             WorkerPoolFaults { duplicate: rate, split: rate, chatter: rate, reset: rate / 10.0, bad: 0.0 };
-        let index_faults = UpstreamFaults { shed: rate, error: rate, reset: rate, stall: rate / 4.0 };
+        let upstream_faults = UpstreamFaults { shed: rate, error: rate, reset: rate, stall: rate / 4.0 };
         let pool =
-            FakeWorkerPool::start(&site, self.seed, pool_faults).context("starting the worker pool")?;
-        let index =
-            FakeUpstream::start(UPSTREAM_CALL_MS, self.seed, index_faults).context("starting the index")?;
-        let catalog = FakeRegistry::start().context("starting the catalog")?;
+            FakeWorkerPool::start(&platform, self.seed, pool_faults).context("starting the worker pool")?;
+        let upstream = FakeUpstream::start(UPSTREAM_CALL_MS, self.seed, upstream_faults)
+            .context("starting the index")?;
+        let registry = FakeRegistry::start().context("starting the catalog")?;
         let operator = self.ledger.operator_file(&folder.join("ledger"));
         let mut server = ServerProcess::new(folder, "n1", self.daemon.as_deref(), operator.as_deref())?;
         server.start(|listen| {
-            site.config("n1", listen, pool.address(), catalog.address(), Some(index.address()))
+            platform.config("n1", listen, pool.address(), registry.address(), Some(upstream.address()))
         })?;
-        Ok(Surroundings { server, pool, _index: index, _catalog: catalog, site })
+        Ok(Surroundings { server, pool, _upstream: upstream, _registry: registry, platform })
     }
 
     /// Sends the load, shows how far it is, and returns what became of it.
     fn send_load(&self, around: &Surroundings, rate: f64, requests: u64) -> Result<Tally> {
         let address = around.server.address().context("the round server's address")?;
-        let societies = TENANTS.map(|tenant| Some(tenant.to_owned())).to_vec();
-        let load = Load { rate, requests, societies, seed: self.seed };
-        let proxies = FakeClients::start(&around.site, vec![address], load, ClientBehavior::default())?;
+        let tenants = TENANTS.map(|tenant| Some(tenant.to_owned())).to_vec();
+        let load = Load { rate, requests, tenants, seed: self.seed };
+        let clients = FakeClients::start(&around.platform, vec![address], load, ClientBehavior::default())?;
         let bar = ProgressBar::new(requests);
         bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} answered, {msg} open")?);
         while !bar.is_finished() {
-            let progress = proxies.progress();
-            bar.set_position(progress.over);
-            bar.set_message((progress.begun - progress.over).to_string());
-            if progress.over >= requests {
+            let progress = clients.progress();
+            bar.set_position(progress.finished);
+            bar.set_message((progress.started - progress.finished).to_string());
+            if progress.finished >= requests {
                 bar.finish_and_clear();
             }
             std::thread::sleep(PROGRESS_INTERVAL);
         }
-        Ok(proxies.finish())
+        Ok(clients.finish())
     }
 }
 
@@ -174,19 +174,19 @@
 
 /// Shuts the server down and prints whether every rule held; fails if one did not.
 fn check_rules(around: &mut Surroundings, tally: &Tally) -> Result<ExitCode> {
-    let runs = around.pool.ran();
+    let runs = around.pool.run_counts();
     let run_twice = runs.iter().filter(|(body, n)| **n > 1 && body.starts_with(IDEMPOTENT_CLASS)).count();
-    let timeout = Duration::from_millis(around.site.stop_ms) + SHUTDOWN_MARGIN;
+    let timeout = Duration::from_millis(around.platform.shutdown_ms) + SHUTDOWN_MARGIN;
     let graceful = around.server.shut_down(timeout)?;
     let lost = tally.sum(|_, _| true)[AttemptOutcome::Cut as usize];
     println!(
         "wrong results {}, second answers {}, keyed requests run twice {run_twice}, answers lost {lost}, left in good \
          order: {}",
-        tally.wrong,
-        tally.doubled,
+        tally.wrong_results,
+        tally.duplicate_answers,
         if graceful { "yes" } else { "no" }
     );
-    if tally.wrong + tally.doubled + run_twice as u64 + lost > 0 || !graceful {
+    if tally.wrong_results + tally.duplicate_answers + run_twice as u64 + lost > 0 || !graceful {
         println!("The round server's log:\n{}", around.server.recent_log());
         return Ok(ExitCode::FAILURE);
     }
@@ -194,7 +194,7 @@
 }
 
 /// Returns a table of what became of the attempts, by class.
-fn outcome_table(site: &PlatformSettings, tally: &Tally) -> String {
+fn outcome_table(platform: &PlatformSettings, tally: &Tally) -> String {
     let mut table = table(&[
         "class",
         "tries",
@@ -208,7 +208,7 @@
         "p99 ms",
         "aim ms",
     ]);
-    for (index, class) in site.classes.iter().enumerate() {
+    for (index, class) in platform.classes.iter().enumerate() {
         let counts = tally.sum(|other, _| other == index);
         let percentile = |p: f64| {
             let histogram = tally.latency.get(index).and_then(Option::as_ref);
@@ -218,15 +218,15 @@
         table.add_row([
             class.name.to_owned(),
             counts.iter().sum::<u64>().to_string(),
-            of(AttemptOutcome::Served),
+            of(AttemptOutcome::Completed),
             of(AttemptOutcome::Late),
-            of(AttemptOutcome::Refused),
+            of(AttemptOutcome::Rejected),
             of(AttemptOutcome::Failed),
             of(AttemptOutcome::Withdrawn),
             percentile(50.0),
             percentile(90.0),
             percentile(99.0),
-            format!("{:.0}", class.aim_ms),
+            format!("{:.0}", class.latency_objective_ms),
         ]);
     }
     table.to_string()
--- a/crates/ctl/src/ledger/crash_drill.rs
+++ b/crates/ctl/src/ledger/crash_drill.rs
@@ -115,8 +115,8 @@
                 "doubled": comparison.doubled, "exported": comparison.exported,
                 "exports": self.exports.taken, "export_retries": self.exports.retries,
                 "conflicts": self.exports.conflicts, "kills": self.kills,
-                "withdrawn": comparison.withdrawn, "wrong": self.tally.wrong,
-                "second_answers": self.tally.doubled, "seed": seed,
+                "withdrawn": comparison.withdrawn, "wrong": self.tally.wrong_results,
+                "second_answers": self.tally.duplicate_answers, "seed": seed,
                 "seconds": self.began_at.elapsed().as_secs_f64().round(), "ok": self.passed(),
             })
         );
@@ -140,24 +140,24 @@
             daemon: self.daemon.as_deref(),
         })?;
         let rate = self.rate.unwrap_or(fleet.capacity());
-        let proxies = self.start_load(&fleet, rate)?;
+        let clients = self.start_load(&fleet, rate)?;
         let bar = ProgressBar::new(self.requests);
         bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} requests, {msg}")?);
         let began_at = Instant::now();
-        let kills = self.kill_servers(&mut fleet, rate, &proxies, &bar)?;
-        while proxies.progress().over < self.requests {
-            bar.set_position(proxies.progress().over);
+        let kills = self.kill_servers(&mut fleet, rate, &clients, &bar)?;
+        while clients.progress().finished < self.requests {
+            bar.set_position(clients.progress().finished);
             std::thread::sleep(PROGRESS_INTERVAL);
         }
-        let tally = proxies.finish();
+        let tally = clients.finish();
         bar.set_message("waiting for the exports".to_owned());
         let exported = await_exports(&fleet);
         bar.finish_and_clear();
         let graceful = fleet.shut_down()?;
         let DrillFleet { instances, collector, exports, .. } = fleet;
         let export_counts = ExportCounts {
-            taken: collector.counts().taken.load(Ordering::Relaxed),
-            retries: collector.counts().again.load(Ordering::Relaxed)
+            taken: collector.counts().accepted.load(Ordering::Relaxed),
+            retries: collector.counts().duplicates.load(Ordering::Relaxed)
                 + collector.counts().faults.load(Ordering::Relaxed),
             conflicts: collector.counts().conflicts.load(Ordering::Relaxed),
         };
@@ -174,10 +174,10 @@
     }
 
     fn start_load(&self, fleet: &DrillFleet, rate: f64) -> Result<FakeClients> {
-        let societies = (0..TENANTS).map(|number| Some(format!("society-{number}"))).chain([None]).collect();
-        let load = Load { rate, requests: self.requests, societies, seed: self.seed };
-        let habits = ClientBehavior { retries: 1, ..ClientBehavior::default() };
-        Ok(FakeClients::start(fleet.site(), fleet.addresses(), load, habits)?)
+        let tenants = (0..TENANTS).map(|number| Some(format!("society-{number}"))).chain([None]).collect();
+        let load = Load { rate, requests: self.requests, tenants, seed: self.seed };
+        let behavior = ClientBehavior { max_retries: 1, ..ClientBehavior::default() };
+        Ok(FakeClients::start(fleet.platform(), fleet.addresses(), load, behavior)?)
     }
 
     /// Kills servers at random times under load and starts them again; returns the number of kills.
@@ -185,7 +185,7 @@
         &self,
         fleet: &mut DrillFleet,
         rate: f64,
-        proxies: &FakeClients,
+        clients: &FakeClients,
         bar: &ProgressBar,
     ) -> Result<u32> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ KILL_SEED_MASK);
@@ -199,7 +199,7 @@
             while Instant::now() < due {
                 let left = due.saturating_duration_since(Instant::now());
                 std::thread::sleep(left.min(PROGRESS_INTERVAL));
-                bar.set_position(proxies.progress().over);
+                bar.set_position(clients.progress().finished);
             }
             let number = rng.random_range(0..fleet.instances.len());
             let instance = &mut fleet.instances[number];
--- a/crates/ctl/src/ledger/drill_comparison.rs
+++ b/crates/ctl/src/ledger/drill_comparison.rs
@@ -53,8 +53,10 @@
     /// # Errors
     /// If a ledger or the exports cannot be read.
     pub fn new(instances: &[Instance], exports: &Path, tally: &Tally) -> Result<Comparison> {
-        let mut comparison =
-            Comparison { wrong_answers: tally.wrong + tally.doubled, ..Comparison::default() };
+        let mut comparison = Comparison {
+            wrong_answers: tally.wrong_results + tally.duplicate_answers,
+            ..Comparison::default()
+        };
         let mut billed = comparison.add_ledgers(instances, exports)?;
         let tenants: BTreeSet<&Option<String>> = tally.counts.keys().map(|(_, tenant)| tenant).collect();
         for tenant in tenants {
@@ -131,9 +133,9 @@
     let of = |outcome: AttemptOutcome| counts[outcome as usize];
     let name = tenant.unwrap_or(UNATTRIBUTED).to_owned();
     TenantCounts {
-        answered: of(AttemptOutcome::Served)
+        answered: of(AttemptOutcome::Completed)
             + of(AttemptOutcome::Late)
-            + of(AttemptOutcome::Refused)
+            + of(AttemptOutcome::Rejected)
             + of(AttemptOutcome::Failed),
         withdrawn: of(AttemptOutcome::Withdrawn),
         cut: of(AttemptOutcome::Cut),
--- a/crates/ctl/src/ledger/drill_fleet.rs
+++ b/crates/ctl/src/ledger/drill_fleet.rs
@@ -49,14 +49,20 @@
 
 /// The fakes that all servers share.
 struct SharedFakes {
-    site: PlatformSettings,
-    index: FakeUpstream,
-    catalog: FakeRegistry,
+    platform: PlatformSettings,
+    upstream: FakeUpstream,
+    registry: FakeRegistry,
 }
 
 impl SharedFakes {
     fn config(&self, name: &str, listen: &str, pool: &FakeWorkerPool) -> String {
-        self.site.config(name, listen, pool.address(), self.catalog.address(), Some(self.index.address()))
+        self.platform.config(
+            name,
+            listen,
+            pool.address(),
+            self.registry.address(),
+            Some(self.upstream.address()),
+        )
     }
 
     fn start_instance(
@@ -67,7 +73,7 @@
     ) -> Result<Instance> {
         let name = format!("n{number}");
         let pool =
-            FakeWorkerPool::start(&self.site, options.seed + number as u64, WorkerPoolFaults::default())?;
+            FakeWorkerPool::start(&self.platform, options.seed + number as u64, WorkerPoolFaults::default())?;
         let ledger = options.folder.join(&name);
         let operator = operator_file(&ledger, collector);
         let mut server = ServerProcess::new(options.folder, &name, options.daemon, Some(&operator))?;
@@ -93,9 +99,9 @@
     /// # Errors
     /// If a fake or a server cannot be started.
     pub fn start(options: &FleetOptions<'_>) -> Result<DrillFleet> {
-        let site = PlatformSettings::rounds(CORES);
-        let index = FakeUpstream::start(UPSTREAM_CALL_MS, options.seed, UpstreamFaults::default())?;
-        let shared = SharedFakes { site, index, catalog: FakeRegistry::start()? };
+        let platform = PlatformSettings::rounds(CORES);
+        let upstream = FakeUpstream::start(UPSTREAM_CALL_MS, options.seed, UpstreamFaults::default())?;
+        let shared = SharedFakes { platform, upstream, registry: FakeRegistry::start()? };
         let exports = options.folder.join("exports");
         let collector = FakeCollector::start(&exports, options.seed, options.export_faults)
             .context("starting the collector")?;
@@ -106,14 +112,14 @@
         Ok(DrillFleet { instances, collector, exports, shared })
     }
 
-    /// Returns the fake site of all servers.
-    pub fn site(&self) -> &PlatformSettings {
-        &self.shared.site
+    /// Returns the fake platform of all servers.
+    pub fn platform(&self) -> &PlatformSettings {
+        &self.shared.platform
     }
 
     /// Returns the requests a second that all machines can complete.
     pub fn capacity(&self) -> f64 {
-        self.shared.site.capacity() * self.instances.len() as f64
+        self.shared.platform.capacity() * self.instances.len() as f64
     }
 
     /// Returns the addresses of all servers.
--- a/crates/ctl/tests/ledger.rs
+++ b/crates/ctl/tests/ledger.rs
@@ -21,7 +21,7 @@
     child: Child,
     address: std::net::SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
-    _parties: (FakeWorkerPool, FakeRegistry),
+    _fakes: (FakeWorkerPool, FakeRegistry),
 }
 
 impl Running {
@@ -48,25 +48,31 @@
     }
 }
 
-fn start(site: &PlatformSettings, folder: &Path, more: &str) -> Running {
-    start_named("n1", site, folder, more)
+fn start(platform: &PlatformSettings, folder: &Path, more: &str) -> Running {
+    start_named("n1", platform, folder, more)
 }
 
-fn start_named(name: &str, site: &PlatformSettings, folder: &Path, more: &str) -> Running {
-    start_limited(name, site, folder, more, "unlimited")
+fn start_named(name: &str, platform: &PlatformSettings, folder: &Path, more: &str) -> Running {
+    start_limited(name, platform, folder, more, "unlimited")
 }
 
 /// With files of at most so many blocks of 512 bytes.
-fn start_limited(name: &str, site: &PlatformSettings, folder: &Path, more: &str, blocks: &str) -> Running {
-    let pool = FakeWorkerPool::start(site, 1, WorkerPoolFaults::default()).expect("a pool");
-    let catalog = FakeRegistry::start().expect("a catalog");
+fn start_limited(
+    name: &str,
+    platform: &PlatformSettings,
+    folder: &Path,
+    more: &str,
+    blocks: &str,
+) -> Running {
+    let pool = FakeWorkerPool::start(platform, 1, WorkerPoolFaults::default()).expect("a pool");
+    let registry = FakeRegistry::start().expect("a registry");
     let operator = format!(
         "ledger \"test\" {{\n  directory = {:?}\n  {more}\n  export {{\n    folder = {:?}\n  }}\n}}\n",
         folder.join("ledger").display().to_string(),
         folder.join("exports").display().to_string()
     );
     std::fs::write(folder.join("operator.hcl"), operator).expect("written");
-    let config = site.config(name, "127.0.0.1:0", pool.address(), catalog.address(), None);
+    let config = platform.config(name, "127.0.0.1:0", pool.address(), registry.address(), None);
     std::fs::write(folder.join("config.json"), config).expect("written");
     let mut child = Command::new("sh")
         .args(["-c", "trap '' XFSZ; ulimit -S -f $0; exec \"$@\"", blocks, CTL])
@@ -84,7 +90,7 @@
     let kept = log.clone();
     std::thread::spawn(move || lines.for_each(|line| kept.lock().expect("whole").push(line)));
     let address = "127.0.0.1:0".parse().expect("an address");
-    let mut running = Running { child, address, log, _parties: (pool, catalog) };
+    let mut running = Running { child, address, log, _fakes: (pool, registry) };
     let serving = running.logged("\"serving\"");
     running.address = serving["listen"].as_str().and_then(|a| a.parse().ok()).expect("an address");
     running
@@ -105,14 +111,14 @@
 
 #[test]
 fn operators_look_correct_close_export_and_reconcile() {
-    let (site, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
+    let (platform, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
     let (ledger, exports) = (folder.path().join("ledger"), folder.path().join("exports"));
     let (ledger, exports) = (ledger.to_str().expect("text"), exports.to_str().expect("text"));
-    let mut running = start(&site, folder.path(), "period = \"1h\"");
-    let societies = vec![Some("aluva".to_owned()), None];
-    let load = Load { rate: 100.0, requests: 100, societies, seed: 5 };
-    let tally = FakeClients::start(&site, vec![running.address], load, ClientBehavior::default())
-        .expect("proxies")
+    let mut running = start(&platform, folder.path(), "period = \"1h\"");
+    let tenants = vec![Some("aluva".to_owned()), None];
+    let load = Load { rate: 100.0, requests: 100, tenants, seed: 5 };
+    let tally = FakeClients::start(&platform, vec![running.address], load, ClientBehavior::default())
+        .expect("clients")
         .finish();
     let of = |society: Option<&str>| tally.sum(|_, s| s == society).iter().sum::<u64>() as i64;
 
@@ -222,18 +228,18 @@
 /// Lines that are exported and old enough go; what they came to stays, across a kill as well.
 #[test]
 fn old_lines_go_and_the_ledger_goes_on() {
-    let (site, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
+    let (platform, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
     let ledger = folder.path().join("ledger");
     let ledger = ledger.to_str().expect("text");
     let settings = "period = \"100ms\"\n  grace = \"0s\"\n  keep = \"1s\"";
-    let mut running = start(&site, folder.path(), settings);
+    let mut running = start(&platform, folder.path(), settings);
     let found = || ctl(&["ledger", "verify", ledger, "--json"]).1.pop().unwrap_or_default();
     let mut sent = 0;
     // Each round is a second of load; on a slow machine it takes a few more until enough lines are old.
     for round in 0.. {
-        let load = Load { rate: 700.0, requests: 700, societies: vec![None], seed: round };
-        let tally = FakeClients::start(&site, vec![running.address], load, ClientBehavior::default())
-            .expect("proxies")
+        let load = Load { rate: 700.0, requests: 700, tenants: vec![None], seed: round };
+        let tally = FakeClients::start(&platform, vec![running.address], load, ClientBehavior::default())
+            .expect("clients")
             .finish();
         sent += tally.sum(|_, _| true).iter().sum::<u64>();
         if found()["first"].as_u64().is_some_and(|n| n > 1000) {
@@ -244,7 +250,7 @@
     let before = found();
     running.child.kill().expect("killed");
     drop(running);
-    let running = start(&site, folder.path(), settings);
+    let running = start(&platform, folder.path(), settings);
     let after = found();
     assert_eq!((&after["ok"], &after["born"]), (&true.into(), &before["born"]), "{after}");
     assert!(after["first"].as_u64() >= before["first"].as_u64(), "{before} {after}");
@@ -275,13 +281,13 @@
 #[test]
 fn a_full_disk_is_borne_as_set() {
     for (on_failure, refuses) in [("refuse", true), ("continue", false)] {
-        let (site, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
+        let (platform, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
         let settings = format!("period = \"1h\"\n  on_failure = \"{on_failure}\"");
-        let mut running = start_limited("n1", &site, folder.path(), &settings, "40");
+        let mut running = start_limited("n1", &platform, folder.path(), &settings, "40");
         let send = |seed| {
-            let load = Load { rate: 300.0, requests: 300, societies: vec![None], seed };
-            FakeClients::start(&site, vec![running.address], load, ClientBehavior::default())
-                .expect("proxies")
+            let load = Load { rate: 300.0, requests: 300, tenants: vec![None], seed };
+            FakeClients::start(&platform, vec![running.address], load, ClientBehavior::default())
+                .expect("clients")
                 .finish()
         };
         let mut tallies = Vec::new();
@@ -332,7 +338,7 @@
 /// A ledger that is put back from an old copy: the server is told by another that knew it before.
 #[test]
 fn an_old_copy_of_a_ledger_is_noticed_by_the_others() {
-    let (site, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
+    let (platform, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
     let place = |name: &str| {
         let path = folder.path().join(name);
         std::fs::create_dir_all(&path).expect("a folder");
@@ -340,7 +346,7 @@
     };
     let other = start_named(
         "n2",
-        &site,
+        &platform,
         &place("n2"),
         "period = \"1h\"\n  peers {\n    listen = \"127.0.0.1:0\"\n  }",
     );
@@ -356,7 +362,7 @@
         assert!(sent.success() && running.child.wait().expect("it ends").success());
     };
     let folder = place("n1");
-    let running = start(&site, &folder, &settings);
+    let running = start(&platform, &folder, &settings);
     running.logged("batch exported");
     end(running);
     let copy = |from: &Path, to: &Path| {
@@ -368,7 +374,7 @@
     copy(&folder.join("ledger"), &folder.join("copy"));
     let known = heard_of(&peer);
     // It makes further batches, which the other hears of.
-    let running = start(&site, &folder, &settings);
+    let running = start(&platform, &folder, &settings);
     running.logged("batch exported");
     // Until the other knows of a batch that the copy does not.
     while heard_of(&peer) <= known {
@@ -377,7 +383,7 @@
     end(running);
     std::fs::remove_dir_all(folder.join("ledger")).expect("removed");
     copy(&folder.join("copy"), &folder.join("ledger"));
-    let running = start(&site, &folder, &settings);
+    let running = start(&platform, &folder, &settings);
     let said = running.logged("export digest mismatch");
     assert!(
         said["mismatch"]
--- /dev/null
+++ b/crates/fakes/src/clock.rs
@@ -0,0 +1,8 @@
+//! The wall clock.
+
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Returns the Unix time now, ms.
+pub fn unix_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+}
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -1,9 +1,9 @@
-//! A collector of exported batches over HTTP, as `docs/formats/export.md` describes it, with faults: it dies before, between
-//! and after taking and acknowledging, answers late, twice, or with nonsense.
+//! A collector of exported batches over HTTP, as `docs/formats/export.md` describes it, with faults: it dies before taking
+//! a batch, or between taking and acknowledging it, answers late, twice, or with nonsense.
 
 use crate::fake_server::FakeServer;
-use crate::http;
-use async_io::Timer;
+use crate::http::{Reply, Request, RequestReader};
+use async_io::{Async, Timer};
 use dunlinspread_ledger::BatchReceiver;
 use dunlinspread_ledger::batch::hex;
 use dunlinspread_ledger::export_protocol::{CollectorReply, OfferDecision};
@@ -12,22 +12,28 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
+use std::error::Error;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
+/// How late a late answer is.
+const LATE_ANSWER: Duration = Duration::from_millis(300);
+/// An answer that no collector gives.
+const NONSENSE: &[u8] = b"HTTP/1.1 200 Fine\r\nX-Watermark: many\r\nContent-Length: 0\r\n\r\n";
+
 /// What a collector counted.
 #[derive(Debug, Default)]
 pub struct CollectorCounts {
-    /// Batches taken.
-    pub taken: AtomicU64,
-    /// Offers of batches that were there already.
-    pub again: AtomicU64,
-    /// Offers with another content than the one that is there: alarms.
+    /// Batches accepted.
+    pub accepted: AtomicU64,
+    /// Offers of batches that were accepted before.
+    pub duplicates: AtomicU64,
+    /// Offers with another content than that of the accepted batch: alarms.
     pub conflicts: AtomicU64,
     /// Exchanges that were made to go wrong.
     pub faults: AtomicU64,
@@ -40,95 +46,138 @@
     counts: Arc<CollectorCounts>,
 }
 
+/// How an exchange goes wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ExchangeFault {
+    /// The connection ends before the batch is taken.
+    CloseBeforeTaking,
+    /// The connection ends between taking and acknowledging.
+    CloseBeforeAnswer,
+    AnswerLate,
+    AnswerNonsense,
+    /// Whoever takes the second answer for that to what follows is led astray.
+    AnswerTwice,
+}
+
+impl ExchangeFault {
+    const ALL: [ExchangeFault; 5] = [
+        ExchangeFault::CloseBeforeTaking,
+        ExchangeFault::CloseBeforeAnswer,
+        ExchangeFault::AnswerLate,
+        ExchangeFault::AnswerNonsense,
+        ExchangeFault::AnswerTwice,
+    ];
+}
+
+/// What all connections of a collector share.
+struct State {
+    receiver: BatchReceiver,
+    rng: ChaCha8Rng,
+    fault_rate: f64,
+    counts: Arc<CollectorCounts>,
+}
+
 impl FakeCollector {
-    /// Starts one that keeps batches in `folder`; `faulty` is the part of exchanges that go wrong, in any of the ways.
+    /// Starts one that keeps batches in `folder`; `fault_rate` is the part of exchanges that go wrong, in any of the ways.
     ///
     /// # Errors
     /// If there is no port or thread, or the folder can't be opened.
-    pub fn start(folder: &Path, seed: u64, faulty: f64) -> io::Result<FakeCollector> {
-        let open = || -> Result<BatchReceiver, Box<dyn std::error::Error + Send + Sync>> {
-            Ok(BatchReceiver::open(Arc::new(RealDisk::new(folder)?))?)
-        };
-        let inbox = open().map_err(io::Error::other)?;
+    pub fn start(folder: &Path, seed: u64, fault_rate: f64) -> io::Result<FakeCollector> {
+        let receiver = open_receiver(folder).map_err(io::Error::other)?;
         let counts = Arc::new(CollectorCounts::default());
         let shared = counts.clone();
-        let (party, address) = FakeServer::listen("collector", move |_| {
-            let state = Rc::new(RefCell::new((inbox, ChaCha8Rng::seed_from_u64(seed))));
-            move |stream| {
-                let (state, counts) = (state.clone(), shared.clone());
-                async move {
-                    let mut kept = Vec::new();
-                    while let Some(request) = http::read(&stream, &mut kept).await {
-                        let fault = {
-                            let rng = &mut state.borrow_mut().1;
-                            (rng.random::<f64>() < faulty).then(|| rng.random_range(0..5))
-                        };
-                        counts.faults.fetch_add(u64::from(fault.is_some()), Ordering::Relaxed);
-                        if fault == Some(0) {
-                            // Dies before it takes.
-                            return;
-                        }
-                        let reply = judge(&mut state.borrow_mut().0, &request, &counts);
-                        match fault {
-                            // Dies between taking and acknowledging.
-                            Some(1) => return,
-                            Some(2) => drop(Timer::after(Duration::from_millis(300)).await),
-                            Some(3) => {
-                                let nonsense =
-                                    b"HTTP/1.1 200 Fine\r\nX-Watermark: many\r\nContent-Length: 0\r\n\r\n";
-                                let _ = (&stream).write_all(nonsense).await;
-                                continue;
-                            }
-                            // Answers twice: whoever takes the second for the answer to what follows is led astray.
-                            Some(_) => drop((&stream).write_all(&reply).await),
-                            None => {}
-                        }
-                        if (&stream).write_all(&reply).await.is_err() {
-                            return;
-                        }
-                    }
-                }
-            }
+        let (server, address) = FakeServer::listen("collector", move |_| {
+            let rng = ChaCha8Rng::seed_from_u64(seed);
+            let state = Rc::new(RefCell::new(State { receiver, rng, fault_rate, counts: shared }));
+            move |stream| serve(stream, state.clone())
         })?;
-        Ok(FakeCollector { _server: party, address, counts })
+        Ok(FakeCollector { _server: server, address, counts })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it counted.
+    /// Returns what it counted.
     pub fn counts(&self) -> &CollectorCounts {
         &self.counts
     }
 }
 
-fn judge(inbox: &mut BatchReceiver, request: &http::Request, counts: &CollectorCounts) -> Vec<u8> {
-    let parts: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
-    let reply = match (request.method.as_str(), &parts[..]) {
-        ("GET", ["batches", server, born]) => match born.parse() {
-            Ok(born) => inbox.watermark(server, born),
-            Err(_) => return http::reply(400, "", b""),
-        },
-        ("PUT", ["batches", ..]) => match inbox.receive(&request.body) {
-            Ok((verdict, reply)) => {
-                let count = match verdict {
-                    OfferDecision::Accept => Some(&counts.taken),
-                    OfferDecision::Duplicate => Some(&counts.again),
-                    OfferDecision::Conflict => Some(&counts.conflicts),
-                    OfferDecision::OutOfOrder => None,
-                };
-                if let Some(count) = count {
-                    count.fetch_add(1, Ordering::Relaxed);
-                }
-                reply
+fn open_receiver(folder: &Path) -> Result<BatchReceiver, Box<dyn Error + Send + Sync>> {
+    Ok(BatchReceiver::open(Arc::new(RealDisk::new(folder)?))?)
+}
+
+async fn serve(stream: Async<TcpStream>, state: Rc<RefCell<State>>) {
+    let mut requests = RequestReader::new(&stream);
+    while let Some(request) = requests.next().await {
+        let fault = state.borrow_mut().draw_fault();
+        if fault == Some(ExchangeFault::CloseBeforeTaking) {
+            return;
+        }
+        let reply = state.borrow_mut().handle(&request);
+        match fault {
+            Some(ExchangeFault::CloseBeforeTaking | ExchangeFault::CloseBeforeAnswer) => return,
+            Some(ExchangeFault::AnswerLate) => drop(Timer::after(LATE_ANSWER).await),
+            Some(ExchangeFault::AnswerNonsense) => {
+                let _ = (&stream).write_all(NONSENSE).await;
+                continue;
             }
-            Err(_) => return http::reply(400, "", b""),
-        },
-        _ => return http::reply(404, "", b""),
-    };
+            Some(ExchangeFault::AnswerTwice) => drop((&stream).write_all(&reply).await),
+            None => {}
+        }
+        if (&stream).write_all(&reply).await.is_err() {
+            return;
+        }
+    }
+}
+
+impl State {
+    /// Draws whether and how an exchange goes wrong, and counts it.
+    fn draw_fault(&mut self) -> Option<ExchangeFault> {
+        if self.rng.random::<f64>() >= self.fault_rate {
+            return None;
+        }
+        self.counts.faults.fetch_add(1, Ordering::Relaxed);
+        // Drawn as an `i32`: another type draws other faults from the same seed.
+        let index = self.rng.random_range(0..ExchangeFault::ALL.len() as i32);
+        Some(ExchangeFault::ALL[index as usize])
+    }
+
+    /// Handles a request and returns the bytes of its reply.
+    fn handle(&mut self, request: &Request) -> Vec<u8> {
+        let parts: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
+        match (request.method.as_str(), &parts[..]) {
+            ("GET", ["batches", server, ledger_id]) => match ledger_id.parse() {
+                Ok(ledger_id) => encode_reply(self.receiver.watermark(server, ledger_id)),
+                Err(_) => Reply::status(400).encode(),
+            },
+            ("PUT", ["batches", ..]) => match self.receiver.receive(&request.body) {
+                Ok((decision, reply)) => {
+                    self.count(&decision);
+                    encode_reply(reply)
+                }
+                Err(_) => Reply::status(400).encode(),
+            },
+            _ => Reply::status(404).encode(),
+        }
+    }
+
+    fn count(&self, decision: &OfferDecision) {
+        let count = match decision {
+            OfferDecision::Accept => &self.counts.accepted,
+            OfferDecision::Duplicate => &self.counts.duplicates,
+            OfferDecision::Conflict => &self.counts.conflicts,
+            OfferDecision::OutOfOrder => return,
+        };
+        count.fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+fn encode_reply(reply: CollectorReply) -> Vec<u8> {
     let CollectorReply { watermark, digest, conflict } = reply;
     let headers = format!("X-Watermark: {watermark}\r\nX-Digest: {}\r\n", hex(&digest));
-    http::reply(if conflict { 409 } else { 200 }, &headers, b"")
+    let status = if conflict { 409 } else { 200 };
+    Reply { status, headers: &headers, body: b"" }.encode()
 }
--- a/crates/fakes/src/fake_server.rs
+++ b/crates/fakes/src/fake_server.rs
@@ -1,4 +1,4 @@
-//! A party's thread: it runs the party's tasks until the party is dropped.
+//! The thread of a fake: it runs the fake's tasks until the fake is dropped.
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -9,12 +9,12 @@
 use std::rc::{Rc, Weak};
 use std::thread::JoinHandle;
 
-/// The tasks of one party. Tasks may hold this: it does not keep them alive.
+/// The tasks of one fake. Tasks may hold this: it does not keep them alive.
 #[derive(Clone)]
 pub(crate) struct Tasks(Weak<LocalExecutor<'static>>);
 
 impl Tasks {
-    /// Runs a task, until the party ends.
+    /// Runs a task until the fake ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(tasks) = self.0.upgrade() {
             tasks.spawn(task).detach();
@@ -29,7 +29,10 @@
 }
 
 impl FakeServer {
-    /// Starts a thread on which `begin` spawns the party's tasks.
+    /// Starts a thread on which `begin` spawns the fake's tasks.
+    ///
+    /// # Errors
+    /// If there is no thread.
     pub fn start(name: &str, begin: impl FnOnce(&Tasks) + Send + 'static) -> io::Result<FakeServer> {
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
@@ -43,7 +46,10 @@
         Ok(FakeServer { stop: Some(stop), thread: Some(thread) })
     }
 
-    /// A party that listens on a free port of the loopback address. `begin` gives what it does with each connection.
+    /// Starts a thread that listens on a free port of the loopback address; `begin` returns what serves a connection.
+    ///
+    /// # Errors
+    /// If there is no port or thread.
     pub fn listen<F, Fut>(
         name: &str,
         begin: impl FnOnce(&Tasks) -> F + Send + 'static,
@@ -54,7 +60,7 @@
     {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let party = FakeServer::start(name, move |tasks| {
+        let server = FakeServer::start(name, move |tasks| {
             let serve = begin(tasks);
             let inner = tasks.clone();
             let accepting = async move {
@@ -66,7 +72,7 @@
             };
             tasks.spawn(accepting);
         })?;
-        Ok((party, address))
+        Ok((server, address))
     }
 }
 
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -1,25 +1,28 @@
-//! The catalog: takes reports and remembers who was alive when.
+//! The registry: takes load reports and remembers which server was listed when.
 
+use crate::clock::unix_ms;
 use crate::fake_server::FakeServer;
-use crate::http;
-use crate::unix_ms;
+use crate::http::{Reply, Request, RequestReader};
+use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// After so long without a report an entry lapses, ms.
-const LAPSE_MS: u64 = 3000;
+/// An entry expires this long after its last report, ms.
+const ENTRY_LIFETIME_MS: u64 = 3000;
+/// What the body of a report contains if the server takes work.
+const PASSING: &[u8] = b"\"passing\"";
 
-/// What was reported of one round server: spans of Unix ms in which it was listed as taking work.
-type Record = BTreeMap<String, Vec<(u64, u64)>>;
+/// For each server the spans of Unix ms in which it was listed as taking work.
+type ListedSpans = BTreeMap<String, Vec<(u64, u64)>>;
 
-/// A running catalog.
+/// A running registry.
 pub struct FakeRegistry {
     _server: FakeServer,
     address: SocketAddr,
-    record: Arc<Mutex<Record>>,
+    listed: Arc<Mutex<ListedSpans>>,
 }
 
 impl FakeRegistry {
@@ -28,56 +31,61 @@
     /// # Errors
     /// If there is no port or thread.
     pub fn start() -> io::Result<FakeRegistry> {
-        let record = Arc::new(Mutex::new(Record::new()));
-        let shared = record.clone();
-        let (party, address) = FakeServer::listen("catalog", move |_| {
-            move |stream| {
-                let shared = shared.clone();
-                async move {
-                    let mut kept = Vec::new();
-                    while let Some(request) = http::read(&stream, &mut kept).await {
-                        let name = request.path.strip_prefix("/catalog/register/").unwrap_or("");
-                        let status = if request.method != "PUT" || name.is_empty() {
-                            404
-                        } else {
-                            let passing = request.body.windows(9).any(|w| w == b"\"passing\"");
-                            note(&mut shared.lock().unwrap_or_else(PoisonError::into_inner), name, passing);
-                            204
-                        };
-                        if (&stream).write_all(&http::reply(status, "", b"")).await.is_err() {
-                            return;
-                        }
-                    }
-                }
-            }
-        })?;
-        Ok(FakeRegistry { _server: party, address, record })
+        let listed = Arc::new(Mutex::new(ListedSpans::new()));
+        let shared = listed.clone();
+        let (server, address) =
+            FakeServer::listen("registry", move |_| move |stream| serve(stream, shared.clone()))?;
+        Ok(FakeRegistry { _server: server, address, listed })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The spans in which each round server was listed, Unix ms.
-    pub fn record(&self) -> BTreeMap<String, Vec<(u64, u64)>> {
-        self.record.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// Returns the spans in which each server was listed, Unix ms.
+    pub fn listed_spans(&self) -> BTreeMap<String, Vec<(u64, u64)>> {
+        self.listed.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Whether that round server is listed now.
-    pub fn lists(&self, name: &str) -> bool {
+    /// Returns whether that server is listed now.
+    pub fn is_listed(&self, name: &str) -> bool {
         let now = unix_ms();
-        let record = self.record.lock().unwrap_or_else(PoisonError::into_inner);
-        record.get(name).and_then(|spans| spans.last()).is_some_and(|(_, to)| now <= to + LAPSE_MS)
+        let listed = self.listed.lock().unwrap_or_else(PoisonError::into_inner);
+        let last = listed.get(name).and_then(|spans| spans.last());
+        last.is_some_and(|(_, to)| now <= to + ENTRY_LIFETIME_MS)
     }
 }
 
-fn note(record: &mut Record, name: &str, passing: bool) {
-    let now = unix_ms();
-    let spans = record.entry(name.to_owned()).or_default();
+async fn serve(stream: Async<TcpStream>, listed: Arc<Mutex<ListedSpans>>) {
+    let mut requests = RequestReader::new(&stream);
+    while let Some(request) = requests.next().await {
+        let reply = Reply::status(handle_report(&request, &listed));
+        if (&stream).write_all(&reply.encode()).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Records a report and returns the status of its reply.
+fn handle_report(request: &Request, listed: &Mutex<ListedSpans>) -> u16 {
+    let name = request.path.strip_prefix("/catalog/register/").unwrap_or("");
+    if request.method != "PUT" || name.is_empty() {
+        return 404;
+    }
+    let passing = request.body.windows(PASSING.len()).any(|window| window == PASSING);
+    let mut listed = listed.lock().unwrap_or_else(PoisonError::into_inner);
+    let spans = listed.entry(name.to_owned()).or_default();
+    if passing {
+        extend_last_span(spans, unix_ms());
+    }
+    204
+}
+
+/// Extends the last span to now, or begins another if the entry has expired.
+fn extend_last_span(spans: &mut Vec<(u64, u64)>, now: u64) {
     match spans.last_mut() {
-        Some((_, to)) if passing && now <= *to + LAPSE_MS => *to = now,
-        _ if passing => spans.push((now, now)),
-        _ => {}
+        Some((_, to)) if now <= *to + ENTRY_LIFETIME_MS => *to = now,
+        _ => spans.push((now, now)),
     }
 }
--- a/crates/fakes/src/upstream.rs
+++ b/crates/fakes/src/upstream.rs
@@ -1,21 +1,25 @@
-//! The index: answers calls after a while, or in one of the ways in which calls go wrong.
+//! The upstream: answers calls after a while, or fails them in one of the ways in which calls fail.
 
 use crate::fake_server::FakeServer;
-use crate::http;
-use async_io::Timer;
+use crate::http::{Reply, RequestReader};
+use async_io::{Async, Timer};
 use futures_lite::AsyncWriteExt;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cell::RefCell;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpStream};
+use std::ops::Range;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// The time of a call, as a part of the mean.
+const WORK_SPREAD: Range<f64> = 0.5..1.5;
+
 /// What goes wrong with calls, each as a part of all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpstreamFaults {
-    /// Turned away unrun.
+    /// Rejected without running.
     pub shed: f64,
     /// Failed after running.
     pub error: f64,
@@ -25,7 +29,33 @@
     pub stall: f64,
 }
 
-/// A running index.
+/// How a call ends.
+enum CallEnd {
+    Completed,
+    Shed,
+    Error,
+    Reset,
+    Stall,
+}
+
+impl UpstreamFaults {
+    /// Returns the end of a call for a random number from 0 to 1.
+    fn call_end(&self, random: f64) -> CallEnd {
+        let shed = self.shed;
+        let error = shed + self.error;
+        let reset = error + self.reset;
+        let stall = reset + self.stall;
+        match random {
+            random if random < shed => CallEnd::Shed,
+            random if random < error => CallEnd::Error,
+            random if random < reset => CallEnd::Reset,
+            random if random < stall => CallEnd::Stall,
+            _ => CallEnd::Completed,
+        }
+    }
+}
+
+/// A running upstream.
 pub struct FakeUpstream {
     _server: FakeServer,
     address: SocketAddr,
@@ -37,40 +67,36 @@
     /// # Errors
     /// If there is no port or thread.
     pub fn start(work_ms: f64, seed: u64, faults: UpstreamFaults) -> io::Result<FakeUpstream> {
-        let (party, address) = FakeServer::listen("index", move |_| {
+        let (server, address) = FakeServer::listen("upstream", move |_| {
             let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
-            move |stream| {
-                let rng = rng.clone();
-                async move {
-                    let mut kept = Vec::new();
-                    while let Some(request) = http::read(&stream, &mut kept).await {
-                        let (ms, dice) = {
-                            let mut rng = rng.borrow_mut();
-                            (work_ms * rng.random_range(0.5..1.5), rng.random::<f64>())
-                        };
-                        Timer::after(Duration::from_secs_f64(ms / 1000.0)).await;
-                        let shed = faults.shed;
-                        let error = shed + faults.error;
-                        let reset = error + faults.reset;
-                        let reply = match dice {
-                            d if d < shed => http::reply(503, "X-Shed: 1\r\n", b""),
-                            d if d < error => http::reply(500, "", b""),
-                            d if d < reset => return,
-                            d if d < reset + faults.stall => std::future::pending().await,
-                            _ => http::reply(200, "", &request.body),
-                        };
-                        if (&stream).write_all(&reply).await.is_err() {
-                            return;
-                        }
-                    }
-                }
-            }
+            move |stream| serve(stream, rng.clone(), work_ms, faults)
         })?;
-        Ok(FakeUpstream { _server: party, address })
+        Ok(FakeUpstream { _server: server, address })
     }
 
-    /// Where it listens.
+    /// Returns the address on which it listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
+
+async fn serve(stream: Async<TcpStream>, rng: Rc<RefCell<ChaCha8Rng>>, work_ms: f64, faults: UpstreamFaults) {
+    let mut requests = RequestReader::new(&stream);
+    while let Some(request) = requests.next().await {
+        let (call_ms, random) = {
+            let mut rng = rng.borrow_mut();
+            (work_ms * rng.random_range(WORK_SPREAD), rng.random::<f64>())
+        };
+        Timer::after(Duration::from_secs_f64(call_ms / 1000.0)).await;
+        let reply = match faults.call_end(random) {
+            CallEnd::Completed => Reply { status: 200, headers: "", body: &request.body },
+            CallEnd::Shed => Reply { headers: "X-Shed: 1\r\n", ..Reply::status(503) },
+            CallEnd::Error => Reply::status(500),
+            CallEnd::Reset => return,
+            CallEnd::Stall => std::future::pending().await,
+        };
+        if (&stream).write_all(&reply.encode()).await.is_err() {
+            return;
+        }
+    }
+}
--- a/crates/scale/src/probes/daemon_site.rs
+++ b/crates/scale/src/probes/daemon_site.rs
@@ -77,12 +77,12 @@
         name: ROUTE,
         share: 1.0,
         work_ms: WORK_MS,
-        aim_ms: AIM_MS,
-        give_up_ms: GIVE_UP_MS,
-        worth: 1.0,
-        calls: false,
-        skip_worth: 0.0,
-        window_ms: None,
+        latency_objective_ms: AIM_MS,
+        client_timeout_ms: GIVE_UP_MS,
+        priority_weight: 1.0,
+        makes_upstream_calls: false,
+        degraded_weight: 0.0,
+        idempotency_window_ms: None,
     };
     let site = PlatformSettings { classes: vec![plan], ..PlatformSettings::rounds(CORES) };
     FakeWorkerPool::start(&site, seed, WorkerPoolFaults::default())
