--- /dev/null
+++ b/crates/fakes/src/worker_pool/mod.rs
@@ -0,0 +1,11 @@
+//! The worker pool: owns the cores of one machine, runs what it is told to, and reports in numbered notices.
+
+mod commands;
+mod fake_worker_pool;
+mod faults;
+mod link;
+mod machine;
+mod notices;
+
+pub use fake_worker_pool::FakeWorkerPool;
+pub use faults::WorkerPoolFaults;
