--- a/crates/config-sync/src/client.rs
+++ b/crates/config-sync/src/client.rs
@@ -9,7 +9,7 @@
 use std::io;
 use std::thread::JoinHandle;
 
-pub use crate::judge::Judge;
+pub use crate::judge::{Judge, Rejection};
 pub use crate::net::ClientSettings;
 pub use crate::server::Server;
 pub use crate::update::Update;
--- a/crates/config-sync/src/net/state_keeper.rs
+++ b/crates/config-sync/src/net/state_keeper.rs
@@ -7,6 +7,7 @@
 use crate::subscriber::{Persist, PersistedState, Subscriber};
 use dunlinspread_store::{Disk, RealDisk, StoreError};
 use slog::{Logger, error, warn};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,6 +24,20 @@
 /// Where the files of a damaged state are put, within its directory.
 const SET_ASIDE: &str = "damaged";
 
+/// Why a state can't be kept on disk.
+#[derive(Debug, thiserror::Error)]
+enum KeepError {
+    /// Its directory can't be made.
+    #[error(transparent)]
+    Directory(io::Error),
+    /// Its store can't be opened or written.
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// Its store is damaged, and its files can't be moved out of the way.
+    #[error("{damage}; and it can't be put aside: {error}")]
+    NotSetAside { damage: StoreError, error: io::Error },
+}
+
 /// The subscriber's end.
 pub(super) struct StateKeeper {
     records: Option<SyncSender<Persist>>,
@@ -47,7 +62,7 @@
             Ok(opened) => opened,
             Err(why) => {
                 error!(log, "config: the state on disk can't be used, a restart will begin with nothing";
-                    "directory" => %directory.display(), "why" => why);
+                    "directory" => %directory.display(), "why" => %why);
                 return (None, None);
             }
         };
@@ -60,12 +75,7 @@
         }
     }
 
-    fn start(
-        store: StateStore,
-        directory: PathBuf,
-        owner: String,
-        log: Logger,
-    ) -> std::io::Result<StateKeeper> {
+    fn start(store: StateStore, directory: PathBuf, owner: String, log: Logger) -> io::Result<StateKeeper> {
         let (records, inbox) = sync_channel(MAX_WAITING);
         let failed = Arc::new(AtomicBool::new(false));
         let mut disk = DiskThread { store: Some(store), directory, owner, log, failed: failed.clone() };
@@ -138,7 +148,7 @@
             let mut batch = vec![first];
             batch.extend(inbox.try_iter().take(MAX_WAITING));
             if let Err(why) = self.keep(&batch) {
-                warn!(self.log, "config: the state can't be written to disk, tried again later"; "why" => why);
+                warn!(self.log, "config: the state can't be written to disk, tried again later"; "why" => %why);
                 self.store = None;
                 self.failed.store(true, Ordering::Relaxed);
             }
@@ -150,14 +160,14 @@
         }
     }
 
-    fn keep(&mut self, batch: &[Persist]) -> Result<(), String> {
+    fn keep(&mut self, batch: &[Persist]) -> Result<(), KeepError> {
         if let Some(store) = &mut self.store {
-            return store.keep(batch).map_err(|error| error.to_string());
+            return Ok(store.keep(batch)?);
         }
         let whole = batch.iter().position(|record| matches!(record, Persist::Replace(_)));
         let Some(whole) = whole else { return Ok(()) };
         let (mut store, _) = open_or_set_aside(&self.directory, &self.owner, &self.log)?;
-        store.keep(&batch[whole..]).map_err(|error| error.to_string())?;
+        store.keep(&batch[whole..])?;
         self.store = Some(store);
         Ok(())
     }
@@ -168,25 +178,27 @@
     directory: &Path,
     owner: &str,
     log: &Logger,
-) -> Result<(StateStore, Option<PersistedState>), String> {
-    std::fs::create_dir_all(directory).map_err(|error| error.to_string())?;
-    let disk = RealDisk::new(directory).map_err(|error| error.to_string())?;
+) -> Result<(StateStore, Option<PersistedState>), KeepError> {
+    std::fs::create_dir_all(directory).map_err(KeepError::Directory)?;
+    let disk = RealDisk::new(directory)?;
     let disk: Arc<dyn Disk> = Arc::new(disk);
     let damage = match StateStore::open(disk.clone(), owner) {
         Ok(opened) => return Ok(opened),
         Err(damage @ (StoreError::Damaged { .. } | StoreError::Gap { .. } | StoreError::Rejected { .. })) => {
             damage
         }
-        Err(other) => return Err(other.to_string()),
+        Err(other) => return Err(other.into()),
     };
-    set_aside(directory).map_err(|error| format!("{damage}; and it can't be put aside: {error}"))?;
+    if let Err(error) = set_aside(directory) {
+        return Err(KeepError::NotSetAside { damage, error });
+    }
     warn!(log, "config: the state on disk was damaged and is put aside, all is fetched anew";
         "why" => %damage, "to" => %directory.join(SET_ASIDE).display());
-    StateStore::open(disk, owner).map_err(|error| error.to_string())
+    Ok(StateStore::open(disk, owner)?)
 }
 
 /// Moves the files of a store into a directory below it, in place of those of an earlier time.
-fn set_aside(directory: &Path) -> std::io::Result<()> {
+fn set_aside(directory: &Path) -> io::Result<()> {
     let to = directory.join(SET_ASIDE);
     if to.exists() {
         std::fs::remove_dir_all(&to)?;
@@ -203,6 +215,6 @@
     sync_directory(directory)
 }
 
-fn sync_directory(directory: &Path) -> std::io::Result<()> {
+fn sync_directory(directory: &Path) -> io::Result<()> {
     std::fs::File::open(directory)?.sync_all()
 }
--- a/crates/config-sync/src/subscriber.rs
+++ b/crates/config-sync/src/subscriber.rs
@@ -18,7 +18,7 @@
 pub use persistence::{Persist, PersistedState};
 
 use crate::follower::{Advance, Follower, FollowerAction, FollowerEvent, LinkAction};
-use crate::judge::Judge;
+use crate::judge::{Judge, Rejection};
 use crate::message::{Refusal, ToServer, ZoneProgress};
 use crate::progress::ProgressReporter;
 use crate::resource::{Change, Key, Millis, Position, Resource};
@@ -232,7 +232,7 @@
     fn take_difference(&mut self, base: Table, published_unix_ms: u64, out: &mut Vec<SubscriberAction>) {
         let changes = match self.acceptable_difference(&base) {
             Ok(changes) => changes,
-            Err(reason) => return self.refuse_difference(base, &reason),
+            Err(rejection) => return self.refuse_difference(base, rejection.reason()),
         };
         self.in_force.held_back.release(&changes);
         self.in_force.stop_reason = None;
@@ -245,7 +245,7 @@
 
     /// What can come in force of the difference: with the keys that are held back, since a snapshot does not say which
     /// of them were set again to the same value; or, where that is refused, without them.
-    fn acceptable_difference(&self, base: &Table) -> Result<Vec<Change>, String> {
+    fn acceptable_difference(&self, base: &Table) -> Result<Vec<Change>, Rejection> {
         let mirror = self.follower.table();
         let changes = base.changes_to(mirror);
         if !self.in_force.held_back.is_empty() {
@@ -276,8 +276,8 @@
         let mut table = kept.mirror.clone();
         table.apply(&kept.held_back);
         let changes: Vec<Change> = table.iter().cloned().map(Change::Put).collect();
-        if let Err(reason) = self.judge.judge(&changes) {
-            self.refuse_difference(Table::new(), &reason);
+        if let Err(rejection) = self.judge.judge(&changes) {
+            self.refuse_difference(Table::new(), rejection.reason());
             return;
         }
         self.take_kept(&kept);
--- a/crates/config-sync/src/subscriber/transactions.rs
+++ b/crates/config-sync/src/subscriber/transactions.rs
@@ -21,9 +21,9 @@
         for transaction in transactions {
             let refused = match self.judge.judge(&transaction.changes) {
                 Ok(()) => false,
-                Err(reason) => {
+                Err(rejection) => {
                     self.counters.refused_transactions += 1;
-                    self.refuse(transaction.position, &reason);
+                    self.refuse(transaction.position, rejection.reason());
                     true
                 }
             };
--- a/crates/config-sync/tests/client_silence.rs
+++ b/crates/config-sync/tests/client_silence.rs
@@ -3,7 +3,7 @@
 mod client_support;
 
 use client_support::{History, member, server};
-use dunlinspread_config_sync::client::{Judge, Server};
+use dunlinspread_config_sync::client::{Judge, Rejection, Server};
 use dunlinspread_config_sync::codec::encode_to_server;
 use dunlinspread_config_sync::fanout::{
     CloseReason, Fanout, FanoutAction, FanoutEvent, FanoutSettings, SessionId,
@@ -153,7 +153,7 @@
 struct TakesAll;
 
 impl Judge for TakesAll {
-    fn judge(&self, _: &[Change]) -> Result<(), String> {
+    fn judge(&self, _: &[Change]) -> Result<(), Rejection> {
         Ok(())
     }
 }
--- a/crates/config-sync/tests/client_support/subscribed.rs
+++ b/crates/config-sync/tests/client_support/subscribed.rs
@@ -1,7 +1,7 @@
 //! A subscriber with its clock, a judge that can be told what to refuse, and the settings that its owner has in force.
 
 use super::{History, at, member, server, value};
-use dunlinspread_config_sync::client::{Judge, Update};
+use dunlinspread_config_sync::client::{Judge, Rejection, Update};
 use dunlinspread_config_sync::follower::{FollowerEvent, FollowerSettings, LinkAction};
 use dunlinspread_config_sync::message::{Refusal, ToClient, ToServer, ZoneProgress};
 use dunlinspread_config_sync::resource::{Change, Millis, Position, Resource};
@@ -28,14 +28,14 @@
 }
 
 impl Judge for TestJudge {
-    fn judge(&self, changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, changes: &[Change]) -> Result<(), Rejection> {
         if *self.refuses_all.lock().expect("no panic while held") {
-            return Err("refuses all".into());
+            return Err(Rejection::new("refuses all"));
         }
         for change in changes {
             if let Change::Put(Resource::TenantAllowance { tenant, milli_per_second }) = change {
                 if is_refused(*milli_per_second) {
-                    return Err(format!("tenant `{tenant}`: {milli_per_second}"));
+                    return Err(Rejection::new(format!("tenant `{tenant}`: {milli_per_second}")));
                 }
             }
         }
--- a/crates/config-sync/tests/fleet_support/subscribers.rs
+++ b/crates/config-sync/tests/fleet_support/subscribers.rs
@@ -2,7 +2,7 @@
 
 use super::network::ConnectionId;
 use super::{POLICY_MODULUS, published::Published};
-use dunlinspread_config_sync::client::{Judge, Update};
+use dunlinspread_config_sync::client::{Judge, Rejection, Update};
 use dunlinspread_config_sync::resource::{Change, Millis, Position, Resource};
 use dunlinspread_config_sync::subscriber::{
     Persist, PersistedState, Subscriber, SubscriberAction, SubscriberSettings,
@@ -15,7 +15,7 @@
 }
 
 impl Judge for Policy {
-    fn judge(&self, changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, changes: &[Change]) -> Result<(), Rejection> {
         let refused = |change: &Change| match change {
             Change::Put(Resource::TenantAllowance { milli_per_second, .. }) => {
                 milli_per_second % POLICY_MODULUS == 0
@@ -23,7 +23,7 @@
             _ => false,
         };
         match changes.iter().find(|change| self.strict && refused(change)) {
-            Some(change) => Err(format!("`{}` is refused", change.key().name())),
+            Some(change) => Err(Rejection::new(format!("`{}` is refused", change.key().name()))),
             None => Ok(()),
         }
     }
--- a/crates/config-sync/tests/model_support/setup.rs
+++ b/crates/config-sync/tests/model_support/setup.rs
@@ -3,7 +3,7 @@
 use super::links::Server;
 use super::world::Contents;
 use dunlinspread_config_sync::backoff::BackoffSettings;
-use dunlinspread_config_sync::client::{self, Judge};
+use dunlinspread_config_sync::client::{self, Judge, Rejection};
 use dunlinspread_config_sync::delta_log::DeltaLogSettings;
 use dunlinspread_config_sync::fanout::FanoutSettings;
 use dunlinspread_config_sync::follower::FollowerSettings;
@@ -26,7 +26,7 @@
 pub struct AcceptAll;
 
 impl Judge for AcceptAll {
-    fn judge(&self, _changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, _changes: &[Change]) -> Result<(), Rejection> {
         Ok(())
     }
 }
--- a/crates/config-sync/tests/net_support/mod.rs
+++ b/crates/config-sync/tests/net_support/mod.rs
@@ -4,7 +4,7 @@
 pub mod redirect;
 
 use async_executor::Executor;
-use dunlinspread_config_sync::client::{ClientSettings, Judge, Server, Update};
+use dunlinspread_config_sync::client::{ClientSettings, Judge, Rejection, Server, Update};
 use dunlinspread_config_sync::message::{Member, Role};
 use dunlinspread_config_sync::net::{
     Confirmation, Observer, PublisherNode, PublisherNodeSettings, RelayNode, RelayNodeSettings, SharedTables,
@@ -127,9 +127,9 @@
 pub struct Refusing(pub &'static str);
 
 impl Judge for Refusing {
-    fn judge(&self, changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, changes: &[Change]) -> Result<(), Rejection> {
         if changes.iter().any(|change| change.key().name() == self.0) {
-            return Err(format!("no {} here", self.0));
+            return Err(Rejection::new(format!("no {} here", self.0)));
         }
         Ok(())
     }
--- a/crates/config-sync/tests/regions_support/subscribers.rs
+++ b/crates/config-sync/tests/regions_support/subscribers.rs
@@ -4,7 +4,7 @@
 use super::network::ConnectionId;
 use super::report::Report;
 use super::topology::{Micros, subscriber_settings};
-use dunlinspread_config_sync::client::{Judge, Update};
+use dunlinspread_config_sync::client::{Judge, Rejection, Update};
 use dunlinspread_config_sync::resource::{Change, Millis, Position};
 use dunlinspread_config_sync::subscriber::{Persist, PersistedState, Subscriber, SubscriberAction};
 use dunlinspread_config_sync::table::Table;
@@ -12,7 +12,7 @@
 struct AcceptAll;
 
 impl Judge for AcceptAll {
-    fn judge(&self, _changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, _changes: &[Change]) -> Result<(), Rejection> {
         Ok(())
     }
 }
--- a/crates/scale/src/propagation/node/subscribers.rs
+++ b/crates/scale/src/propagation/node/subscribers.rs
@@ -12,7 +12,7 @@
 use crate::propagation::topology::{region_name, subscriber_name, zone_name};
 use anyhow::{Context, Result, bail, ensure};
 use async_executor::Executor;
-use dunlinspread_config_sync::client::{ClientSettings, Judge, Server};
+use dunlinspread_config_sync::client::{ClientSettings, Judge, Rejection, Server};
 use dunlinspread_config_sync::message::{Member, Role};
 use dunlinspread_config_sync::net::{SharedTables, SubscriberHandle, SubscriberTask};
 use dunlinspread_config_sync::resource::{Change, Position, Resource};
@@ -194,10 +194,12 @@
 }
 
 impl Judge for LimitJudge {
-    fn judge(&self, changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, changes: &[Change]) -> Result<(), Rejection> {
         let too_high = |change: &&Change| matches!(change, Change::Put(Resource::ClassLimit { max_running, .. }) if *max_running >= REFUSED_FROM);
         match changes.iter().filter(|_| self.refuses).find(too_high) {
-            Some(change) => Err(format!("{}: more than this server can run", change.key().name())),
+            Some(change) => {
+                Err(Rejection::new(format!("{}: more than this server can run", change.key().name())))
+            }
             None => Ok(()),
         }
     }
--- a/src/server/distributed_config/change_validator.rs
+++ b/src/server/distributed_config/change_validator.rs
@@ -3,7 +3,7 @@
 
 use super::error::ChangeError;
 use crate::server::name_table::NameTable;
-use dunlinspread_config_sync::client::Judge;
+use dunlinspread_config_sync::client::{Judge, Rejection};
 use dunlinspread_config_sync::resource::{Change, Key, Resource};
 use slog::{Logger, warn};
 use std::collections::HashSet;
@@ -157,13 +157,13 @@
 }
 
 impl Judge for ChangeValidator {
-    fn judge(&self, changes: &[Change]) -> Result<(), String> {
+    fn judge(&self, changes: &[Change]) -> Result<(), Rejection> {
         let mut accepted = self.accepted.lock().unwrap_or_else(PoisonError::into_inner);
         let checked = self.check_classes(changes).and_then(|()| self.check_capacity(&accepted, changes));
         match &checked {
             Ok(()) => self.accept(&mut accepted, changes),
             Err(error) => self.log_rejection(&mut accepted, error),
         }
-        checked.map_err(|error| error.to_string())
+        checked.map_err(|error| Rejection::new(error.to_string()))
     }
 }
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -5,7 +5,7 @@
 };
 use dunlinspread::server::name_table::NameTable;
 use dunlinspread::{ClassLimitChange, Reconfiguration};
-use dunlinspread_config_sync::client::Judge;
+use dunlinspread_config_sync::client::{Judge, Rejection};
 use dunlinspread_config_sync::resource::{Change, Key, Resource};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -180,11 +180,11 @@
     assert_eq!(validator.judge(&[put_route("r0", "read"), put_limit("write", 3)]), Ok(()));
     assert_eq!(
         validator.judge(&[put_route("r1", "read"), put_route("r2", "sing")]),
-        Err("route `r2`: class `sing` is not known on this server".to_owned())
+        Err(Rejection::new("route `r2`: class `sing` is not known on this server"))
     );
     assert_eq!(
         validator.judge(&[put_limit("sing", 3)]),
-        Err("class `sing` is not known on this server".to_owned())
+        Err(Rejection::new("class `sing` is not known on this server"))
     );
     assert_eq!(validator.judge(&[Change::Delete(Key::Class("sing".into()))]), Ok(()));
 }
@@ -193,7 +193,7 @@
 fn a_change_past_the_capacity_is_refused_and_counts_for_nothing() {
     let validator = validator(5, 1);
     assert_eq!(validator.judge(&[put_tenant("t3", 1), put_tenant("t4", 1)]), Ok(()));
-    let full = Err("6 tenants, this server takes 5".to_owned());
+    let full = Err(Rejection::new("6 tenants, this server takes 5"));
     assert_eq!(validator.judge(&[put_tenant("t5", 1)]), full);
     // The platform's and those that are there may change.
     assert_eq!(validator.judge(&[put_tenant("t0", 1), put_tenant("t4", 2)]), Ok(()));
@@ -203,5 +203,8 @@
     assert_eq!(validator.judge(&[put_tenant("t4", 1), Change::Delete(Key::Tenant("t0".into()))]), full);
     assert_eq!(validator.judge(&[put_route("r0", "read")]), Ok(()));
     assert_eq!(validator.judge(&[put_route("r0", "write")]), Ok(()));
-    assert_eq!(validator.judge(&[put_route("r1", "read")]), Err("2 routes, this server takes 1".to_owned()));
+    assert_eq!(
+        validator.judge(&[put_route("r1", "read")]),
+        Err(Rejection::new("2 routes, this server takes 1"))
+    );
 }
