--- a/crates/config-sync/src/client.rs
+++ b/crates/config-sync/src/client.rs
@@ -42,7 +42,8 @@
         let run = move || {
             let forward = async {
                 forwarder.run().await;
-                info!(log, "config: nobody takes updates any more, no change comes in force");
+                info!(log, "update receiver closed, changes are no longer applied";
+                    "component" => "config_sync");
             };
             block_on(or(task.run(), forward));
         };
--- a/crates/config-sync/src/net/node.rs
+++ b/crates/config-sync/src/net/node.rs
@@ -157,10 +157,13 @@
                 let session = session(node.clone(), stream, peer, decoder, log.clone(), place);
                 executor.spawn(session).detach();
             }
-            Ok((_, peer)) => debug!(log, "config: too many connections"; "peer" => %peer),
-            Err(why) => {
+            Ok((_, peer)) => {
+                debug!(log, "connection limit reached"; "component" => "config_sync", "peer" => %peer)
+            }
+            Err(error) => {
                 if !std::mem::replace(&mut failing, true) {
-                    warn!(log, "config: no connection can be taken, tried again"; "why" => %why);
+                    warn!(log, "accepting connections failed, retrying";
+                        "component" => "config_sync", "error" => %error);
                 }
                 Timer::after(ACCEPT_PAUSE).await;
             }
@@ -201,11 +204,15 @@
     let mut sessions = node.sessions().borrow_mut();
     sessions.closed(id);
     match ended {
-        Err(why) if why.is_bad_frame() => {
+        Err(error) if error.is_bad_frame() => {
             sessions.counters.bad_frames += 1;
-            warn!(log, "config: connection of a client closed"; "peer" => %peer, "why" => %why);
+            warn!(log, "client connection closed on error";
+                "component" => "config_sync", "peer" => %peer, "error" => %error);
+        }
+        Err(error) => {
+            debug!(log, "client connection ended";
+                "component" => "config_sync", "peer" => %peer, "error" => %error)
         }
-        Err(why) => debug!(log, "config: connection of a client ended"; "peer" => %peer, "why" => %why),
         Ok(()) => {}
     }
     drop(sessions);
--- a/crates/config-sync/src/net/publisher.rs
+++ b/crates/config-sync/src/net/publisher.rs
@@ -144,7 +144,8 @@
             .spawn(move || {
                 match Core::new(opened, settings.snapshot_every, key.clone(), reports, log.clone()) {
                     Ok(core) => run(core, &listener, &key, &inbox, &progress, &log),
-                    Err(why) => slog::error!(log, "config: no thread for the store"; "why" => %why),
+                    Err(error) => slog::error!(log, "store writer thread not started";
+                        "component" => "config_sync", "error" => %error),
                 }
             })
             .map_err(io_error("starting its thread"))?;
--- a/crates/config-sync/src/net/publisher_core.rs
+++ b/crates/config-sync/src/net/publisher_core.rs
@@ -103,8 +103,9 @@
     // The sessions hold the core.
     drop(executor);
     if let Ok(core) = Rc::try_unwrap(core).map_err(drop) {
-        if let Err(why) = core.store.into_inner().close() {
-            warn!(log, "config: the publisher's store was not closed in good order"; "why" => %why);
+        if let Err(error) = core.store.into_inner().close() {
+            warn!(log, "closing the publisher store failed";
+                "component" => "config_sync", "error" => %error);
         }
     }
 }
@@ -231,18 +232,19 @@
         self.resume_if_settled(None);
     }
 
-    fn on_failed(&self, through: u64, why: &WriteFailure, generation: u64) {
-        let what = match why {
+    fn on_failed(&self, through: u64, error: &WriteFailure, generation: u64) {
+        let what = match error {
             WriteFailure::NoSpace => "the disk is full, this was not written".to_owned(),
             WriteFailure::NotAttempted => "an earlier one failed, this was not written".to_owned(),
-            WriteFailure::Poisoned(why) => format!("{why}; no change is taken until a restart"),
+            WriteFailure::Poisoned(error) => format!("{error}; no change is taken until a restart"),
         };
-        error!(self.log, "config: a change can't be stored and is not published"; "why" => &what);
+        error!(self.log, "change not durable, not published";
+            "component" => "config_sync", "reason" => &what);
         self.publisher.borrow_mut().on_persist_failed();
         for reply in self.store.borrow_mut().failed(through) {
             let _ = reply.try_send(Err(ProposeFailure::NotDurable(what.clone())));
         }
-        if matches!(why, WriteFailure::Poisoned(_)) {
+        if matches!(error, WriteFailure::Poisoned(_)) {
             self.poisoned.set(true);
         }
         self.resume_if_settled(Some(generation));
@@ -263,7 +265,9 @@
                     self.store.borrow_mut().resume(generation);
                 }
             }
-            Err(why) => error!(self.log, "config: the publisher can't go on"; "why" => %why),
+            Err(error) => {
+                error!(self.log, "publisher cannot resume"; "component" => "config_sync", "error" => %error)
+            }
         }
     }
 
@@ -286,17 +290,22 @@
         };
         match std::thread::Builder::new().name("config-snapshot".to_owned()).spawn(encode) {
             Ok(_) => compaction.begin(),
-            Err(why) => warn!(self.log, "config: no thread for a snapshot"; "why" => %why),
+            Err(error) => {
+                warn!(self.log, "snapshot thread not started";
+                    "component" => "config_sync", "error" => %error)
+            }
         }
     }
 
     fn on_snapshot(&self, before: u64, failure: Option<WriteFailure>) {
         self.compaction.borrow_mut().under_way = false;
         match failure {
-            None => info!(self.log, "config: the publisher's log was compacted"; "before" => before),
-            Some(why) => {
-                warn!(self.log, "config: the publisher's log can't be compacted, tried again later";
-                    "why" => format!("{why:?}"));
+            None => {
+                info!(self.log, "publisher log compacted"; "component" => "config_sync", "before" => before)
+            }
+            Some(error) => {
+                warn!(self.log, "publisher log compaction failed, will be retried";
+                    "component" => "config_sync", "error" => format!("{error:?}"));
             }
         }
     }
--- a/crates/config-sync/src/net/relay.rs
+++ b/crates/config-sync/src/net/relay.rs
@@ -208,7 +208,8 @@
                 }
                 LinkAction::Send(message) => link.send(&message),
                 LinkAction::Disconnect(reason) => {
-                    info!(self.log, "config: server above left"; "why" => %reason);
+                    info!(self.log, "upstream disconnected";
+                        "component" => "config_sync", "reason" => %reason);
                     link.disconnect();
                     self.upstream.server.replace(None);
                 }
@@ -225,18 +226,21 @@
                 upstream.connections.set(upstream.connections.get() + 1);
                 FollowerEvent::Connected
             }
-            LinkEvent::ConnectFailed(why) => {
+            LinkEvent::ConnectFailed(error) => {
                 if !upstream.connect_failed.replace(true) {
-                    info!(self.log, "config: a server above does not accept connections"; "why" => %why);
+                    info!(self.log, "upstream connection failed";
+                        "component" => "config_sync", "error" => %error);
                 }
                 FollowerEvent::ConnectFailed
             }
             LinkEvent::Received(message) => FollowerEvent::Received(message),
-            LinkEvent::Disconnected(why) => {
-                if why.is_bad_frame() {
-                    warn!(self.log, "config: connection to the server above closed"; "why" => %why);
+            LinkEvent::Disconnected(error) => {
+                if error.is_bad_frame() {
+                    warn!(self.log, "upstream connection closed on error";
+                        "component" => "config_sync", "error" => %error);
                 } else {
-                    info!(self.log, "config: connection to the server above lost"; "why" => %why);
+                    info!(self.log, "upstream connection lost";
+                        "component" => "config_sync", "error" => %error);
                 }
                 upstream.server.replace(None);
                 FollowerEvent::Disconnected
--- a/crates/config-sync/src/net/sessions.rs
+++ b/crates/config-sync/src/net/sessions.rs
@@ -155,8 +155,8 @@
             Ok(frame) => outbox.push(frame),
             Err(too_long) => {
                 // The publisher's bounds keep this from happening; the client resyncs if it does.
-                error!(self.log, "config: a message does not fit in a frame, its session is closed";
-                    "why" => %too_long);
+                error!(self.log, "session closed, a message exceeds the frame limit";
+                    "component" => "config_sync", "error" => %too_long);
                 outbox.end(Ending::Now);
                 return;
             }
@@ -172,15 +172,18 @@
         match why {
             CloseReason::Slow { .. } => {
                 self.counters.closed_slow += 1;
-                warn!(self.log, "config: session closed"; "session" => id.0, "why" => %why);
+                warn!(self.log, "session closed";
+                    "component" => "config_sync", "session" => id.0, "reason" => %why);
                 outbox.end(Ending::Now);
             }
             CloseReason::Full | CloseReason::NoSnapshotPlace => {
-                debug!(self.log, "config: session closed"; "session" => id.0, "why" => %why);
+                debug!(self.log, "session closed";
+                    "component" => "config_sync", "session" => id.0, "reason" => %why);
                 outbox.end(Ending::AfterSending);
             }
             _ => {
-                warn!(self.log, "config: session closed"; "session" => id.0, "why" => %why);
+                warn!(self.log, "session closed";
+                    "component" => "config_sync", "session" => id.0, "reason" => %why);
                 outbox.end(Ending::AfterSending);
             }
         }
--- a/crates/config-sync/src/net/state_keeper.rs
+++ b/crates/config-sync/src/net/state_keeper.rs
@@ -60,16 +60,17 @@
         let opened = open_or_set_aside(directory, owner, log);
         let (store, state) = match opened {
             Ok(opened) => opened,
-            Err(why) => {
-                error!(log, "config: the state on disk can't be used, a restart will begin with nothing";
-                    "directory" => %directory.display(), "why" => %why);
+            Err(error) => {
+                error!(log, "state on disk unusable, a restart will begin empty";
+                    "component" => "config_sync", "directory" => %directory.display(), "error" => %error);
                 return (None, None);
             }
         };
         match StateKeeper::start(store, directory.to_owned(), owner.to_owned(), log.clone()) {
             Ok(keeper) => (Some(keeper), state),
-            Err(why) => {
-                error!(log, "config: no thread to keep the state on disk"; "why" => %why);
+            Err(error) => {
+                error!(log, "state writer thread not started";
+                    "component" => "config_sync", "error" => %error);
                 (None, state)
             }
         }
@@ -147,15 +148,17 @@
         while let Ok(first) = inbox.recv() {
             let mut batch = vec![first];
             batch.extend(inbox.try_iter().take(MAX_WAITING));
-            if let Err(why) = self.keep(&batch) {
-                warn!(self.log, "config: the state can't be written to disk, tried again later"; "why" => %why);
+            if let Err(error) = self.keep(&batch) {
+                warn!(self.log, "writing state to disk failed, will be retried";
+                    "component" => "config_sync", "error" => %error);
                 self.store = None;
                 self.failed.store(true, Ordering::Relaxed);
             }
         }
         if let Some(store) = self.store.take() {
-            if let Err(why) = store.close() {
-                warn!(self.log, "config: the state on disk was not closed in good order"; "why" => %why);
+            if let Err(error) = store.close() {
+                warn!(self.log, "closing the state on disk failed";
+                    "component" => "config_sync", "error" => %error);
             }
         }
     }
@@ -192,8 +195,8 @@
     if let Err(error) = set_aside(directory) {
         return Err(KeepError::NotSetAside { damage, error });
     }
-    warn!(log, "config: the state on disk was damaged and is put aside, all is fetched anew";
-        "why" => %damage, "to" => %directory.join(SET_ASIDE).display());
+    warn!(log, "state on disk damaged and moved aside, fetching a snapshot";
+        "component" => "config_sync", "error" => %damage, "to" => %directory.join(SET_ASIDE).display());
     Ok(StateStore::open(disk, owner)?)
 }
 
--- a/crates/config-sync/src/net/subscriber.rs
+++ b/crates/config-sync/src/net/subscriber.rs
@@ -206,19 +206,22 @@
                 self.shared.update(|status| status.connections += 1);
                 FollowerEvent::Connected
             }
-            LinkEvent::ConnectFailed(why) => {
+            LinkEvent::ConnectFailed(error) => {
                 if !std::mem::replace(&mut self.connect_failed, true) {
-                    info!(self.log, "config: a server does not accept connections"; "why" => %why);
+                    info!(self.log, "server connection failed";
+                        "component" => "config_sync", "error" => %error);
                 }
                 FollowerEvent::ConnectFailed
             }
             LinkEvent::Received(message) => FollowerEvent::Received(message),
-            LinkEvent::Disconnected(why) => {
-                if why.is_bad_frame() {
-                    warn!(self.log, "config: connection to a server closed"; "why" => %why);
+            LinkEvent::Disconnected(error) => {
+                if error.is_bad_frame() {
+                    warn!(self.log, "server connection closed on error";
+                        "component" => "config_sync", "error" => %error);
                     self.shared.update(|status| status.bad_frames += 1);
                 } else {
-                    info!(self.log, "config: connection to a server lost"; "why" => %why);
+                    info!(self.log, "server connection lost";
+                        "component" => "config_sync", "error" => %error);
                 }
                 self.shared.update(|status| status.server = None);
                 FollowerEvent::Disconnected
@@ -267,7 +270,8 @@
     fn on_link_action(&mut self, action: LinkAction) {
         match action {
             LinkAction::Connect(server) => {
-                debug!(self.log, "config: connecting"; "server" => &*server.name);
+                debug!(self.log, "connecting to server";
+                    "component" => "config_sync", "server" => &*server.name);
                 self.link.connect(&server);
                 self.shared.update(|status| status.server = Some(server.name));
             }
@@ -283,12 +287,13 @@
     fn log_disconnect(&self, reason: &DisconnectReason) {
         match reason {
             DisconnectReason::Fault(fault) => {
-                warn!(self.log, "config: server left, the settings stay as they are"; "why" => %fault);
+                warn!(self.log, "server disconnected, settings unchanged";
+                    "component" => "config_sync", "reason" => %fault);
             }
             DisconnectReason::Silent(_) | DisconnectReason::Stalled(_) => {
-                info!(self.log, "config: server left"; "why" => %reason);
+                info!(self.log, "server disconnected"; "component" => "config_sync", "reason" => %reason);
             }
-            _ => debug!(self.log, "config: server left"; "why" => %reason),
+            _ => debug!(self.log, "server disconnected"; "component" => "config_sync", "reason" => %reason),
         }
     }
 }
--- a/crates/config-sync/tests/client.rs
+++ b/crates/config-sync/tests/client.rs
@@ -168,7 +168,7 @@
     let (sender, updates) = async_channel::unbounded();
     let client = start(sender);
     follow(&client, &updates, &mut Table::new(), first);
-    assert_eq!(log.count("was damaged and is put aside"), 1, "{:?}", log.all());
+    assert_eq!(log.count("state on disk damaged and moved aside"), 1, "{:?}", log.all());
     assert!(state.path().join("damaged").join(snapshot.file_name().expect("a name")).exists());
     wait_until("its confirmation", || client.status().in_force == first);
     drop(client);
@@ -208,7 +208,7 @@
         wait_until("its confirmation", || client.status().in_force == next);
     }
     assert_eq!(table.digest(), running.status().digest);
-    let lines = || log.count("the state can't be written to disk");
+    let lines = || log.count("writing state to disk failed");
     wait_until("the line", || lines() > 0);
     drop(client);
     // It is tried again every 30 s.
--- a/crates/config-sync/tests/net_faults.rs
+++ b/crates/config-sync/tests/net_faults.rs
@@ -249,7 +249,7 @@
         assert!(taken.len() < 1_000, "there is a limit");
     }
     // The last ones are connected and not accepted.
-    wait_until("the listener fails", || log.count("no connection can be taken") > 0);
+    wait_until("the listener fails", || log.count("accepting connections failed") > 0);
     drop(taken);
     let mut subscribers = Subscribers::new();
     let servers = vec![server("publisher", publisher.address(), None)];
--- a/crates/config-sync/tests/publisher_restart.rs
+++ b/crates/config-sync/tests/publisher_restart.rs
@@ -66,7 +66,7 @@
             .expect("accepted");
         if at % 8 == 7 {
             compactions += 1;
-            wait_until("compaction", || log.count("log was compacted") >= compactions);
+            wait_until("compaction", || log.count("publisher log compacted") >= compactions);
         }
         if at % 16 == 15 {
             let before = running.status();
