--- a/crates/config-sync/src/fanout.rs
+++ b/crates/config-sync/src/fanout.rs
@@ -27,13 +27,13 @@
 
 impl Fanout {
     /// Takes one event in.
-    pub fn on_event(&mut self, now: Millis, event: FanoutEvent, out: &mut Vec<FanoutAction>) {
+    pub fn on_event(&mut self, now: Millis, event: FanoutEvent, actions: &mut Vec<FanoutAction>) {
         match event {
-            FanoutEvent::Opened(id) => self.on_opened(now, id, out),
-            FanoutEvent::Received(id, message) => self.on_received(now, id, message, out),
+            FanoutEvent::Opened(id) => self.on_opened(now, id, actions),
+            FanoutEvent::Received(id, message) => self.on_received(now, id, message, actions),
             FanoutEvent::Closed(id) => self.forget(id),
-            FanoutEvent::Backlog { session, bytes } => self.on_backlog(session, bytes, out),
-            FanoutEvent::Tick => self.on_tick(now, out),
+            FanoutEvent::Backlog { session, bytes } => self.on_backlog(session, bytes, actions),
+            FanoutEvent::Tick => self.on_tick(now, actions),
         }
     }
 
@@ -44,18 +44,18 @@
         now: Millis,
         transactions: Vec<Arc<Transaction>>,
         table: &Table,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         let Some(last) = transactions.last().cloned() else { return };
         for transaction in transactions {
             if self.log.push(transaction).is_err() {
-                return self.reset(now, last.position, table.clone(), last.published_unix_ms, out);
+                return self.reset(now, last.position, table.clone(), last.published_unix_ms, actions);
             }
         }
         self.table = table.clone();
         self.published_unix_ms = last.published_unix_ms;
         if now >= self.flush_due() {
-            self.flush(now, out);
+            self.flush(now, actions);
         }
     }
 
@@ -67,7 +67,7 @@
         position: Position,
         table: Table,
         published_unix_ms: u64,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         if position == self.head() && table.digest() == self.table.digest() {
             return;
@@ -82,82 +82,88 @@
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
             match self.sessions.get(&id).map(|session| &session.stage) {
-                Some(Stage::Live) => self.begin(now, id, had.0, had.1, out),
-                Some(Stage::CatchingUp { .. }) => self.require_resync(now, id, out),
-                Some(&Stage::Ahead { position, digest }) => self.begin(now, id, position, digest, out),
+                Some(Stage::Live) => self.begin(now, id, had.0, had.1, actions),
+                Some(Stage::CatchingUp { .. }) => self.require_resync(now, id, actions),
+                Some(&Stage::Ahead { position, digest }) => self.begin(now, id, position, digest, actions),
                 _ => {}
             }
         }
     }
 
-    fn on_opened(&mut self, now: Millis, id: SessionId, out: &mut Vec<FanoutAction>) {
+    fn on_opened(&mut self, now: Millis, id: SessionId, actions: &mut Vec<FanoutAction>) {
         if self.sessions.len() >= self.settings.max_sessions {
             let message = Arc::new(self.busy());
-            out.push(FanoutAction::Send { session: id, message });
-            out.push(FanoutAction::Close { session: id, why: CloseReason::Full });
+            actions.push(FanoutAction::Send { session: id, message });
+            actions.push(FanoutAction::Close { session: id, why: CloseReason::Full });
             return;
         }
         self.forget(id);
         self.sessions.insert(id, Session::new(now));
     }
 
-    fn on_received(&mut self, now: Millis, id: SessionId, message: ToServer, out: &mut Vec<FanoutAction>) {
+    fn on_received(
+        &mut self,
+        now: Millis,
+        id: SessionId,
+        message: ToServer,
+        actions: &mut Vec<FanoutAction>,
+    ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.unanswered = 0;
         let watches = session.member.is_some();
         match message {
             ToServer::Watch { member, position, digest } if !watches => {
-                self.on_watch(now, id, member, position, digest, out);
+                self.on_watch(now, id, member, position, digest, actions);
             }
-            ToServer::Watch { .. } => self.close(id, ProtocolFault::SecondWatch.into(), out),
-            _ if !watches => self.close(id, ProtocolFault::NotWatched.into(), out),
-            ToServer::FetchDifferences { bucket_digests } => self.on_fetch(now, id, &bucket_digests, out),
-            ToServer::PieceTaken { sequence } => self.on_piece_taken(now, id, sequence, out),
-            ToServer::Progress { zones, refusals } => self.on_progress(id, zones, refusals, out),
+            ToServer::Watch { .. } => self.close(id, ProtocolFault::SecondWatch.into(), actions),
+            _ if !watches => self.close(id, ProtocolFault::NotWatched.into(), actions),
+            ToServer::FetchDifferences { bucket_digests } => self.on_fetch(now, id, &bucket_digests, actions),
+            ToServer::PieceTaken { sequence } => self.on_piece_taken(now, id, sequence, actions),
+            ToServer::Progress { zones, refusals } => self.on_progress(id, zones, refusals, actions),
             ToServer::Alive => {}
         }
     }
 
-    fn on_backlog(&mut self, id: SessionId, bytes: usize, out: &mut Vec<FanoutAction>) {
+    fn on_backlog(&mut self, id: SessionId, bytes: usize, actions: &mut Vec<FanoutAction>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         session.backlog_bytes = bytes;
         if bytes > self.settings.max_backlog_bytes {
-            self.close(id, CloseReason::Slow { bytes }, out);
+            self.close(id, CloseReason::Slow { bytes }, actions);
         }
     }
 
-    fn on_tick(&mut self, now: Millis, out: &mut Vec<FanoutAction>) {
+    fn on_tick(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         let heartbeat_due =
             self.last_heartbeat.is_none_or(|last| now >= last.saturating_add(self.settings.heartbeat_ms));
         if heartbeat_due || now >= self.flush_due() {
-            self.flush(now, out);
+            self.flush(now, actions);
         }
         if now >= self.catch_up_due() {
             self.last_tick = Some(now);
-            self.catch_all_up(now, out);
+            self.catch_all_up(now, actions);
         }
         if heartbeat_due {
             self.last_heartbeat = Some(now);
-            self.close_silent(now, out);
-            self.send_heartbeats(now, out);
+            self.close_silent(now, actions);
+            self.send_heartbeats(now, actions);
         }
     }
 
-    fn send_heartbeats(&mut self, now: Millis, out: &mut Vec<FanoutAction>) {
+    fn send_heartbeats(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         let message = Arc::new(self.heartbeat(now));
         for (&session, state) in &mut self.sessions {
             if state.member.is_some() {
                 state.unanswered = state.unanswered.saturating_add(1);
-                out.push(FanoutAction::Send { session, message: message.clone() });
+                actions.push(FanoutAction::Send { session, message: message.clone() });
             }
         }
     }
 
-    fn close_silent(&mut self, now: Millis, out: &mut Vec<FanoutAction>) {
+    fn close_silent(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         let overdue: Vec<(SessionId, CloseReason)> =
             self.sessions.iter().filter_map(|(&id, state)| Some((id, self.silence(now, state)?))).collect();
         for (id, why) in overdue {
-            self.close(id, why, out);
+            self.close(id, why, actions);
         }
     }
 
--- a/crates/config-sync/src/fanout/report.rs
+++ b/crates/config-sync/src/fanout/report.rs
@@ -8,13 +8,18 @@
 
 impl Fanout {
     /// Counts a subscriber from its `Watch` on; until it reports, nothing is known to be in force in it.
-    pub(super) fn count_in(&mut self, id: SessionId, member: &Member, out: &mut Vec<FanoutAction>) -> bool {
+    pub(super) fn count_in(
+        &mut self,
+        id: SessionId,
+        member: &Member,
+        actions: &mut Vec<FanoutAction>,
+    ) -> bool {
         if member.role == Role::Relay {
             return true;
         }
         let least = Position::default();
         let entry = ZoneProgress { zone: member.zone.clone(), subscribers: 1, least, refusing: 0 };
-        self.set_reported(id, vec![entry], out)
+        self.set_reported(id, vec![entry], actions)
     }
 
     pub(super) fn on_progress(
@@ -22,14 +27,14 @@
         id: SessionId,
         mut zones: Vec<ZoneProgress>,
         refusals: Vec<Refusal>,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         let Some(member) = self.sessions.get(&id).and_then(|session| session.member.as_ref()) else { return };
         if let Err(fault) = check_report(member, &zones, &refusals) {
-            return self.close(id, fault.into(), out);
+            return self.close(id, fault.into(), actions);
         }
         zones.retain(|entry| entry.subscribers > 0);
-        if self.set_reported(id, zones, out) {
+        if self.set_reported(id, zones, actions) {
             self.progress.keep_refusals(refusals);
         }
     }
@@ -39,10 +44,10 @@
         &mut self,
         id: SessionId,
         reported: Vec<ZoneProgress>,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) -> bool {
         if !self.progress.has_place(&reported) {
-            self.close(id, CloseReason::TooManyZones, out);
+            self.close(id, CloseReason::TooManyZones, actions);
             return false;
         }
         let Some(session) = self.sessions.get_mut(&id) else { return false };
--- a/crates/config-sync/src/fanout/snapshot_transfer.rs
+++ b/crates/config-sync/src/fanout/snapshot_transfer.rs
@@ -10,12 +10,12 @@
 
 impl Fanout {
     /// Sends a `Resync`, or sends the client away if no place for a snapshot is left.
-    pub(super) fn require_resync(&mut self, now: Millis, id: SessionId, out: &mut Vec<FanoutAction>) {
+    pub(super) fn require_resync(&mut self, now: Millis, id: SessionId, actions: &mut Vec<FanoutAction>) {
         if !self.has_place(id) {
-            return self.send_away(id, out);
+            return self.send_away(id, actions);
         }
         self.set_stage(now, id, Stage::Resync);
-        self.send(id, ToClient::Resync { head: self.head() }, out);
+        self.send(id, ToClient::Resync { head: self.head() }, actions);
     }
 
     pub(super) fn on_fetch(
@@ -23,19 +23,19 @@
         now: Millis,
         id: SessionId,
         bucket_digests: &[u64],
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         if !matches!(bucket_digests.len(), 0 | BUCKETS) {
             let fault = ProtocolFault::BucketDigests(bucket_digests.len());
-            return self.close(id, fault.into(), out);
+            return self.close(id, fault.into(), actions);
         }
         match self.sessions.get(&id).map(|session| &session.stage) {
             // A client that finds its table spoilt may ask without a `Resync`.
             Some(Stage::Resync | Stage::Live | Stage::CatchingUp { .. }) => {}
-            _ => return self.close(id, ProtocolFault::UnexpectedFetch.into(), out),
+            _ => return self.close(id, ProtocolFault::UnexpectedFetch.into(), actions),
         }
         if !self.has_place(id) {
-            return self.send_away(id, out);
+            return self.send_away(id, actions);
         }
         let snapshot = Snapshot {
             table: self.table.clone(),
@@ -48,7 +48,7 @@
         if let Some(session) = self.sessions.get_mut(&id) {
             (session.pieces_sent, session.pieces_taken) = (0, 0);
         }
-        self.send_pieces(now, id, out);
+        self.send_pieces(now, id, actions);
     }
 
     pub(super) fn on_piece_taken(
@@ -56,21 +56,21 @@
         now: Millis,
         id: SessionId,
         sequence: u32,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if sequence != session.pieces_taken || sequence >= session.pieces_sent {
-            return self.close(id, ProtocolFault::UnexpectedPiece(sequence).into(), out);
+            return self.close(id, ProtocolFault::UnexpectedPiece(sequence).into(), actions);
         }
         session.pieces_taken += 1;
         if matches!(session.stage, Stage::Snapshot(_)) {
             session.since = now;
-            self.send_pieces(now, id, out);
+            self.send_pieces(now, id, actions);
         }
     }
 
     /// Sends as many pieces as the window allows; after the last one the end, and then the deltas from there.
-    fn send_pieces(&mut self, now: Millis, id: SessionId, out: &mut Vec<FanoutAction>) {
+    fn send_pieces(&mut self, now: Millis, id: SessionId, actions: &mut Vec<FanoutAction>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Stage::Snapshot(snapshot) = &mut session.stage else { return };
         let of = (snapshot.position, snapshot.table.digest());
@@ -88,7 +88,7 @@
                 self.shared_pieces.remember(of, sequence, &piece);
             }
             session.pieces_sent += 1;
-            out.push(FanoutAction::Send { session: id, message: piece });
+            actions.push(FanoutAction::Send { session: id, message: piece });
         }
         if !snapshot.remaining.is_empty() {
             return;
@@ -96,8 +96,8 @@
         let (position, digest) = of;
         let pieces = session.pieces_sent;
         let published_unix_ms = snapshot.published_unix_ms;
-        self.send(id, ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }, out);
-        self.begin(now, id, position, digest, out);
+        self.send(id, ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }, actions);
+        self.begin(now, id, position, digest, actions);
     }
 
     /// Whether the session has, or could get, a place for a snapshot.
@@ -106,9 +106,9 @@
         has_one || self.places_taken < self.settings.max_snapshots
     }
 
-    fn send_away(&mut self, id: SessionId, out: &mut Vec<FanoutAction>) {
+    fn send_away(&mut self, id: SessionId, actions: &mut Vec<FanoutAction>) {
         let busy = self.busy();
-        self.send(id, busy, out);
-        self.close(id, CloseReason::NoSnapshotPlace, out);
+        self.send(id, busy, actions);
+        self.close(id, CloseReason::NoSnapshotPlace, actions);
     }
 }
--- a/crates/config-sync/src/fanout/state.rs
+++ b/crates/config-sync/src/fanout/state.rs
@@ -145,15 +145,15 @@
         ToClient::Busy { retry_after_ms: self.random.random_range(least..=least.saturating_mul(2)) }
     }
 
-    pub(super) fn send(&self, session: SessionId, message: ToClient, out: &mut Vec<FanoutAction>) {
-        out.push(FanoutAction::Send { session, message: Arc::new(message) });
+    pub(super) fn send(&self, session: SessionId, message: ToClient, actions: &mut Vec<FanoutAction>) {
+        actions.push(FanoutAction::Send { session, message: Arc::new(message) });
     }
 
     /// Closes a session that is open; nothing otherwise.
-    pub(super) fn close(&mut self, session: SessionId, why: CloseReason, out: &mut Vec<FanoutAction>) {
+    pub(super) fn close(&mut self, session: SessionId, why: CloseReason, actions: &mut Vec<FanoutAction>) {
         if self.sessions.contains_key(&session) {
             self.forget(session);
-            out.push(FanoutAction::Close { session, why });
+            actions.push(FanoutAction::Close { session, why });
         }
     }
 
--- a/crates/config-sync/src/fanout/watch.rs
+++ b/crates/config-sync/src/fanout/watch.rs
@@ -16,19 +16,19 @@
         member: Member,
         position: Position,
         digest: Digest,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         if let Some(&older) = self.names.get(&member.name) {
-            self.close(older, CloseReason::Replaced, out);
+            self.close(older, CloseReason::Replaced, actions);
         }
-        if !self.count_in(id, &member, out) {
+        if !self.count_in(id, &member, actions) {
             return;
         }
         self.names.insert(member.name.clone(), id);
         if let Some(session) = self.sessions.get_mut(&id) {
             session.member = Some(member);
         }
-        self.begin(now, id, position, digest, out);
+        self.begin(now, id, position, digest, actions);
     }
 
     /// Serves a session from what it has: deltas if the log leads from there, else a snapshot. A session that has more
@@ -39,19 +39,19 @@
         id: SessionId,
         position: Position,
         digest: Digest,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         if position > self.head() {
             self.set_stage(now, id, Stage::Ahead { position, digest });
-            return self.send(id, self.heartbeat(now), out);
+            return self.send(id, self.heartbeat(now), actions);
         }
         if position > self.flushed {
-            self.flush(now, out);
+            self.flush(now, actions);
         }
         if self.log.digest_at(position) != Some(digest) {
-            return self.require_resync(now, id, out);
+            return self.require_resync(now, id, actions);
         }
-        self.catch_up(now, id, position, out);
+        self.catch_up(now, id, position, actions);
     }
 
     /// Sends the next message to a session that has everything up to `position`, or makes it a live one.
@@ -60,35 +60,35 @@
         now: Millis,
         id: SessionId,
         position: Position,
-        out: &mut Vec<FanoutAction>,
+        actions: &mut Vec<FanoutAction>,
     ) {
         if position == self.flushed {
             return self.set_stage(now, id, Stage::Live);
         }
         let Some((message, reached)) = self.deltas_from(position) else {
-            return self.require_resync(now, id, out);
+            return self.require_resync(now, id, actions);
         };
         let stage =
             if reached == self.flushed { Stage::Live } else { Stage::CatchingUp { position: reached } };
         self.set_stage(now, id, stage);
-        out.push(FanoutAction::Send { session: id, message });
+        actions.push(FanoutAction::Send { session: id, message });
     }
 
     /// Sends one more message to each session that catches up and has little unsent.
-    pub(super) fn catch_all_up(&mut self, now: Millis, out: &mut Vec<FanoutAction>) {
+    pub(super) fn catch_all_up(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         let ids: Vec<SessionId> = self.catching_up.iter().copied().collect();
         for id in ids {
             let Some(session) = self.sessions.get(&id) else { continue };
             let Stage::CatchingUp { position } = session.stage else { continue };
             if session.backlog_bytes <= self.settings.max_message_bytes {
-                self.catch_up(now, id, position, out);
+                self.catch_up(now, id, position, actions);
             }
         }
     }
 
     /// Sends the transactions after the last flush to all live sessions, and begins with those that were ahead and no
     /// longer are.
-    pub(super) fn flush(&mut self, now: Millis, out: &mut Vec<FanoutAction>) {
+    pub(super) fn flush(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         if self.flushed == self.head() {
             return;
         }
@@ -100,11 +100,11 @@
             match (self.sessions.get(&session).map(|session| &session.stage), &messages) {
                 (Some(Stage::Live), Some(messages)) => {
                     let sends = messages.iter().cloned();
-                    out.extend(sends.map(|message| FanoutAction::Send { session, message }));
+                    actions.extend(sends.map(|message| FanoutAction::Send { session, message }));
                 }
-                (Some(Stage::Live), None) => self.require_resync(now, session, out),
+                (Some(Stage::Live), None) => self.require_resync(now, session, actions),
                 (Some(&Stage::Ahead { position, digest }), _) if position <= self.flushed => {
-                    self.begin(now, session, position, digest, out);
+                    self.begin(now, session, position, digest, actions);
                 }
                 _ => {}
             }
--- a/crates/config-sync/src/follower.rs
+++ b/crates/config-sync/src/follower.rs
@@ -96,14 +96,14 @@
     }
 
     /// Takes an event and appends what is to be done, in order.
-    pub fn on_event(&mut self, now: Millis, event: FollowerEvent, out: &mut Vec<FollowerAction>) {
+    pub fn on_event(&mut self, now: Millis, event: FollowerEvent, actions: &mut Vec<FollowerAction>) {
         match event {
-            FollowerEvent::Connected => self.on_connected(now, out),
+            FollowerEvent::Connected => self.on_connected(now, actions),
             FollowerEvent::ConnectFailed | FollowerEvent::Disconnected => self.on_link_ended(now),
-            FollowerEvent::Received(message) if self.is_open() => self.on_message(now, message, out),
+            FollowerEvent::Received(message) if self.is_open() => self.on_message(now, message, actions),
             FollowerEvent::Received(_) | FollowerEvent::Tick => {}
         }
-        self.check_time(now, out);
+        self.check_time(now, actions);
     }
 
     /// What it has.
@@ -174,7 +174,7 @@
         if unproven_return { self.settings.connect_limit_ms } else { self.settings.silence_ms }
     }
 
-    fn on_connected(&mut self, now: Millis, out: &mut Vec<FollowerAction>) {
+    fn on_connected(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         if !matches!(self.link, Link::Connecting { .. }) {
             return;
         }
@@ -193,7 +193,7 @@
         };
         self.counters.sessions += 1;
         send(
-            out,
+            actions,
             ToServer::Watch {
                 member: self.settings.member.clone(),
                 position: self.position,
@@ -217,63 +217,63 @@
     }
 
     /// Gives up the link and goes to the next server.
-    fn leave(&mut self, now: Millis, reason: DisconnectReason, out: &mut Vec<FollowerAction>) {
-        disconnect(out, reason);
+    fn leave(&mut self, now: Millis, reason: DisconnectReason, actions: &mut Vec<FollowerAction>) {
+        disconnect(actions, reason);
         let delay = self.candidates.attempt_failed();
         self.wait(now, delay);
     }
 
-    fn check_time(&mut self, now: Millis, out: &mut Vec<FollowerAction>) {
+    fn check_time(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         match self.link {
-            Link::Waiting { until } if now >= until => self.connect(now, out),
+            Link::Waiting { until } if now >= until => self.connect(now, actions),
             Link::Connecting { since } if now >= since.saturating_add(self.settings.connect_limit_ms) => {
-                self.leave(now, DisconnectReason::ConnectLimit(self.settings.connect_limit_ms), out);
+                self.leave(now, DisconnectReason::ConnectLimit(self.settings.connect_limit_ms), actions);
             }
-            Link::Following | Link::Fetching(_) => self.check_session(now, out),
+            Link::Following | Link::Fetching(_) => self.check_session(now, actions),
             Link::Waiting { .. } | Link::Connecting { .. } => {}
         }
     }
 
-    fn check_session(&mut self, now: Millis, out: &mut Vec<FollowerAction>) {
+    fn check_session(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         let silence = now.saturating_sub(self.session.heard_at);
         let stall = now.saturating_sub(self.session.progress_at);
         if silence >= self.silence_limit() {
-            disconnect(out, DisconnectReason::Silent(silence));
+            disconnect(actions, DisconnectReason::Silent(silence));
             self.on_link_ended(now);
         } else if stall >= self.settings.stall_ms {
-            self.leave(now, DisconnectReason::Stalled(stall), out);
+            self.leave(now, DisconnectReason::Stalled(stall), actions);
         } else if self.session.return_at.is_some_and(|at| now >= at) {
-            self.try_nearer(now, out);
+            self.try_nearer(now, actions);
         } else if now >= self.session.stale_at {
-            self.try_fresher(now, out);
+            self.try_fresher(now, actions);
         }
     }
 
     /// Goes from a farther server to a nearer one, at once. Not in the middle of a snapshot.
-    fn try_nearer(&mut self, now: Millis, out: &mut Vec<FollowerAction>) {
+    fn try_nearer(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         if !self.session.proven || matches!(self.link, Link::Fetching(_)) {
             self.session.return_at = self.candidates.next_return(now);
             return;
         }
-        disconnect(out, DisconnectReason::TryingNearer);
+        disconnect(actions, DisconnectReason::TryingNearer);
         self.candidates.try_nearer(self.session.told.map(|(_, age)| age));
-        self.connect(now, out);
+        self.connect(now, actions);
     }
 
-    fn connect(&mut self, now: Millis, out: &mut Vec<FollowerAction>) {
+    fn connect(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         let Some(server) = self.candidates.current() else {
             self.wait(now, self.settings.backoff.cap_ms);
             return;
         };
-        out.push(FollowerAction::Link(LinkAction::Connect(server.clone())));
+        actions.push(FollowerAction::Link(LinkAction::Connect(server.clone())));
         self.link = Link::Connecting { since: now };
     }
 }
 
-fn send(out: &mut Vec<FollowerAction>, message: ToServer) {
-    out.push(FollowerAction::Link(LinkAction::Send(message)));
+fn send(actions: &mut Vec<FollowerAction>, message: ToServer) {
+    actions.push(FollowerAction::Link(LinkAction::Send(message)));
 }
 
-fn disconnect(out: &mut Vec<FollowerAction>, reason: DisconnectReason) {
-    out.push(FollowerAction::Link(LinkAction::Disconnect(reason)));
+fn disconnect(actions: &mut Vec<FollowerAction>, reason: DisconnectReason) {
+    actions.push(FollowerAction::Link(LinkAction::Disconnect(reason)));
 }
--- a/crates/config-sync/src/follower/messages.rs
+++ b/crates/config-sync/src/follower/messages.rs
@@ -24,45 +24,53 @@
 
 impl Follower {
     /// Takes a message of the open session.
-    pub(super) fn on_message(&mut self, now: Millis, message: ToClient, out: &mut Vec<FollowerAction>) {
+    pub(super) fn on_message(&mut self, now: Millis, message: ToClient, actions: &mut Vec<FollowerAction>) {
         self.session.heard_at = now;
         self.session.heard = true;
         let result = match message {
             ToClient::Deltas(transactions) => {
-                self.on_deltas(now, transactions, out);
+                self.on_deltas(now, transactions, actions);
                 Ok(())
             }
             ToClient::Resync { head } => {
-                self.on_resync(now, head, out);
+                self.on_resync(now, head, actions);
                 Ok(())
             }
             ToClient::Heartbeat { head, age_ms } => {
-                self.on_heartbeat(now, head, age_ms, out);
+                self.on_heartbeat(now, head, age_ms, actions);
                 Ok(())
             }
             ToClient::Busy { retry_after_ms } => {
-                self.on_busy(now, retry_after_ms, out);
+                self.on_busy(now, retry_after_ms, actions);
                 Ok(())
             }
-            ToClient::Piece { sequence, buckets } => self.on_piece(now, sequence, buckets, out),
-            ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms } => {
-                self.on_snapshot_end(now, SnapshotEnd { position, digest, pieces, published_unix_ms }, out)
-            }
+            ToClient::Piece { sequence, buckets } => self.on_piece(now, sequence, buckets, actions),
+            ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms } => self.on_snapshot_end(
+                now,
+                SnapshotEnd { position, digest, pieces, published_unix_ms },
+                actions,
+            ),
         };
         if let Err(fault) = result {
             self.counters.faults += 1;
-            self.leave(now, fault.into(), out);
+            self.leave(now, fault.into(), actions);
         }
     }
 
-    fn on_heartbeat(&mut self, now: Millis, head: Position, age_ms: Millis, out: &mut Vec<FollowerAction>) {
+    fn on_heartbeat(
+        &mut self,
+        now: Millis,
+        head: Position,
+        age_ms: Millis,
+        actions: &mut Vec<FollowerAction>,
+    ) {
         let age = StateAge::new(now, age_ms);
         self.session.told = Some((head, age));
         self.note_age(now, age);
         if head < self.position {
-            self.leave_behind(now, head, out);
+            self.leave_behind(now, head, actions);
         } else if head == self.position && self.fails_trial(now, age) {
-            self.leave(now, DisconnectReason::NoFresher(age_ms), out);
+            self.leave(now, DisconnectReason::NoFresher(age_ms), actions);
         } else if head == self.position {
             self.at_head(now);
         }
@@ -87,19 +95,24 @@
         }
     }
 
-    fn leave_behind(&mut self, now: Millis, head: Position, out: &mut Vec<FollowerAction>) {
+    fn leave_behind(&mut self, now: Millis, head: Position, actions: &mut Vec<FollowerAction>) {
         self.counters.servers_behind += 1;
-        self.leave(now, DisconnectReason::ServerBehind { head, position: self.position }, out);
+        self.leave(now, DisconnectReason::ServerBehind { head, position: self.position }, actions);
     }
 
-    fn on_busy(&mut self, now: Millis, retry_after_ms: u64, out: &mut Vec<FollowerAction>) {
+    fn on_busy(&mut self, now: Millis, retry_after_ms: u64, actions: &mut Vec<FollowerAction>) {
         self.counters.busy += 1;
         let delay = self.candidates.busy(retry_after_ms);
-        disconnect(out, DisconnectReason::Busy(delay));
+        disconnect(actions, DisconnectReason::Busy(delay));
         self.wait(now, delay);
     }
 
-    fn on_deltas(&mut self, now: Millis, transactions: Vec<Arc<Transaction>>, out: &mut Vec<FollowerAction>) {
+    fn on_deltas(
+        &mut self,
+        now: Millis,
+        transactions: Vec<Arc<Transaction>>,
+        actions: &mut Vec<FollowerAction>,
+    ) {
         if matches!(self.link, Link::Fetching(_)) {
             return;
         }
@@ -119,10 +132,10 @@
         if !applied.is_empty() {
             self.counters.transactions += applied.len() as u64;
             self.at_head(now);
-            out.push(FollowerAction::Advanced(Advance::Deltas { before, transactions: applied }));
+            actions.push(FollowerAction::Advanced(Advance::Deltas { before, transactions: applied }));
         }
         if let Some(fault) = fault {
-            self.repair(now, fault, out);
+            self.repair(now, fault, actions);
         }
     }
 
@@ -149,30 +162,30 @@
     }
 
     /// Something did not fit: a snapshot from the same server, or at the second time another server.
-    fn repair(&mut self, now: Millis, fault: SessionFault, out: &mut Vec<FollowerAction>) {
+    fn repair(&mut self, now: Millis, fault: SessionFault, actions: &mut Vec<FollowerAction>) {
         if self.session.repaired {
             self.counters.faults += 1;
-            self.leave(now, fault.into(), out);
+            self.leave(now, fault.into(), actions);
             return;
         }
         self.session.repaired = true;
-        self.fetch(out);
+        self.fetch(actions);
     }
 
-    fn on_resync(&mut self, now: Millis, head: Position, out: &mut Vec<FollowerAction>) {
+    fn on_resync(&mut self, now: Millis, head: Position, actions: &mut Vec<FollowerAction>) {
         if head < self.position {
-            self.leave_behind(now, head, out);
+            self.leave_behind(now, head, actions);
             return;
         }
-        self.fetch(out);
+        self.fetch(actions);
     }
 
-    fn fetch(&mut self, out: &mut Vec<FollowerAction>) {
+    fn fetch(&mut self, actions: &mut Vec<FollowerAction>) {
         self.counters.resyncs += 1;
         self.link = Link::Fetching(Staging::new(self.settings.max_resources));
         let whole = self.fetch_whole || self.table.is_empty();
         let bucket_digests = if whole { Vec::new() } else { self.table.bucket_digests() };
-        send(out, ToServer::FetchDifferences { bucket_digests });
+        send(actions, ToServer::FetchDifferences { bucket_digests });
     }
 
     fn on_piece(
@@ -180,14 +193,14 @@
         now: Millis,
         sequence: u32,
         buckets: Vec<BucketContent>,
-        out: &mut Vec<FollowerAction>,
+        actions: &mut Vec<FollowerAction>,
     ) -> Result<(), SessionFault> {
         let Link::Fetching(staging) = &mut self.link else {
             return Err(SessionFault::UnexpectedSnapshot);
         };
         staging.take(sequence, buckets)?;
         self.session.progress_at = now;
-        send(out, ToServer::PieceTaken { sequence });
+        send(actions, ToServer::PieceTaken { sequence });
         Ok(())
     }
 
@@ -195,13 +208,13 @@
         &mut self,
         now: Millis,
         end: SnapshotEnd,
-        out: &mut Vec<FollowerAction>,
+        actions: &mut Vec<FollowerAction>,
     ) -> Result<(), SessionFault> {
         let Link::Fetching(staging) = std::mem::replace(&mut self.link, Link::Following) else {
             return Err(SessionFault::UnexpectedSnapshot);
         };
         if end.position < self.position {
-            self.leave_behind(now, end.position, out);
+            self.leave_behind(now, end.position, actions);
             return Ok(());
         }
         let base = if self.fetch_whole { Table::new() } else { self.table.clone() };
@@ -213,18 +226,24 @@
         })?;
         self.fetch_whole = false;
         self.counters.snapshots += 1;
-        self.take_snapshot(now, &end, table, out);
+        self.take_snapshot(now, &end, table, actions);
         Ok(())
     }
 
-    fn take_snapshot(&mut self, now: Millis, end: &SnapshotEnd, table: Table, out: &mut Vec<FollowerAction>) {
+    fn take_snapshot(
+        &mut self,
+        now: Millis,
+        end: &SnapshotEnd,
+        table: Table,
+        actions: &mut Vec<FollowerAction>,
+    ) {
         let unchanged = end.position == self.position && table.digest() == self.table.digest();
         let before = std::mem::replace(&mut self.table, table);
         self.position = end.position;
         self.at_head(now);
         if !unchanged {
             let (position, published_unix_ms) = (end.position, end.published_unix_ms);
-            out.push(FollowerAction::Advanced(Advance::Snapshot { before, position, published_unix_ms }));
+            actions.push(FollowerAction::Advanced(Advance::Snapshot { before, position, published_unix_ms }));
         }
     }
 }
--- a/crates/config-sync/src/follower/staleness.rs
+++ b/crates/config-sync/src/follower/staleness.rs
@@ -38,7 +38,7 @@
 
     /// Leaves a server that is cut off from above for the next other one, at once. Not in the middle of a snapshot, nor
     /// on a server that is on trial itself.
-    pub(super) fn try_fresher(&mut self, now: Millis, out: &mut Vec<FollowerAction>) {
+    pub(super) fn try_fresher(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         let age = self.session.told.map(|(_, age)| age);
         let can_leave = self.session.proven && !matches!(self.link, Link::Fetching(_));
         let (true, Some(age)) = (can_leave, age) else {
@@ -46,9 +46,9 @@
             self.session.stale_at = later.max(self.candidates.fresher_not_before());
             return;
         };
-        disconnect(out, DisconnectReason::Stale(age.at(now)));
+        disconnect(actions, DisconnectReason::Stale(age.at(now)));
         self.counters.servers_stale += 1;
         self.candidates.try_fresher(now, age);
-        self.connect(now, out);
+        self.connect(now, actions);
     }
 }
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -4,7 +4,8 @@
 //! tells anyone. Relays and subscribers watch from a revision and receive deltas, or, when their revision is no longer in
 //! the log, only the buckets of the table whose digests differ. Progress is aggregated by zone on the way up.
 //!
-//! Everything that decides is a state machine without I/O, clock or global: `on_event(&mut self, now, event, &mut out)`.
+//! Everything that decides is a state machine without I/O, clock or global:
+//! `on_event(&mut self, now, event, &mut actions)`.
 //! Tasks that own the sockets, files and timers carry the actions out.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -123,8 +123,8 @@
     }
 
     /// Takes in one event of the sessions.
-    pub fn on_event(&mut self, now: Millis, event: FanoutEvent, out: &mut Vec<PublisherAction>) {
-        self.with_fanout(out, |fanout, actions| fanout.on_event(now, event, actions));
+    pub fn on_event(&mut self, now: Millis, event: FanoutEvent, actions: &mut Vec<PublisherAction>) {
+        self.with_fanout(actions, |fanout, fanout_actions| fanout.on_event(now, event, fanout_actions));
     }
 
     /// Checks changes and gives them to the store. Nobody is told before [`Publisher::on_durable`].
@@ -135,7 +135,7 @@
         &mut self,
         unix_ms: u64,
         changes: Vec<Change>,
-        out: &mut Vec<PublisherAction>,
+        actions: &mut Vec<PublisherAction>,
     ) -> Result<Position, ProposeError> {
         if self.halted {
             return Err(ProposeError::Halted);
@@ -152,13 +152,13 @@
         let digest = table.digest();
         let transaction = Arc::new(Transaction { position, changes, digest, published_unix_ms: unix_ms });
         self.under_way.push_back(UnderWay { transaction: transaction.clone(), table });
-        out.push(PublisherAction::Persist { transaction });
+        actions.push(PublisherAction::Persist { transaction });
         Ok(position)
     }
 
     /// The store holds everything up to `position`: the head moves there, and those that watch are told. A position
     /// that is not under way changes nothing.
-    pub fn on_durable(&mut self, now: Millis, position: Position, out: &mut Vec<PublisherAction>) {
+    pub fn on_durable(&mut self, now: Millis, position: Position, actions: &mut Vec<PublisherAction>) {
         let mut durable = Vec::new();
         let mut table = None;
         while self.under_way.front().is_some_and(|first| first.transaction.position <= position) {
@@ -167,7 +167,9 @@
             table = Some(first.table);
         }
         if let Some(table) = table {
-            self.with_fanout(out, |fanout, actions| fanout.publish(now, durable, &table, actions));
+            self.with_fanout(actions, |fanout, fanout_actions| {
+                fanout.publish(now, durable, &table, fanout_actions)
+            });
         }
     }
 
@@ -186,13 +188,13 @@
         &mut self,
         now: Millis,
         durable: Position,
-        out: &mut Vec<PublisherAction>,
+        actions: &mut Vec<PublisherAction>,
     ) -> Result<Vec<Position>, ResumeError> {
         let (head, last) = (self.head(), self.last_proposed());
         if durable < head || durable > last {
             return Err(ResumeError { said: durable, head, last });
         }
-        self.on_durable(now, durable, out);
+        self.on_durable(now, durable, actions);
         let dropped = self.under_way.drain(..).map(|dropped| dropped.transaction.position).collect();
         self.class_use = ClassUse::of(self.fanout.table());
         self.halted = false;
@@ -245,12 +247,12 @@
 
     fn with_fanout(
         &mut self,
-        out: &mut Vec<PublisherAction>,
+        actions: &mut Vec<PublisherAction>,
         step: impl FnOnce(&mut Fanout, &mut Vec<FanoutAction>),
     ) {
-        let mut actions = Vec::new();
-        step(&mut self.fanout, &mut actions);
-        out.extend(actions.into_iter().map(PublisherAction::Fanout));
+        let mut fanout_actions = Vec::new();
+        step(&mut self.fanout, &mut fanout_actions);
+        actions.extend(fanout_actions.into_iter().map(PublisherAction::Fanout));
     }
 }
 
--- a/crates/config-sync/src/relay.rs
+++ b/crates/config-sync/src/relay.rs
@@ -79,16 +79,16 @@
     }
 
     /// Takes an event and appends what is to be done, in order.
-    pub fn on_event(&mut self, now: Millis, event: RelayEvent, out: &mut Vec<RelayAction>) {
+    pub fn on_event(&mut self, now: Millis, event: RelayEvent, actions: &mut Vec<RelayAction>) {
         match event {
-            RelayEvent::Upstream(event) => self.on_upstream(now, event, out),
-            RelayEvent::Downstream(event) => self.on_downstream(now, event, out),
+            RelayEvent::Upstream(event) => self.on_upstream(now, event, actions),
+            RelayEvent::Downstream(event) => self.on_downstream(now, event, actions),
             RelayEvent::Tick => {
-                self.on_upstream(now, FollowerEvent::Tick, out);
-                self.on_downstream(now, FanoutEvent::Tick, out);
+                self.on_upstream(now, FollowerEvent::Tick, actions);
+                self.on_downstream(now, FanoutEvent::Tick, actions);
             }
         }
-        self.report(now, out);
+        self.report(now, actions);
     }
 
     /// When the next tick is needed at the latest.
@@ -122,24 +122,24 @@
         self.reporter.refusals_dropped()
     }
 
-    fn on_upstream(&mut self, now: Millis, event: FollowerEvent, out: &mut Vec<RelayAction>) {
+    fn on_upstream(&mut self, now: Millis, event: FollowerEvent, actions: &mut Vec<RelayAction>) {
         if matches!(event, FollowerEvent::Received(_)) {
             self.reporter.server_heard(now);
         }
-        let mut actions = std::mem::take(&mut self.follower_actions);
-        self.follower.on_event(now, event, &mut actions);
-        for action in actions.drain(..) {
+        let mut follower_actions = std::mem::take(&mut self.follower_actions);
+        self.follower.on_event(now, event, &mut follower_actions);
+        for action in follower_actions.drain(..) {
             match action {
                 FollowerAction::Link(action) => {
                     if matches!(action, LinkAction::Send(ToServer::Watch { .. })) {
                         self.reporter.session_opened(now);
                     }
-                    out.push(RelayAction::Upstream(action));
+                    actions.push(RelayAction::Upstream(action));
                 }
-                FollowerAction::Advanced(advance) => self.pass_on(now, advance, out),
+                FollowerAction::Advanced(advance) => self.pass_on(now, advance, actions),
             }
         }
-        self.follower_actions = actions;
+        self.follower_actions = follower_actions;
     }
 
     /// The fan-out says how old the state is that it serves.
@@ -147,28 +147,28 @@
         self.fanout.set_age(self.follower.state_age().into());
     }
 
-    fn pass_on(&mut self, now: Millis, advance: Advance, out: &mut Vec<RelayAction>) {
+    fn pass_on(&mut self, now: Millis, advance: Advance, actions: &mut Vec<RelayAction>) {
         self.tell_age();
-        let mut actions = std::mem::take(&mut self.fanout_actions);
+        let mut fanout_actions = std::mem::take(&mut self.fanout_actions);
         let table = self.follower.table();
         match advance {
             Advance::Deltas { transactions, .. } => {
-                self.fanout.publish(now, transactions, table, &mut actions);
+                self.fanout.publish(now, transactions, table, &mut fanout_actions);
             }
             Advance::Snapshot { position, published_unix_ms, .. } => {
-                self.fanout.reset(now, position, table.clone(), published_unix_ms, &mut actions);
+                self.fanout.reset(now, position, table.clone(), published_unix_ms, &mut fanout_actions);
             }
         }
-        out.extend(actions.drain(..).map(RelayAction::Downstream));
-        self.fanout_actions = actions;
+        actions.extend(fanout_actions.drain(..).map(RelayAction::Downstream));
+        self.fanout_actions = fanout_actions;
     }
 
-    fn on_downstream(&mut self, now: Millis, event: FanoutEvent, out: &mut Vec<RelayAction>) {
+    fn on_downstream(&mut self, now: Millis, event: FanoutEvent, actions: &mut Vec<RelayAction>) {
         self.tell_age();
-        let mut actions = std::mem::take(&mut self.fanout_actions);
-        self.fanout.on_event(now, event, &mut actions);
-        out.extend(actions.drain(..).map(RelayAction::Downstream));
-        self.fanout_actions = actions;
+        let mut fanout_actions = std::mem::take(&mut self.fanout_actions);
+        self.fanout.on_event(now, event, &mut fanout_actions);
+        actions.extend(fanout_actions.drain(..).map(RelayAction::Downstream));
+        self.fanout_actions = fanout_actions;
         self.collect_refusals();
     }
 
@@ -183,12 +183,12 @@
     }
 
     /// Tells the server above how far the subscribers below have come, by zone.
-    fn report(&mut self, now: Millis, out: &mut Vec<RelayAction>) {
+    fn report(&mut self, now: Millis, actions: &mut Vec<RelayAction>) {
         if !self.follower.is_open() {
             return;
         }
         if let Some(progress) = self.reporter.report(now, || self.fanout.zones()) {
-            out.push(RelayAction::Upstream(LinkAction::Send(progress)));
+            actions.push(RelayAction::Upstream(LinkAction::Send(progress)));
         }
     }
 }
--- a/crates/config-sync/src/subscriber.rs
+++ b/crates/config-sync/src/subscriber.rs
@@ -65,12 +65,12 @@
         judge: Box<dyn Judge>,
         kept: Option<PersistedState>,
         now: Millis,
-        out: &mut Vec<SubscriberAction>,
+        actions: &mut Vec<SubscriberAction>,
     ) -> Subscriber {
         let kept = kept.unwrap_or_default();
         let mut subscriber = Subscriber::watching_from(settings, judge, &kept, now);
         if kept.position != Position::default() {
-            subscriber.restore(kept, out);
+            subscriber.restore(kept, actions);
         }
         subscriber
     }
@@ -120,12 +120,12 @@
     }
 
     /// Takes an event and appends what is to be done, in order.
-    pub fn on_event(&mut self, now: Millis, event: SubscriberEvent, out: &mut Vec<SubscriberAction>) {
+    pub fn on_event(&mut self, now: Millis, event: SubscriberEvent, actions: &mut Vec<SubscriberAction>) {
         match event {
-            SubscriberEvent::Link(event) => self.on_link(now, event, out),
-            SubscriberEvent::Applied(position) => self.on_applied(position, out),
+            SubscriberEvent::Link(event) => self.on_link(now, event, actions),
+            SubscriberEvent::Applied(position) => self.on_applied(position, actions),
         }
-        self.report(now, out);
+        self.report(now, actions);
     }
 
     /// When the next tick is needed at the latest.
@@ -182,54 +182,54 @@
         self.follower.share_table(other)
     }
 
-    fn on_link(&mut self, now: Millis, event: FollowerEvent, out: &mut Vec<SubscriberAction>) {
+    fn on_link(&mut self, now: Millis, event: FollowerEvent, actions: &mut Vec<SubscriberAction>) {
         if matches!(event, FollowerEvent::Received(_)) {
             self.reporter.server_heard(now);
         }
-        let mut actions = std::mem::take(&mut self.follower_actions);
-        self.follower.on_event(now, event, &mut actions);
-        for action in actions.drain(..) {
+        let mut follower_actions = std::mem::take(&mut self.follower_actions);
+        self.follower.on_event(now, event, &mut follower_actions);
+        for action in follower_actions.drain(..) {
             match action {
                 FollowerAction::Link(action) => {
                     if matches!(action, LinkAction::Send(ToServer::Watch { .. })) {
                         self.reporter.session_opened(now);
                     }
-                    out.push(SubscriberAction::Link(action));
+                    actions.push(SubscriberAction::Link(action));
                 }
-                FollowerAction::Advanced(advance) => self.on_advance(advance, out),
+                FollowerAction::Advanced(advance) => self.on_advance(advance, actions),
             }
         }
-        self.follower_actions = actions;
+        self.follower_actions = follower_actions;
     }
 
-    fn on_applied(&mut self, position: Position, out: &mut Vec<SubscriberAction>) {
+    fn on_applied(&mut self, position: Position, actions: &mut Vec<SubscriberAction>) {
         if position > self.in_force.position || position < self.applied {
             return;
         }
         self.applied = position;
         while let Some(record) = self.waiting_records.pop(position) {
-            out.push(SubscriberAction::Persist(record));
+            actions.push(SubscriberAction::Persist(record));
         }
     }
 
-    fn on_advance(&mut self, advance: Advance, out: &mut Vec<SubscriberAction>) {
+    fn on_advance(&mut self, advance: Advance, actions: &mut Vec<SubscriberAction>) {
         let stopped_at = self.in_force.stopped_at.take();
         match (advance, stopped_at) {
             (Advance::Deltas { before, transactions }, None) => {
-                self.take_transactions(before, &transactions, out);
+                self.take_transactions(before, &transactions, actions);
             }
             (Advance::Deltas { transactions, .. }, Some(stopped_at)) => {
                 let published = transactions.last().map_or(0, |last| last.published_unix_ms);
-                self.take_difference(stopped_at, published, out);
+                self.take_difference(stopped_at, published, actions);
             }
             (Advance::Snapshot { before, published_unix_ms, .. }, stopped_at) => {
-                self.take_difference(stopped_at.unwrap_or(before), published_unix_ms, out);
+                self.take_difference(stopped_at.unwrap_or(before), published_unix_ms, actions);
             }
         }
     }
 
     /// Judges all that differs between `base` and the mirror as one change.
-    fn take_difference(&mut self, base: Table, published_unix_ms: u64, out: &mut Vec<SubscriberAction>) {
+    fn take_difference(&mut self, base: Table, published_unix_ms: u64, actions: &mut Vec<SubscriberAction>) {
         let changes = match self.acceptable_difference(&base) {
             Ok(changes) => changes,
             Err(rejection) => return self.refuse_difference(base, rejection.reason()),
@@ -240,7 +240,7 @@
         self.in_force.published_unix_ms = published_unix_ms;
         let record = Persist::Replace(self.in_force.to_persisted(self.follower.table()));
         self.waiting_records.push(self.in_force.position, record, PersistedState::default);
-        self.put_in_force(changes, out);
+        self.put_in_force(changes, actions);
     }
 
     /// What can come in force of the difference: with the keys that are held back, since a snapshot does not say which
@@ -272,7 +272,7 @@
     }
 
     /// Takes the kept state: its mirror is the follower's already.
-    fn restore(&mut self, kept: PersistedState, out: &mut Vec<SubscriberAction>) {
+    fn restore(&mut self, kept: PersistedState, actions: &mut Vec<SubscriberAction>) {
         let mut table = kept.mirror.clone();
         table.apply(&kept.held_back);
         let changes: Vec<Change> = table.iter().cloned().map(Change::Put).collect();
@@ -281,7 +281,7 @@
             return;
         }
         self.take_kept(&kept);
-        self.put_in_force(changes, out);
+        self.put_in_force(changes, actions);
     }
 
     fn take_kept(&mut self, kept: &PersistedState) {
@@ -290,9 +290,9 @@
         self.in_force.published_unix_ms = kept.published_unix_ms;
     }
 
-    fn put_in_force(&mut self, changes: Vec<Change>, out: &mut Vec<SubscriberAction>) {
+    fn put_in_force(&mut self, changes: Vec<Change>, actions: &mut Vec<SubscriberAction>) {
         self.counters.updates += 1;
-        out.push(SubscriberAction::InForce(Update {
+        actions.push(SubscriberAction::InForce(Update {
             position: self.in_force.position,
             changes,
             published_unix_ms: self.in_force.published_unix_ms,
@@ -304,7 +304,7 @@
         self.reporter.refuse(Refusal { member: self.member.clone(), position, reason });
     }
 
-    fn report(&mut self, now: Millis, out: &mut Vec<SubscriberAction>) {
+    fn report(&mut self, now: Millis, actions: &mut Vec<SubscriberAction>) {
         if !self.follower.is_open() {
             return;
         }
@@ -316,7 +316,7 @@
             refusing: u32::from(refusing),
         };
         if let Some(message) = self.reporter.report(now, || vec![progress]) {
-            out.push(SubscriberAction::Link(LinkAction::Send(message)));
+            actions.push(SubscriberAction::Link(LinkAction::Send(message)));
         }
     }
 }
--- a/crates/config-sync/src/subscriber/transactions.rs
+++ b/crates/config-sync/src/subscriber/transactions.rs
@@ -13,7 +13,7 @@
         &mut self,
         before: Table,
         transactions: &[Arc<Transaction>],
-        out: &mut Vec<SubscriberAction>,
+        actions: &mut Vec<SubscriberAction>,
     ) {
         let mut mirror = LaggingTable::new(before);
         let mut changes = BTreeMap::new();
@@ -37,7 +37,7 @@
             taken += 1;
         }
         if taken > 0 {
-            self.put_in_force(changes.into_values().collect(), out);
+            self.put_in_force(changes.into_values().collect(), actions);
         }
     }
 
