--- a/crates/config-sync/src/net/mod.rs
+++ b/crates/config-sync/src/net/mod.rs
@@ -4,6 +4,7 @@
 
 mod client_settings;
 mod clock;
+mod compaction;
 mod encoder;
 mod link;
 mod node;
--- a/crates/config-sync/src/net/publisher_core.rs
+++ b/crates/config-sync/src/net/publisher_core.rs
@@ -1,6 +1,7 @@
 //! The publisher's thread: carries out what its state machine decides.
 
 use super::clock::{Clock, unix_ms};
+use super::compaction::Compaction;
 use super::node::{Node, NodeStatus, Ticker, accept, tick};
 use super::proposal::{ProposeFailure, Reply};
 use super::publisher_store::{Opened, PublisherStore};
@@ -22,9 +23,6 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// After so many bytes of transactions a snapshot is taken, however few they are.
-const MAX_APPENDED_BYTES: usize = 64 << 20;
-
 /// What a publisher's owner asks for.
 pub(super) enum Command {
     Propose { changes: Vec<Change>, reply: Reply },
@@ -42,28 +40,6 @@
     },
 }
 
-/// How far compaction is.
-struct Compaction {
-    /// Transactions after which a snapshot is taken.
-    every: u64,
-    /// Transactions since the last one, and their bytes.
-    appended: u64,
-    appended_bytes: usize,
-    /// When the last durable transaction was accepted.
-    published_unix_ms: u64,
-    under_way: bool,
-}
-
-impl Compaction {
-    fn is_due(&self) -> bool {
-        self.appended >= self.every || self.appended_bytes >= MAX_APPENDED_BYTES
-    }
-
-    fn begin(&mut self) {
-        (self.under_way, self.appended, self.appended_bytes) = (true, 0, 0);
-    }
-}
-
 /// The publisher with its store and sessions.
 pub(super) struct Core {
     publisher: RefCell<Publisher>,
@@ -128,13 +104,7 @@
             publisher: RefCell::new(publisher),
             sessions: RefCell::new(Sessions::new(key, log.clone())),
             store: RefCell::new(store),
-            compaction: RefCell::new(Compaction {
-                every: snapshot_every.max(1),
-                appended,
-                appended_bytes: 0,
-                published_unix_ms: 0,
-                under_way: false,
-            }),
+            compaction: RefCell::new(Compaction::new(snapshot_every, appended)),
             poisoned: Cell::new(false),
             reports,
             ticker: Ticker::new(Clock::start()),
