--- a/crates/scale/src/propagation/coordinator.rs
+++ b/crates/scale/src/propagation/coordinator.rs
@@ -1,17 +1,18 @@
 //! A run from its start to its verdict.
 
 use super::Options;
-use super::changes::{planned_transactions, refusing_zone};
+use super::changes::{PlannedTransaction, planned_transactions, refusing_zone};
 use super::cluster::Cluster;
 use super::control::{Command, PositionLine, RunSettings};
-use super::daemons::{DAEMON_ZONE, Daemons};
+use super::daemons::Daemons;
 use super::dataset::base_transactions;
-use super::faults::{fault_count, schedule};
+use super::faults::{TimedStep, fault_count, schedule};
 use super::flow::{Flow, FlowRecord};
 use super::history::Replay;
 use super::judge::{Judge, Verdict};
 use super::pace::proposal_times_ms;
 use super::process::unix_ms;
+use super::readiness::{START_LIMIT, all_nodes, daemons_are_at, is_at, wait_at, wait_listening, wait_ready};
 use super::record::{Observation, read_observations};
 use super::report::{Measured, PropagationReport, UsageSummary};
 use super::supervisor::NodeId;
@@ -21,14 +22,10 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long processes may take to start and to have the first table.
-const START_LIMIT: Duration = Duration::from_secs(180);
 /// How long subscribers may take to have everything once all faults are over.
 const SETTLE_LIMIT: Duration = Duration::from_secs(40);
 /// How long a process may take to answer.
 const ANSWER_LIMIT: Duration = Duration::from_secs(60);
-/// How often subscribers are asked how far they are.
-const STATUS_PERIOD: Duration = Duration::from_millis(250);
 /// The least time for each fault, ms.
 const SHORTEST_TURN_MS: u64 = 2_500;
 /// Loopback networks from which runs at the same time take theirs.
@@ -50,6 +47,37 @@
     Ok(())
 }
 
+/// What is to happen in a run.
+struct Plan {
+    topology: Topology,
+    transactions: Vec<PlannedTransaction>,
+    /// When each transaction is proposed, ms after the beginning.
+    times_ms: Vec<u64>,
+    steps: Vec<TimedStep>,
+}
+
+/// Transactions that one zone refuses.
+struct Refusals {
+    /// Those that it had to refuse.
+    expected: usize,
+    /// Those of them that the publisher was told of.
+    reported: usize,
+}
+
+impl Refusals {
+    fn count(record: &FlowRecord) -> Refusals {
+        let accepted = &record.replay.history().accepted;
+        let positions: Vec<PositionLine> = accepted
+            .iter()
+            .filter(|accepted| accepted.refused)
+            .map(|accepted| accepted.position.into())
+            .collect();
+        let reported =
+            positions.iter().filter(|position| record.refused_positions.contains(position)).count();
+        Refusals { expected: positions.len(), reported }
+    }
+}
+
 struct Coordinator<'run> {
     options: &'run Options,
     settings: RunSettings,
@@ -84,50 +112,30 @@
         let base = self.start_servers()?;
         self.start_subscribers(base)?;
         let mut daemons = self.start_daemons(base)?;
-        let (topology, seed) = (self.settings.topology.clone(), self.settings.seed);
-        let planned = planned_transactions(topology.shape, seed, self.settings.changes);
-        let shortest_ms = fault_count(&topology) as u64 * SHORTEST_TURN_MS;
-        let times_ms = proposal_times_ms(self.settings.changes, self.options.rate, shortest_ms);
-        let duration_ms = times_ms.last().copied().unwrap_or_default();
-        let steps = schedule(&topology, seed, duration_ms);
+        let plan = self.plan();
         self.begin_measuring()?;
         let start_seconds = began.elapsed().as_secs_f64();
-        let mut flow = Flow::new(&topology, &planned, base, self.replay(base));
+        let mut flow = Flow::new(&plan.topology, &plan.transactions, base, self.replay(base));
         let (flow_began, began_unix_ms) = (Instant::now(), unix_ms());
-        flow.run(&mut self.cluster, &times_ms, &steps, START_LIMIT)?;
+        flow.run(&mut self.cluster, &plan.times_ms, &plan.steps, START_LIMIT)?;
         let flow_seconds = flow_began.elapsed().as_secs_f64();
-        let mut failures = Vec::new();
-        let head = flow.head();
-        if !self.settle(&mut flow, head)? {
-            failures.push(format!("not all are at {head:?} after {} s", SETTLE_LIMIT.as_secs()));
-        }
-        if !self.settle_daemons(&mut flow, daemons.len(), head)? {
-            failures.push(format!("not all daemons acknowledged {head:?}"));
-        }
-        let daemons_ended = daemons.ended()?;
-        if daemons_ended > 0 {
-            failures.push(format!("{daemons_ended} daemons ended by themselves"));
-        }
+        let mut failures = self.settle_all(&mut flow, &mut daemons)?;
         let ended_unix_ms = unix_ms();
         let record = flow.into_record();
         failures.extend(record.rejected.iter().map(|reason| format!("the publisher refused {reason}")));
         let (subscribers, relays) = self.usage()?;
         let verdict = self.verdict(&record, ended_unix_ms)?;
-        let history = record.replay.history();
-        let expected = history.accepted.iter().filter(|accepted| accepted.refused);
-        let refused_expected = expected.clone().count();
-        let refused =
-            expected.filter(|accepted| record.refused_positions.contains(&accepted.position.into())).count();
+        let refusals = Refusals::count(&record);
         let measured = Measured {
-            seed,
-            shape: topology.shape,
+            seed: self.settings.seed,
+            shape: plan.topology.shape,
             daemons: daemons.len(),
             daemon_kb_max: daemons.largest_kb(),
-            changes: history.accepted.len(),
-            refused,
-            refused_expected,
-            faults: fault_count(&topology) + refused_expected,
-            steps,
+            changes: record.replay.history().accepted.len(),
+            refused: refusals.reported,
+            refused_expected: refusals.expected,
+            faults: fault_count(&plan.topology) + refusals.expected,
+            steps: plan.steps,
             subscribers,
             relays,
             began_unix_ms,
@@ -141,6 +149,34 @@
         Ok(PropagationReport::new(measured, verdict))
     }
 
+    /// Returns what is to happen, and when, by the seed.
+    fn plan(&self) -> Plan {
+        let (topology, seed) = (self.settings.topology.clone(), self.settings.seed);
+        let transactions = planned_transactions(topology.shape, seed, self.settings.changes);
+        let shortest_ms = fault_count(&topology) as u64 * SHORTEST_TURN_MS;
+        let times_ms = proposal_times_ms(self.settings.changes, self.options.rate, shortest_ms);
+        let duration_ms = times_ms.last().copied().unwrap_or_default();
+        let steps = schedule(&topology, seed, duration_ms);
+        Plan { topology, transactions, times_ms, steps }
+    }
+
+    /// Waits until all are at the head. Returns what did not come to pass.
+    fn settle_all(&mut self, flow: &mut Flow<'_>, daemons: &mut Daemons) -> Result<Vec<String>> {
+        let mut failures = Vec::new();
+        let head = flow.head();
+        if !self.settle(flow, head)? {
+            failures.push(format!("not all are at {head:?} after {} s", SETTLE_LIMIT.as_secs()));
+        }
+        if !self.settle_daemons(flow, daemons.len(), head)? {
+            failures.push(format!("not all daemons acknowledged {head:?}"));
+        }
+        let daemons_ended = daemons.ended()?;
+        if daemons_ended > 0 {
+            failures.push(format!("{daemons_ended} daemons ended by themselves"));
+        }
+        Ok(failures)
+    }
+
     /// Starts the publisher, the proxies and the relays, each level once those above it listen; gives the position of
     /// the first table, which all relays have then.
     fn start_servers(&mut self) -> Result<PositionLine> {
@@ -288,64 +324,6 @@
     by_subscriber
 }
 
-fn wait_listening(cluster: &mut Cluster, what: &str, nodes: &[NodeId]) -> Result<()> {
-    cluster.wait_until(what, START_LIMIT, |cluster| {
-        all_nodes(nodes, |node| Ok(!cluster.node(node)?.listening.is_empty()))
-    })
-}
-
-fn wait_ready(cluster: &mut Cluster, what: &str, nodes: &[NodeId]) -> Result<()> {
-    cluster.wait_until(what, START_LIMIT, |cluster| {
-        all_nodes(nodes, |node| Ok(cluster.node(node)?.ready.is_some()))
-    })
-}
-
-fn wait_at(cluster: &mut Cluster, what: &str, nodes: &[NodeId], position: PositionLine) -> Result<()> {
-    let mut asked = None;
-    cluster.wait_until(what, START_LIMIT, |cluster| is_at(cluster, nodes, position, &mut asked))
-}
-
-/// Whether all are at a position by their last answers; asks them again now and then.
-fn is_at(
-    cluster: &mut Cluster,
-    nodes: &[NodeId],
-    position: PositionLine,
-    asked: &mut Option<Instant>,
-) -> Result<bool> {
-    if asked.is_none_or(|asked| asked.elapsed() >= STATUS_PERIOD) {
-        *asked = Some(Instant::now());
-        nodes.iter().try_for_each(|&node| cluster.send(node, &Command::Status))?;
-    }
-    all_nodes(nodes, |node| Ok(cluster.node(node)?.status.is_some_and(|least| least >= position)))
-}
-
-/// Whether so many daemons acknowledged a position, as the publisher has it.
-fn daemons_are_at(
-    cluster: &mut Cluster,
-    count: usize,
-    position: PositionLine,
-    asked: &mut Option<Instant>,
-) -> Result<bool> {
-    if count == 0 {
-        return Ok(true);
-    }
-    if asked.is_none_or(|asked| asked.elapsed() >= STATUS_PERIOD) {
-        *asked = Some(Instant::now());
-        cluster.send(NodeId::Publisher, &Command::ZoneStatus { zone: DAEMON_ZONE.into() })?;
-    }
-    let status = cluster.node(NodeId::Publisher)?.zone_status;
-    Ok(status.is_some_and(|(subscribers, least)| subscribers as usize == count && least >= position))
-}
-
-fn all_nodes(nodes: &[NodeId], mut holds: impl FnMut(NodeId) -> Result<bool>) -> Result<bool> {
-    for &node in nodes {
-        if !holds(node)? {
-            return Ok(false);
-        }
-    }
-    Ok(true)
-}
-
 /// Runs at the same time are different processes.
 fn loopback_octet() -> u8 {
     let octets = LOOPBACK_OCTETS.end - LOOPBACK_OCTETS.start;
--- a/crates/scale/src/propagation/mod.rs
+++ b/crates/scale/src/propagation/mod.rs
@@ -21,6 +21,7 @@
 pub mod outage;
 pub mod pace;
 mod process;
+mod readiness;
 pub mod record;
 mod report;
 mod servers;
