--- a/src/codec/http.rs
+++ b/src/codec/http/decoder.rs
@@ -1,67 +1,13 @@
-//! HTTP/1.1 from the client's side: writes a request, reads replies out of a growing buffer. It owns the bounds on
-//! head and body; it must never take a reply for whole before its last byte is there.
+//! The decoder of HTTP replies.
 
-use std::fmt::Write as _;
+use super::error::Error;
+use super::reply::Reply;
 
 /// The longest head of a reply, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
 /// The longest body of a reply, in bytes.
 const MAX_BODY: usize = 64 * 1024;
 
-/// A whole reply.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply {
-    /// The status code.
-    pub status: u16,
-    /// Header fields, names in lower case.
-    pub headers: Vec<(String, String)>,
-    /// The body.
-    pub body: Vec<u8>,
-    /// The connection may carry a further call.
-    pub keep_alive: bool,
-}
-
-impl Reply {
-    /// The value of a header field, by its name in lower case.
-    pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
-    }
-}
-
-/// Why bytes are no reply.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Error {
-    /// The head is no head of HTTP/1.
-    BadHead,
-    /// Head or body break their bound.
-    TooLong,
-    /// A length or chunk size that can't be read.
-    BadLength,
-}
-
-impl std::fmt::Display for Error {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Error::BadHead => "no HTTP/1 reply",
-            Error::TooLong => "reply too long",
-            Error::BadLength => "bad length in a reply",
-        })
-    }
-}
-
-/// A request with its body, ready to be written.
-pub fn request(method: &str, path: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {}\r\n", body.len());
-    for (name, value) in headers {
-        let done = write!(head, "{name}: {value}\r\n");
-        debug_assert!(done.is_ok());
-    }
-    head.push_str("\r\n");
-    let mut out = head.into_bytes();
-    out.extend_from_slice(body);
-    out
-}
-
 /// Takes bytes as they come and gives whole replies.
 #[derive(Default)]
 pub struct Decoder {
--- a/src/codec/json.rs
+++ b/src/codec/json/parser.rs
@@ -1,72 +1,11 @@
-//! JSON: reads one whole text into a value, and cuts a stream into lines. It owns the bounds on depth and on the
-//! length of a line; it must never follow nesting without a bound, nor hold more of a line than that.
+//! The parser of JSON texts.
+
+use super::error::Error;
+use super::value::Value;
 
 /// The deepest nesting.
 const MAX_DEPTH: usize = 32;
 
-/// One value.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Value {
-    /// null
-    Null,
-    /// A boolean.
-    Bool(bool),
-    /// A number.
-    Number(f64),
-    /// A string.
-    Str(String),
-    /// An array.
-    Array(Vec<Value>),
-    /// An object, in the order of the text.
-    Object(Vec<(String, Value)>),
-}
-
-impl Value {
-    /// The member of an object.
-    pub fn get(&self, key: &str) -> Option<&Value> {
-        match self {
-            Value::Object(members) => members.iter().find(|(k, _)| k == key).map(|(_, v)| v),
-            _ => None,
-        }
-    }
-
-    /// The text of a string.
-    pub fn as_str(&self) -> Option<&str> {
-        match self {
-            Value::Str(text) => Some(text),
-            _ => None,
-        }
-    }
-
-    /// The number.
-    pub fn as_f64(&self) -> Option<f64> {
-        match self {
-            Value::Number(n) => Some(*n),
-            _ => None,
-        }
-    }
-
-    /// The number, if it is whole and from 0.
-    pub fn as_u64(&self) -> Option<u64> {
-        self.as_f64().filter(|n| n.fract() == 0.0 && (0.0..9e15).contains(n)).map(|n| n as u64)
-    }
-}
-
-/// Why a text is no JSON, and at which byte.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Error {
-    /// The byte, from 0.
-    pub at: usize,
-    /// What is wrong there.
-    pub what: &'static str,
-}
-
-impl std::fmt::Display for Error {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "no JSON at byte {}: {}", self.at, self.what)
-    }
-}
-
 struct Parser<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -242,72 +181,3 @@
     let value = parser.value(0)?;
     if parser.at < bytes.len() { parser.fault("more after the value") } else { Ok(value) }
 }
-
-/// Appends a string in quotes.
-pub fn put_str(out: &mut String, text: &str) {
-    use std::fmt::Write as _;
-    out.push('"');
-    for c in text.chars() {
-        match c {
-            '"' | '\\' => out.extend(['\\', c]),
-            '\0'..='\u{1f}' => {
-                let done = write!(out, "\\u{:04x}", u32::from(c));
-                debug_assert!(done.is_ok());
-            }
-            _ => out.push(c),
-        }
-    }
-    out.push('"');
-}
-
-/// Takes bytes as they come and gives whole lines; a line over the bound is dropped up to its end.
-pub struct Lines {
-    buffer: Vec<u8>,
-    at: usize,
-    max: usize,
-    skipping: bool,
-}
-
-/// What [`Lines`] found.
-#[derive(Debug, PartialEq, Eq)]
-pub enum Line {
-    /// A line, without its end.
-    Whole(Vec<u8>),
-    /// A line over the bound begins here; it is passed over.
-    TooLong,
-}
-
-impl Lines {
-    /// Lines of at most so many bytes.
-    pub fn new(max: usize) -> Self {
-        Lines { buffer: Vec::new(), at: 0, max, skipping: false }
-    }
-
-    /// Adds bytes that came.
-    pub fn feed(&mut self, bytes: &[u8]) {
-        self.buffer.drain(..self.at);
-        self.at = 0;
-        self.buffer.extend_from_slice(bytes);
-    }
-
-    /// The next line, if its end is there.
-    pub fn next_line(&mut self) -> Option<Line> {
-        loop {
-            let rest = &self.buffer[self.at..];
-            let end = rest.iter().position(|b| *b == b'\n');
-            let length = end.unwrap_or(rest.len());
-            if length > self.max || self.skipping {
-                let known = std::mem::replace(&mut self.skipping, end.is_none());
-                self.at += end.map_or(length, |e| e + 1);
-                if !known {
-                    return Some(Line::TooLong);
-                }
-                end?;
-                continue;
-            }
-            let line = rest[..end?].to_vec();
-            self.at += length + 1;
-            return Some(Line::Whole(line));
-        }
-    }
-}
--- /dev/null
+++ b/src/codec/msgpack/encode.rs
@@ -0,0 +1,68 @@
+//! Encoding of the few forms that responses need.
+
+/// Writes an array's head.
+pub fn put_array(out: &mut Vec<u8>, n: u8) {
+    debug_assert!(n < 16);
+    out.push(0x90 | n);
+}
+
+/// Writes a map's head.
+pub fn put_map(out: &mut Vec<u8>, n: u8) {
+    debug_assert!(n < 16);
+    out.push(0x80 | n);
+}
+
+/// Writes nil.
+pub fn put_nil(out: &mut Vec<u8>) {
+    out.push(0xc0);
+}
+
+/// Writes a boolean.
+pub fn put_bool(out: &mut Vec<u8>, value: bool) {
+    out.push(if value { 0xc3 } else { 0xc2 });
+}
+
+/// Writes a whole number in its shortest form.
+pub fn put_uint(out: &mut Vec<u8>, n: u64) {
+    match n {
+        0..=0x7f => out.push(n as u8),
+        0x80..=0xff => out.extend([0xcc, n as u8]),
+        0x100..=0xffff => {
+            out.push(0xcd);
+            out.extend((n as u16).to_be_bytes());
+        }
+        0x1_0000..=0xffff_ffff => {
+            out.push(0xce);
+            out.extend((n as u32).to_be_bytes());
+        }
+        _ => {
+            out.push(0xcf);
+            out.extend(n.to_be_bytes());
+        }
+    }
+}
+
+/// Writes a string.
+pub fn put_str(out: &mut Vec<u8>, text: &str) {
+    match text.len() {
+        n @ 0..=31 => out.push(0xa0 | n as u8),
+        n @ 32..=255 => out.extend([0xd9, n as u8]),
+        n => {
+            out.push(0xdb);
+            out.extend((n as u32).to_be_bytes());
+        }
+    }
+    out.extend(text.as_bytes());
+}
+
+/// Writes bytes.
+pub fn put_bin(out: &mut Vec<u8>, bytes: &[u8]) {
+    match bytes.len() {
+        n @ 0..=255 => out.extend([0xc4, n as u8]),
+        n => {
+            out.push(0xc6);
+            out.extend((n as u32).to_be_bytes());
+        }
+    }
+    out.extend(bytes);
+}
--- /dev/null
+++ b/src/codec/msgpack/reader.rs
@@ -0,0 +1,120 @@
+//! The reader of one message.
+
+use super::error::Error;
+use super::value::Value;
+
+/// The longest message that is taken in, with everything around its body, in bytes: the largest request takes less
+/// than half of that, and every connection may hold one in part.
+pub const MAX_MESSAGE: usize = 8 * 1024;
+/// The deepest nesting.
+const MAX_DEPTH: usize = 8;
+/// The most values in one message.
+const MAX_VALUES: usize = 1024;
+
+/// What stops a parse: a fault, or the end of what has come so far.
+pub(super) enum Stop {
+    Fault(Error),
+    More,
+}
+
+pub(super) struct Reader<'a> {
+    pub(super) bytes: &'a [u8],
+    pub(super) at: usize,
+    pub(super) values: usize,
+}
+
+impl<'a> Reader<'a> {
+    pub(super) fn take(&mut self, n: usize) -> Result<&'a [u8], Stop> {
+        if n > MAX_MESSAGE || self.at + n > MAX_MESSAGE {
+            return Err(Stop::Fault(Error::TooLong));
+        }
+        let taken = self.bytes.get(self.at..self.at + n).ok_or(Stop::More)?;
+        self.at += n;
+        Ok(taken)
+    }
+
+    fn number(&mut self, width: usize) -> Result<u64, Stop> {
+        Ok(self.take(width)?.iter().fold(0, |n, b| n << 8 | u64::from(*b)))
+    }
+
+    fn length(&mut self, width: usize) -> Result<usize, Stop> {
+        usize::try_from(self.number(width)?).map_err(|_| Stop::Fault(Error::TooLong))
+    }
+
+    fn signed(&mut self, width: usize) -> Result<Value, Stop> {
+        let shift = 64 - 8 * width as u32;
+        let n = (self.number(width)? << shift) as i64 >> shift;
+        Ok(u64::try_from(n).map_or(Value::Int(n), Value::Uint))
+    }
+
+    fn bytes(&mut self, n: usize) -> Result<Vec<u8>, Stop> {
+        Ok(self.take(n)?.to_vec())
+    }
+
+    fn ext(&mut self, n: usize) -> Result<Value, Stop> {
+        self.take(n.saturating_add(1))?;
+        Ok(Value::Ext)
+    }
+
+    fn array(&mut self, n: usize, depth: usize) -> Result<Value, Stop> {
+        let mut items = Vec::new();
+        for _ in 0..n {
+            items.push(self.value(depth + 1)?);
+        }
+        Ok(Value::Array(items))
+    }
+
+    fn map(&mut self, n: usize, depth: usize) -> Result<Value, Stop> {
+        let mut pairs = Vec::new();
+        for _ in 0..n {
+            pairs.push((self.value(depth + 1)?, self.value(depth + 1)?));
+        }
+        Ok(Value::Map(pairs))
+    }
+
+    pub(super) fn value(&mut self, depth: usize) -> Result<Value, Stop> {
+        self.values += 1;
+        if self.values > MAX_VALUES {
+            return Err(Stop::Fault(Error::TooLong));
+        }
+        if depth > MAX_DEPTH {
+            return Err(Stop::Fault(Error::TooDeep));
+        }
+        let head = self.take(1)?[0];
+        Ok(match head {
+            0x00..=0x7f => Value::Uint(u64::from(head)),
+            0x80..=0x8f => self.map(usize::from(head & 0x0f), depth)?,
+            0x90..=0x9f => self.array(usize::from(head & 0x0f), depth)?,
+            0xa0..=0xbf => Value::Str(self.bytes(usize::from(head & 0x1f))?),
+            0xc0 => Value::Nil,
+            0xc1 => return Err(Stop::Fault(Error::BadByte)),
+            0xc2 | 0xc3 => Value::Bool(head == 0xc3),
+            0xc4..=0xc6 => {
+                let n = self.length(1 << (head - 0xc4))?;
+                Value::Bin(self.bytes(n)?)
+            }
+            0xc7..=0xc9 => {
+                let n = self.length(1 << (head - 0xc7))?;
+                self.ext(n)?
+            }
+            0xca => Value::Float(f64::from(f32::from_bits(self.number(4)? as u32))),
+            0xcb => Value::Float(f64::from_bits(self.number(8)?)),
+            0xcc..=0xcf => Value::Uint(self.number(1 << (head - 0xcc))?),
+            0xd0..=0xd3 => self.signed(1 << (head - 0xd0))?,
+            0xd4..=0xd8 => self.ext(1 << (head - 0xd4))?,
+            0xd9..=0xdb => {
+                let n = self.length(1 << (head - 0xd9))?;
+                Value::Str(self.bytes(n)?)
+            }
+            0xdc | 0xdd => {
+                let n = self.length(if head == 0xdc { 2 } else { 4 })?;
+                self.array(n, depth)?
+            }
+            0xde | 0xdf => {
+                let n = self.length(if head == 0xde { 2 } else { 4 })?;
+                self.map(n, depth)?
+            }
+            0xe0..=0xff => Value::Int(i64::from(head as i8)),
+        })
+    }
+}
