--- a/src/codec/http/decoder.rs
+++ b/src/codec/http/decoder.rs
@@ -8,72 +8,99 @@
 /// The longest body of a reply, in bytes.
 const MAX_BODY: usize = 64 * 1024;
 
-/// Takes bytes as they come and gives whole replies.
+/// The end of a line.
+const END_OF_LINE: &[u8] = b"\r\n";
+/// The end of a head.
+const END_OF_HEAD: &[u8] = b"\r\n\r\n";
+/// Header field of the length of a body.
+const CONTENT_LENGTH: &str = "content-length";
+
+/// Decodes whole replies from bytes in any pieces.
 #[derive(Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
 }
 
 impl Decoder {
-    /// Adds bytes that came.
+    /// Adds bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether nothing is left over.
+    /// Returns whether all bytes were decoded.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The next whole reply, if it is there; `ended` says that no more bytes will come, which closes a body
-    /// without a stated length. Interim replies (1xx) are passed over.
+    /// Returns the next reply if it is whole. `ended` says that no more bytes will come, which ends a body without a
+    /// stated length. Interim replies (1xx) are skipped.
     ///
     /// # Errors
-    /// On bytes that are no reply or break a bound.
+    /// If the bytes are no reply or past a limit.
     pub fn next_reply(&mut self, ended: bool) -> Result<Option<Reply>, Error> {
         loop {
-            let Some(head_len) = self.buffer.windows(4).position(|w| w == b"\r\n\r\n") else {
-                return if self.buffer.len() > MAX_HEAD { Err(Error::TooLong) } else { Ok(None) };
-            };
-            if head_len > MAX_HEAD {
-                return Err(Error::TooLong);
-            }
-            let mut reply = read_head(&self.buffer[..head_len])?;
-            let from = head_len + 4;
+            let Some(head_length) = self.head_length()? else { return Ok(None) };
+            let mut reply = read_head(&self.buffer[..head_length])?;
+            let body_start = head_length + END_OF_HEAD.len();
             if (100..200).contains(&reply.status) {
-                self.buffer.drain(..from);
+                self.buffer.drain(..body_start);
                 continue;
             }
-            let rest = &self.buffer[from..];
-            let chunked =
-                reply.header("transfer-encoding").is_some_and(|v| v.to_ascii_lowercase().contains("chunked"));
-            let lengths = || reply.headers.iter().filter(|(n, _)| n == "content-length").map(|(_, v)| v);
-            // Two lengths that differ, or a length beside chunks: where the body ends can't be known, and to pick one
-            // would take a part of it for the whole.
-            if lengths().any(|v| Some(v) != lengths().next()) || chunked && lengths().next().is_some() {
-                return Err(Error::BadLength);
-            }
-            let used = if reply.status == 204 || reply.status == 304 {
-                Some(0)
-            } else if chunked {
-                read_chunks(rest, &mut reply.body)?
-            } else if let Some(length) = reply.header("content-length") {
-                let length = parse_length(length, 10)?;
-                reply.body = rest[..length.min(rest.len())].to_vec();
-                (rest.len() >= length).then_some(length)
-            } else {
-                if rest.len() > MAX_BODY {
-                    return Err(Error::TooLong);
-                }
-                reply.keep_alive = false;
-                reply.body = rest.to_vec();
-                ended.then_some(rest.len())
+            let Some(body_length) = read_body(&self.buffer[body_start..], &mut reply, ended)? else {
+                return Ok(None);
             };
-            let Some(used) = used else { return Ok(None) };
-            self.buffer.drain(..from + used);
+            self.buffer.drain(..body_start + body_length);
             return Ok(Some(reply));
         }
     }
+
+    /// Returns the length of the head without its end, once the end has come.
+    fn head_length(&self) -> Result<Option<usize>, Error> {
+        let found = self.buffer.windows(END_OF_HEAD.len()).position(|bytes| bytes == END_OF_HEAD);
+        if found.unwrap_or(self.buffer.len()) > MAX_HEAD {
+            return Err(Error::TooLong);
+        }
+        Ok(found)
+    }
+}
+
+/// Reads the body of a reply, and returns how many bytes it takes once it is whole.
+fn read_body(rest: &[u8], reply: &mut Reply, ended: bool) -> Result<Option<usize>, Error> {
+    let is_chunked = is_chunked(reply);
+    check_lengths(reply, is_chunked)?;
+    if reply.status == 204 || reply.status == 304 {
+        return Ok(Some(0));
+    }
+    if is_chunked {
+        return read_chunks(rest, &mut reply.body);
+    }
+    if let Some(length) = reply.header(CONTENT_LENGTH) {
+        let length = parse_length(length, 10)?;
+        reply.body = rest[..length.min(rest.len())].to_vec();
+        return Ok((rest.len() >= length).then_some(length));
+    }
+    if rest.len() > MAX_BODY {
+        return Err(Error::TooLong);
+    }
+    reply.keep_alive = false;
+    reply.body = rest.to_vec();
+    Ok(ended.then_some(rest.len()))
+}
+
+fn is_chunked(reply: &Reply) -> bool {
+    let encoding = reply.header("transfer-encoding");
+    encoding.is_some_and(|encoding| encoding.to_ascii_lowercase().contains("chunked"))
+}
+
+/// Checks that the end of the body is known: two lengths that differ, or a length beside chunks, would make it a guess.
+fn check_lengths(reply: &Reply, is_chunked: bool) -> Result<(), Error> {
+    let mut lengths =
+        reply.headers.iter().filter(|(name, _)| name == CONTENT_LENGTH).map(|(_, length)| length);
+    let Some(first) = lengths.next() else { return Ok(()) };
+    if is_chunked || lengths.any(|length| length != first) {
+        return Err(Error::BadLength);
+    }
+    Ok(())
 }
 
 fn parse_length(text: &str, radix: u32) -> Result<usize, Error> {
@@ -100,41 +127,50 @@
         headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
     }
     let mut reply = Reply { status, headers, body: Vec::new(), keep_alive: true };
-    let said = reply.header("connection").unwrap_or("").to_ascii_lowercase();
-    reply.keep_alive = if version == "HTTP/1.1" { said != "close" } else { said == "keep-alive" };
+    let connection = reply.header("connection").unwrap_or("").to_ascii_lowercase();
+    reply.keep_alive = if version == "HTTP/1.1" { connection != "close" } else { connection == "keep-alive" };
     Ok(reply)
 }
 
-/// Reads chunks into `body`; how many bytes they take, once the last is there.
+/// Reads chunks into `body`, and returns how many bytes they take once the last has come.
 fn read_chunks(bytes: &[u8], body: &mut Vec<u8>) -> Result<Option<usize>, Error> {
     let mut at = 0;
     loop {
-        let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
-            return if bytes.len() - at > MAX_HEAD { Err(Error::TooLong) } else { Ok(None) };
-        };
+        let Some(end) = line_length(&bytes[at..])? else { return Ok(None) };
         let line = std::str::from_utf8(&bytes[at..at + end]).map_err(|_| Error::BadLength)?;
         let size = parse_length(line.split(';').next().unwrap_or(""), 16)?;
-        at += end + 2;
+        at += end + END_OF_LINE.len();
         if size == 0 {
-            // Trailers end with an empty line.
-            loop {
-                let Some(end) = bytes[at..].windows(2).position(|w| w == b"\r\n") else {
-                    return if bytes.len() - at > MAX_HEAD { Err(Error::TooLong) } else { Ok(None) };
-                };
-                at += end + 2;
-                if end == 0 {
-                    return Ok(Some(at));
-                }
-            }
+            return trailers_end(bytes, at);
         }
         if body.len() + size > MAX_BODY {
             return Err(Error::TooLong);
         }
-        let Some(chunk) = bytes.get(at..at + size + 2) else { return Ok(None) };
-        if !chunk.ends_with(b"\r\n") {
+        let Some(chunk) = bytes.get(at..at + size + END_OF_LINE.len()) else { return Ok(None) };
+        if !chunk.ends_with(END_OF_LINE) {
             return Err(Error::BadLength);
         }
         body.extend_from_slice(&chunk[..size]);
-        at += size + 2;
+        at += size + END_OF_LINE.len();
+    }
+}
+
+/// Returns where the trailers that begin at `at` end, once their empty line has come.
+fn trailers_end(bytes: &[u8], mut at: usize) -> Result<Option<usize>, Error> {
+    loop {
+        let Some(length) = line_length(&bytes[at..])? else { return Ok(None) };
+        at += length + END_OF_LINE.len();
+        if length == 0 {
+            return Ok(Some(at));
+        }
+    }
+}
+
+/// Returns the length of a line without its end, once the end has come.
+fn line_length(bytes: &[u8]) -> Result<Option<usize>, Error> {
+    let found = bytes.windows(END_OF_LINE.len()).position(|pair| pair == END_OF_LINE);
+    if found.is_none() && bytes.len() > MAX_HEAD {
+        return Err(Error::TooLong);
     }
+    Ok(found)
 }
--- a/src/codec/http/error.rs
+++ b/src/codec/http/error.rs
@@ -1,22 +1,15 @@
 //! The error of bytes that are no reply.
 
 /// Why bytes are no reply.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The head is no head of HTTP/1.
+    #[error("no HTTP/1 reply")]
     BadHead,
-    /// Head or body break their bound.
+    /// The head or body is past its limit.
+    #[error("reply too long")]
     TooLong,
     /// A length or chunk size that can't be read.
+    #[error("bad length in a reply")]
     BadLength,
 }
-
-impl std::fmt::Display for Error {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            Error::BadHead => "no HTTP/1 reply",
-            Error::TooLong => "reply too long",
-            Error::BadLength => "bad length in a reply",
-        })
-    }
-}
--- a/src/codec/http/reply.rs
+++ b/src/codec/http/reply.rs
@@ -9,13 +9,13 @@
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// The connection may carry a further call.
+    /// Whether the connection may carry a further request.
     pub keep_alive: bool,
 }
 
 impl Reply {
-    /// The value of a header field, by its name in lower case.
+    /// Returns the value of a header field, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 }
--- a/src/codec/json/encode.rs
+++ b/src/codec/json/encode.rs
@@ -1,17 +1,15 @@
 //! Encoding of JSON strings.
 
-/// Appends a string in quotes.
+/// Appends a string in quotes, with escapes.
 pub fn put_str(out: &mut String, text: &str) {
-    use std::fmt::Write as _;
     out.push('"');
-    for c in text.chars() {
-        match c {
-            '"' | '\\' => out.extend(['\\', c]),
+    for character in text.chars() {
+        match character {
+            '"' | '\\' => out.extend(['\\', character]),
             '\0'..='\u{1f}' => {
-                let done = write!(out, "\\u{:04x}", u32::from(c));
-                debug_assert!(done.is_ok());
+                out.push_str(&format!("\\u{:04x}", u32::from(character)));
             }
-            _ => out.push(c),
+            _ => out.push(character),
         }
     }
     out.push('"');
--- a/src/codec/json/parser.rs
+++ b/src/codec/json/parser.rs
@@ -2,9 +2,14 @@
 
 use super::error::Error;
 use super::value::Value;
+use std::ops::Range;
 
 /// The deepest nesting.
 const MAX_DEPTH: usize = 32;
+/// Code units that are the first of a pair.
+const HIGH_SURROGATES: Range<u32> = 0xd800..0xdc00;
+/// Code units that are the second of a pair.
+const LOW_SURROGATES: Range<u32> = 0xdc00..0xe000;
 
 struct Parser<'a> {
     bytes: &'a [u8],
@@ -12,7 +17,7 @@
 }
 
 impl Parser<'_> {
-    fn fault<T>(&self, what: &'static str) -> Result<T, Error> {
+    fn error<T>(&self, what: &'static str) -> Result<T, Error> {
         Err(Error { at: self.at, what })
     }
 
@@ -20,7 +25,7 @@
         self.bytes.get(self.at).copied()
     }
 
-    fn space(&mut self) {
+    fn skip_whitespace(&mut self) {
         while matches!(self.peek(), Some(b' ' | b'\t' | b'\n' | b'\r')) {
             self.at += 1;
         }
@@ -32,9 +37,9 @@
         found
     }
 
-    fn word(&mut self, word: &str, value: Value) -> Result<Value, Error> {
+    fn literal(&mut self, word: &str, value: Value) -> Result<Value, Error> {
         if !self.bytes[self.at..].starts_with(word.as_bytes()) {
-            return self.fault("no value");
+            return self.error("no value");
         }
         self.at += word.len();
         Ok(value)
@@ -42,39 +47,39 @@
 
     fn value(&mut self, depth: usize) -> Result<Value, Error> {
         if depth > MAX_DEPTH {
-            return self.fault("nested too deep");
+            return self.error("nested too deep");
         }
-        self.space();
+        self.skip_whitespace();
         let value = match self.peek() {
             Some(b'{') => self.object(depth),
             Some(b'[') => self.array(depth),
             Some(b'"') => self.string().map(Value::Str),
-            Some(b't') => self.word("true", Value::Bool(true)),
-            Some(b'f') => self.word("false", Value::Bool(false)),
-            Some(b'n') => self.word("null", Value::Null),
+            Some(b't') => self.literal("true", Value::Bool(true)),
+            Some(b'f') => self.literal("false", Value::Bool(false)),
+            Some(b'n') => self.literal("null", Value::Null),
             Some(b'-' | b'0'..=b'9') => self.number(),
-            _ => self.fault("no value"),
+            _ => self.error("no value"),
         }?;
-        self.space();
+        self.skip_whitespace();
         Ok(value)
     }
 
     fn object(&mut self, depth: usize) -> Result<Value, Error> {
         self.at += 1;
         let mut members = Vec::new();
-        self.space();
+        self.skip_whitespace();
         if self.accept(b'}') {
             return Ok(Value::Object(members));
         }
         loop {
-            self.space();
+            self.skip_whitespace();
             if self.peek() != Some(b'"') {
-                return self.fault("a member has no name");
+                return self.error("a member has no name");
             }
             let name = self.string()?;
-            self.space();
+            self.skip_whitespace();
             if !self.accept(b':') {
-                return self.fault("a colon is missing");
+                return self.error("a colon is missing");
             }
             members.push((name, self.value(depth + 1)?));
             if self.accept(b'}') {
@@ -83,7 +88,7 @@
                 return Ok(Value::Object(members));
             }
             if !self.accept(b',') {
-                return self.fault("an object is not closed");
+                return self.error("an object is not closed");
             }
         }
     }
@@ -91,7 +96,7 @@
     fn array(&mut self, depth: usize) -> Result<Value, Error> {
         self.at += 1;
         let mut items = Vec::new();
-        self.space();
+        self.skip_whitespace();
         if self.accept(b']') {
             return Ok(Value::Array(items));
         }
@@ -101,7 +106,7 @@
                 return Ok(Value::Array(items));
             }
             if !self.accept(b',') {
-                return self.fault("an array is not closed");
+                return self.error("an array is not closed");
             }
         }
     }
@@ -114,70 +119,79 @@
         let text = std::str::from_utf8(&self.bytes[from..self.at]).unwrap_or("");
         match text.parse::<f64>() {
             Ok(n) if n.is_finite() => Ok(Value::Number(n)),
-            _ => self.fault("no number"),
+            _ => self.error("no number"),
         }
     }
 
-    fn hex4(&mut self) -> Result<u32, Error> {
+    fn four_hex_digits(&mut self) -> Result<u32, Error> {
         let digits = self.bytes.get(self.at..self.at + 4).and_then(|d| std::str::from_utf8(d).ok());
         match digits.filter(|d| d.bytes().all(|b| b.is_ascii_hexdigit())) {
             Some(d) => {
                 self.at += 4;
                 Ok(u32::from_str_radix(d, 16).unwrap_or(0))
             }
-            None => self.fault("a bad escape"),
+            None => self.error("a bad escape"),
         }
     }
 
     fn string(&mut self) -> Result<String, Error> {
         self.at += 1;
-        let mut out = Vec::new();
+        let mut text = Vec::new();
         loop {
-            let Some(byte) = self.peek() else { return self.fault("a string is not closed") };
+            let Some(byte) = self.peek() else { return self.error("a string is not closed") };
             self.at += 1;
             match byte {
                 b'"' => break,
                 b'\\' => {
-                    let Some(escape) = self.peek() else { return self.fault("a bad escape") };
-                    self.at += 1;
-                    let plain = match escape {
-                        b'"' | b'\\' | b'/' => char::from(escape),
-                        b'b' => '\u{8}',
-                        b'f' => '\u{c}',
-                        b'n' => '\n',
-                        b'r' => '\r',
-                        b't' => '\t',
-                        b'u' => {
-                            let mut code = self.hex4()?;
-                            if (0xd800..0xdc00).contains(&code) && self.bytes[self.at..].starts_with(b"\\u") {
-                                self.at += 2;
-                                let low = self.hex4()?;
-                                code = if (0xdc00..0xe000).contains(&low) {
-                                    0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00)
-                                } else {
-                                    0xfffd
-                                };
-                            }
-                            char::from_u32(code).unwrap_or('\u{fffd}')
-                        }
-                        _ => return self.fault("a bad escape"),
-                    };
-                    out.extend(plain.encode_utf8(&mut [0; 4]).as_bytes());
+                    let character = self.escape()?;
+                    text.extend(character.encode_utf8(&mut [0; 4]).as_bytes());
                 }
-                0..=0x1f => return self.fault("a raw control character in a string"),
-                _ => out.push(byte),
+                0..=0x1f => return self.error("a raw control character in a string"),
+                _ => text.push(byte),
             }
         }
-        String::from_utf8(out).or_else(|_| self.fault("a string is not UTF-8"))
+        String::from_utf8(text).or_else(|_| self.error("a string is not UTF-8"))
+    }
+
+    /// Reads an escape after its backslash.
+    fn escape(&mut self) -> Result<char, Error> {
+        let Some(escape) = self.peek() else { return self.error("a bad escape") };
+        self.at += 1;
+        match escape {
+            b'"' | b'\\' | b'/' => Ok(char::from(escape)),
+            b'b' => Ok('\u{8}'),
+            b'f' => Ok('\u{c}'),
+            b'n' => Ok('\n'),
+            b'r' => Ok('\r'),
+            b't' => Ok('\t'),
+            b'u' => self.unicode_escape(),
+            _ => self.error("a bad escape"),
+        }
+    }
+
+    /// Reads the digits of a `\u` escape, and those of a second one where the first is the high half of a pair. A half
+    /// without its other half becomes the replacement character.
+    fn unicode_escape(&mut self) -> Result<char, Error> {
+        let mut code = self.four_hex_digits()?;
+        if HIGH_SURROGATES.contains(&code) && self.bytes[self.at..].starts_with(b"\\u") {
+            self.at += 2;
+            let low = self.four_hex_digits()?;
+            code = if LOW_SURROGATES.contains(&low) {
+                0x10000 + ((code - HIGH_SURROGATES.start) << 10) + (low - LOW_SURROGATES.start)
+            } else {
+                u32::from(char::REPLACEMENT_CHARACTER)
+            };
+        }
+        Ok(char::from_u32(code).unwrap_or(char::REPLACEMENT_CHARACTER))
     }
 }
 
-/// Reads one text as a whole.
+/// Parses a text as one value.
 ///
 /// # Errors
-/// On what is no JSON, on anything after the value, and on nesting past the bound.
+/// If the text is no JSON, has anything after the value, or nests past the limit.
 pub fn parse(bytes: &[u8]) -> Result<Value, Error> {
     let mut parser = Parser { bytes, at: 0 };
     let value = parser.value(0)?;
-    if parser.at < bytes.len() { parser.fault("more after the value") } else { Ok(value) }
+    if parser.at < bytes.len() { parser.error("more after the value") } else { Ok(value) }
 }
--- a/src/codec/json/value.rs
+++ b/src/codec/json/value.rs
@@ -1,5 +1,8 @@
 //! A JSON value.
 
+/// Upper end of the whole numbers that are read, below 2^53: each is exact as a double.
+const MAX_WHOLE: f64 = 9e15;
+
 /// One value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
@@ -18,15 +21,15 @@
 }
 
 impl Value {
-    /// The member of an object.
+    /// Returns the first member of an object with this name.
     pub fn get(&self, key: &str) -> Option<&Value> {
         match self {
-            Value::Object(members) => members.iter().find(|(k, _)| k == key).map(|(_, v)| v),
+            Value::Object(members) => members.iter().find(|(name, _)| name == key).map(|(_, value)| value),
             _ => None,
         }
     }
 
-    /// The text of a string.
+    /// Returns the text of a string.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             Value::Str(text) => Some(text),
@@ -34,16 +37,17 @@
         }
     }
 
-    /// The number.
+    /// Returns the number.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
-            Value::Number(n) => Some(*n),
+            Value::Number(number) => Some(*number),
             _ => None,
         }
     }
 
-    /// The number, if it is whole and from 0.
+    /// Returns the number if it is whole and not negative.
     pub fn as_u64(&self) -> Option<u64> {
-        self.as_f64().filter(|n| n.fract() == 0.0 && (0.0..9e15).contains(n)).map(|n| n as u64)
+        let is_whole = |number: &f64| number.fract() == 0.0 && (0.0..MAX_WHOLE).contains(number);
+        self.as_f64().filter(is_whole).map(|number| number as u64)
     }
 }
--- a/src/codec/mod.rs
+++ b/src/codec/mod.rs
@@ -1,6 +1,9 @@
-//! The parsers of the program's own, without any I/O: MessagePack for client proxies, JSON for the worker pool
-//! and the configuration, HTTP/1.1 for the index and the catalog. Each takes bytes as they come, bounds what it
-//! holds and how deep it goes, and must never panic on bytes from outside.
+//! Parsers and encoders of the wire formats, without I/O: MessagePack for clients, JSON for the worker pool and the
+//! configuration, HTTP/1.1 for the upstream service and the registry.
+//!
+//! # Invariants
+//! - Each decoder takes bytes in any pieces and bounds what it holds and how deep it nests.
+//! - No bytes from outside panic.
 
 pub mod http;
 pub mod json;
--- a/src/codec/msgpack/decoder.rs
+++ b/src/codec/msgpack/decoder.rs
@@ -1,10 +1,15 @@
 //! The decoder of a stream of messages.
 
 use super::error::Error;
-use super::reader::{Reader, Stop};
+use super::reader::{ReadError, Reader};
 use super::value::Value;
 
-/// Takes bytes as they come and gives whole messages.
+/// First byte of a request: an array of four elements.
+const REQUEST_ARRAY: u8 = 0x94;
+/// Message type of a request.
+const REQUEST_TYPE: Value = Value::Uint(0);
+
+/// Decodes whole messages from bytes in any pieces.
 #[derive(Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
@@ -12,17 +17,17 @@
 }
 
 impl Decoder {
-    /// Adds bytes that came.
+    /// Adds bytes of the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.at);
         self.at = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if it is there.
+    /// Returns the next message if it is whole.
     ///
     /// # Errors
-    /// On bytes that are no message or break a bound; nothing after them can be read.
+    /// If the bytes are no message or past a limit; nothing after them can be decoded.
     pub fn next_message(&mut self) -> Result<Option<Value>, Error> {
         let mut reader = Reader { bytes: &self.buffer[self.at..], at: 0, values: 0 };
         match reader.value(0) {
@@ -30,24 +35,24 @@
                 self.at += reader.at;
                 Ok(Some(value))
             }
-            Err(Stop::More) => Ok(None),
-            Err(Stop::Fault(e)) => Err(e),
+            Err(ReadError::Incomplete) => Ok(None),
+            Err(ReadError::Invalid(error)) => Err(error),
         }
     }
 
-    /// Whether nothing is left over.
+    /// Returns whether all bytes were decoded.
     pub fn is_empty(&self) -> bool {
         self.at == self.buffer.len()
     }
 
-    /// The message id of the request that the buffer begins with, whatever follows: it serves to answer a
-    /// request that can't be read as a whole.
+    /// Returns the message id of the request that the buffer begins with, whatever follows, to answer a request that
+    /// can't be decoded as a whole.
     pub fn request_id(&self) -> Option<u64> {
         let mut reader = Reader { bytes: &self.buffer[self.at..], at: 0, values: 0 };
         let head = reader.take(1).ok()?[0];
         let kind = reader.value(1).ok()?;
         match reader.value(1).ok()? {
-            Value::Uint(id) if head == 0x94 && kind == Value::Uint(0) => Some(id),
+            Value::Uint(id) if head == REQUEST_ARRAY && kind == REQUEST_TYPE => Some(id),
             _ => None,
         }
     }
--- a/src/codec/msgpack/encode.rs
+++ b/src/codec/msgpack/encode.rs
@@ -1,28 +1,32 @@
 //! Encoding of the few forms that responses need.
 
-/// Writes an array's head.
+/// Appends the head of an array of `n` elements.
 pub fn put_array(out: &mut Vec<u8>, n: u8) {
-    debug_assert!(n < 16);
-    out.push(0x90 | n);
+    match n {
+        0..=15 => out.push(0x90 | n),
+        _ => out.extend([0xdc, 0, n]),
+    }
 }
 
-/// Writes a map's head.
+/// Appends the head of a map of `n` pairs.
 pub fn put_map(out: &mut Vec<u8>, n: u8) {
-    debug_assert!(n < 16);
-    out.push(0x80 | n);
+    match n {
+        0..=15 => out.push(0x80 | n),
+        _ => out.extend([0xde, 0, n]),
+    }
 }
 
-/// Writes nil.
+/// Appends nil.
 pub fn put_nil(out: &mut Vec<u8>) {
     out.push(0xc0);
 }
 
-/// Writes a boolean.
+/// Appends a boolean.
 pub fn put_bool(out: &mut Vec<u8>, value: bool) {
     out.push(if value { 0xc3 } else { 0xc2 });
 }
 
-/// Writes a whole number in its shortest form.
+/// Appends a whole number in its shortest form.
 pub fn put_uint(out: &mut Vec<u8>, n: u64) {
     match n {
         0..=0x7f => out.push(n as u8),
@@ -42,7 +46,7 @@
     }
 }
 
-/// Writes a string.
+/// Appends a string.
 pub fn put_str(out: &mut Vec<u8>, text: &str) {
     match text.len() {
         n @ 0..=31 => out.push(0xa0 | n as u8),
@@ -55,7 +59,7 @@
     out.extend(text.as_bytes());
 }
 
-/// Writes bytes.
+/// Appends bytes.
 pub fn put_bin(out: &mut Vec<u8>, bytes: &[u8]) {
     match bytes.len() {
         n @ 0..=255 => out.extend([0xc4, n as u8]),
--- a/src/codec/msgpack/reader.rs
+++ b/src/codec/msgpack/reader.rs
@@ -3,20 +3,23 @@
 use super::error::Error;
 use super::value::Value;
 
-/// The longest message that is taken in, with everything around its body, in bytes: the largest request takes less
-/// than half of that, and every connection may hold one in part.
+/// The longest message with everything around its body, in bytes: the largest request takes less than half of that, and
+/// each connection may hold one in part.
 pub const MAX_MESSAGE: usize = 8 * 1024;
 /// The deepest nesting.
 const MAX_DEPTH: usize = 8;
 /// The most values in one message.
 const MAX_VALUES: usize = 1024;
 
-/// What stops a parse: a fault, or the end of what has come so far.
-pub(super) enum Stop {
-    Fault(Error),
-    More,
+/// Why a value can't be read.
+pub(super) enum ReadError {
+    /// The bytes are no message.
+    Invalid(Error),
+    /// The value is not whole yet.
+    Incomplete,
 }
 
+/// Reads values from the start of a buffer.
 pub(super) struct Reader<'a> {
     pub(super) bytes: &'a [u8],
     pub(super) at: usize,
@@ -24,39 +27,39 @@
 }
 
 impl<'a> Reader<'a> {
-    pub(super) fn take(&mut self, n: usize) -> Result<&'a [u8], Stop> {
+    pub(super) fn take(&mut self, n: usize) -> Result<&'a [u8], ReadError> {
         if n > MAX_MESSAGE || self.at + n > MAX_MESSAGE {
-            return Err(Stop::Fault(Error::TooLong));
+            return Err(ReadError::Invalid(Error::TooLong));
         }
-        let taken = self.bytes.get(self.at..self.at + n).ok_or(Stop::More)?;
+        let taken = self.bytes.get(self.at..self.at + n).ok_or(ReadError::Incomplete)?;
         self.at += n;
         Ok(taken)
     }
 
-    fn number(&mut self, width: usize) -> Result<u64, Stop> {
+    fn number(&mut self, width: usize) -> Result<u64, ReadError> {
         Ok(self.take(width)?.iter().fold(0, |n, b| n << 8 | u64::from(*b)))
     }
 
-    fn length(&mut self, width: usize) -> Result<usize, Stop> {
-        usize::try_from(self.number(width)?).map_err(|_| Stop::Fault(Error::TooLong))
+    fn length(&mut self, width: usize) -> Result<usize, ReadError> {
+        usize::try_from(self.number(width)?).map_err(|_| ReadError::Invalid(Error::TooLong))
     }
 
-    fn signed(&mut self, width: usize) -> Result<Value, Stop> {
+    fn signed(&mut self, width: usize) -> Result<Value, ReadError> {
         let shift = 64 - 8 * width as u32;
         let n = (self.number(width)? << shift) as i64 >> shift;
         Ok(u64::try_from(n).map_or(Value::Int(n), Value::Uint))
     }
 
-    fn bytes(&mut self, n: usize) -> Result<Vec<u8>, Stop> {
+    fn bytes(&mut self, n: usize) -> Result<Vec<u8>, ReadError> {
         Ok(self.take(n)?.to_vec())
     }
 
-    fn ext(&mut self, n: usize) -> Result<Value, Stop> {
+    fn ext(&mut self, n: usize) -> Result<Value, ReadError> {
         self.take(n.saturating_add(1))?;
         Ok(Value::Ext)
     }
 
-    fn array(&mut self, n: usize, depth: usize) -> Result<Value, Stop> {
+    fn array(&mut self, n: usize, depth: usize) -> Result<Value, ReadError> {
         let mut items = Vec::new();
         for _ in 0..n {
             items.push(self.value(depth + 1)?);
@@ -64,7 +67,7 @@
         Ok(Value::Array(items))
     }
 
-    fn map(&mut self, n: usize, depth: usize) -> Result<Value, Stop> {
+    fn map(&mut self, n: usize, depth: usize) -> Result<Value, ReadError> {
         let mut pairs = Vec::new();
         for _ in 0..n {
             pairs.push((self.value(depth + 1)?, self.value(depth + 1)?));
@@ -72,13 +75,13 @@
         Ok(Value::Map(pairs))
     }
 
-    pub(super) fn value(&mut self, depth: usize) -> Result<Value, Stop> {
+    pub(super) fn value(&mut self, depth: usize) -> Result<Value, ReadError> {
         self.values += 1;
         if self.values > MAX_VALUES {
-            return Err(Stop::Fault(Error::TooLong));
+            return Err(ReadError::Invalid(Error::TooLong));
         }
         if depth > MAX_DEPTH {
-            return Err(Stop::Fault(Error::TooDeep));
+            return Err(ReadError::Invalid(Error::TooDeep));
         }
         let head = self.take(1)?[0];
         Ok(match head {
@@ -87,7 +90,7 @@
             0x90..=0x9f => self.array(usize::from(head & 0x0f), depth)?,
             0xa0..=0xbf => Value::Str(self.bytes(usize::from(head & 0x1f))?),
             0xc0 => Value::Nil,
-            0xc1 => return Err(Stop::Fault(Error::BadByte)),
+            0xc1 => return Err(ReadError::Invalid(Error::BadByte)),
             0xc2 | 0xc3 => Value::Bool(head == 0xc3),
             0xc4..=0xc6 => {
                 let n = self.length(1 << (head - 0xc4))?;
--- a/src/codec/msgpack/value.rs
+++ b/src/codec/msgpack/value.rs
@@ -1,7 +1,7 @@
 //! A MessagePack value.
 
-/// One value. Strings are bytes: whether they are UTF-8 is looked at where they are used, so that a message with
-/// a bad one can still be tied to its id.
+/// One value. Strings are bytes: they are checked as UTF-8 where they are used, so that a message with an invalid one
+/// can still be tied to its id.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// nil
@@ -14,7 +14,7 @@
     Int(i64),
     /// A floating-point number.
     Float(f64),
-    /// A string, perhaps not UTF-8.
+    /// A string, not checked as UTF-8.
     Str(Vec<u8>),
     /// Bytes.
     Bin(Vec<u8>),
@@ -22,6 +22,6 @@
     Array(Vec<Value>),
     /// A map, in the order of the wire.
     Map(Vec<(Value, Value)>),
-    /// An extension, whose content is passed over.
+    /// An extension, whose content is skipped.
     Ext,
 }
