--- a/src/admission/tenant_quota.rs
+++ b/src/admission/tenant_quota.rs
@@ -41,7 +41,7 @@
         self.arrivals.grow(quotas.len());
         self.credits.resize(quotas.len(), 0.0);
         for change in changes.iter().filter(|change| change.per_second.is_none()) {
-            self.arrivals.forget(change.tenant);
+            self.arrivals.reset(change.tenant);
             self.credits[change.tenant] = 0.0;
         }
         self.total_quota = quotas.iter().sum();
@@ -49,7 +49,7 @@
 
     /// Decays the counts to that part of themselves.
     pub(super) fn decay(&mut self, factor: f64) {
-        self.arrivals.fade(factor);
+        self.arrivals.decay(factor);
     }
 
     /// Counts an arrival and returns whether it is beyond its tenant's quota.
--- a/src/decaying_counts.rs
+++ b/src/decaying_counts.rs
@@ -1,4 +1,4 @@
-//! Counts that fade with time, one for each member of a large set, and their sum: an addition and a step of time cost
+//! Counts that decay with time, one for each member of a large set, and their sum: an addition and a step of time cost
 //! the same whatever the number of members.
 //!
 //! This is forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): in place of shrinking all counts with every
@@ -20,12 +20,12 @@
     low: f64,
 }
 
-/// The rounded sum of two numbers and what rounding left out (Knuth's two-sum).
-fn two_sum(a: f64, b: f64) -> (f64, f64) {
-    let sum = a + b;
-    let b_rounded = sum - a;
-    let a_rounded = sum - b_rounded;
-    (sum, (a - a_rounded) + (b - b_rounded))
+/// Returns the rounded sum of two numbers and what rounding left out (Knuth's two-sum).
+fn two_sum(left: f64, right: f64) -> (f64, f64) {
+    let sum = left + right;
+    let right_rounded = sum - left;
+    let left_rounded = sum - right_rounded;
+    (sum, (left - left_rounded) + (right - right_rounded))
 }
 
 impl CompensatedSum {
@@ -55,16 +55,16 @@
     }
 }
 
-/// What an addition finds.
+/// The counts that an addition finds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Added {
-    /// The member's faded count, with the arrival just added.
+pub struct MemberCounts {
+    /// The member's decayed count, with the arrival just added.
     pub own: f64,
-    /// The faded counts of all other members together.
+    /// The decayed counts of all other members together.
     pub others: f64,
 }
 
-/// Fading counts of the members `0..n`.
+/// Decaying counts of the members `0..n`.
 #[derive(Clone, Debug)]
 pub struct DecayingCounts {
     /// The weight of an arrival now.
@@ -82,7 +82,7 @@
 }
 
 impl DecayingCounts {
-    /// So many members, all with a count of zero.
+    /// Returns the counts of so many members, all zero.
     pub fn new(members: usize) -> DecayingCounts {
         DecayingCounts {
             weight: 1.0,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// All counts fade to that part of themselves: at most 1, and at least 2^-64.
-    pub fn fade(&mut self, part: f64) {
+    /// Decays all counts to that part of themselves: at most 1, and at least 2^-64.
+    pub fn decay(&mut self, part: f64) {
         self.weight /= part.clamp(1.0 / WEIGHT_MAX, 1.0);
         if self.weight >= WEIGHT_MAX {
             self.weight /= WEIGHT_MAX;
@@ -103,21 +103,21 @@
         }
     }
 
-    /// Further members, with a count of zero, up to so many in all.
+    /// Adds members with a count of zero, up to so many in all.
     pub fn grow(&mut self, members: usize) {
         self.counts.resize(members.max(self.counts.len()), Count::default());
     }
 
-    /// A member's count is zero from now on.
-    pub fn forget(&mut self, member: usize) {
+    /// Sets a member's count to zero.
+    pub fn reset(&mut self, member: usize) {
         let Some(count) = self.counts.get_mut(member) else { return };
         let before = count.at(self.scalings);
         *count = Count::default();
         self.total.add(-before);
     }
 
-    /// Counts one arrival of a member; none if there is no such member.
-    pub fn add(&mut self, member: usize) -> Option<Added> {
+    /// Counts one arrival of a member; `None` if there is no such member.
+    pub fn add(&mut self, member: usize) -> Option<MemberCounts> {
         let count = self.counts.get_mut(member)?;
         let before = count.at(self.scalings);
         let (value, error) = two_sum(before, self.weight);
@@ -126,6 +126,6 @@
         self.total.add(self.weight);
         self.total.add(-error);
         let others = self.total.minus(value).max(0.0);
-        Some(Added { own: value / self.weight, others: others / self.weight })
+        Some(MemberCounts { own: value / self.weight, others: others / self.weight })
     }
 }
--- a/tests/allowances.rs
+++ b/tests/allowances.rs
@@ -19,7 +19,7 @@
     #[derive(Default)]
     pub struct DecayingCounts(Vec<f64>);
 
-    pub struct Added {
+    pub struct MemberCounts {
         pub own: f64,
         pub others: f64,
     }
@@ -29,7 +29,7 @@
             DecayingCounts(vec![0.0; members])
         }
 
-        pub fn fade(&mut self, part: f64) {
+        pub fn decay(&mut self, part: f64) {
             self.0.iter_mut().for_each(|count| *count *= part);
         }
 
@@ -37,15 +37,15 @@
             self.0.resize(members.max(self.0.len()), 0.0);
         }
 
-        pub fn forget(&mut self, member: usize) {
+        pub fn reset(&mut self, member: usize) {
             self.0[member] = 0.0;
         }
 
-        pub fn add(&mut self, member: usize) -> Option<Added> {
+        pub fn add(&mut self, member: usize) -> Option<MemberCounts> {
             let count = self.0.get_mut(member)?;
             *count += 1.0;
             let own = *count;
-            Some(Added { own, others: self.0.iter().sum::<f64>() - own })
+            Some(MemberCounts { own, others: self.0.iter().sum::<f64>() - own })
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,9 @@
-//! A small driver for tests of the module: plain settings, and a log of what was done.
+//! A small driver for tests of the controller: plain settings, and a log of what was done.
 #![allow(dead_code)]
 
-use dunlinspread::*;
+use dunlinspread::{
+    Action, AdmissionController, Arrival, Class, Event, Gauges, Outcome, RetrySafety, Settings, Signal,
+};
 
 pub fn class(retry_safety: RetrySafety) -> Class {
     Class {
@@ -43,21 +45,21 @@
 }
 
 pub struct Driver {
-    pub policy: AdmissionController,
+    pub controller: AdmissionController,
     pub now: f64,
     next: u64,
 }
 
 impl Driver {
     pub fn new(settings: Settings) -> Self {
-        let mut d = Driver { policy: AdmissionController::new(0.0, settings), now: 0.0, next: 1 };
+        let mut d = Driver { controller: AdmissionController::new(0.0, settings), now: 0.0, next: 1 };
         d.send(Event::Start);
         d
     }
 
     pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.policy.on_event(self.now, event, &mut out);
+        self.controller.on_event(self.now, event, &mut out);
         out
     }
 
@@ -112,6 +114,6 @@
     actions.iter().filter(of).count()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
+pub fn rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: x, .. } if *x == id))
 }
--- a/tests/decaying_counts.rs
+++ b/tests/decaying_counts.rs
@@ -1,4 +1,4 @@
-//! Fading counts against counts that are all faded with every step.
+//! Decaying counts against counts that are all decayed with every step.
 
 use dunlinspread::decaying_counts::DecayingCounts;
 use proptest::prelude::*;
@@ -21,7 +21,7 @@
 
     /// Member 0 gets most, so that the others are often a tiny part; some rests pass several scalings.
     #[test]
-    fn counts_are_those_of_fading_each(
+    fn counts_are_those_of_decaying_each(
         members in 1_usize..6,
         steps in proptest::collection::vec(
             (prop_oneof![8 => Just(0_usize), 2 => 0_usize..6],
@@ -33,7 +33,7 @@
         let (mut counts, mut each) = (DecayingCounts::new(members), vec![0.0_f64; members]);
         for (member, rest) in steps {
             for _ in 0..rest {
-                counts.fade(PART);
+                counts.decay(PART);
                 each.iter_mut().for_each(|count| *count *= PART);
             }
             let Some(added) = counts.add(member) else {
@@ -57,7 +57,7 @@
     let (mut counts, mut other) = (DecayingCounts::new(2), 1.0);
     assert!(counts.add(1).is_some());
     for _ in 0..5000 {
-        counts.fade(PART);
+        counts.decay(PART);
         other *= PART;
         let mut last = None;
         (0..20).for_each(|_| last = counts.add(0));
@@ -73,7 +73,7 @@
     let mut counts = DecayingCounts::new(1);
     for step in 0..200_000_u32 {
         if step % 7 == 0 {
-            counts.fade(PART);
+            counts.decay(PART);
         }
         let added = counts.add(0).expect("there is such a member");
         assert_eq!(added.others, 0.0, "step {step}: {added:?}");
@@ -86,9 +86,9 @@
     let mut counts = DecayingCounts::new(2);
     assert!(counts.add(0).is_some() && counts.add(2).is_none());
     for part in [0.0, -1.0, 2.0, f64::INFINITY] {
-        counts.fade(part);
+        counts.decay(part);
     }
-    (0..400_000).for_each(|_| counts.fade(PART));
+    (0..400_000).for_each(|_| counts.decay(PART));
     let added = counts.add(0).expect("there is such a member");
     assert_eq!((added.own, added.others), (1.0, 0.0));
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -10,7 +10,7 @@
 use dunlinspread::{Class, Preemption, RetrySafety, Settings, Signal};
 use machine::Machine;
 
-/// Every deployment that the settings can describe in what changes the module's duties, by name.
+/// Every deployment that the settings can describe in what changes the controller's duties, by name.
 fn deployments() -> Vec<(String, Settings)> {
     let mut all = Vec::new();
     for told in [false, true] {
@@ -47,7 +47,7 @@
                         },
                         Class { makes_upstream_calls: dependency, ..class(RetrySafety::AtMostOnce) },
                     ];
-                    let set = Settings {
+                    let settings = Settings {
                         passes_deadline: told,
                         preemption,
                         has_upstream: dependency,
@@ -67,7 +67,7 @@
                         classes,
                         ..settings()
                     };
-                    all.push((name, set));
+                    all.push((name, settings));
                 }
             }
         }
@@ -77,30 +77,30 @@
 
 /// Plays every deployment on seeds of its own; what broke, with the case and the seed.
 fn play(seeds: std::ops::Range<u64>, change: fn(&mut Machine)) -> Vec<String> {
-    let mut broken = Vec::new();
-    for (name, set) in deployments() {
+    let mut violations = Vec::new();
+    for (name, settings) in deployments() {
         for seed in seeds.clone() {
-            let mut machine = Machine::new(seed, set.clone());
+            let mut machine = Machine::new(seed, settings.clone());
             change(&mut machine);
             machine.play();
             assert!(machine.served > 20, "{name}, seed {seed}: only {} served", machine.served);
-            broken.extend(machine.broken.iter().map(|what| format!("{name}, seed {seed}: {what}")));
+            violations.extend(machine.violations.iter().map(|what| format!("{name}, seed {seed}: {what}")));
         }
     }
-    broken
+    violations
 }
 
 /// Work that stands still from the start, before any run has shown what it takes: once it goes on, so does service. An
 /// estimate learnt from the runs that stood still must not turn everything away for good.
 #[test]
-fn a_hang_at_the_start_is_over_once_it_is_over() {
-    for (name, mut set) in deployments() {
+fn a_stall_at_the_start_is_over_once_it_is_over() {
+    for (name, mut settings) in deployments() {
         // Where late answers are worth nothing, what looks late is not run.
-        set.classes.iter_mut().for_each(|c| c.late_weight = 0.0);
-        let mut machine = Machine::new(7, set);
-        machine.hang_from_start(3000.0);
+        settings.classes.iter_mut().for_each(|c| c.late_weight = 0.0);
+        let mut machine = Machine::new(7, settings);
+        machine.stall_from_start(3000.0);
         machine.play();
-        assert!(machine.broken.is_empty(), "{name}: {:?}", machine.broken);
+        assert!(machine.violations.is_empty(), "{name}: {:?}", machine.violations);
         let least = machine.served_after.iter().min();
         assert!(least.is_some_and(|n| *n > 10), "{name}: by class {:?} after the hang", machine.served_after);
     }
@@ -108,18 +108,23 @@
 
 #[test]
 fn the_rules_hold_under_every_deployment() {
-    let broken = play(1..4, |_| {});
-    assert!(broken.is_empty(), "{} broken:\n{}", broken.len(), broken[..broken.len().min(10)].join("\n"));
+    let violations = play(1..4, |_| {});
+    assert!(
+        violations.is_empty(),
+        "{} broken:\n{}",
+        violations.len(),
+        violations[..violations.len().min(10)].join("\n")
+    );
 }
 
-/// The fault of the first play on a second deployment: waits that are told, but not to the module.
+/// The fault of the first play on a second deployment: waits that are told, but not to the controller.
 #[test]
-fn a_wait_that_the_module_does_not_hear_is_caught() {
-    let broken = play(1..4, |machine| machine.deaf = true);
-    assert!(broken.iter().all(|b| b.starts_with("told")), "{broken:?}");
-    let broken: Vec<&String> = broken.iter().filter(|b| b.contains("no answer to")).collect();
+fn a_deadline_that_the_controller_does_not_hear_is_caught() {
+    let violations = play(1..4, |machine| machine.hides_deadlines = true);
+    assert!(violations.iter().all(|b| b.starts_with("told")), "{violations:?}");
+    let violations: Vec<&String> = violations.iter().filter(|b| b.contains("no answer to")).collect();
     let told = deployments().iter().filter(|(name, _)| name.starts_with("told")).count();
     let seen: std::collections::BTreeSet<&str> =
-        broken.iter().filter_map(|b| b.split(", seed").next()).collect();
+        violations.iter().filter_map(|b| b.split(", seed").next()).collect();
     assert!(seen.len() * 2 > told, "of {told} deployments with told waits only {} show it", seen.len());
 }
--- a/tests/machine/actions.rs
+++ b/tests/machine/actions.rs
@@ -1,6 +1,8 @@
 //! What the module asks of the machine, carried out, and the rules that an action can break.
 
-use super::*;
+use super::{Entry, Machine, Stage};
+use dunlinspread::{Action, Event, Outcome, Preemption, RequestId, RetrySafety, Signal};
+use rand::RngExt;
 
 impl Machine {
     pub(super) fn carry_out(&mut self, action: Action) {
@@ -11,9 +13,9 @@
                 let safe = self
                     .requests
                     .get(&id)
-                    .is_some_and(|r| self.set.classes[r.class].retry_safety == RetrySafety::Idempotent);
+                    .is_some_and(|r| self.settings.classes[r.class].retry_safety == RetrySafety::Idempotent);
                 if ran && !safe {
-                    self.breaks(format!("refused {id}, which ran"));
+                    self.record_violation(format!("refused {id}, which ran"));
                 }
                 self.final_answer(id);
             }
@@ -23,7 +25,7 @@
             Action::ReserveKey { id, ttl_ms } => {
                 let until = self.now + ttl_ms;
                 let Some(key) = self.requests.get(&id).and_then(|r| r.key) else { return };
-                let entry = Entry { holder: id, until, ran: false, good: None };
+                let entry = Entry { holder: id, until, ran: false, succeeded: None };
                 let entry = self.entries.entry(key).or_insert(entry);
                 (entry.holder, entry.until) = (id, until);
             }
@@ -37,8 +39,8 @@
                     Some(r) if r.stage == Stage::AtCall => r.stage = Stage::Calling(until, end),
                     _ => {}
                 }
-                if !self.set.has_upstream {
-                    self.breaks(format!("a call for {id}, with nothing below"));
+                if !self.settings.has_upstream {
+                    self.record_violation(format!("a call for {id}, with nothing below"));
                 }
             }
             Action::SkipUpstreamCall(id) => {
@@ -46,12 +48,12 @@
                 if r.stage == Stage::AtCall {
                     r.stage = Stage::Running;
                 }
-                if self.set.classes[r.class].degraded_weight <= 0.0 {
-                    self.breaks(format!("left out the call of {id}, which can't be"));
+                if self.settings.classes[r.class].degraded_weight <= 0.0 {
+                    self.record_violation(format!("left out the call of {id}, which can't be"));
                 }
             }
-            Action::AdvertiseShare(_) if self.set.signal != Signal::Share => {
-                self.breaks("said a value that nobody reads".to_owned());
+            Action::AdvertiseShare(_) if self.settings.signal != Signal::Share => {
+                self.record_violation("said a value that nobody reads".to_owned());
             }
             Action::SetTimer { token, delay_ms } => self.timers.push((self.now + delay_ms, token)),
             Action::AdvertiseShare(_) | Action::SetHealth(_) | Action::SetIdleTimeout(_) | Action::Log(_) => {
@@ -61,57 +63,58 @@
 
     pub(super) fn run(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let (class, key, reached, held) = (r.class, r.key, r.reached, r.stage == Stage::Held);
-        let once = self.set.classes[class].retry_safety != RetrySafety::Idempotent;
-        let cut = r.cut;
-        if matches!(r.stage, Stage::Held | Stage::Paused) {
+        let (class, key, arrived_at, held) = (r.class, r.key, r.arrived_at, r.stage == Stage::Queued);
+        let once = self.settings.classes[class].retry_safety != RetrySafety::Idempotent;
+        let preempted = r.preempted;
+        if matches!(r.stage, Stage::Queued | Stage::Suspended) {
             r.stage = Stage::Running;
             if held {
                 (r.since, r.done_ms, r.ran) = (self.now, 0.0, true);
             }
         }
-        if held && once && cut {
-            self.breaks(format!("ran {id} again after it was stopped"));
+        if held && once && preempted {
+            self.record_violation(format!("ran {id} again after it was stopped"));
         }
-        if held && self.leaving.is_some_and(|notice| reached > notice + self.set.drain_grace_ms) {
-            self.breaks(format!("ran {id}, which came too late after the notice"));
+        if held && self.shutdown_at.is_some_and(|notice| arrived_at > notice + self.settings.drain_grace_ms) {
+            self.record_violation(format!("ran {id}, which came too late after the notice"));
         }
         let Some(key) = key.filter(|_| held) else { return };
-        let window = self.set.classes[class].key_window_ms;
+        let window = self.settings.classes[class].key_window_ms;
         if let Some(entry) = self.entries.get_mut(&key) {
-            (entry.ran, entry.good) = (true, None);
+            (entry.ran, entry.succeeded) = (true, None);
         }
         let runs = self.runs.entry(key).or_default();
-        let twice = runs.iter().any(|(other, at)| *other != id && reached - at <= window);
-        runs.push((id, reached));
+        let twice = runs.iter().any(|(other, at)| *other != id && arrived_at - at <= window);
+        runs.push((id, arrived_at));
         if twice {
-            self.breaks(format!("ran {id}, a key that ran in its window"));
+            self.record_violation(format!("ran {id}, a key that ran in its window"));
         }
     }
 
     pub(super) fn reuse(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         (r.stage, r.since) = (Stage::Reusing, self.now);
-        let (key, prior) = (r.key, r.duplicate_of);
-        let running = prior.is_some_and(|p| self.requests.contains_key(&p));
+        let (key, original) = (r.key, r.duplicate_of);
+        let running = original.is_some_and(|p| self.requests.contains_key(&p));
         match key.and_then(|k| self.entries.get(&k)) {
-            Some(entry) if entry.ran && entry.good.is_none() => {}
-            Some(entry) if entry.ran => self.end_reuse(id, entry.good == Some(true)),
+            Some(entry) if entry.ran && entry.succeeded.is_none() => {}
+            Some(entry) if entry.ran => self.end_reuse(id, entry.succeeded == Some(true)),
             _ if running => {}
             _ => self.end_reuse(id, false),
         }
     }
 
     pub(super) fn preempt(&mut self, id: RequestId) {
-        if self.set.preemption == Preemption::Off {
-            self.breaks(format!("stopped {id}, where nothing can be stopped"));
+        if self.settings.preemption == Preemption::Off {
+            self.record_violation(format!("stopped {id}, where nothing can be stopped"));
         }
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.stage == Stage::Running) else { return };
-        r.cut = true;
+        r.preempted = true;
         if r.answered {
             return self.end(id, Outcome::Cancelled);
         }
-        r.stage = if self.set.preemption == Preemption::Abort { Stage::Held } else { Stage::Paused };
+        r.stage =
+            if self.settings.preemption == Preemption::Abort { Stage::Queued } else { Stage::Suspended };
         let took_ms = self.now - r.since;
         self.events.push(Event::RunEnded { id, outcome: Outcome::Cancelled, took_ms });
     }
@@ -120,11 +123,11 @@
     pub(super) fn final_answer(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         if r.answered {
-            return self.breaks(format!("answered {id} twice"));
+            return self.record_violation(format!("answered {id} twice"));
         }
         r.answered = true;
         match r.stage {
-            Stage::Held | Stage::Paused | Stage::Reusing => drop(self.requests.remove(&id)),
+            Stage::Queued | Stage::Suspended | Stage::Reusing => drop(self.requests.remove(&id)),
             Stage::AtCall | Stage::Calling(..) => self.end(id, Outcome::Cancelled),
             Stage::Running => {}
         }
--- a/tests/machine/mod.rs
+++ b/tests/machine/mod.rs
@@ -1,37 +1,37 @@
-//! A small machine around the module: cores, a table of keys, calls below and callers with their waits. It judges the
-//! four rules from the module's actions alone. Time goes in the settings' ticks; one seed gives one day.
+//! A small machine around the controller: cores, a table of keys, calls below and clients with their waits. It judges the
+//! four rules from the controller's actions alone. Time goes in the settings' ticks; one seed gives one day.
 #![allow(dead_code)]
 
 mod actions;
 
-use dunlinspread::*;
+use dunlinspread::{AdmissionController, Arrival, Event, Gauges, Outcome, RequestId, RetrySafety, Settings};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
 /// Length of a day, ms, with the notice to leave so long before its end.
 const DAY_MS: f64 = 12_000.0;
-const LEAVE_MS: f64 = 2_500.0;
+const SHUTDOWN_MS: f64 = 2_500.0;
 /// The usual work of a run, ms of one core.
 const WORK_MS: f64 = 60.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    Held,
+    Queued,
     Running,
     AtCall,
     /// Until then, and how it will end.
     Calling(f64, Outcome),
-    Paused,
+    Suspended,
     Reusing,
 }
 
-struct Held {
+struct MachineRequest {
     class: usize,
     key: Option<u64>,
     duplicate_of: Option<RequestId>,
-    reached: f64,
-    due: f64,
+    arrived_at: f64,
+    deadline: f64,
     kb: f64,
     stage: Stage,
     work_ms: f64,
@@ -40,56 +40,56 @@
     calls: u32,
     answered: bool,
     ran: bool,
-    cut: bool,
+    preempted: bool,
 }
 
 struct Entry {
     holder: RequestId,
     until: f64,
     ran: bool,
-    good: Option<bool>,
+    succeeded: Option<bool>,
 }
 
-/// One instance of the module on its machine.
+/// One instance of the controller on its machine.
 pub struct Machine {
-    policy: AdmissionController,
-    set: Settings,
+    controller: AdmissionController,
+    settings: Settings,
     rng: ChaCha8Rng,
     now: f64,
     next: RequestId,
-    requests: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, MachineRequest>,
     entries: BTreeMap<u64, Entry>,
-    /// Beside the module's table: the keys there were, and the tries of each that were run, by when they came.
+    /// Beside the controller's table: the keys there were, and the tries of each that were run, by when they came.
     keys: Vec<u64>,
     runs: BTreeMap<u64, Vec<(RequestId, f64)>>,
     timers: Vec<(f64, u64)>,
     events: Vec<Event>,
-    leaving: Option<f64>,
-    hang: (f64, f64),
+    shutdown_at: Option<f64>,
+    stall: (f64, f64),
     failing: (f64, f64),
     flood: (f64, f64),
-    /// Told waits are kept from the module.
-    pub deaf: bool,
+    /// Told waits are kept from the controller.
+    pub hides_deadlines: bool,
     /// Requests served within their wait.
     pub served: u32,
     /// Those of them that were served after the hang, by class.
     pub served_after: Vec<u32>,
     /// The rules that were broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl Machine {
-    pub fn new(seed: u64, set: Settings) -> Machine {
+    pub fn new(seed: u64, settings: Settings) -> Machine {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut span = |len: f64| {
             let from = rng.random_range(1000.0..DAY_MS - 2000.0);
             (from, from + len)
         };
-        let (hang, failing, flood) = (span(900.0), span(1500.0), span(2000.0));
-        let served_after = vec![0; set.classes.len()];
+        let (stall, failing, flood) = (span(900.0), span(1500.0), span(2000.0));
+        let served_after = vec![0; settings.classes.len()];
         let mut machine = Machine {
-            policy: AdmissionController::new(0.0, Settings { seed, ..set.clone() }),
-            set,
+            controller: AdmissionController::new(0.0, Settings { seed, ..settings.clone() }),
+            settings,
             rng,
             now: 0.0,
             next: 0,
@@ -99,52 +99,52 @@
             runs: BTreeMap::new(),
             timers: Vec::new(),
             events: vec![Event::Start],
-            leaving: None,
-            hang,
+            shutdown_at: None,
+            stall,
             failing,
             flood,
-            deaf: false,
+            hides_deadlines: false,
             served: 0,
             served_after,
-            broken: Vec::new(),
+            violations: Vec::new(),
         };
-        machine.tell();
+        machine.dispatch_events();
         machine
     }
 
     /// Runs stand still from the start for that long, and there is no other trouble.
-    pub fn hang_from_start(&mut self, ms: f64) {
-        (self.hang, self.failing, self.flood) = ((0.0, ms), (0.0, 0.0), (0.0, 0.0));
+    pub fn stall_from_start(&mut self, ms: f64) {
+        (self.stall, self.failing, self.flood) = ((0.0, ms), (0.0, 0.0), (0.0, 0.0));
     }
 
     fn serve(&mut self, class: usize) {
         self.served += 1;
-        self.served_after[class] += u32::from(self.now > self.hang.1);
+        self.served_after[class] += u32::from(self.now > self.stall.1);
     }
 
     /// Plays the day to its end and the last answer.
     pub fn play(&mut self) {
         while self.now < DAY_MS {
-            self.now += self.set.tick_ms;
-            self.turn_cores();
+            self.now += self.settings.tick_ms;
+            self.advance_runs();
             self.arrivals();
-            if self.leaving.is_none() && self.now >= DAY_MS - LEAVE_MS {
-                self.leaving = Some(self.now);
+            if self.shutdown_at.is_none() && self.now >= DAY_MS - SHUTDOWN_MS {
+                self.shutdown_at = Some(self.now);
                 self.events.push(Event::Drain { stop_at: DAY_MS });
             }
             let now = self.now;
-            let due: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
+            let fired: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
-            for token in due {
+            for token in fired {
                 let gauges = self.gauges();
                 self.events.push(Event::Timer { token, gauges });
             }
-            self.tell();
-            self.judge();
+            self.dispatch_events();
+            self.check_rules();
         }
         let open = self.requests.values().filter(|r| !r.answered).count();
         if open > 0 {
-            self.broken.push(format!("drain: {open} without an answer at the stop"));
+            self.violations.push(format!("drain: {open} without an answer at the stop"));
         }
     }
 
@@ -158,35 +158,35 @@
 
     fn gauges(&self) -> Gauges {
         let on = self.on_cores() as f64;
-        let busy = (on / self.set.cores).min(1.0);
+        let busy = (on / self.settings.cores).min(1.0);
         Gauges { busy: Some(busy), run_queue: Some(on), memory: Some(0.5), connections: Some(10.0) }
     }
 
     fn speed(&self) -> f64 {
-        let warmed = (self.now / self.set.warm_up_ms).min(1.0);
-        if self.set.cold_start {
-            self.set.cold_start_speed + (1.0 - self.set.cold_start_speed) * warmed
+        let warmed = (self.now / self.settings.warm_up_ms).min(1.0);
+        if self.settings.cold_start {
+            self.settings.cold_start_speed + (1.0 - self.settings.cold_start_speed) * warmed
         } else {
             1.0
         }
     }
 
     /// A tick of work, shared among what runs; ends and calls become events.
-    fn turn_cores(&mut self) {
+    fn advance_runs(&mut self) {
         let on = self.on_cores() as f64;
-        let each = self.set.tick_ms * self.speed() * (self.set.cores / on.max(self.set.cores));
-        let (hangs, fails) = (self.within(self.hang), self.within(self.failing));
+        let each = self.settings.tick_ms * self.speed() * (self.settings.cores / on.max(self.settings.cores));
+        let (stalled, fails) = (self.within(self.stall), self.within(self.failing));
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             let Some(r) = self.requests.get_mut(&id) else { continue };
             match r.stage {
-                Stage::Running if !hangs => {
+                Stage::Running if !stalled => {
                     r.done_ms += each;
                     let fails = fails && r.done_ms > 5.0;
                     if fails || r.done_ms >= r.work_ms {
                         let outcome = if fails { Outcome::Error } else { Outcome::Ok };
                         self.end(id, outcome);
-                    } else if self.set.classes[r.class].makes_upstream_calls
+                    } else if self.settings.classes[r.class].makes_upstream_calls
                         && r.calls == 0
                         && r.done_ms > r.work_ms / 2.0
                     {
@@ -217,17 +217,17 @@
             self.serve(r.class);
         }
         let Some(entry) = r.key.and_then(|k| self.entries.get_mut(&k)) else { return };
-        entry.good = Some(outcome == Outcome::Ok);
+        entry.succeeded = Some(outcome == Outcome::Ok);
         let waiting = self.requests.iter().filter(|(_, w)| w.stage == Stage::Reusing && w.key == r.key);
         for waiting in waiting.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.end_reuse(waiting, outcome == Outcome::Ok);
         }
     }
 
-    fn end_reuse(&mut self, id: RequestId, good: bool) {
+    fn end_reuse(&mut self, id: RequestId, succeeded: bool) {
         if let Some(r) = self.requests.remove(&id) {
-            let outcome = if good { Outcome::Ok } else { Outcome::Error };
-            if good && !r.answered {
+            let outcome = if succeeded { Outcome::Ok } else { Outcome::Error };
+            if succeeded && !r.answered {
                 self.serve(r.class);
             }
             self.events.push(Event::RunEnded { id, outcome, took_ms: self.now - r.since });
@@ -237,7 +237,8 @@
     fn arrivals(&mut self) {
         // About as much as the cores do on the calm part, three times that from one tenant in its flood.
         let flood = self.within(self.flood);
-        let chance = 1.1 * self.set.tick_ms * self.set.cores / WORK_MS * if flood { 3.0 } else { 1.0 };
+        let chance =
+            1.1 * self.settings.tick_ms * self.settings.cores / WORK_MS * if flood { 3.0 } else { 1.0 };
         let mut left = chance;
         while left > 0.0 {
             if self.rng.random_bool(left.min(1.0)) {
@@ -248,13 +249,13 @@
     }
 
     fn arrive(&mut self, flood: bool) {
-        let class = self.rng.random_range(0..self.set.classes.len());
-        let stated = self.set.classes[class].clone();
+        let class = self.rng.random_range(0..self.settings.classes.len());
+        let stated = self.settings.classes[class].clone();
         let age_ms: f64 = self.rng.random_range(0.0..20.0);
-        let reached = self.now - age_ms;
+        let arrived_at = self.now - age_ms;
         let part: f64 = self.rng.random_range(0.1..1.0);
-        let waits = if self.set.passes_deadline { part } else { 1.0 } * stated.client_timeout_ms;
-        // A third of the keyed ones are further tries of a key of late.
+        let waits = if self.settings.passes_deadline { part } else { 1.0 } * stated.client_timeout_ms;
+        // A third of the keyed ones are retries of a key of late.
         let keyed = stated.retry_safety == RetrySafety::IdempotencyKey;
         let again = keyed && self.rng.random_bool(0.33);
         let known = self.keys.len();
@@ -262,49 +263,51 @@
             n if again && n > 0 => Some(self.keys[self.rng.random_range(n.saturating_sub(20)..n)]),
             _ => keyed.then_some(self.next + 1),
         };
-        let prior = key.and_then(|k| self.entries.get(&k)).filter(|e| reached <= e.until).map(|e| e.holder);
+        let original =
+            key.and_then(|k| self.entries.get(&k)).filter(|e| arrived_at <= e.until).map(|e| e.holder);
         self.next += 1;
         let id = self.next;
         self.keys.extend(key.filter(|k| *k == id));
-        let (kb, rank) = (self.rng.random_range(5.0..60.0), self.rng.random_range(0.0..1.0));
-        let tenant = if flood { 0 } else { self.rng.random_range(0..self.set.tenant_quotas.len().max(1)) };
+        let (kb, priority) = (self.rng.random_range(5.0..60.0), self.rng.random_range(0.0..1.0));
+        let tenant =
+            if flood { 0 } else { self.rng.random_range(0..self.settings.tenant_quotas.len().max(1)) };
         let work_ms = WORK_MS * self.rng.random_range(0.3..1.7);
-        let held = Held {
+        let request = MachineRequest {
             class,
             key,
-            duplicate_of: prior,
-            reached,
-            due: (reached + waits).max(self.now),
+            duplicate_of: original,
+            arrived_at,
+            deadline: (arrived_at + waits).max(self.now),
             kb,
-            stage: Stage::Held,
+            stage: Stage::Queued,
             work_ms,
             done_ms: 0.0,
             since: self.now,
             calls: 0,
             answered: false,
             ran: false,
-            cut: false,
+            preempted: false,
         };
-        self.requests.insert(id, held);
-        let deadline = (self.set.passes_deadline && !self.deaf).then_some(reached + waits);
+        self.requests.insert(id, request);
+        let deadline = (self.settings.passes_deadline && !self.hides_deadlines).then_some(arrived_at + waits);
         self.events.push(Event::Arrival(Arrival {
             id,
             class,
             tenant,
             deadline,
             request_kb: kb,
-            priority: rank,
+            priority: priority,
             age_ms,
-            duplicate_of: prior,
+            duplicate_of: original,
             ..Arrival::default()
         }));
     }
 
-    fn tell(&mut self) {
+    fn dispatch_events(&mut self) {
         while !self.events.is_empty() {
             let mut actions = Vec::new();
             for event in std::mem::take(&mut self.events) {
-                self.policy.on_event(self.now, event, &mut actions);
+                self.controller.on_event(self.now, event, &mut actions);
             }
             for action in actions {
                 self.carry_out(action);
@@ -312,14 +315,14 @@
         }
     }
 
-    fn breaks(&mut self, what: String) {
-        self.broken.push(format!("{:.0} ms: {what}", self.now));
+    fn record_violation(&mut self, what: String) {
+        self.violations.push(format!("{:.0} ms: {what}", self.now));
     }
 
     /// The rules that hold at every moment.
-    fn judge(&mut self) {
-        let slack = self.set.response_slack_ms;
-        let late = self.requests.iter_mut().filter(|(_, r)| !r.answered && self.now > r.due + slack);
+    fn check_rules(&mut self) {
+        let slack = self.settings.response_slack_ms;
+        let late = self.requests.iter_mut().filter(|(_, r)| !r.answered && self.now > r.deadline + slack);
         let late: Vec<RequestId> = late
             .map(|(id, r)| {
                 r.answered = true;
@@ -327,21 +330,22 @@
             })
             .collect();
         for id in late {
-            self.breaks(format!("no answer to {id} by its due time"));
+            self.record_violation(format!("no answer to {id} by its due time"));
         }
-        let most = self.set.cores * (1.0 + (self.set.survivable_runs_per_core - 1.0) * self.speed());
+        let most =
+            self.settings.cores * (1.0 + (self.settings.survivable_runs_per_core - 1.0) * self.speed());
         if self.on_cores() as f64 > most {
-            self.breaks(format!("{} runs crowd the cores", self.on_cores()));
+            self.record_violation(format!("{} runs crowd the cores", self.on_cores()));
         }
-        let of = |r: &Held| match r.stage {
-            Stage::Held | Stage::Reusing => r.kb,
-            _ => r.kb * self.set.run_memory_factor,
+        let of = |r: &MachineRequest| match r.stage {
+            Stage::Queued | Stage::Reusing => r.kb,
+            _ => r.kb * self.settings.run_memory_factor,
         };
         self.entries.retain(|_, e| e.until > self.now || !e.ran && self.requests.contains_key(&e.holder));
-        let memory =
-            self.requests.values().map(of).sum::<f64>() + self.entries.len() as f64 * self.set.key_memory_kb;
-        if memory > self.set.memory_kb {
-            self.breaks(format!("{memory:.0} kB are in use"));
+        let memory = self.requests.values().map(of).sum::<f64>()
+            + self.entries.len() as f64 * self.settings.key_memory_kb;
+        if memory > self.settings.memory_kb {
+            self.record_violation(format!("{memory:.0} kB are in use"));
         }
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,6 +1,6 @@
-//! A fleet that starts cold as a whole, with callers that know only what they heard and forget it after a second. What each
-//! server is sent in the settings' time is held against N, the crowd that the settings let it survive then, and for
-//! chance 2 x sqrt(N) and 2 more. The module runs in every server; callers come upon servers at random and pass one over by the share that
+//! A fleet that starts cold as a whole, with clients that know only what they heard and forget it after a second. What each
+//! server is sent in the settings' time is queued against N, the crowd that the settings let it survive then, and for
+//! chance 2 x sqrt(N) and 2 more. The controller runs in every server; clients come upon servers at random and pass one over by the share that
 //! it told them, until they come to a willing one.
 
 mod common;
@@ -11,17 +11,17 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// How long a caller keeps in mind what it was told, ms; the protocol's figure for both sites in service.
+/// How long a client keeps in mind what it was told, ms; the protocol's figure for both sites in service.
 const HEEDED_MS: f64 = 1000.0;
 const STEP_MS: f64 = 5.0;
 
 struct Server {
-    policy: AdmissionController,
+    controller: AdmissionController,
     share: f64,
     /// Runs under way: until when, and whose.
     runs: Vec<(f64, f64, u64)>,
     timers: Vec<(f64, u64)>,
-    /// When requests came, within the settings' time, and whether their caller heeds.
+    /// When requests came, within the settings' time, and whether their client heeds.
     came: VecDeque<(f64, bool)>,
 }
 
@@ -31,18 +31,18 @@
     now: f64,
     next: u64,
     servers: Vec<Server>,
-    /// What each caller was told by each server, and when.
+    /// What each client was told by each server, and when.
     heard: Vec<Vec<(f64, f64)>>,
     heeds: Vec<bool>,
-    /// The most that a server was sent over its bound, as a factor: by all, and by callers that heed.
+    /// The most that a server was sent over its bound, as a factor: by all, and by clients that heed.
     most: (f64, f64),
 }
 
 impl Fleet {
-    fn new(seed: u64, servers: usize, callers: usize, heeding: f64) -> Fleet {
+    fn new(seed: u64, servers: usize, clients: usize, heeding: f64) -> Fleet {
         let set = Settings {
             server_count: servers as f64,
-            client_count: callers as f64,
+            client_count: clients as f64,
             cores: 6.0,
             cold_start: true,
             cold_start_speed: 0.3,
@@ -54,15 +54,15 @@
             ..settings()
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let heeds = (0..callers).map(|_| rng.random_bool(heeding)).collect();
+        let heeds = (0..clients).map(|_| rng.random_bool(heeding)).collect();
         let server = |at: usize| Server {
-            policy: AdmissionController::new(0.0, Settings { seed: seed + at as u64, ..set.clone() }),
+            controller: AdmissionController::new(0.0, Settings { seed: seed + at as u64, ..set.clone() }),
             share: 1.0,
             runs: Vec::new(),
             timers: Vec::new(),
             came: VecDeque::new(),
         };
-        let heard = vec![vec![(1.0, f64::NEG_INFINITY); servers]; callers];
+        let heard = vec![vec![(1.0, f64::NEG_INFINITY); servers]; clients];
         let mut fleet = Fleet {
             servers: (0..servers).map(server).collect(),
             set,
@@ -90,9 +90,9 @@
     }
 
     /// Hands an event to a server. Whoever gets an answer hears the share with it.
-    fn tell(&mut self, at: usize, event: Event, caller: Option<usize>) {
+    fn tell(&mut self, at: usize, event: Event, client: Option<usize>) {
         let mut actions = Vec::new();
-        self.servers[at].policy.on_event(self.now, event, &mut actions);
+        self.servers[at].controller.on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::AdvertiseShare(share) => self.servers[at].share = share,
@@ -104,8 +104,8 @@
                     self.servers[at].runs.push((self.now + took, took, id));
                 }
                 Action::Reject { .. } | Action::Fail(_) => {
-                    if let Some(caller) = caller {
-                        self.heard[caller][at] = (self.servers[at].share, self.now);
+                    if let Some(client) = client {
+                        self.heard[client][at] = (self.servers[at].share, self.now);
                     }
                 }
                 _ => {}
@@ -113,13 +113,13 @@
         }
     }
 
-    /// One request of a caller: the first server on its way round that it does not pass over.
-    fn request(&mut self, caller: usize) {
+    /// One request of a client: the first server on its way round that it does not pass over.
+    fn request(&mut self, client: usize) {
         let first = self.rng.random_range(0..self.servers.len());
         for step in 0..self.servers.len() {
             let at = (first + step) % self.servers.len();
-            let (share, when) = self.heard[caller][at];
-            let known = self.heeds[caller] && self.now - when < HEEDED_MS;
+            let (share, when) = self.heard[client][at];
+            let known = self.heeds[client] && self.now - when < HEEDED_MS;
             if known && !self.rng.random_bool(share.clamp(0.0, 1.0)) {
                 continue;
             }
@@ -130,8 +130,8 @@
                 priority: self.rng.random_range(0.0..1.0),
                 ..Arrival::default()
             };
-            self.servers[at].came.push_back((self.now, self.heeds[caller]));
-            self.tell(at, Event::Arrival(arrival), Some(caller));
+            self.servers[at].came.push_back((self.now, self.heeds[client]));
+            self.tell(at, Event::Arrival(arrival), Some(client));
             return;
         }
     }
@@ -142,8 +142,8 @@
             let mut due = rate_per_s * self.servers.len() as f64 * STEP_MS / 1000.0;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
-                    let caller = self.rng.random_range(0..self.heeds.len());
-                    self.request(caller);
+                    let client = self.rng.random_range(0..self.heeds.len());
+                    self.request(client);
                 }
                 due -= 1.0;
             }
@@ -185,7 +185,7 @@
         }
         let heeding = came.iter().filter(|(_, heeds)| *heeds).count() as f64;
         self.most = (self.most.0.max(came.len() as f64 / bound), self.most.1.max(heeding / bound));
-        // What it runs of that is its own to bound, whatever callers send.
+        // What it runs of that is its own to bound, whatever clients send.
         assert!(
             (self.servers[at].runs.len() as f64) < n,
             "{} runs at {:.0} ms",
@@ -197,15 +197,15 @@
 
 /// A server that tells nobody anything new is sent the usual traffic from its first second; the test's own yardstick. Where
 /// the usual traffic of a server is a third of what the settings let a warm one survive in that time, its sum stays within the
-/// bound with 20 and 30 callers and as many servers starting together, deaf callers included; at half and more it can't be
+/// bound with 20 and 30 clients and as many servers starting together, deaf clients included; at half and more it can't be
 /// held by what the protocol offers, and the figures say by how much it is passed.
 #[test]
 fn what_a_cold_fleet_is_sent() {
-    for (servers, callers) in [(20, 20), (30, 30)] {
+    for (servers, clients) in [(20, 20), (30, 30)] {
         for (part, held) in [(0.33, true), (0.5, false), (0.75, false)] {
             let mut most = (0.0f64, 0.0f64);
             for seed in 1..=10 {
-                let mut fleet = Fleet::new(seed, servers, callers, 0.6);
+                let mut fleet = Fleet::new(seed, servers, clients, 0.6);
                 let warm = fleet.set.cores * fleet.set.survivable_runs_per_core
                     / fleet.set.overload_window_ms
                     * 1000.0;
@@ -213,7 +213,7 @@
                 most = (most.0.max(fleet.most.0), most.1.max(fleet.most.1));
             }
             println!(
-                "{servers} servers, {callers} callers, usual traffic {part} of what a warm one survives, seeds 1 to 10: \
+                "{servers} servers, {clients} clients, usual traffic {part} of what a warm one survives, seeds 1 to 10: \
                  sent by all {:.2} of N + 2 sqrt(N) + 2, by those that heed {:.2}",
                 most.0, most.1
             );
@@ -224,7 +224,7 @@
 
 /// A cold server tells the part of the usual traffic that it bears, rising to all of it, and says so from its first answer.
 #[test]
-fn a_cold_server_tells_the_share_of_its_speed() {
+fn a_cold_server_advertises_the_share_of_its_speed() {
     let mut fleet = Fleet::new(1, 1, 1, 1.0);
     assert_eq!(fleet.servers[0].share, 0.3);
     let mut told = vec![fleet.servers[0].share];
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,20 +1,22 @@
-//! Settings that change while requests run, in the decision module: allowances and class limits.
+//! Settings that change while requests run, in the decision module: quotas and class limits.
 
 mod common;
 
 use common::{Driver, settings};
-use dunlinspread::*;
+use dunlinspread::{
+    Action, Arrival, ClassLimitChange, Event, Gauges, Outcome, QuotaChange, Reconfiguration, Settings,
+};
 
 const SAFE: usize = 0;
 const KEYED: usize = 1;
 const NONE: [u64; 0] = [];
 
-fn limit(class: usize, max_running: Option<usize>) -> Event {
+fn class_limit(class: usize, max_running: Option<usize>) -> Event {
     let class_limits = vec![ClassLimitChange { class, max_running }];
     Event::Reconfigured(Box::new(Reconfiguration { class_limits, ..Reconfiguration::default() }))
 }
 
-fn allowances(changes: &[(usize, Option<f64>)]) -> Event {
+fn quota_changes(changes: &[(usize, Option<f64>)]) -> Event {
     let allowances =
         changes.iter().map(|(tenant, per_second)| QuotaChange { tenant: *tenant, per_second: *per_second });
     let allowances = allowances.collect();
@@ -32,92 +34,96 @@
 
 #[test]
 fn a_class_at_its_limit_starts_no_more_and_others_go_on() {
-    let mut d = Driver::new(roomy());
-    assert_eq!(d.send(limit(SAFE, Some(2))), []);
-    let (first, actions) = d.arrive(SAFE);
+    let mut driver = Driver::new(roomy());
+    assert_eq!(driver.send(class_limit(SAFE, Some(2))), []);
+    let (first, actions) = driver.arrive(SAFE);
     assert_eq!(runs(&actions), [first]);
-    let (second, actions) = d.arrive(SAFE);
+    let (second, actions) = driver.arrive(SAFE);
     assert_eq!(runs(&actions), [second]);
-    let (third, actions) = d.arrive(SAFE);
+    let (third, actions) = driver.arrive(SAFE);
     assert_eq!(actions, [], "the third waits");
-    let (keyed, actions) = d.arrive(KEYED);
+    let (keyed, actions) = driver.arrive(KEYED);
     assert_eq!(runs(&actions), [keyed], "another class goes on");
-    assert_eq!(runs(&d.end(keyed, Outcome::Ok)), NONE, "another class's end lets none of this one start");
-    assert_eq!(runs(&d.end(first, Outcome::Ok)), [third]);
+    assert_eq!(
+        runs(&driver.end(keyed, Outcome::Ok)),
+        NONE,
+        "another class's end lets none of this one start"
+    );
+    assert_eq!(runs(&driver.end(first, Outcome::Ok)), [third]);
 }
 
 #[test]
 fn a_request_at_a_call_counts_to_its_class() {
-    let mut d = Driver::new(Settings { has_upstream: true, upstream_call_share: Some(1.0), ..roomy() });
-    d.send(limit(SAFE, Some(1)));
-    let (first, _) = d.arrive(SAFE);
-    d.send(Event::UpstreamCallNeeded(first));
-    let (second, actions) = d.arrive(SAFE);
+    let mut driver = Driver::new(Settings { has_upstream: true, upstream_call_share: Some(1.0), ..roomy() });
+    driver.send(class_limit(SAFE, Some(1)));
+    let (first, _) = driver.arrive(SAFE);
+    driver.send(Event::UpstreamCallNeeded(first));
+    let (second, actions) = driver.arrive(SAFE);
     assert_eq!(runs(&actions), NONE);
-    let answered = d.send(Event::UpstreamCallEnded { id: first, outcome: Outcome::Ok, took_ms: 5.0 });
+    let answered = driver.send(Event::UpstreamCallEnded { id: first, outcome: Outcome::Ok, took_ms: 5.0 });
     assert_eq!(runs(&answered), NONE);
-    assert_eq!(runs(&d.end(first, Outcome::Ok)), [second]);
+    assert_eq!(runs(&driver.end(first, Outcome::Ok)), [second]);
 }
 
 #[test]
-fn runs_under_way_stay_when_a_limit_comes_and_held_ones_start_when_it_goes() {
-    let mut d = Driver::new(roomy());
-    let running: Vec<u64> = (0..4).map(|_| d.arrive(SAFE).0).collect();
-    assert_eq!(d.send(limit(SAFE, Some(1))), [], "nothing is stopped, refused or failed");
-    let (held, actions) = d.arrive(SAFE);
+fn runs_in_progress_stay_when_a_limit_comes_and_queued_ones_start_when_it_goes() {
+    let mut driver = Driver::new(roomy());
+    let running: Vec<u64> = (0..4).map(|_| driver.arrive(SAFE).0).collect();
+    assert_eq!(driver.send(class_limit(SAFE, Some(1))), [], "nothing is stopped, rejected or failed");
+    let (held, actions) = driver.arrive(SAFE);
     assert_eq!(actions, []);
     for id in &running[..3] {
-        assert_eq!(runs(&d.end(*id, Outcome::Ok)), NONE, "still one under way");
+        assert_eq!(runs(&driver.end(*id, Outcome::Ok)), NONE, "still one under way");
     }
-    assert_eq!(runs(&d.send(limit(SAFE, None))), [held]);
+    assert_eq!(runs(&driver.send(class_limit(SAFE, None))), [held]);
 }
 
 #[test]
 fn a_limit_raised_starts_as_many_as_it_lets() {
-    let mut d = Driver::new(roomy());
-    d.send(limit(SAFE, Some(1)));
-    let arrive = |d: &mut Driver| {
-        d.now += 1.0;
-        d.arrive(SAFE).0
+    let mut driver = Driver::new(roomy());
+    driver.send(class_limit(SAFE, Some(1)));
+    let arrive = |driver: &mut Driver| {
+        driver.now += 1.0;
+        driver.arrive(SAFE).0
     };
-    let ids: Vec<u64> = (0..5).map(|_| arrive(&mut d)).collect();
-    assert_eq!(runs(&d.send(limit(SAFE, Some(3)))), ids[1..3], "the earliest first");
+    let ids: Vec<u64> = (0..5).map(|_| arrive(&mut driver)).collect();
+    assert_eq!(runs(&driver.send(class_limit(SAFE, Some(3)))), ids[1..3], "the earliest first");
 }
 
 #[test]
-fn what_waits_for_its_class_alone_does_not_raise_the_level_or_the_cut() {
+fn what_waits_for_its_class_alone_does_not_raise_the_level_or_the_threshold() {
     let gauges = Gauges { busy: Some(1.0), run_queue: Some(1.0), ..Gauges::default() };
     let level = |limited: bool| {
-        let mut d = Driver::new(Settings { memory_kb: 1e6, ..settings() });
+        let mut driver = Driver::new(Settings { memory_kb: 1e6, ..settings() });
         if limited {
-            d.send(limit(SAFE, Some(1)));
+            driver.send(class_limit(SAFE, Some(1)));
         }
         for _ in 0..200 {
-            d.arrive(SAFE);
+            driver.arrive(SAFE);
         }
         for _ in 0..8 {
-            d.now += 50.0;
-            d.send(Event::Timer { token: 1, gauges });
+            driver.now += 50.0;
+            driver.send(Event::Timer { token: 1, gauges });
         }
-        d.policy.level()
+        driver.controller.level()
     };
     assert_eq!((level(false), level(true)), (3, 0));
 }
 
 /// Holds arrivals of two tenants, three of four the first one's, and tells in which order they run: what is past an
-/// allowance is worth nothing, and runs last.
-fn order_of_runs(d: &mut Driver, flood: usize, other: usize) -> Vec<u64> {
-    let mut running: Vec<u64> = (0..2).map(|_| d.arrive(KEYED).0).collect();
+/// quota is worth nothing, and runs last.
+fn order_of_runs(driver: &mut Driver, flood: usize, other: usize) -> Vec<u64> {
+    let mut running: Vec<u64> = (0..2).map(|_| driver.arrive(KEYED).0).collect();
     let first = running[1] + 1;
     for at in 0..80 {
-        d.now += 1.0;
+        driver.now += 1.0;
         let tenant = if at % 4 == 0 { other } else { flood };
-        let arrival = Arrival { tenant, ..d.arrival(SAFE) };
-        assert_eq!(d.send(Event::Arrival(arrival)), [], "it is held");
+        let arrival = Arrival { tenant, ..driver.arrival(SAFE) };
+        assert_eq!(driver.send(Event::Arrival(arrival)), [], "it is queued");
     }
     let mut order = Vec::new();
     while let Some(id) = running.pop() {
-        let started = runs(&d.end(id, Outcome::Ok));
+        let started = runs(&driver.end(id, Outcome::Ok));
         order.extend(started.iter().map(|id| id - first));
         running.extend(started);
     }
@@ -125,8 +131,8 @@
     order
 }
 
-/// How many of them were past an allowance.
-fn past_allowance(order: &[u64]) -> usize {
+/// How many of them were past a quota.
+fn beyond_quota(order: &[u64]) -> usize {
     let within = order.windows(2).take_while(|pair| pair[0] < pair[1]).count() + 1;
     order.len() - within
 }
@@ -136,22 +142,22 @@
 }
 
 #[test]
-fn an_allowance_that_comes_is_judged_like_one_from_the_start() {
+fn a_quota_that_is_added_is_judged_like_one_from_the_start() {
     let expected = order_of_runs(&mut with_tenants(vec![10.0, 100.0]), 0, 1);
-    assert!(past_allowance(&expected) > 10, "the flood is noticed: {expected:?}");
+    assert!(beyond_quota(&expected) > 10, "the flood is noticed: {expected:?}");
     let mut changed = with_tenants(vec![500.0, 1.0]);
-    assert_eq!(changed.send(allowances(&[(0, Some(10.0)), (1, Some(100.0))])), []);
+    assert_eq!(changed.send(quota_changes(&[(0, Some(10.0)), (1, Some(100.0))])), []);
     assert_eq!(order_of_runs(&mut changed, 0, 1), expected);
     let mut grown = with_tenants(Vec::new());
-    grown.send(allowances(&[(1, Some(100.0)), (0, Some(10.0))]));
+    grown.send(quota_changes(&[(1, Some(100.0)), (0, Some(10.0))]));
     assert_eq!(order_of_runs(&mut grown, 0, 1), expected);
     let mut generous = with_tenants(vec![10.0, 100.0]);
-    generous.send(allowances(&[(0, Some(300.0))]));
-    assert_eq!(past_allowance(&order_of_runs(&mut generous, 0, 1)), 0);
+    generous.send(quota_changes(&[(0, Some(300.0))]));
+    assert_eq!(beyond_quota(&order_of_runs(&mut generous, 0, 1)), 0);
 }
 
 #[test]
-fn a_position_given_back_starts_anew_and_counts_for_nothing_meanwhile() {
+fn an_index_that_is_freed_starts_anew_and_counts_for_nothing_meanwhile() {
     let expected = order_of_runs(&mut with_tenants(vec![10.0, 100.0]), 0, 1);
     let mut reused = with_tenants(vec![10.0, 100.0, 50.0]);
     for _ in 0..50 {
@@ -160,27 +166,27 @@
         reused.send(Event::Arrival(arrival));
         reused.end(id, Outcome::Ok);
     }
-    reused.send(allowances(&[(2, None)]));
+    reused.send(quota_changes(&[(2, None)]));
     assert_eq!(order_of_runs(&mut reused, 0, 1), expected);
-    // What no list has is judged by no allowance, and does not end the program.
+    // What no list has is judged by no quota, and does not end the program.
     let arrival = Arrival { tenant: usize::MAX, ..reused.arrival(SAFE) };
     let id = arrival.id;
     assert_eq!(runs(&reused.send(Event::Arrival(arrival))), [id]);
 }
 
-/// Many changes leave no error behind in what the module computes from all allowances.
+/// Many changes leave no error behind in what the controller computes from all quotas.
 #[test]
 fn many_changes_leave_no_drift() {
     let mut stated = vec![100.0 / 49.0; 50];
     stated[0] = 10.0;
     let expected = order_of_runs(&mut with_tenants(stated.clone()), 0, 1);
-    assert!(past_allowance(&expected) > 10, "the flood is noticed: {expected:?}");
+    assert!(beyond_quota(&expected) > 10, "the flood is noticed: {expected:?}");
     let mut changed = with_tenants(vec![0.1; 50]);
     for round in 0..20_000u32 {
         let tenant = (round % 50) as usize;
-        changed.send(allowances(&[(tenant, Some(f64::from(round) * 1e7 % 1e9 + 0.1))]));
+        changed.send(quota_changes(&[(tenant, Some(f64::from(round) * 1e7 % 1e9 + 0.1))]));
     }
     let last: Vec<(usize, Option<f64>)> = stated.iter().copied().map(Some).enumerate().collect();
-    changed.send(allowances(&last));
+    changed.send(quota_changes(&last));
     assert_eq!(order_of_runs(&mut changed, 0, 1), expected);
 }
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -2,7 +2,9 @@
 //! four rules are checked after every event.
 mod common;
 use common::{class, settings};
-use dunlinspread::*;
+use dunlinspread::{
+    Action, AdmissionController, Arrival, Event, Gauges, Outcome, Preemption, RetrySafety, Settings,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 struct Random(u64);
@@ -64,7 +66,7 @@
         ..settings()
     };
     let memory = set.memory_kb;
-    let mut policy = AdmissionController::new(0.0, set);
+    let mut controller = AdmissionController::new(0.0, set);
     let mut random = Random(seed);
     let mut world: BTreeMap<u64, Model> = BTreeMap::new();
     let mut ran: BTreeMap<u64, u32> = BTreeMap::new();
@@ -79,7 +81,7 @@
     while now < stop {
         while let Some(event) = events.pop_front() {
             let mut out = Vec::new();
-            policy.on_event(now, event, &mut out);
+            controller.on_event(now, event, &mut out);
             for action in &out {
                 match action {
                     Action::Run(id) => {
@@ -102,7 +104,7 @@
                         let m = world.get_mut(id).expect("a known request");
                         assert!(
                             m.class == 0 || m.at == At::Held && !ran.contains_key(&m.root),
-                            "refused after a run"
+                            "rejected after a run"
                         );
                         m.answers += 1;
                         if m.at == At::Held {
