--- a/crates/config-sync/src/net/mod.rs
+++ b/crates/config-sync/src/net/mod.rs
@@ -2,11 +2,13 @@
 //! `async-executor`: a publisher or relay on a thread of its own, subscribers as futures, thousands of them on one
 //! executor if wanted.
 
+mod client_settings;
 mod clock;
 mod encoder;
 mod link;
 mod node;
 mod notify;
+mod proposal;
 mod publisher;
 mod publisher_core;
 mod publisher_store;
@@ -20,8 +22,10 @@
 mod subscriber_handle;
 mod update_queue;
 
+pub use client_settings::ClientSettings;
 pub use node::NodeStatus;
-pub use publisher::{OpenError, Pending, ProposeFailure, PublisherNode, PublisherNodeSettings};
+pub use proposal::{Pending, ProposeFailure};
+pub use publisher::{OpenError, PublisherNode, PublisherNodeSettings};
 pub use relay::{RelayNode, RelayNodeSettings};
 pub use shared_tables::SharedTables;
 pub use subscriber::{Confirmation, Observer, SubscriberTask};
--- a/crates/scale/src/probes/policy.rs
+++ b/crates/scale/src/probes/admission.rs
@@ -1,17 +1,18 @@
-//! The decision module: ns of an arrival, an ending and a timer, and its memory, against tenants, classes, held and
-//! running requests. Each state is built in a process of its own, whose growth in resident memory is the module's.
+//! The admission controller: ns of an arrival, an ending and a timer, and its memory, against tenants, classes, queued and
+//! running requests. Each state is built in a process of its own, whose growth in resident memory is the controller's.
 
-use super::policy_load::{Costs, Length, Load, Shape};
-use super::{Probe, ProbeOptions};
-use crate::child::{self, Growth, ReportingLoad};
+use super::admission_load::{Costs, Length, Load, Shape};
+use crate::child_process::{self, ReportingLoad};
 use crate::fit::Quantity;
+use crate::probes::{Probe, ProbeOptions};
+use crate::resident_growth::Growth;
 use crate::slope::{Point, Slope};
 use anyhow::{Result, ensure};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// The state but for the size that varies.
-const USUAL: Shape = Shape { tenants: 40, classes: 8, held: 0, running: 8 };
+const USUAL: Shape = Shape { tenants: 40, classes: 8, queued: 0, running: 8 };
 /// Runs of the load at each size and seed.
 const RUNS: usize = 5;
 /// How long a run is.
@@ -70,7 +71,7 @@
         words: "held requests; an arrival adds one, an ending runs the best of them",
         sizes: &[10, 100, 1_000, 10_000],
         target: 10_000.0,
-        shape: |held| Shape { held, ..USUAL },
+        shape: |queued| Shape { queued, ..USUAL },
         fixed: &[("tenants", 40.0), ("classes", 8.0), ("running", 8.0)],
         ids: Ids {
             arrival: "policy.arrival_ns.held",
@@ -97,10 +98,10 @@
 /// The sizes that show whether the probe works.
 const QUICK_SIZES: &[u64] = &[10, 40];
 
-/// The probe of the decision module.
-pub struct PolicyProbe;
+/// The probe of the admission controller.
+pub struct AdmissionProbe;
 
-impl Probe for PolicyProbe {
+impl Probe for AdmissionProbe {
     fn prefix(&self) -> &'static str {
         "policy"
     }
@@ -150,7 +151,7 @@
         let mut points: [Vec<Point>; 4] = Default::default();
         for &size in options.sizes(self.sizes, QUICK_SIZES) {
             for &seed in options.seeds() {
-                let figures: Figures = child::report(self.name, size, seed)?;
+                let figures: Figures = child_process::report(self.name, size, seed)?;
                 let of = |pick: fn(&Costs) -> f64| figures.costs.iter().map(pick).collect::<Vec<f64>>();
                 points[0].push(Point::of(size as f64, seed, &of(|costs| costs.arrival)));
                 points[1].push(Point::of(size as f64, seed, &of(|costs| costs.ending)));
