--- a/crates/ctl/src/ledger/crash_drill.rs
+++ b/crates/ctl/src/ledger/crash_drill.rs
@@ -5,7 +5,7 @@
 use crate::ledger::drill_fleet::{DrillFleet, FleetOptions, Instance};
 use anyhow::{Context as _, Result};
 use clap::Args;
-use dunlinspread_fakes::{ClientBehavior, FakeClients, Load, Tally, unix_ms};
+use dunlinspread_fakes::{ClientBehavior, CollectorCounts, FakeClients, Load, Tally, unix_ms};
 use dunlinspread_ledger::batch::Batch;
 use indicatif::{ProgressBar, ProgressStyle};
 use rand::{RngExt, SeedableRng};
@@ -14,7 +14,7 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 /// How long the exports may take to get through after the load, at most.
@@ -86,6 +86,17 @@
     conflicts: u64,
 }
 
+impl ExportCounts {
+    fn new(counts: &CollectorCounts) -> ExportCounts {
+        let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        ExportCounts {
+            taken: count(&counts.accepted),
+            retries: count(&counts.duplicates) + count(&counts.faults),
+            conflicts: count(&counts.conflicts),
+        }
+    }
+}
+
 impl DrillResult {
     fn passed(&self) -> bool {
         self.exported && self.graceful && self.exports.conflicts == 0 && self.comparison.agrees()
@@ -155,12 +166,7 @@
         bar.finish_and_clear();
         let graceful = fleet.shut_down()?;
         let DrillFleet { instances, collector, exports, .. } = fleet;
-        let export_counts = ExportCounts {
-            taken: collector.counts().accepted.load(Ordering::Relaxed),
-            retries: collector.counts().duplicates.load(Ordering::Relaxed)
-                + collector.counts().faults.load(Ordering::Relaxed),
-            conflicts: collector.counts().conflicts.load(Ordering::Relaxed),
-        };
+        let export_counts = ExportCounts::new(collector.counts());
         // Its folder is free for another look once it has ended.
         drop(collector);
         let comparison = Comparison::new(&instances, &exports, &tally)?;
--- a/crates/scale/src/probes/daemon_site.rs
+++ b/crates/scale/src/probes/daemon_site.rs
@@ -1,4 +1,4 @@
-//! What stands around the measured daemon: the stand-ins of its worker pool and registry, and its configuration file
+//! What stands around the measured daemon: the fakes of its worker pool and registry, and its configuration file
 //! with as many tenants and classes as wanted.
 
 use anyhow::{Context, Result};
@@ -18,7 +18,7 @@
 const GIVE_UP_MS: f64 = 4000.0;
 /// The step of the daemon's timers, ms, as the platform states it.
 pub const TICK_MS: f64 = 5.0;
-/// Cores of the machine that the stand-in worker pool plays.
+/// Cores of the machine of the fake worker pool.
 pub const CORES: usize = 8;
 /// After this long idle a connection is closed, ms; with one request in a while none ever is.
 const IDLE_MAX_MS: f64 = 3e9;
@@ -43,32 +43,32 @@
     pub connections: usize,
 }
 
-/// The stand-ins and the configuration file.
+/// The fakes and the configuration file.
 pub struct Surroundings {
     _pool: FakeWorkerPool,
-    _catalog: FakeRegistry,
+    _registry: FakeRegistry,
     _folder: TempDir,
     /// The configuration file.
     pub config: PathBuf,
 }
 
 impl Surroundings {
-    /// Starts the stand-ins and writes the file.
+    /// Starts the fakes and writes the file.
     ///
     /// # Errors
     /// If there is no port, thread or room on the disk.
     pub fn start(size: Size, seed: u64) -> Result<Surroundings> {
         let pool = start_pool(seed)?;
-        let catalog = FakeRegistry::start().context("starting the stand-in registry")?;
+        let registry = FakeRegistry::start().context("starting the stand-in registry")?;
         let folder = tempfile::tempdir().context("making a folder")?;
         let config = folder.path().join("daemon.json");
-        let text = configuration(size, seed, pool.address(), catalog.address());
+        let text = configuration(size, seed, pool.address(), registry.address());
         std::fs::write(&config, text).with_context(|| format!("writing {}", config.display()))?;
-        Ok(Surroundings { _pool: pool, _catalog: catalog, _folder: folder, config })
+        Ok(Surroundings { _pool: pool, _registry: registry, _folder: folder, config })
     }
 }
 
-/// A stand-in worker pool that knows [`ROUTE`].
+/// Starts a fake worker pool that knows [`ROUTE`].
 ///
 /// # Errors
 /// If there is no port or thread.
