--- a/crates/config-sync/src/net/publisher_core.rs
+++ b/crates/config-sync/src/net/publisher_core.rs
@@ -1,6 +1,7 @@
 //! The publisher's thread: carries out what its state machine decides.
 
 use super::clock::{Clock, unix_ms};
+use super::compaction::Compaction;
 use super::node::{Node, NodeStatus, Ticker, accept, tick};
 use super::proposal::{ProposeFailure, Reply};
 use super::publisher_store::{Opened, PublisherStore};
@@ -22,9 +23,6 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// After so many bytes of transactions a snapshot is taken, however few they are.
-const MAX_APPENDED_BYTES: usize = 64 << 20;
-
 /// What a publisher's owner asks for.
 pub(super) enum Command {
     Propose { changes: Vec<Change>, reply: Reply },
@@ -42,28 +40,6 @@
     },
 }
 
-/// How far compaction is.
-struct Compaction {
-    /// Transactions after which a snapshot is taken.
-    every: u64,
-    /// Transactions since the last one, and their bytes.
-    appended: u64,
-    appended_bytes: usize,
-    /// When the last durable transaction was accepted.
-    published_unix_ms: u64,
-    under_way: bool,
-}
-
-impl Compaction {
-    fn is_due(&self) -> bool {
-        self.appended >= self.every || self.appended_bytes >= MAX_APPENDED_BYTES
-    }
-
-    fn begin(&mut self) {
-        (self.under_way, self.appended, self.appended_bytes) = (true, 0, 0);
-    }
-}
-
 /// The publisher with its store and sessions.
 pub(super) struct Core {
     publisher: RefCell<Publisher>,
@@ -103,8 +79,9 @@
     // The sessions hold the core.
     drop(executor);
     if let Ok(core) = Rc::try_unwrap(core).map_err(drop) {
-        if let Err(why) = core.store.into_inner().close() {
-            warn!(log, "config: the publisher's store was not closed in good order"; "why" => %why);
+        if let Err(error) = core.store.into_inner().close() {
+            warn!(log, "closing the publisher store failed";
+                "component" => "config_sync", "error" => %error);
         }
     }
 }
@@ -127,13 +104,7 @@
             publisher: RefCell::new(publisher),
             sessions: RefCell::new(Sessions::new(key, log.clone())),
             store: RefCell::new(store),
-            compaction: RefCell::new(Compaction {
-                every: snapshot_every.max(1),
-                appended,
-                appended_bytes: 0,
-                published_unix_ms: 0,
-                under_way: false,
-            }),
+            compaction: RefCell::new(Compaction::new(snapshot_every, appended)),
             poisoned: Cell::new(false),
             reports,
             ticker: Ticker::new(Clock::start()),
@@ -231,18 +202,19 @@
         self.resume_if_settled(None);
     }
 
-    fn on_failed(&self, through: u64, why: &WriteFailure, generation: u64) {
-        let what = match why {
+    fn on_failed(&self, through: u64, error: &WriteFailure, generation: u64) {
+        let what = match error {
             WriteFailure::NoSpace => "the disk is full, this was not written".to_owned(),
             WriteFailure::NotAttempted => "an earlier one failed, this was not written".to_owned(),
-            WriteFailure::Poisoned(why) => format!("{why}; no change is taken until a restart"),
+            WriteFailure::Poisoned(error) => format!("{error}; no change is taken until a restart"),
         };
-        error!(self.log, "config: a change can't be stored and is not published"; "why" => &what);
+        error!(self.log, "change not durable, not published";
+            "component" => "config_sync", "reason" => &what);
         self.publisher.borrow_mut().on_persist_failed();
         for reply in self.store.borrow_mut().failed(through) {
             let _ = reply.try_send(Err(ProposeFailure::NotDurable(what.clone())));
         }
-        if matches!(why, WriteFailure::Poisoned(_)) {
+        if matches!(error, WriteFailure::Poisoned(_)) {
             self.poisoned.set(true);
         }
         self.resume_if_settled(Some(generation));
@@ -263,7 +235,9 @@
                     self.store.borrow_mut().resume(generation);
                 }
             }
-            Err(why) => error!(self.log, "config: the publisher can't go on"; "why" => %why),
+            Err(error) => {
+                error!(self.log, "publisher cannot resume"; "component" => "config_sync", "error" => %error)
+            }
         }
     }
 
@@ -286,17 +260,22 @@
         };
         match std::thread::Builder::new().name("config-snapshot".to_owned()).spawn(encode) {
             Ok(_) => compaction.begin(),
-            Err(why) => warn!(self.log, "config: no thread for a snapshot"; "why" => %why),
+            Err(error) => {
+                warn!(self.log, "snapshot thread not started";
+                    "component" => "config_sync", "error" => %error)
+            }
         }
     }
 
     fn on_snapshot(&self, before: u64, failure: Option<WriteFailure>) {
         self.compaction.borrow_mut().under_way = false;
         match failure {
-            None => info!(self.log, "config: the publisher's log was compacted"; "before" => before),
-            Some(why) => {
-                warn!(self.log, "config: the publisher's log can't be compacted, tried again later";
-                    "why" => format!("{why:?}"));
+            None => {
+                info!(self.log, "publisher log compacted"; "component" => "config_sync", "before" => before)
+            }
+            Some(error) => {
+                warn!(self.log, "publisher log compaction failed, will be retried";
+                    "component" => "config_sync", "error" => format!("{error:?}"));
             }
         }
     }
