--- a/src/daemon/config_follower.rs
+++ b/src/daemon/config_follower.rs
@@ -85,7 +85,7 @@
         let validator = ChangeValidator::new(self.class_names, self.tenants, capacity, log.clone());
         let (update_sender, updates) = async_channel::bounded(MAX_WAITING_UPDATES);
         let client_settings = client_settings(self.settings, &self.config.name)?;
-        let client = Client::start(client_settings, Box::new(validator), update_sender, log.clone())
+        let client = Client::start(client_settings, Box::new(validator), update_sender, self.log.clone())
             .map_err(DaemonError::Subscriber)?;
         let effective = EffectiveSettings::new(Arc::new(platform));
         let mut follower = ConfigFollower {
--- a/src/server/dispatcher/pool_events.rs
+++ b/src/server/dispatcher/pool_events.rs
@@ -68,7 +68,7 @@
     fn on_link_up(&mut self, link: u64) {
         self.pool.set_up(link);
         let commands = self.requests.unconfirmed_commands();
-        info!(self.log, "worker pool link up"; "resent_commands" => commands.len());
+        info!(self.log, "worker pool accepts commands"; "resent_commands" => commands.len());
         for command in commands {
             self.pool.send(command);
         }
