--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line: what `check` prints and how it fails, and the forms of the log.
+//! The command line: what `check` prints and how it fails, and the forms of the log.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -6,7 +6,7 @@
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
-/// Files of one test, in a folder of its own.
+/// Writes the files of one test in a folder of its own.
 fn files(test: &str, operator: &str) -> (PathBuf, PathBuf) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn check_prints_what_is_in_force() {
+fn check_prints_the_settings_in_force() {
     let (config, hcl) = files("check_good", "log {\n  level = \"warning\"\n}\n");
     let out = run(&["check"], &config, &hcl);
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
@@ -52,7 +52,7 @@
 
 /// The example file in `deploy/` has to stay one that the program takes.
 #[test]
-fn the_example_is_good() {
+fn the_example_is_valid() {
     let (config, _) = files("check_example", "");
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/operator.example.hcl");
     let out = run(&["check"], &config, &example);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn json_lines_can_be_read_as_such() {
+fn json_log_lines_are_valid_json() {
     let (config, hcl) = files("log_json", "");
     // The worker pool's address takes no connection: that is the first line of interest.
     let mut child = Command::new(env!("CARGO_BIN_EXE_dunlinspread"))
--- a/tests/config_sync.rs
+++ b/tests/config_sync.rs
@@ -1,10 +1,10 @@
-//! The built round server with distributed configuration, on real sockets with a publisher and a relay.
+//! The built server with distributed configuration, on real sockets with a publisher and a relay.
 
 mod fleet;
 
 use fleet::{
-    Answer, Caller, Daemon, Fleet, OperatorFile, Pool, delete_route, delete_tenant, folder, put_limit,
-    put_route, put_tenant, wait_for,
+    Client, Daemon, FakeWorkerPool, Fleet, OperatorFile, ResponseKind, delete_route, delete_tenant, folder,
+    put_limit, put_route, put_tenant, wait_for,
 };
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,19 +13,19 @@
 
 struct Site {
     fleet: Fleet,
-    pool: Pool,
+    pool: FakeWorkerPool,
     daemon: Daemon,
 }
 
 fn site(folder: &Path, more: &str) -> Site {
     let fleet = Fleet::new(folder, &CLASSES);
-    let pool = Pool::new();
+    let pool = FakeWorkerPool::new();
     let operator = OperatorFile::ConfigSync { relay: fleet.relay_address(), more };
     let daemon = Daemon::start(folder, pool.address(), &operator);
     Site { fleet, pool, daemon }
 }
 
-fn kept_in(folder: &Path) -> String {
+fn state_directory(folder: &Path) -> String {
     format!("state_directory = \"{}\"", folder.join("state").display())
 }
 
@@ -33,70 +33,77 @@
 fn a_route_and_a_tenant_are_added_used_and_removed() {
     let folder = folder("added-used-removed");
     let site = site(&folder, "");
-    let mut caller = Caller::new(site.daemon.address);
-    assert_eq!(caller.ask("read", "t0"), Answer::Served);
-    assert_eq!(caller.ask("shelf", "t0"), Answer::Invalid);
-    assert_eq!(caller.ask("read", "new"), Answer::Invalid);
+    let mut client = Client::new(site.daemon.address);
+    assert_eq!(client.request("read", "t0"), ResponseKind::Completed);
+    assert_eq!(client.request("shelf", "t0"), ResponseKind::Invalid);
+    assert_eq!(client.request("read", "new"), ResponseKind::Invalid);
     site.fleet.put(vec![put_route("shelf", "print"), put_tenant("new", 50)]);
-    assert_eq!(caller.ask("shelf", "new"), Answer::Served);
+    assert_eq!(client.request("shelf", "new"), ResponseKind::Completed);
     assert_eq!(site.pool.started(), ["read", "print"]);
     // A class's own name comes before a route's.
     site.fleet.put(vec![put_route("read", "print"), put_route("shelf", "read")]);
-    assert_eq!((caller.ask("read", "t0"), caller.ask("shelf", "t0")), (Answer::Served, Answer::Served));
+    assert_eq!(
+        (client.request("read", "t0"), client.request("shelf", "t0")),
+        (ResponseKind::Completed, ResponseKind::Completed)
+    );
     assert_eq!(site.pool.started(), ["read", "print", "read", "read"]);
     site.fleet.put(vec![delete_route("shelf"), delete_tenant("new"), delete_tenant("t1")]);
-    assert_eq!(caller.ask("shelf", "t0"), Answer::Invalid);
-    assert_eq!(caller.ask("read", "new"), Answer::Invalid);
-    assert_eq!(caller.ask("read", "t1"), Answer::Served, "the platform's tenant stays");
+    assert_eq!(client.request("shelf", "t0"), ResponseKind::Invalid);
+    assert_eq!(client.request("read", "new"), ResponseKind::Invalid);
+    assert_eq!(client.request("read", "t1"), ResponseKind::Completed, "the platform's tenant stays");
 }
 
-/// A try of a key is known for what it is after its route was led to another class.
+/// An attempt with an idempotency key is recognised after its route was led to another class.
 #[test]
-fn a_keyed_request_is_not_run_again_when_its_route_moves() {
+fn an_idempotent_request_is_not_run_again_when_its_route_moves() {
     let folder = folder("route-moves");
     let site = site(&folder, "");
     site.fleet.put(vec![put_route("book", "write")]);
-    let mut caller = Caller::new(site.daemon.address);
-    assert_eq!(caller.ask_keyed("book", "t0", Some("k1")), Answer::Served);
-    assert_eq!(caller.ask_keyed("book", "t0", Some("k1")), Answer::Served);
+    let mut client = Client::new(site.daemon.address);
+    assert_eq!(client.request_with_key("book", "t0", Some("k1")), ResponseKind::Completed);
+    assert_eq!(client.request_with_key("book", "t0", Some("k1")), ResponseKind::Completed);
     assert_eq!(site.pool.started(), ["write"]);
-    assert_eq!(caller.ask_keyed("write", "t0", Some("k1")), Answer::Served, "a key of the class's own");
+    assert_eq!(
+        client.request_with_key("write", "t0", Some("k1")),
+        ResponseKind::Completed,
+        "a key of the class's own"
+    );
     assert_eq!(site.pool.started(), ["write", "write"]);
 }
 
 #[test]
-fn a_class_limit_comes_in_force_and_others_go_on() {
+fn a_class_limit_is_applied_and_other_classes_go_on() {
     let folder = folder("class-limit");
     let site = site(&folder, "");
-    site.pool.hold();
-    let mut caller = Caller::new(site.daemon.address);
-    (0..3).for_each(|_| _ = caller.send("read", "t0"));
+    site.pool.hold_runs();
+    let mut client = Client::new(site.daemon.address);
+    (0..3).for_each(|_| _ = client.send("read", "t0"));
     site.pool.wait_running(3);
     site.fleet.put(vec![put_limit("read", 2)]);
     assert_eq!(site.pool.running(), ["read"; 3], "what runs goes on");
-    (0..2).for_each(|_| _ = caller.send("read", "t0"));
-    caller.send("print", "t0");
+    (0..2).for_each(|_| _ = client.send("read", "t0"));
+    client.send("print", "t0");
     site.pool.wait_running(4);
     assert_eq!(site.pool.running(), ["read", "read", "read", "print"], "held ones wait, others go on");
     site.pool.finish("read");
-    assert_eq!(caller.answer().1, Answer::Served);
-    caller.send("print", "t0");
+    assert_eq!(client.next_response().1, ResponseKind::Completed);
+    client.send("print", "t0");
     site.pool.wait_running(4);
     assert_eq!(site.pool.running(), ["read", "read", "print", "print"], "two still run");
     site.pool.finish("read");
-    assert_eq!(caller.answer().1, Answer::Served);
+    assert_eq!(client.next_response().1, ResponseKind::Completed);
     site.pool.wait_running(4);
     assert_eq!(site.pool.running(), ["read", "print", "print", "read"]);
     site.fleet.put(vec![put_limit("read", 3)]);
     site.pool.wait_running(5);
     for class in ["read", "read", "read", "print", "print"] {
         site.pool.finish(class);
-        assert_eq!(caller.answer().1, Answer::Served);
+        assert_eq!(client.next_response().1, ResponseKind::Completed);
     }
 }
 
 #[test]
-fn a_refused_change_leaves_the_old_one_whole_and_is_reported() {
+fn a_rejected_change_leaves_the_old_settings_whole_and_is_reported() {
     let folder = folder("refused");
     let site = site(&folder, "max_routes = 2");
     site.fleet.put(vec![put_route("shelf", "print")]);
@@ -115,50 +122,53 @@
     });
     assert_eq!((&*reasons[0].member, reasons[0].position), ("n3", refused));
     assert!(reasons[0].reason.contains("class `sing` is not known"), "{reasons:?}");
-    let line = site.daemon.logged("configuration change rejected");
+    let line = site.daemon.wait_for_log("configuration change rejected");
     assert!(line.contains("class `sing` is not known"), "{line}");
-    let mut caller = Caller::new(site.daemon.address);
-    assert_eq!(caller.ask("shelf", "t0"), Answer::Served);
+    let mut client = Client::new(site.daemon.address);
+    assert_eq!(client.request("shelf", "t0"), ResponseKind::Completed);
     assert_eq!(site.pool.started(), ["print"], "the route leads where it did");
-    assert_eq!(caller.ask("read", "new"), Answer::Invalid);
-    assert_eq!(caller.ask("choir", "t0"), Answer::Invalid);
+    assert_eq!(client.request("read", "new"), ResponseKind::Invalid);
+    assert_eq!(client.request("choir", "t0"), ResponseKind::Invalid);
     // Later changes come in force.
     site.fleet.put(vec![put_tenant("newer", 1), put_route("second", "read")]);
-    assert_eq!(caller.ask("second", "newer"), Answer::Served);
+    assert_eq!(client.request("second", "newer"), ResponseKind::Completed);
 }
 
-/// Requests run on several connections while tenants and routes come and go: each gets one answer, which is its result or
-/// the module's refusal (pauses of a busy machine look like a stall to it), none is failed or taken for invalid, and the
-/// pool ran exactly those that were served.
+/// Requests run on several connections while tenants and routes come and go: each gets one response, which is its result
+/// or a rejection (pauses of a busy machine look like a stall to the controller), none fails or is invalid, and the pool
+/// ran exactly those that were completed.
 #[test]
-fn changes_come_in_force_while_requests_run_and_none_is_lost() {
-    const CALLERS: usize = 4;
+fn changes_are_applied_while_requests_run_and_none_is_lost() {
+    const CLIENTS: usize = 4;
     const CHANGES: u64 = 60;
     let folder = folder("while-requests-run");
     let site = site(&folder, "");
     site.fleet.put(vec![put_route("moving", "read"), put_tenant("shared", 1000)]);
-    let over = AtomicBool::new(false);
+    let is_over = AtomicBool::new(false);
     let counts = std::thread::scope(|scope| {
         let load = || {
-            let mut caller = Caller::new(site.daemon.address);
-            let mut served = 0u64;
-            while !over.load(Ordering::Relaxed) {
+            let mut client = Client::new(site.daemon.address);
+            let mut completed = 0u64;
+            while !is_over.load(Ordering::Relaxed) {
                 let ids: Vec<u64> = (0..10)
-                    .map(|at| caller.send(["moving", "read"][at % 2], ["shared", "t0", "t1"][at % 3]))
+                    .map(|at| client.send(["moving", "read"][at % 2], ["shared", "t0", "t1"][at % 3]))
                     .collect();
                 let mut answered: Vec<u64> = Vec::new();
                 for _ in &ids {
-                    let (id, answer) = caller.answer();
-                    assert!(matches!(answer, Answer::Served | Answer::Refused), "request {id}: {answer:?}");
+                    let (id, kind) = client.next_response();
+                    assert!(
+                        matches!(kind, ResponseKind::Completed | ResponseKind::Rejected),
+                        "request {id}: {kind:?}"
+                    );
                     answered.push(id);
-                    served += u64::from(answer == Answer::Served);
+                    completed += u64::from(kind == ResponseKind::Completed);
                 }
                 answered.sort_unstable();
                 assert_eq!(answered, ids, "each once");
             }
-            served
+            completed
         };
-        let callers: Vec<_> = (0..CALLERS).map(|_| scope.spawn(load)).collect();
+        let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(load)).collect();
         for number in 0..CHANGES {
             let class = ["print", "read"][number as usize % 2];
             site.fleet.put(vec![
@@ -169,8 +179,8 @@
                 put_tenant("t0", 100 + number),
             ]);
         }
-        over.store(true, Ordering::Relaxed);
-        callers.into_iter().map(|caller| caller.join().expect("its requests were answered")).sum::<u64>()
+        is_over.store(true, Ordering::Relaxed);
+        clients.into_iter().map(|client| client.join().expect("its requests were answered")).sum::<u64>()
     });
     assert_eq!(site.pool.started().len() as u64, counts);
     let started = site.pool.started();
@@ -183,46 +193,46 @@
 }
 
 #[test]
-fn cut_off_it_goes_on_and_a_restart_serves_with_the_kept_state_at_once() {
+fn a_server_without_relay_goes_on_and_a_restart_serves_from_the_stored_state() {
     let folder = folder("cut-off");
-    let Site { mut fleet, pool, daemon } = site(&folder, &kept_in(&folder));
+    let Site { mut fleet, pool, daemon } = site(&folder, &state_directory(&folder));
     fleet.put(vec![put_route("shelf", "print"), put_tenant("new", 50), put_limit("read", 1)]);
     let relay = fleet.relay_address();
-    fleet.end_relay();
-    let mut caller = Caller::new(daemon.address);
-    assert_eq!(caller.ask("shelf", "new"), Answer::Served);
-    drop(caller);
-    daemon.leave();
+    fleet.stop_relay();
+    let mut client = Client::new(daemon.address);
+    assert_eq!(client.request("shelf", "new"), ResponseKind::Completed);
+    drop(client);
+    daemon.shut_down();
     drop(fleet);
-    let more = kept_in(&folder);
+    let more = state_directory(&folder);
     let daemon = Daemon::start(&folder, pool.address(), &OperatorFile::ConfigSync { relay, more: &more });
-    let mut caller = Caller::new(daemon.address);
-    assert_eq!(caller.ask("shelf", "new"), Answer::Served, "the first request after the start");
-    pool.hold();
-    (0..2).for_each(|_| _ = caller.send("read", "new"));
-    caller.send("print", "new");
+    let mut client = Client::new(daemon.address);
+    assert_eq!(client.request("shelf", "new"), ResponseKind::Completed, "the first request after the start");
+    pool.hold_runs();
+    (0..2).for_each(|_| _ = client.send("read", "new"));
+    client.send("print", "new");
     pool.wait_running(2);
     assert_eq!(pool.running(), ["read", "print"], "the limit is in force as well");
 }
 
 #[test]
-fn another_operator_file_waits_for_the_next_start() {
+fn a_changed_operator_file_waits_for_the_next_start() {
     let folder = folder("reread");
     let site = site(&folder, "");
     site.fleet.put(vec![put_route("shelf", "print")]);
     let relay = site.fleet.relay_address();
     site.daemon.rewrite_operator(&OperatorFile::ConfigSync { relay, more: "max_routes = 5" });
     site.daemon.signal("HUP");
-    site.daemon.logged("operator file not applied: it changes only with a restart");
-    let mut caller = Caller::new(site.daemon.address);
-    assert_eq!(caller.ask("shelf", "t0"), Answer::Served);
+    site.daemon.wait_for_log("operator file not applied: it changes only with a restart");
+    let mut client = Client::new(site.daemon.address);
+    assert_eq!(client.request("shelf", "t0"), ResponseKind::Completed);
 }
 
 #[test]
-fn a_faulty_key_file_ends_the_start_and_is_not_printed() {
+fn an_invalid_key_file_fails_the_start_and_is_not_printed() {
     let folder = folder("key-file");
     let (config, operator) = (folder.join("config.json"), folder.join("operator.hcl"));
-    let pool = Pool::new();
+    let pool = FakeWorkerPool::new();
     drop(Daemon::start(&folder, pool.address(), &OperatorFile::Empty));
     let key_file = folder.join("short.key");
     std::fs::write(&key_file, "short secret").expect("it is written");
@@ -244,13 +254,13 @@
 }
 
 #[test]
-fn off_there_is_no_thread_and_nothing_is_looked_up() {
+fn without_distributed_configuration_there_is_no_thread_and_no_lookup() {
     let folder = folder("off");
-    let pool = Pool::new();
+    let pool = FakeWorkerPool::new();
     let daemon = Daemon::start(&folder, pool.address(), &OperatorFile::Empty);
-    let mut caller = Caller::new(daemon.address);
-    assert_eq!(caller.ask("read", "t0"), Answer::Served);
-    assert_eq!(caller.ask("shelf", "t0"), Answer::Invalid);
+    let mut client = Client::new(daemon.address);
+    assert_eq!(client.request("read", "t0"), ResponseKind::Completed);
+    assert_eq!(client.request("shelf", "t0"), ResponseKind::Invalid);
     let threads = daemon.threads();
     assert!(threads.iter().all(|name| !name.contains("config")), "{threads:?}");
     let other = fleet::folder("off-beside-on");
--- a/tests/fleet/daemon.rs
+++ b/tests/fleet/daemon.rs
@@ -1,6 +1,6 @@
-//! The built round server with its files.
+//! The built server with its files.
 
-use super::{HANG, wait_for};
+use super::{TEST_TIMEOUT, wait_for};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,10 +17,10 @@
 "accounts":[{"name":"t0","allowance_per_s":100},{"name":"t1","allowance_per_s":100}],
 "policy_limits":{"retry_after":true,"max_retry_after_ms":1000},"safety":{"fall_multiple":8,"drain_grace_ms":0},
 "specifics":{"n_cores":8,"memory_kb":60000,"run_factor":8,"key_kb":10,"preemption":"off",
-"below":"off","keepalive_max_ms":32000000000,"callers":1,
+"below":"off","keepalive_max_ms":32000000000,"clients":1,
 "gauges":["core_use","on_cores","heap_share","links"]}}"#;
 
-/// What stands in the operator file.
+/// The text of the operator file.
 pub enum OperatorFile<'a> {
     /// Nothing.
     Empty,
@@ -28,7 +28,7 @@
     ConfigSync { relay: SocketAddr, more: &'a str },
 }
 
-/// The program, ended with the test.
+/// A server process, killed when it is dropped.
 pub struct Daemon {
     child: Child,
     pub address: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl Daemon {
-    /// Started, and its log read up to the line that it serves.
+    /// Starts a server and waits until it serves.
     pub fn start(folder: &Path, pool: SocketAddr, operator: &OperatorFile) -> Daemon {
         let config = format!(
             r#"{{"name":"n3","listen":"127.0.0.1:0","pool":"{pool}","directory":"127.0.0.1:1",
@@ -61,28 +61,28 @@
             .spawn()
             .expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("a log")).lines();
-        let (tell, log) = channel();
-        // Lines that no test waits for are dropped with the test's end of the channel.
-        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(tell.send(line))));
+        let (line_sender, log) = channel();
+        // The log is read to its end, so that the server can write it.
+        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(line_sender.send(line))));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut daemon = Daemon { child, address: any, log, folder: folder.to_owned() };
-        let serving = daemon.logged("serving");
+        let serving = daemon.wait_for_log("serving");
         let address = serving.split_once("listen: ").and_then(|(_, rest)| rest.split(',').next());
         daemon.address = address.and_then(|a| a.parse().ok()).expect("the address is logged");
         daemon
     }
 
-    /// The next line with these words.
-    pub fn logged(&self, words: &str) -> String {
+    /// Waits for a log line with these words and returns it.
+    pub fn wait_for_log(&self, words: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(HANG).unwrap_or_else(|_| panic!("not logged: {words}"));
+            let line = self.log.recv_timeout(TEST_TIMEOUT).unwrap_or_else(|_| panic!("not logged: {words}"));
             if line.contains(words) {
                 return line;
             }
         }
     }
 
-    /// The names of the program's threads.
+    /// Returns the names of the threads of the process.
     pub fn threads(&self) -> Vec<String> {
         let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
         let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
@@ -91,26 +91,27 @@
         names
     }
 
-    /// Resident memory, kB.
+    /// Returns the resident memory, kB.
     pub fn resident_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a figure");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
+    /// Sends a signal.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
         assert!(sent.expect("kill is there").success());
     }
 
-    /// Told to leave, and gone with a good end.
-    pub fn leave(mut self) {
+    /// Requests a shutdown and waits for its success.
+    pub fn shut_down(mut self) {
         self.signal("TERM");
         wait_for("its end", || self.child.try_wait().expect("it can be asked").is_some());
         assert!(self.child.wait().expect("it ended").success());
     }
 
-    /// Writes another operator file.
+    /// Replaces the operator file.
     pub fn rewrite_operator(&self, operator: &OperatorFile) {
         let text = operator_text(&self.folder, operator);
         std::fs::write(self.folder.join("operator.hcl"), text).expect("it is written");
--- a/tests/fleet/pool.rs
+++ b/tests/fleet/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The worker pool, played: it runs what it is asked to, at once or when the test says so, and keeps count.
+//! A fake worker pool: completes runs at once or when the test says so, and records them.
 
 use super::wait_for;
 use dunlinspread::codec::json::{self, Value};
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A worker pool that takes one link after the other.
-pub struct Pool {
+/// A worker pool that accepts one link after the other.
+pub struct FakeWorkerPool {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -16,101 +16,108 @@
 #[derive(Default)]
 struct State {
     link: Option<TcpStream>,
-    /// Runs wait for the test.
-    holds: bool,
-    /// The last notice's number.
-    last: u64,
-    running: VecDeque<(String, String)>,
-    /// Classes in the order in which their runs were asked for.
+    /// Whether runs wait for the test.
+    holds_runs: bool,
+    /// The number of the last notice.
+    last_sequence: u64,
+    running: VecDeque<Run>,
+    /// The classes of all runs, in the order in which they were requested.
     started: Vec<String>,
 }
 
+/// A run that waits for the test.
+struct Run {
+    id: String,
+    class: String,
+}
+
 impl State {
-    fn tell(&mut self, line: &str) {
+    fn write_line(&mut self, line: &str) {
         if let Some(link) = &mut self.link {
-            // The program may have ended.
+            // The server may have ended.
             let _ = link.write_all(format!("{line}\n").as_bytes());
         }
     }
 
     fn finish(&mut self, id: &str) {
-        self.last += 1;
-        let seq = self.last;
-        self.tell(&format!(
+        self.last_sequence += 1;
+        let seq = self.last_sequence;
+        self.write_line(&format!(
             r#"{{"op":"finished","seq":{seq},"id":"{id}","end":"good","ms":1,"body":"eA=="}}"#
         ));
     }
 
-    fn take(&mut self, command: &Value) {
+    fn handle_command(&mut self, command: &Value) {
         let word = |key: &str| match command.get(key) {
             Some(Value::Str(text)) => text.clone(),
             _ => String::new(),
         };
         match word("op").as_str() {
-            "bind" => self.tell(r#"{"op":"bound","end":"old","ms":5000}"#),
+            "bind" => self.write_line(r#"{"op":"bound","end":"old","ms":5000}"#),
             "poll" => {
                 let tag = word("tag");
-                self.tell(&format!(r#"{{"op":"polled","tag":"{tag}","values":[0.1,0,0.1,1]}}"#));
+                self.write_line(&format!(r#"{{"op":"polled","tag":"{tag}","values":[0.1,0,0.1,1]}}"#));
             }
             "spawn" => {
                 let (id, class) = (word("id"), word("class"));
                 self.started.push(class.clone());
-                if self.holds {
-                    self.running.push_back((id, class));
+                if self.holds_runs {
+                    self.running.push_back(Run { id, class });
                 } else {
                     self.finish(&id);
                 }
             }
-            other => panic!("the pool does not know `{other}`"),
+            other => panic!("unknown command `{other}`"),
         }
     }
 }
 
-impl Pool {
-    /// Listens.
-    pub fn new() -> Pool {
+impl FakeWorkerPool {
+    /// Starts a pool on a free port.
+    pub fn new() -> FakeWorkerPool {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
         let state = Arc::new(Mutex::new(State::default()));
-        let of_links = state.clone();
+        let link_state = state.clone();
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                serve(&of_links, stream);
+                serve(&link_state, stream);
             }
         });
-        Pool { address, state }
+        FakeWorkerPool { address, state }
     }
 
+    /// Returns the address of the pool.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs wait from now on.
-    pub fn hold(&self) {
-        self.lock().holds = true;
+    /// Keeps runs waiting until [`FakeWorkerPool::finish`].
+    pub fn hold_runs(&self) {
+        self.lock().holds_runs = true;
     }
 
-    /// The runs under way, by class, in the order in which they were started.
+    /// Returns the classes of the runs that wait, in the order of their start.
     pub fn running(&self) -> Vec<String> {
-        self.lock().running.iter().map(|(_, class)| class.clone()).collect()
+        self.lock().running.iter().map(|run| run.class.clone()).collect()
     }
 
-    /// All runs ever asked for, by class, in order.
+    /// Returns the classes of all runs, in order.
     pub fn started(&self) -> Vec<String> {
         self.lock().started.clone()
     }
 
-    /// Waits for that many runs under way.
+    /// Waits until so many runs wait.
     pub fn wait_running(&self, count: usize) {
         wait_for("runs under way", || self.lock().running.len() == count);
     }
 
-    /// The longest run of that class ends.
+    /// Completes the oldest run of a class.
     pub fn finish(&self, class: &str) {
         let mut state = self.lock();
-        let at = state.running.iter().position(|(_, of)| of == class).expect("it runs");
-        let (id, _) = state.running.remove(at).expect("it is there");
-        state.finish(&id);
+        let at = state.running.iter().position(|run| run.class == class).expect("it runs");
+        let run = state.running.remove(at).expect("it is there");
+        state.finish(&run.id);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -124,6 +131,6 @@
     lock().link = Some(writer);
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let command = json::parse(line.as_bytes()).expect("a command in JSON");
-        lock().take(&command);
+        lock().handle_command(&command);
     }
 }
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -53,7 +53,7 @@
     ]
 }
 
-/// Changes that come in force together, each key at most once, and whether all requests before them have arrived.
+/// Changes that are applied together, each key at most once, and whether all requests decoded before them have reached the dispatcher.
 fn any_update() -> impl Strategy<Value = (Vec<Change>, bool)> {
     (prop::collection::vec(any_change(), 1..6), any::<bool>()).prop_map(|(changes, settled)| {
         let by_key: BTreeMap<Key, Change> = changes.into_iter().map(|c| (c.key(), c)).collect();
@@ -61,15 +61,15 @@
     })
 }
 
-/// What the decision module has: allowances and limits by position.
+/// A model of the admission controller: quotas and limits by position.
 #[derive(Default)]
-struct Module {
+struct ControllerModel {
     quotas: BTreeMap<usize, f64>,
     limits: BTreeMap<usize, usize>,
 }
 
-impl Module {
-    fn take(&mut self, changes: &Reconfiguration) {
+impl ControllerModel {
+    fn apply(&mut self, changes: &Reconfiguration) {
         for change in &changes.quotas {
             match change.per_second {
                 Some(rate) => drop(self.quotas.insert(change.tenant, rate)),
@@ -91,21 +91,21 @@
         updates in prop::collection::vec(any_update(), 1..40),
     ) {
         let mut effective = EffectiveSettings::new(Arc::new(platform()));
-        let mut module = Module { quotas: [(0, 10.0), (1, 11.0), (2, 12.0)].into(), ..Module::default() };
+        let mut controller = ControllerModel { quotas: [(0, 10.0), (1, 11.0), (2, 12.0)].into(), ..ControllerModel::default() };
         let mut model: BTreeMap<Key, Resource> = BTreeMap::new();
         // Positions that a request read before a change could still carry.
         let mut carried: BTreeSet<usize> = BTreeSet::new();
         for (changes, settled) in updates {
             let before: BTreeMap<&str, usize> =
                 TENANTS.iter().filter_map(|t| Some((*t, effective.tenant(t)?))).collect();
-            module.take(&effective.apply(&changes));
+            controller.apply(&effective.apply(&changes));
             for change in changes {
                 match change {
                     Change::Put(resource) => drop(model.insert(resource.key(), resource)),
                     Change::Delete(key) => drop(model.remove(&key)),
                 }
             }
-            check(&effective, &module, &model)?;
+            check(&effective, &controller, &model)?;
             for (at, tenant) in TENANTS.iter().enumerate() {
                 let after = effective.tenant(tenant);
                 match (before.get(tenant), after) {
@@ -123,9 +123,9 @@
         }
         // All positions but the platform's are given back and serve anew.
         let gone: Vec<Change> = TENANTS.iter().map(|t| Change::Delete(Key::Tenant((*t).into()))).collect();
-        module.take(&effective.apply(&gone));
+        controller.apply(&effective.apply(&gone));
         effective.recycle_positions();
-        let most = module.quotas.keys().max().copied().unwrap_or(0);
+        let most = controller.quotas.keys().max().copied().unwrap_or(0);
         prop_assert_eq!(most, OF_PLATFORM - 1);
         prop_assert_eq!(effective.tenant_count(), 0);
     }
@@ -133,7 +133,7 @@
 
 fn check(
     effective: &EffectiveSettings,
-    module: &Module,
+    controller: &ControllerModel,
     model: &BTreeMap<Key, Resource>,
 ) -> Result<(), TestCaseError> {
     let mut positions = BTreeSet::new();
@@ -147,10 +147,10 @@
         };
         let position = effective.tenant(tenant);
         prop_assert_eq!(position.is_some(), stated.is_some(), "{}", tenant);
-        prop_assert_eq!(position.and_then(|p| module.quotas.get(&p).copied()), stated, "{}", tenant);
+        prop_assert_eq!(position.and_then(|p| controller.quotas.get(&p).copied()), stated, "{}", tenant);
         prop_assert!(position.is_none_or(|p| positions.insert(p)), "a position stands for two tenants");
     }
-    prop_assert_eq!(module.quotas.len(), positions.len(), "an allowance is left of a tenant that is gone");
+    prop_assert_eq!(controller.quotas.len(), positions.len(), "a quota is left of a tenant that was deleted");
     for route in ROUTES {
         let class = match model.get(&Key::Route(route.into())) {
             Some(Resource::Route { class, .. }) => CLASSES.iter().position(|c| **c == **class),
@@ -163,7 +163,7 @@
             Some(Resource::ClassLimit { max_running, .. }) => Some(*max_running as usize),
             _ => None,
         };
-        prop_assert_eq!(module.limits.get(&at).copied(), limit, "{}", class);
+        prop_assert_eq!(controller.limits.get(&at).copied(), limit, "{}", class);
     }
     Ok(())
 }
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_class_that_this_server_has_not_is_refused_by_name() {
+fn an_unknown_class_is_rejected_by_name() {
     let validator = validator(10, 10);
     assert_eq!(validator.judge(&[put_route("r0", "read"), put_limit("write", 3)]), Ok(()));
     assert_eq!(
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_change_past_the_capacity_is_refused_and_counts_for_nothing() {
+fn a_change_past_the_capacity_is_rejected_and_not_counted() {
     let validator = validator(5, 1);
     assert_eq!(validator.judge(&[put_tenant("t3", 1), put_tenant("t4", 1)]), Ok(()));
     let full = Err("6 tenants, this server takes 5".to_owned());
--- a/tests/large_config.rs
+++ b/tests/large_config.rs
@@ -1,4 +1,4 @@
-//! A configuration of the size aimed at: it is checked, and served with, within 256 MB.
+//! A configuration of the target size is checked and served within 256 MB.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
@@ -11,7 +11,7 @@
 const CLASSES: usize = 64_000;
 const MEMORY_KB: u64 = 256 * 1024;
 
-/// What puts that many tenants into the configuration: the text that it replaces, and the new one.
+/// Returns the change that adds so many tenants to a configuration: the text to replace, and the new one.
 fn accounts(count: usize) -> (String, String) {
     let mut list = String::new();
     for at in 0..count {
@@ -24,7 +24,7 @@
     (before, after)
 }
 
-/// That many classes before the ordinary ones.
+/// Returns the change that adds so many classes before the ordinary ones.
 fn profiles(count: usize) -> (String, String) {
     let class = |at| {
         format!(r#"{{"name":"route-{at}","effect":"pure","give_up_ms":2000,"target_ms":500,"worth":1}},"#)
@@ -37,7 +37,7 @@
     play::config("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", changes)
 }
 
-/// What `check` prints with no more than that memory, counted as address space, of which RSS is a part.
+/// Returns what `check` prints within the memory limit, counted as address space, of which RSS is a part.
 fn check(test: &str, config: &str) -> String {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}.json"));
     std::fs::write(&path, config).expect("written");
@@ -72,16 +72,17 @@
     assert!(text.contains("tenant-000000, ") && text.contains(", tenant-000019\n"), "{text}");
 }
 
-struct Ended(Child);
+/// A process that is killed when it is dropped.
+struct KillOnDrop(Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// The most memory that a live process ever had, kB.
+/// Returns the peak resident memory of a process, kB.
 fn peak_kb(process: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).expect("it lives");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("its peak");
@@ -90,7 +91,7 @@
 
 #[test]
 fn the_server_starts_with_all_tenants_within_its_memory() {
-    let mut child = Ended(play::start(&config(&[accounts(TENANTS)])));
+    let mut child = KillOnDrop(play::start(&config(&[accounts(TENANTS)])));
     let log = BufReader::new(child.0.stderr.take().expect("a log"));
     let mut lines = log.lines().map_while(Result::ok);
     let address = lines.find_map(|line| Some(line.split_once("listen: ")?.1.split(',').next()?.to_owned()));
@@ -102,9 +103,9 @@
     assert!(peak < MEMORY_KB, "{peak} kB");
 }
 
-/// The last tenant is known and served, and one past the list is not.
+/// The last tenant is known, and one past the list is not.
 #[test]
-fn a_request_of_the_last_tenant_is_served() {
+fn a_request_of_the_last_tenant_is_completed() {
     let (before, after) = accounts(TENANTS);
     let script = format!(
         "config {before} -> {after}\n\
--- a/tests/name_tables.rs
+++ b/tests/name_tables.rs
@@ -1,4 +1,4 @@
-//! Positions by name: the same as a walk through the list finds.
+//! Lookup of positions by name, against a linear search.
 
 use dunlinspread::server::name_table::NameTable;
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 proptest! {
     /// Few distinct short names, so that equal and missing ones are common.
     #[test]
-    fn a_lookup_finds_what_a_walk_finds(
+    fn a_lookup_finds_what_a_linear_search_finds(
         names in proptest::collection::vec("[ab]{0,3}", 0..20),
         sought in proptest::collection::vec("[abc]{0,3}", 0..20),
     ) {
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,10 +1,10 @@
-//! The operator file: what it sets reads back, and faults name file, line, block and key.
+//! The operator file: its settings read back, and errors name file, line, block and key.
 
 use dunlinspread::operator::{LogFormat, LogLevel, LogSettings, OperatorConfig};
 use dunlinspread_ledger::DurabilityMode;
 
-fn fault(text: &str) -> String {
-    OperatorConfig::read(text, "op.hcl").expect_err("it is faulty").to_string()
+fn error(text: &str) -> String {
+    OperatorConfig::read(text, "op.hcl").expect_err("it is invalid").to_string()
 }
 
 #[test]
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn what_is_in_force_reads_back() {
+fn printed_settings_read_back() {
     let operator = OperatorConfig::read("log {\n  format = \"json\"\n  level = \"warning\"\n}\n", "op.hcl")
         .expect("good");
     assert_eq!(operator.log, LogSettings { format: LogFormat::Json, level: LogLevel::Warning });
@@ -33,37 +33,37 @@
 }
 
 #[test]
-fn faults_name_file_line_block_and_key() {
+fn errors_name_file_line_block_and_key() {
     assert_eq!(
-        fault("\nlog {\n  form = \"json\"\n}\n"),
+        error("\nlog {\n  form = \"json\"\n}\n"),
         "op.hcl:3: log: `form`: unknown field `form`, expected `format` or `level`"
     );
-    let other = fault("log {\n  level = \"loud\"\n}\n");
+    let other = error("log {\n  level = \"loud\"\n}\n");
     assert!(other.starts_with("op.hcl:2: log: `level`: unknown variant `loud`"), "{other}");
-    let other = fault("log {\n\n  format = 7\n}\n");
+    let other = error("log {\n\n  format = 7\n}\n");
     assert!(other.starts_with("op.hcl:3: log: `format`: "), "{other}");
-    assert_eq!(fault("lag {}\n"), "op.hcl:1: lag: is no block; the blocks are: log, ledger, config_sync");
+    assert_eq!(error("lag {}\n"), "op.hcl:1: lag: is no block; the blocks are: log, ledger, config_sync");
     assert_eq!(
-        fault("a = 1\n"),
+        error("a = 1\n"),
         "op.hcl:1: `a`: settings stand in blocks; the blocks are: log, ledger, config_sync"
     );
-    assert_eq!(fault("log {}\n\nlog {}\n"), "op.hcl:3: log: stands here a second time");
-    assert_eq!(fault("log \"x\" {}\n"), "op.hcl:1: log \"x\": takes no label");
+    assert_eq!(error("log {}\n\nlog {}\n"), "op.hcl:3: log: stands here a second time");
+    assert_eq!(error("log \"x\" {}\n"), "op.hcl:1: log \"x\": takes no label");
     assert_eq!(
-        fault("ledger \"r\" {\n  directory = \"/x\"\n  interval = \"50ms\"\n}\n"),
+        error("ledger \"r\" {\n  directory = \"/x\"\n  interval = \"50ms\"\n}\n"),
         "op.hcl:3: ledger \"r\": `interval`: belongs to mode \"interval\""
     );
     assert_eq!(
-        fault("ledger \"r\" {\n  directory = \"/x\"\n  grace = \"1h\"\n}\n"),
+        error("ledger \"r\" {\n  directory = \"/x\"\n  grace = \"1h\"\n}\n"),
         "op.hcl:3: ledger \"r\": `grace`: 1h is not within 0s and 15m"
     );
-    let other = fault("ledger \"r\" {\n  directory = \"/x\"\n  period = \"soon\"\n}\n");
+    let other = error("ledger \"r\" {\n  directory = \"/x\"\n  period = \"soon\"\n}\n");
     assert!(other.starts_with("op.hcl:3: ledger \"r\": `period`: `soon` is no length of time"), "{other}");
-    let other = fault("ledger \"r\" {\n  directory = \"/x\"\n  export {\n    folders = \"/y\"\n  }\n}\n");
+    let other = error("ledger \"r\" {\n  directory = \"/x\"\n  export {\n    folders = \"/y\"\n  }\n}\n");
     assert!(other.starts_with("op.hcl:4: ledger \"r\": `export.folders`: unknown field"), "{other}");
-    assert!(fault("ledger {\n}\n").starts_with("op.hcl:1: ledger: takes one label"));
-    assert!(fault("ledger \"r\" {\n}\n").contains("missing field `directory`"));
-    assert!(fault("log {\n").starts_with("op.hcl:"), "{}", fault("log {\n"));
+    assert!(error("ledger {\n}\n").starts_with("op.hcl:1: ledger: takes one label"));
+    assert!(error("ledger \"r\" {\n}\n").contains("missing field `directory`"));
+    assert!(error("log {\n").starts_with("op.hcl:"), "{}", error("log {\n"));
 }
 
 const CONFIG_SYNC: &str = r#"
@@ -106,10 +106,10 @@
 }
 
 #[test]
-fn faults_of_config_sync_name_line_and_key() {
+fn errors_of_config_sync_name_line_and_key() {
     let with = |from: &str, to: &str| {
         assert!(CONFIG_SYNC.contains(from), "{from}");
-        fault(&CONFIG_SYNC.replace(from, to))
+        error(&CONFIG_SYNC.replace(from, to))
     };
     assert_eq!(
         with("\"z3\"\n  region", "\"\"\n  region"),
@@ -142,12 +142,12 @@
         "op.hcl:10: config_sync: `relay`: takes one label, its name: relay \"name\" {"
     );
     assert_eq!(with("config_sync {", "config_sync \"x\" {"), "op.hcl:2: config_sync \"x\": takes no label");
-    let none = fault("config_sync {\n  zone = \"z\"\n  region = \"r\"\n  key_file = \"k\"\n}\n");
+    let none = error("config_sync {\n  zone = \"z\"\n  region = \"r\"\n  key_file = \"k\"\n}\n");
     assert_eq!(none, "op.hcl:1: config_sync: `relay`: is missing: name at least one to watch");
 }
 
 #[test]
-fn a_fleet_key_of_a_wrong_length_is_refused_and_not_printed() {
+fn a_fleet_key_of_a_wrong_length_is_rejected_and_not_printed() {
     let path = std::env::temp_dir().join(format!("dunlinspread-membership-key-{}", std::process::id()));
     let text = CONFIG_SYNC.replace("/etc/dunlinspread/fleet.key", &path.display().to_string());
     let settings = OperatorConfig::read(&text, "op.hcl").expect("good").config_sync.expect("the block");
@@ -161,12 +161,12 @@
         })
         .collect();
     std::fs::remove_file(&path).expect("it is there");
-    let fault = format!("config_sync: `key_file`: {}: wanted a key of 16 to 1024 bytes", path.display());
-    assert_eq!(outcomes, [Err(fault.clone()), Ok(16), Ok(1024), Err(fault)]);
+    let expected = format!("config_sync: `key_file`: {}: wanted a key of 16 to 1024 bytes", path.display());
+    assert_eq!(outcomes, [Err(expected.clone()), Ok(16), Ok(1024), Err(expected)]);
 }
 
 #[test]
-fn the_annotated_example_is_good() {
+fn the_annotated_example_is_valid() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/operator.example.hcl");
     let operator = OperatorConfig::load(std::path::Path::new(path)).expect("good");
     assert!(operator.ledger.is_some() && operator.config_sync.is_some());
--- a/tests/stated_settings.rs
+++ b/tests/stated_settings.rs
@@ -1,11 +1,11 @@
-//! Settings from the configuration's tree are those that its paths and values give, by which they were once read and
-//! which the simulator still sends; faults name their keys.
+//! Settings of the configuration file, as a tree, are the same as those of the simulator, as pairs of paths and values;
+//! errors name their keys.
 
 use dunlinspread::codec::json::{self, Value};
 use dunlinspread::config::{Config, StatedSettings};
 use std::collections::BTreeMap;
 
-/// The paths and values of a tree: a list of plain values is joined by commas, a list of objects gives its length under
+/// Adds the paths and values of a tree: a list of plain values is joined by commas, a list of objects gives its length under
 /// `.count` and its items under `.0`, `.1` and so on.
 fn flatten(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
     let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
@@ -52,7 +52,7 @@
 ];
 
 #[test]
-fn a_tree_is_read_as_its_pairs_are() {
+fn a_tree_gives_the_same_settings_as_its_pairs() {
     for text in TEXTS {
         let tree = json::parse(text.as_bytes()).expect(text);
         let mut pairs = BTreeMap::new();
@@ -64,38 +64,38 @@
     }
 }
 
-/// The key and the fault of a configuration with these settings.
-fn fault(settings: &str) -> String {
+/// Returns the error of a configuration with these settings.
+fn error(settings: &str) -> String {
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:1","pool":"127.0.0.1:1","directory":"127.0.0.1:1","settings":{settings}}}"#
     );
-    Config::read(text.as_bytes(), None, None).expect_err("a fault").to_string()
+    Config::read(text.as_bytes(), None, None).expect_err("an error").to_string()
 }
 
 #[test]
-fn faults_in_lists_name_their_item() {
+fn errors_in_lists_name_their_item() {
     let class = r#""profiles":[{"name":"c"}]"#;
     let names = r#"{"name":"a"},{"name":"b"},{"name":"c"}"#;
     assert_eq!(
-        fault(&format!(r#"{{{class},"accounts":[{names},{{"name":""}}]}}"#)),
+        error(&format!(r#"{{{class},"accounts":[{names},{{"name":""}}]}}"#)),
         "`settings.accounts.3.name`: is missing"
     );
     assert_eq!(
-        fault(&format!(r#"{{{class},"accounts":[{names},{{"name":"d","allowance_per_s":"x"}}]}}"#)),
+        error(&format!(r#"{{{class},"accounts":[{names},{{"name":"d","allowance_per_s":"x"}}]}}"#)),
         "`settings.accounts.3.allowance_per_s`: can't be read: x"
     );
-    assert_eq!(fault(r#"{"profiles":[{"name":"c"},{}]}"#), "`settings.profiles.1.name`: is missing");
-    assert_eq!(fault(r#"{"profiles":[]}"#), "`settings.profiles`: lists no class");
+    assert_eq!(error(r#"{"profiles":[{"name":"c"},{}]}"#), "`settings.profiles.1.name`: is missing");
+    assert_eq!(error(r#"{"profiles":[]}"#), "`settings.profiles`: lists no class");
 }
 
 #[test]
-fn a_list_past_the_bound_is_refused() {
+fn a_list_past_the_limit_is_rejected() {
     let accounts = vec!["{}"; 1_000_001].join(",");
     assert_eq!(
-        fault(&format!(r#"{{"profiles":[{{"name":"c"}}],"accounts":[{accounts}]}}"#)),
+        error(&format!(r#"{{"profiles":[{{"name":"c"}}],"accounts":[{accounts}]}}"#)),
         "`settings.accounts.count`: is too large: 1000001"
     );
     let pairs: StatedSettings = [("accounts.count", "1000001")].into_iter().collect();
-    let said = pairs.settings(0).expect_err("a fault").to_string();
-    assert_eq!(said, "`accounts.count`: is too large: 1000001");
+    let message = pairs.settings(0).expect_err("an error").to_string();
+    assert_eq!(message, "`accounts.count`: is too large: 1000001");
 }
