--- a/crates/config-sync/src/subscriber/transactions.rs
+++ b/crates/config-sync/src/subscriber/transactions.rs
@@ -13,7 +13,7 @@
         &mut self,
         before: Table,
         transactions: &[Arc<Transaction>],
-        out: &mut Vec<SubscriberAction>,
+        actions: &mut Vec<SubscriberAction>,
     ) {
         let mut mirror = LaggingTable::new(before);
         let mut changes = BTreeMap::new();
@@ -21,9 +21,9 @@
         for transaction in transactions {
             let refused = match self.judge.judge(&transaction.changes) {
                 Ok(()) => false,
-                Err(reason) => {
+                Err(rejection) => {
                     self.counters.refused_transactions += 1;
-                    self.refuse(transaction.position, &reason);
+                    self.refuse(transaction.position, rejection.reason());
                     true
                 }
             };
@@ -37,7 +37,7 @@
             taken += 1;
         }
         if taken > 0 {
-            self.put_in_force(changes.into_values().collect(), out);
+            self.put_in_force(changes.into_values().collect(), actions);
         }
     }
 
