--- a/crates/config-sync/src/fanout.rs
+++ b/crates/config-sync/src/fanout.rs
@@ -94,7 +94,7 @@
         if self.sessions.len() >= self.settings.max_sessions {
             let message = Arc::new(self.busy());
             actions.push(FanoutAction::Send { session: id, message });
-            actions.push(FanoutAction::Close { session: id, why: CloseReason::Full });
+            actions.push(FanoutAction::Close { session: id, reason: CloseReason::Full });
             return;
         }
         self.forget(id);
@@ -162,20 +162,20 @@
     fn close_silent(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         let overdue: Vec<(SessionId, CloseReason)> =
             self.sessions.iter().filter_map(|(&id, state)| Some((id, self.silence(now, state)?))).collect();
-        for (id, why) in overdue {
-            self.close(id, why, actions);
+        for (id, reason) in overdue {
+            self.close(id, reason, actions);
         }
     }
 
     /// Why a session that was silent for too long is to be closed.
     fn silence(&self, now: Millis, session: &Session) -> Option<CloseReason> {
-        let (limit, why) = match session.stage {
+        let (limit, reason) = match session.stage {
             Stage::Opened => (self.settings.silence_ms, CloseReason::NoWatch),
             Stage::Resync => (self.settings.silence_ms, CloseReason::NoFetch),
             Stage::Snapshot(_) => (self.settings.stall_ms, CloseReason::Stalled),
             Stage::Live | Stage::CatchingUp { .. } | Stage::Ahead { .. } => return self.unanswered(session),
         };
-        (now > session.since.saturating_add(limit)).then_some(why)
+        (now > session.since.saturating_add(limit)).then_some(reason)
     }
 
     fn unanswered(&self, session: &Session) -> Option<CloseReason> {
--- a/crates/config-sync/src/fanout/interface.rs
+++ b/crates/config-sync/src/fanout/interface.rs
@@ -100,7 +100,7 @@
         /// Which.
         session: SessionId,
         /// Why.
-        why: CloseReason,
+        reason: CloseReason,
     },
 }
 
--- a/crates/config-sync/src/fanout/state.rs
+++ b/crates/config-sync/src/fanout/state.rs
@@ -150,10 +150,10 @@
     }
 
     /// Closes a session that is open; nothing otherwise.
-    pub(super) fn close(&mut self, session: SessionId, why: CloseReason, actions: &mut Vec<FanoutAction>) {
+    pub(super) fn close(&mut self, session: SessionId, reason: CloseReason, actions: &mut Vec<FanoutAction>) {
         if self.sessions.contains_key(&session) {
             self.forget(session);
-            actions.push(FanoutAction::Close { session, why });
+            actions.push(FanoutAction::Close { session, reason });
         }
     }
 
--- a/crates/config-sync/src/follower.rs
+++ b/crates/config-sync/src/follower.rs
@@ -50,7 +50,7 @@
     /// Whether a snapshot was asked for because something did not fit; the second time the server is left.
     repaired: bool,
     /// What the server's last heartbeat said: its head and its age.
-    told: Option<(Position, StateAge)>,
+    last_heartbeat: Option<(Position, StateAge)>,
     /// The age at which its server is left.
     stale_after_ms: Millis,
     /// So long a new session has to show that its server is not that old, as one that has just begun itself.
@@ -256,7 +256,7 @@
             return;
         }
         disconnect(actions, DisconnectReason::TryingNearer);
-        self.candidates.try_nearer(self.session.told.map(|(_, age)| age));
+        self.candidates.try_nearer(self.session.last_heartbeat.map(|(_, age)| age));
         self.connect(now, actions);
     }
 
--- a/crates/config-sync/src/follower/messages.rs
+++ b/crates/config-sync/src/follower/messages.rs
@@ -65,7 +65,7 @@
         actions: &mut Vec<FollowerAction>,
     ) {
         let age = StateAge::new(now, age_ms);
-        self.session.told = Some((head, age));
+        self.session.last_heartbeat = Some((head, age));
         self.note_age(now, age);
         if head < self.position {
             self.leave_behind(now, head, actions);
@@ -90,7 +90,7 @@
     /// The table is as young as the server's was when it last spoke, if it has all that the server had then. Deltas alone
     /// are no sign of youth: a server that is cut off has some for those that have less.
     fn grow_young(&mut self, now: Millis) {
-        if let Some((_, age)) = self.session.told.filter(|(head, _)| *head <= self.position) {
+        if let Some((_, age)) = self.session.last_heartbeat.filter(|(head, _)| *head <= self.position) {
             self.age = Some(age.younger(self.age, now));
         }
     }
--- a/crates/config-sync/src/follower/staleness.rs
+++ b/crates/config-sync/src/follower/staleness.rs
@@ -39,7 +39,7 @@
     /// Leaves a server that is cut off from above for the next other one, at once. Not in the middle of a snapshot, nor
     /// on a server that is on trial itself.
     pub(super) fn try_fresher(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
-        let age = self.session.told.map(|(_, age)| age);
+        let age = self.session.last_heartbeat.map(|(_, age)| age);
         let can_leave = self.session.proven && !matches!(self.link, Link::Fetching(_));
         let (true, Some(age)) = (can_leave, age) else {
             let later = now.saturating_add(self.session.stale_after_ms.max(1));
--- a/crates/config-sync/src/net/mod.rs
+++ b/crates/config-sync/src/net/mod.rs
@@ -11,7 +11,7 @@
 mod notify;
 mod proposal;
 mod publisher;
-mod publisher_core;
+mod publisher_driver;
 mod publisher_store;
 mod relay;
 mod sessions;
--- a/crates/config-sync/src/net/publisher.rs
+++ b/crates/config-sync/src/net/publisher.rs
@@ -2,7 +2,7 @@
 
 use super::node::NodeStatus;
 use super::proposal::{Pending, ProposeFailure};
-use super::publisher_core::{Command, Core, run};
+use super::publisher_driver::{Command, PublisherDriver, run};
 use super::publisher_store::{self, StoreFault};
 use super::settings::frame_key;
 use crate::fanout::FanoutSettings;
@@ -142,8 +142,9 @@
         let thread = std::thread::Builder::new()
             .name("publisher".to_owned())
             .spawn(move || {
-                match Core::new(opened, settings.snapshot_every, key.clone(), reports, log.clone()) {
-                    Ok(core) => run(core, &listener, &key, &inbox, &progress, &log),
+                match PublisherDriver::new(opened, settings.snapshot_every, key.clone(), reports, log.clone())
+                {
+                    Ok(driver) => run(driver, &listener, &key, &inbox, &progress, &log),
                     Err(error) => slog::error!(log, "store writer thread not started";
                         "component" => "config_sync", "error" => %error),
                 }
--- a/crates/config-sync/src/net/publisher_core.rs
+++ b/crates/config-sync/src/net/publisher_driver.rs
@@ -41,7 +41,7 @@
 }
 
 /// The publisher with its store and sessions.
-pub(super) struct Core {
+pub(super) struct PublisherDriver {
     publisher: RefCell<Publisher>,
     sessions: RefCell<Sessions>,
     store: RefCell<PublisherStore>,
@@ -55,52 +55,52 @@
 
 /// Runs until the commands are closed.
 pub(super) fn run(
-    core: Core,
+    driver: PublisherDriver,
     listener: &Async<TcpListener>,
     key: &FrameKey,
     commands: &Receiver<Command>,
     reports: &Receiver<DiskReport>,
     log: &Logger,
 ) {
-    let core = Rc::new(core);
+    let driver = Rc::new(driver);
     let executor = LocalExecutor::new();
     let command = async {
         while let Ok(command) = commands.recv().await {
-            core.on_command(command);
+            driver.on_command(command);
         }
     };
     let report = async {
         while let Ok(report) = reports.recv().await {
-            core.on_report(report);
+            driver.on_report(report);
         }
     };
-    let serve = or(accept(listener, &core, &executor, key, log), tick(&*core));
+    let serve = or(accept(listener, &driver, &executor, key, log), tick(&*driver));
     block_on(executor.run(or(or(command, report), serve)));
-    // The sessions hold the core.
+    // The sessions hold the driver.
     drop(executor);
-    if let Ok(core) = Rc::try_unwrap(core).map_err(drop) {
-        if let Err(error) = core.store.into_inner().close() {
+    if let Ok(driver) = Rc::try_unwrap(driver).map_err(drop) {
+        if let Err(error) = driver.store.into_inner().close() {
             warn!(log, "closing the publisher store failed";
                 "component" => "config_sync", "error" => %error);
         }
     }
 }
 
-impl Core {
+impl PublisherDriver {
     pub(super) fn new(
         opened: Opened,
         snapshot_every: u64,
         key: FrameKey,
         reports: Sender<DiskReport>,
         log: Logger,
-    ) -> io::Result<Core> {
+    ) -> io::Result<PublisherDriver> {
         let Opened { publisher, log: records, appended } = opened;
-        let told = reports.clone();
+        let store_reports = reports.clone();
         let store = PublisherStore::start(records, move |progress| {
             // Fails when the publisher ends, which then waits for the writer and not for its reports.
-            let _ = told.try_send(DiskReport::Progress(progress));
+            let _ = store_reports.try_send(DiskReport::Progress(progress));
         })?;
-        Ok(Core {
+        Ok(PublisherDriver {
             publisher: RefCell::new(publisher),
             sessions: RefCell::new(Sessions::new(key, log.clone())),
             store: RefCell::new(store),
@@ -144,7 +144,7 @@
         let now = self.now();
         let mut stored = true;
         let mut actions = actions;
-        let mut told = Vec::new();
+        let mut session_events = Vec::new();
         while !actions.is_empty() {
             for action in actions.drain(..) {
                 match action {
@@ -152,12 +152,12 @@
                         stored &= self.store.borrow_mut().append(transaction);
                     }
                     PublisherAction::Fanout(action) => {
-                        self.sessions.borrow_mut().carry_out(now, action, &mut told);
+                        self.sessions.borrow_mut().carry_out(now, action, &mut session_events);
                     }
                 }
             }
             let mut publisher = self.publisher.borrow_mut();
-            for event in told.drain(..) {
+            for event in session_events.drain(..) {
                 publisher.on_event(now, event, &mut actions);
             }
         }
@@ -203,16 +203,16 @@
     }
 
     fn on_failed(&self, through: u64, error: &WriteFailure, generation: u64) {
-        let what = match error {
+        let reason = match error {
             WriteFailure::NoSpace => "the disk is full, this was not written".to_owned(),
             WriteFailure::NotAttempted => "an earlier one failed, this was not written".to_owned(),
             WriteFailure::Poisoned(error) => format!("{error}; no change is taken until a restart"),
         };
         error!(self.log, "change not durable, not published";
-            "component" => "config_sync", "reason" => &what);
+            "component" => "config_sync", "reason" => &reason);
         self.publisher.borrow_mut().on_persist_failed();
         for reply in self.store.borrow_mut().failed(through) {
-            let _ = reply.try_send(Err(ProposeFailure::NotDurable(what.clone())));
+            let _ = reply.try_send(Err(ProposeFailure::NotDurable(reason.clone())));
         }
         if matches!(error, WriteFailure::Poisoned(_)) {
             self.poisoned.set(true);
@@ -299,7 +299,7 @@
     }
 }
 
-impl Node for Core {
+impl Node for PublisherDriver {
     fn sessions(&self) -> &RefCell<Sessions> {
         &self.sessions
     }
--- a/crates/config-sync/src/net/publisher_store.rs
+++ b/crates/config-sync/src/net/publisher_store.rs
@@ -134,10 +134,13 @@
 }
 
 impl PublisherStore {
-    /// Starts the writer's thread; `told` hears of progress there.
-    pub(super) fn start(log: Log, told: impl FnMut(Progress) + Send + 'static) -> io::Result<PublisherStore> {
+    /// Starts the writer's thread, which reports its progress to `on_progress`.
+    pub(super) fn start(
+        log: Log,
+        on_progress: impl FnMut(Progress) + Send + 'static,
+    ) -> io::Result<PublisherStore> {
         let options = WriterOptions { queue_bytes: MAILBOX_BYTES, ..WriterOptions::default() };
-        Ok(PublisherStore { writer: Writer::start(log, options, told)?, under_way: VecDeque::new() })
+        Ok(PublisherStore { writer: Writer::start(log, options, on_progress)?, under_way: VecDeque::new() })
     }
 
     /// Hands a transaction to the disk; false if there is no room.
--- a/crates/config-sync/src/net/relay.rs
+++ b/crates/config-sync/src/net/relay.rs
@@ -108,16 +108,16 @@
     questions: &Receiver<Sender<NodeStatus>>,
     log: &Logger,
 ) {
-    let core = Rc::new(Core::new(settings, key, log));
+    let driver = Rc::new(RelayDriver::new(settings, key, log));
     let executor = LocalExecutor::new();
     let answer = async {
         while let Ok(reply) = questions.recv().await {
             // Who asked may have gone meanwhile.
-            let _ = reply.try_send(core.status());
+            let _ = reply.try_send(driver.status());
         }
     };
-    let serve = or(accept(listener, &core, &executor, key, log), tick(&*core));
-    block_on(executor.run(or(answer, or(core.follow(Link::new(key.clone())), serve))));
+    let serve = or(accept(listener, &driver, &executor, key, log), tick(&*driver));
+    block_on(executor.run(or(answer, or(driver.follow(Link::new(key.clone())), serve))));
 }
 
 /// What is known of the connection to the server above.
@@ -133,7 +133,7 @@
 }
 
 /// The relay with its connections.
-struct Core {
+struct RelayDriver {
     relay: RefCell<Relay>,
     sessions: RefCell<Sessions>,
     upstream: Upstream,
@@ -141,13 +141,13 @@
     log: Logger,
 }
 
-impl Core {
-    fn new(settings: RelayNodeSettings, key: &FrameKey, log: &Logger) -> Core {
+impl RelayDriver {
+    fn new(settings: RelayNodeSettings, key: &FrameKey, log: &Logger) -> RelayDriver {
         let clock = Clock::start();
         let follower = FollowerSettings::new(settings.member, settings.servers, settings.seed);
         let fanout = FanoutSettings { seed: settings.seed, ..FanoutSettings::default() };
         let relay = Relay::new(RelaySettings::new(follower, fanout), clock.now());
-        Core {
+        RelayDriver {
             relay: RefCell::new(relay),
             sessions: RefCell::new(Sessions::new(key.clone(), log.clone())),
             upstream: Upstream::default(),
@@ -159,7 +159,7 @@
     fn on_event(&self, event: RelayEvent) {
         let now = self.ticker.clock.now();
         let mut events = vec![event];
-        let (mut actions, mut told) = (Vec::new(), Vec::new());
+        let (mut actions, mut session_events) = (Vec::new(), Vec::new());
         while !events.is_empty() {
             for event in events.drain(..) {
                 self.relay.borrow_mut().on_event(now, event, &mut actions);
@@ -171,11 +171,11 @@
                         self.upstream.changed.notify();
                     }
                     RelayAction::Downstream(action) => {
-                        self.sessions.borrow_mut().carry_out(now, action, &mut told);
+                        self.sessions.borrow_mut().carry_out(now, action, &mut session_events);
                     }
                 }
             }
-            events.extend(told.drain(..).map(RelayEvent::Downstream));
+            events.extend(session_events.drain(..).map(RelayEvent::Downstream));
         }
         self.ticker.set(self.deadline());
     }
@@ -191,9 +191,9 @@
                 self.upstream.changed.wait().await;
                 None
             };
-            let told = async { Some(link.next().await) };
-            if let Some(event) = or(asked, told).await {
-                let event = self.told(event);
+            let received = async { Some(link.next().await) };
+            if let Some(event) = or(asked, received).await {
+                let event = self.follower_event(event);
                 self.on_event(RelayEvent::Upstream(event));
             }
         }
@@ -218,7 +218,7 @@
     }
 
     /// Logs what the link says and hands it on.
-    fn told(&self, event: LinkEvent) -> FollowerEvent {
+    fn follower_event(&self, event: LinkEvent) -> FollowerEvent {
         let upstream = &self.upstream;
         match event {
             LinkEvent::Connected => {
@@ -263,7 +263,7 @@
     }
 }
 
-impl Node for Core {
+impl Node for RelayDriver {
     fn sessions(&self) -> &RefCell<Sessions> {
         &self.sessions
     }
--- a/crates/config-sync/src/net/sessions.rs
+++ b/crates/config-sync/src/net/sessions.rs
@@ -142,14 +142,14 @@
     }
 
     /// Carries an action out. What the state machine has to hear of it is appended to `told`.
-    pub(super) fn carry_out(&mut self, now: Millis, action: FanoutAction, told: &mut Vec<FanoutEvent>) {
+    pub(super) fn carry_out(&mut self, now: Millis, action: FanoutAction, events: &mut Vec<FanoutEvent>) {
         match action {
-            FanoutAction::Send { session, message } => self.send(now, session, &message, told),
-            FanoutAction::Close { session, why } => self.close(session, why),
+            FanoutAction::Send { session, message } => self.send(now, session, &message, events),
+            FanoutAction::Close { session, reason } => self.close(session, reason),
         }
     }
 
-    fn send(&mut self, now: Millis, id: SessionId, message: &Arc<ToClient>, told: &mut Vec<FanoutEvent>) {
+    fn send(&mut self, now: Millis, id: SessionId, message: &Arc<ToClient>, events: &mut Vec<FanoutEvent>) {
         let Some(outbox) = self.open.get(&id) else { return };
         match self.encoder.frame(now, message) {
             Ok(frame) => outbox.push(frame),
@@ -163,27 +163,27 @@
         }
         let bytes = outbox.unsent_bytes.get();
         if bytes > TOLD_BACKLOG_BYTES {
-            told.push(FanoutEvent::Backlog { session: id, bytes });
+            events.push(FanoutEvent::Backlog { session: id, bytes });
         }
     }
 
-    fn close(&mut self, id: SessionId, why: CloseReason) {
+    fn close(&mut self, id: SessionId, reason: CloseReason) {
         let Some(outbox) = self.open.remove(&id) else { return };
-        match why {
+        match reason {
             CloseReason::Slow { .. } => {
                 self.counters.closed_slow += 1;
                 warn!(self.log, "session closed";
-                    "component" => "config_sync", "session" => id.0, "reason" => %why);
+                    "component" => "config_sync", "session" => id.0, "reason" => %reason);
                 outbox.end(Ending::Now);
             }
             CloseReason::Full | CloseReason::NoSnapshotPlace => {
                 debug!(self.log, "session closed";
-                    "component" => "config_sync", "session" => id.0, "reason" => %why);
+                    "component" => "config_sync", "session" => id.0, "reason" => %reason);
                 outbox.end(Ending::AfterSending);
             }
             _ => {
                 warn!(self.log, "session closed";
-                    "component" => "config_sync", "session" => id.0, "reason" => %why);
+                    "component" => "config_sync", "session" => id.0, "reason" => %reason);
                 outbox.end(Ending::AfterSending);
             }
         }
--- a/crates/config-sync/src/net/settings.rs
+++ b/crates/config-sync/src/net/settings.rs
@@ -5,8 +5,8 @@
 use crate::resource::MAX_NAME;
 use std::io;
 
-fn invalid(why: String) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidInput, why)
+fn invalid(reason: String) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidInput, reason)
 }
 
 /// The fleet's key, ready for use.
--- a/crates/config-sync/src/net/subscriber.rs
+++ b/crates/config-sync/src/net/subscriber.rs
@@ -174,7 +174,7 @@
             // Never at once again, whatever is due: other tasks run on this executor.
             self.alarm.set(self.subscriber.deadline().max(now + 1));
             event = match self.next_step().await {
-                Step::Link(event) => Some(SubscriberEvent::Link(self.told(event))),
+                Step::Link(event) => Some(SubscriberEvent::Link(self.follower_event(event))),
                 Step::Woken => Some(SubscriberEvent::Applied(self.shared.confirmed())),
                 Step::Rang => Some(SubscriberEvent::Link(FollowerEvent::Tick)),
                 Step::Ended => return,
@@ -193,13 +193,13 @@
             self.alarm.rings().await;
             Step::Rang
         };
-        let told = async { Step::Link(self.link.next().await) };
+        let received = async { Step::Link(self.link.next().await) };
         // What has arrived comes before the time: a process that had no turn for long does not take its server for silent.
-        or(woken, or(told, rang)).await
+        or(woken, or(received, rang)).await
     }
 
     /// Logs what the link says and hands it on.
-    fn told(&mut self, event: LinkEvent) -> FollowerEvent {
+    fn follower_event(&mut self, event: LinkEvent) -> FollowerEvent {
         match event {
             LinkEvent::Connected => {
                 self.connect_failed = false;
--- a/crates/config-sync/src/progress.rs
+++ b/crates/config-sync/src/progress.rs
@@ -24,7 +24,7 @@
 pub(crate) struct ProgressReporter {
     interval_ms: Millis,
     /// What the present session was told; nothing in a new one.
-    told: Option<Vec<ZoneProgress>>,
+    last_reported: Option<Vec<ZoneProgress>>,
     /// Not before this time.
     next_at: Millis,
     /// When anything was told last.
@@ -41,7 +41,7 @@
     pub(crate) fn new(interval_ms: Millis) -> ProgressReporter {
         ProgressReporter {
             interval_ms,
-            told: None,
+            last_reported: None,
             next_at: 0,
             told_at: 0,
             waiting: false,
@@ -53,7 +53,7 @@
 
     /// A new session knows nothing, and is told at once; also the refusals that may have been lost with the one before.
     pub(crate) fn session_opened(&mut self, now: Millis) {
-        self.told = None;
+        self.last_reported = None;
         self.next_at = now;
         self.told_at = now;
         self.repeat_refusals();
@@ -124,14 +124,14 @@
         }
         let mut zones = zones();
         zones.truncate(MAX_REPORTED_ZONES);
-        if self.refusals.is_empty() && self.told.as_ref() == Some(&zones) {
+        if self.refusals.is_empty() && self.last_reported.as_ref() == Some(&zones) {
             return self.sign_of_life(now);
         }
         self.told_at = now;
         let count = self.refusals.len().min(MAX_REPORTED_REFUSALS);
         let refusals: Vec<Refusal> = self.refusals.drain(..count).collect();
         self.note_refusals_told(now, &refusals);
-        self.told = Some(zones.clone());
+        self.last_reported = Some(zones.clone());
         self.waiting = !self.refusals.is_empty();
         self.next_at = now.saturating_add(self.interval_ms);
         Some(ToServer::Progress { zones, refusals })
--- a/crates/config-sync/tests/client_silence.rs
+++ b/crates/config-sync/tests/client_silence.rs
@@ -54,7 +54,7 @@
 
 fn closed(actions: &[FanoutAction]) -> Vec<(SessionId, CloseReason)> {
     let closed = actions.iter().filter_map(|action| match action {
-        FanoutAction::Close { session, why } => Some((*session, *why)),
+        FanoutAction::Close { session, reason } => Some((*session, *reason)),
         FanoutAction::Send { .. } => None,
     });
     closed.collect()
@@ -202,7 +202,7 @@
                 FanoutAction::Send { message, .. } => {
                     subscriber.on_event(now, link(FollowerEvent::Received((*message).clone())), &mut out);
                 }
-                FanoutAction::Close { why, .. } => panic!("closed at {now}: {why}"),
+                FanoutAction::Close { reason, .. } => panic!("closed at {now}: {reason}"),
             }
         }
         now = fanout.deadline().min(subscriber.deadline()).max(now + 1);
--- a/crates/config-sync/tests/fanout_deltas.rs
+++ b/crates/config-sync/tests/fanout_deltas.rs
@@ -329,7 +329,7 @@
             assert_eq!(**message, ToClient::Heartbeat { head: at(0), age_ms: 0 });
             *session
         }
-        FanoutAction::Close { session, why } => panic!("{session:?} closed: {why}"),
+        FanoutAction::Close { session, reason } => panic!("{session:?} closed: {reason}"),
     };
     assert_eq!(out.iter().map(to).collect::<Vec<_>>(), [SessionId(1); 3]);
 }
--- a/crates/config-sync/tests/relay.rs
+++ b/crates/config-sync/tests/relay.rs
@@ -51,8 +51,8 @@
                 RelayAction::Downstream(FanoutAction::Send { session, message }) => {
                     self.down.push((session, message));
                 }
-                RelayAction::Downstream(FanoutAction::Close { session, why }) => {
-                    panic!("{session:?} was closed: {why}")
+                RelayAction::Downstream(FanoutAction::Close { session, reason }) => {
+                    panic!("{session:?} was closed: {reason}")
                 }
             }
         }
--- a/crates/config-sync/tests/server_support/mod.rs
+++ b/crates/config-sync/tests/server_support/mod.rs
@@ -159,10 +159,10 @@
                     let answered = client.on_message(message);
                     answers.extend(answered.into_iter().map(|answer| (session, answer)));
                 }
-                FanoutAction::Close { session, why } => {
+                FanoutAction::Close { session, reason } => {
                     if let Some(client) = self.clients.get_mut(&session) {
                         assert_eq!(client.closed, None, "session {session:?} closed twice");
-                        client.closed = Some(why);
+                        client.closed = Some(reason);
                     }
                 }
             }
--- a/crates/scale/src/capacity/roles/callers.rs
+++ b/crates/scale/src/capacity/roles/callers.rs
@@ -21,11 +21,8 @@
 pub fn role(book: &Book) -> Result<Role> {
     let mean = target::CALLERS * SUBSET / target::SERVERS;
     let most = mean + MOST_LOADED_DEVIATIONS * mean.sqrt();
-    let a_caller = 1.0 / target::CALLERS;
-    let whole = book.at_target("registry.list_bytes_per_s_whole.callers")?.times(a_caller);
-    let subset = book.at_target("registry.list_bytes_per_s_subset.callers")?.times(a_caller);
     let rate = target::REQUESTS_PER_SECOND / target::CALLERS / SUBSET;
-    let rows = vec![
+    let mut rows = vec![
         Row::new(
             "connections, to every server",
             When::Steady,
@@ -57,6 +54,17 @@
         )
         .carried_by("subsets by the registry")
         .not_built(),
+    ];
+    rows.extend(list_rows(book)?);
+    Ok(Role { id: "caller", rows })
+}
+
+/// Returns the rows of the lists of servers that a caller gets.
+fn list_rows(book: &Book) -> Result<Vec<Row>> {
+    let a_caller = 1.0 / target::CALLERS;
+    let whole = book.at_target("registry.list_bytes_per_s_whole.callers")?.times(a_caller);
+    let subset = book.at_target("registry.list_bytes_per_s_subset.callers")?.times(a_caller);
+    Ok(vec![
         Row::new(
             "bytes of lists, whole lists",
             When::Steady,
@@ -76,6 +84,5 @@
         .limit(LIST_BYTES_PER_SECOND)
         .carried_by("subsets by the registry")
         .not_built(),
-    ];
-    Ok(Role { id: "caller", rows })
+    ])
 }
