--- a/crates/scale/src/probes/daemon_process.rs
+++ b/crates/scale/src/probes/daemon_process.rs
@@ -117,7 +117,7 @@
     pub fn reload(&self) -> Result<f64> {
         let began = Instant::now();
         kill_process(self.pid, Signal::HUP).context("sending SIGHUP")?;
-        self.wait_for("configuration reread")?;
+        self.wait_for("configuration reloaded")?;
         Ok(milliseconds(began))
     }
 
