--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -1,7 +1,7 @@
 //! The tasks of the server and the channels between them.
 
 use super::command_line::LoadedConfig;
-use super::config_follower::ConfigFollower;
+use super::config_follower::FollowerStart;
 use super::error::DaemonError;
 use super::ledger::LedgerStart;
 use crate::config::Config;
@@ -236,7 +236,7 @@
         tenants: &Arc<NameTable>,
     ) -> Result<Option<Rc<DistributedSettings>>, DaemonError> {
         let Some(settings) = &loaded.operator.config_sync else { return Ok(None) };
-        let start = super::config_follower::FollowerStart {
+        let start = FollowerStart {
             settings,
             config: self.config,
             class_names: class_names.clone(),
@@ -246,7 +246,7 @@
             clock: self.clock,
             log: self.log,
         };
-        let follower: ConfigFollower = start.start().await?;
+        let follower = start.start().await?;
         let distributed = follower.settings();
         self.supervise("distributed configuration", Box::pin(follower.run()));
         Ok(Some(distributed))
--- a/src/server/registry.rs
+++ b/src/server/registry.rs
@@ -1,6 +1,6 @@
 //! Health reports to the registry.
 //!
-//! One report is made every [`REPORT_PERIOD_MS`], whatever became of those before it, and one at once when health changes.
+//! One report is made every half second, whatever became of those before it, and one at once when health changes.
 //! Each report has a time limit of its own, well under the time after which the registry's entry lapses; a report that
 //! hangs does not delay the next one.
 
