--- a/tests/allowances.rs
+++ b/tests/allowances.rs
@@ -187,10 +187,10 @@
     next: RequestId,
     running: VecDeque<RequestId>,
     open: BTreeSet<RequestId>,
-    /// Refusals under the cut, the most telling action here.
-    cut_off: usize,
-    /// Arrivals let through under the same conditions.
-    taken: usize,
+    /// Rejections under the threshold, the action that depends most on quotas.
+    shed: usize,
+    /// Arrivals admitted under the same conditions.
+    admitted: usize,
 }
 
 impl Play {
@@ -221,13 +221,13 @@
             next: 0,
             running: VecDeque::new(),
             open: BTreeSet::new(),
-            cut_off: 0,
-            taken: 0,
+            shed: 0,
+            admitted: 0,
         }
     }
 
     /// Tells both, which have to do the same, and notes what was done.
-    fn tell(&mut self, event: Event) {
+    fn dispatch_event(&mut self, event: Event) {
         let (mut new, mut old) = (Vec::new(), Vec::new());
         let context = format!("{:?}, at {} ms: {event:?}", self.plan, self.now);
         self.old.on_event(self.now, second_event(&event), &mut old);
@@ -243,7 +243,7 @@
             match action {
                 Action::Run(id) => self.running.push_back(id),
                 Action::Reject { id, do_not_retry: last, .. } => {
-                    self.cut_off += usize::from(last);
+                    self.shed += usize::from(last);
                     self.open.remove(&id);
                 }
                 Action::Fail(id) => drop(self.open.remove(&id)),
@@ -261,26 +261,26 @@
             class: if self.rng.random_bool(0.2) { 2 } else { 0 },
             tenant,
             request_kb: 20.0,
-            // Mostly first in rank: what the cut then refuses is over its allowance.
+            // Mostly of the highest priority: what the threshold then rejects is over its quota.
             priority: if self.rng.random_bool(0.7) { 1.0 } else { self.rng.random() },
             is_retry: self.rng.random_bool(0.05),
             ..Arrival::default()
         };
-        self.tell(Event::Arrival(arrival));
-        self.taken += usize::from(self.open.contains(&id));
+        self.dispatch_event(Event::Arrival(arrival));
+        self.admitted += usize::from(self.open.contains(&id));
     }
 
     fn end_one(&mut self) {
         if let Some(id) = self.running.pop_front() {
             self.open.remove(&id);
             let took_ms = self.rng.random_range(20.0..90.0);
-            self.tell(Event::RunEnded { id, outcome: Outcome::Ok, took_ms });
+            self.dispatch_event(Event::RunEnded { id, outcome: Outcome::Ok, took_ms });
         }
     }
 
     fn timer(&mut self, busy: f64, run_queue: f64) {
         let gauges = Gauges { busy: Some(busy), run_queue: Some(run_queue), ..Gauges::default() };
-        self.tell(Event::Timer { token: 1, gauges });
+        self.dispatch_event(Event::Timer { token: 1, gauges });
     }
 
     /// A tenant: the flooding one, or one of few by an uneven chance, or any.
@@ -295,7 +295,7 @@
     }
 
     fn play(mut self) -> Play {
-        self.tell(Event::Start);
+        self.dispatch_event(Event::Start);
         let (mut flood, mut most, mut loaded) = (None, 4, false);
         let idle_at = self.rng.random_range(0..self.plan.timers);
         for at in 0..self.plan.timers {
@@ -315,7 +315,7 @@
                 if self.rng.random_bool(0.02) {
                     let id = self.rng.random_range(1..=self.next);
                     self.open.remove(&id);
-                    self.tell(Event::ClientGone(id));
+                    self.dispatch_event(Event::ClientGone(id));
                 }
             }
             (0..2).for_each(|_| self.end_one());
@@ -343,19 +343,19 @@
 
 #[test]
 fn decisions_are_those_of_the_old_computation() {
-    let (mut cut_off, mut taken) = (0, 0);
+    let (mut shed, mut admitted) = (0, 0);
     for tenants in [1, 2, 40, 2000] {
         for seed in 0..6 {
             let servers = [1.0, 20.0, 7100.0][seed as usize % 3];
             let idle_timers = [100, 1000, 12_000][seed as usize / 2 % 3] * 200 / tenants.max(200);
             let play = Play::new(Plan { seed, tenants, servers, timers: 200, idle_timers }).play();
-            (cut_off, taken) = (cut_off + play.cut_off, taken + play.taken);
+            (shed, admitted) = (shed + play.shed, admitted + play.admitted);
         }
     }
-    println!("{cut_off} arrivals fell under the cut, {taken} were taken");
+    println!("{shed} arrivals fell under the threshold, {admitted} were admitted");
     assert!(
-        cut_off > 1000 && taken > 1000,
-        "{cut_off} fell under the cut, {taken} were taken: too few to tell"
+        shed > 1000 && admitted > 1000,
+        "{shed} fell under the threshold, {admitted} were admitted: too few to tell"
     );
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -52,15 +52,15 @@
 
 impl Driver {
     pub fn new(settings: Settings) -> Self {
-        let mut d = Driver { controller: AdmissionController::new(0.0, settings), now: 0.0, next: 1 };
-        d.send(Event::Start);
-        d
+        let mut driver = Driver { controller: AdmissionController::new(0.0, settings), now: 0.0, next: 1 };
+        driver.send(Event::Start);
+        driver
     }
 
     pub fn send(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.controller.on_event(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.controller.on_event(self.now, event, &mut actions);
+        actions
     }
 
     pub fn arrival(&mut self, class: usize) -> Arrival {
@@ -70,13 +70,13 @@
 
     /// An arrival of the class at a middling rank: its id and what was done.
     pub fn arrive(&mut self, class: usize) -> (u64, Vec<Action>) {
-        let a = self.arrival(class);
-        (a.id, self.send(Event::Arrival(a)))
+        let arrival = self.arrival(class);
+        (arrival.id, self.send(Event::Arrival(arrival)))
     }
 
     pub fn repeat(&mut self, class: usize, duplicate_of: u64) -> (u64, Vec<Action>) {
-        let a = Arrival { duplicate_of: Some(duplicate_of), ..self.arrival(class) };
-        (a.id, self.send(Event::Arrival(a)))
+        let arrival = Arrival { duplicate_of: Some(duplicate_of), ..self.arrival(class) };
+        (arrival.id, self.send(Event::Arrival(arrival)))
     }
 
     pub fn end(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
@@ -110,10 +110,11 @@
 }
 
 pub fn answers(actions: &[Action], id: u64) -> usize {
-    let of = |a: &&Action| matches!(a, Action::Fail(x) | Action::Reject { id: x, .. } if *x == id);
-    actions.iter().filter(of).count()
+    let answers =
+        |action: &&Action| matches!(action, Action::Fail(x) | Action::Reject { id: x, .. } if *x == id);
+    actions.iter().filter(answers).count()
 }
 
 pub fn rejected(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: x, .. } if *x == id))
+    actions.iter().any(|action| matches!(action, Action::Reject { id: x, .. } if *x == id))
 }
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -10,64 +10,82 @@
 use dunlinspread::{Class, Preemption, RetrySafety, Settings, Signal};
 use machine::Machine;
 
+/// What can differ between deployments.
+struct Deployment {
+    passes_deadline: bool,
+    preemption: Preemption,
+    has_upstream: bool,
+    upstream_call_share: Option<f64>,
+    tenant_quotas: Vec<f64>,
+}
+
+impl Deployment {
+    fn classes(&self) -> Vec<Class> {
+        let makes_upstream_calls = self.has_upstream;
+        vec![
+            Class { makes_upstream_calls, degraded_weight: 0.5, ..class(RetrySafety::Idempotent) },
+            Class {
+                makes_upstream_calls,
+                priority_weight: 5.0,
+                late_weight: 0.0,
+                ..class(RetrySafety::IdempotencyKey)
+            },
+            Class {
+                makes_upstream_calls: false,
+                late_weight: 0.0,
+                latency_objective_ms: 300.0,
+                client_timeout_ms: 900.0,
+                ..class(RetrySafety::Idempotent)
+            },
+            Class { makes_upstream_calls, ..class(RetrySafety::AtMostOnce) },
+        ]
+    }
+
+    fn settings(self) -> Settings {
+        let classes = self.classes();
+        Settings {
+            passes_deadline: self.passes_deadline,
+            preemption: self.preemption,
+            has_upstream: self.has_upstream,
+            upstream_call_share: self.upstream_call_share,
+            over_quota_weight: 0.05,
+            retry_after: true,
+            memory_kb: if self.passes_deadline { 1500.0 } else { 4000.0 },
+            max_retry_after_ms: 1000.0,
+            // The two sites' slack and grace, and one with neither.
+            response_slack_ms: if self.passes_deadline { 60.0 } else { 80.0 },
+            drain_grace_ms: if self.tenant_quotas.is_empty() { 0.0 } else { 700.0 },
+            cold_start: !self.passes_deadline,
+            cold_start_speed: 0.3,
+            warm_up_ms: 4000.0,
+            signal: if self.has_upstream { Signal::Share } else { Signal::Off },
+            tenant_quotas: self.tenant_quotas,
+            classes,
+            ..settings()
+        }
+    }
+}
+
 /// Every deployment that the settings can describe in what changes the controller's duties, by name.
 fn deployments() -> Vec<(String, Settings)> {
+    let preemptions =
+        [("keeps", Preemption::Off), ("drops", Preemption::Abort), ("pauses", Preemption::Suspend)];
+    let upstreams = [("alone", false, None), ("tier", true, None), ("shared", true, Some(2.0))];
     let mut all = Vec::new();
-    for told in [false, true] {
-        for (halt, preemption) in
-            [("keeps", Preemption::Off), ("drops", Preemption::Abort), ("pauses", Preemption::Suspend)]
-        {
-            for (below, dependency, calls_share) in
-                [("alone", false, None), ("tier", true, None), ("shared", true, Some(2.0))]
-            {
-                for tenants in [vec![], vec![20.0, 10.0, 5.0]] {
-                    let name = format!(
-                        "{}, {halt}, {below}, {} tenants",
-                        if told { "told" } else { "untold" },
-                        tenants.len()
-                    );
-                    let classes = vec![
-                        Class {
-                            makes_upstream_calls: dependency,
-                            degraded_weight: 0.5,
-                            ..class(RetrySafety::Idempotent)
-                        },
-                        Class {
-                            makes_upstream_calls: dependency,
-                            priority_weight: 5.0,
-                            late_weight: 0.0,
-                            ..class(RetrySafety::IdempotencyKey)
-                        },
-                        Class {
-                            makes_upstream_calls: false,
-                            late_weight: 0.0,
-                            latency_objective_ms: 300.0,
-                            client_timeout_ms: 900.0,
-                            ..class(RetrySafety::Idempotent)
-                        },
-                        Class { makes_upstream_calls: dependency, ..class(RetrySafety::AtMostOnce) },
-                    ];
-                    let settings = Settings {
-                        passes_deadline: told,
+    for (deadlines, passes_deadline) in [("untold", false), ("told", true)] {
+        for (halt, preemption) in preemptions {
+            for (upstream, has_upstream, upstream_call_share) in upstreams {
+                for tenant_quotas in [vec![], vec![20.0, 10.0, 5.0]] {
+                    let tenants = tenant_quotas.len();
+                    let name = format!("{deadlines}, {halt}, {upstream}, {tenants} tenants");
+                    let deployment = Deployment {
+                        passes_deadline,
                         preemption,
-                        has_upstream: dependency,
-                        upstream_call_share: calls_share,
-                        over_quota_weight: 0.05,
-                        retry_after: true,
-                        memory_kb: if told { 1500.0 } else { 4000.0 },
-                        max_retry_after_ms: 1000.0,
-                        // The two sites' slack and grace, and one with neither.
-                        response_slack_ms: if told { 60.0 } else { 80.0 },
-                        drain_grace_ms: if tenants.is_empty() { 0.0 } else { 700.0 },
-                        cold_start: !told,
-                        cold_start_speed: 0.3,
-                        warm_up_ms: 4000.0,
-                        signal: if dependency { Signal::Share } else { Signal::Off },
-                        tenant_quotas: tenants,
-                        classes,
-                        ..settings()
+                        has_upstream,
+                        upstream_call_share,
+                        tenant_quotas,
                     };
-                    all.push((name, settings));
+                    all.push((name, deployment.settings()));
                 }
             }
         }
--- a/tests/machine/actions.rs
+++ b/tests/machine/actions.rs
@@ -9,11 +9,10 @@
         match action {
             Action::Run(id) => self.run(id),
             Action::Reject { id, .. } => {
-                let ran = self.requests.get(&id).is_some_and(|r| r.ran);
-                let safe = self
-                    .requests
-                    .get(&id)
-                    .is_some_and(|r| self.settings.classes[r.class].retry_safety == RetrySafety::Idempotent);
+                let ran = self.requests.get(&id).is_some_and(|request| request.ran);
+                let safe = self.requests.get(&id).is_some_and(|request| {
+                    self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent
+                });
                 if ran && !safe {
                     self.record_violation(format!("refused {id}, which ran"));
                 }
@@ -24,19 +23,21 @@
             Action::Preempt(id) => self.preempt(id),
             Action::ReserveKey { id, ttl_ms } => {
                 let until = self.now + ttl_ms;
-                let Some(key) = self.requests.get(&id).and_then(|r| r.key) else { return };
+                let Some(key) = self.requests.get(&id).and_then(|request| request.key) else { return };
                 let entry = Entry { holder: id, until, ran: false, succeeded: None };
                 let entry = self.entries.entry(key).or_insert(entry);
                 (entry.holder, entry.until) = (id, until);
             }
-            Action::ReleaseKey(id) => self.entries.retain(|_, e| e.holder != id || e.ran),
+            Action::ReleaseKey(id) => self.entries.retain(|_, entry| entry.holder != id || entry.ran),
             Action::CallUpstream { id, .. } => {
                 let ends = [Outcome::Ok, Outcome::Ok, Outcome::Ok, Outcome::TimedOut, Outcome::Rejected];
                 let (wait, end) =
                     (self.rng.random_range(5.0..80.0), ends[self.rng.random_range(0..ends.len())]);
                 let until = self.now + wait;
                 match self.requests.get_mut(&id) {
-                    Some(r) if r.stage == Stage::AtCall => r.stage = Stage::Calling(until, end),
+                    Some(request) if request.stage == Stage::AtCall => {
+                        request.stage = Stage::Calling(until, end)
+                    }
                     _ => {}
                 }
                 if !self.settings.has_upstream {
@@ -44,11 +45,11 @@
                 }
             }
             Action::SkipUpstreamCall(id) => {
-                let Some(r) = self.requests.get_mut(&id) else { return };
-                if r.stage == Stage::AtCall {
-                    r.stage = Stage::Running;
+                let Some(request) = self.requests.get_mut(&id) else { return };
+                if request.stage == Stage::AtCall {
+                    request.stage = Stage::Running;
                 }
-                if self.settings.classes[r.class].degraded_weight <= 0.0 {
+                if self.settings.classes[request.class].degraded_weight <= 0.0 {
                     self.record_violation(format!("left out the call of {id}, which can't be"));
                 }
             }
@@ -62,23 +63,26 @@
     }
 
     pub(super) fn run(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let (class, key, arrived_at, held) = (r.class, r.key, r.arrived_at, r.stage == Stage::Queued);
-        let once = self.settings.classes[class].retry_safety != RetrySafety::Idempotent;
-        let preempted = r.preempted;
-        if matches!(r.stage, Stage::Queued | Stage::Suspended) {
-            r.stage = Stage::Running;
-            if held {
-                (r.since, r.done_ms, r.ran) = (self.now, 0.0, true);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let (class, key, arrived_at, was_queued) =
+            (request.class, request.key, request.arrived_at, request.stage == Stage::Queued);
+        let runs_once = self.settings.classes[class].retry_safety != RetrySafety::Idempotent;
+        let preempted = request.preempted;
+        if matches!(request.stage, Stage::Queued | Stage::Suspended) {
+            request.stage = Stage::Running;
+            if was_queued {
+                (request.since, request.done_ms, request.ran) = (self.now, 0.0, true);
             }
         }
-        if held && once && preempted {
+        if was_queued && runs_once && preempted {
             self.record_violation(format!("ran {id} again after it was stopped"));
         }
-        if held && self.shutdown_at.is_some_and(|notice| arrived_at > notice + self.settings.drain_grace_ms) {
+        if was_queued
+            && self.shutdown_at.is_some_and(|notice| arrived_at > notice + self.settings.drain_grace_ms)
+        {
             self.record_violation(format!("ran {id}, which came too late after the notice"));
         }
-        let Some(key) = key.filter(|_| held) else { return };
+        let Some(key) = key.filter(|_| was_queued) else { return };
         let window = self.settings.classes[class].key_window_ms;
         if let Some(entry) = self.entries.get_mut(&key) {
             (entry.ran, entry.succeeded) = (true, None);
@@ -92,11 +96,11 @@
     }
 
     pub(super) fn reuse(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        (r.stage, r.since) = (Stage::Reusing, self.now);
-        let (key, original) = (r.key, r.duplicate_of);
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        (request.stage, request.since) = (Stage::Reusing, self.now);
+        let (key, original) = (request.key, request.duplicate_of);
         let running = original.is_some_and(|p| self.requests.contains_key(&p));
-        match key.and_then(|k| self.entries.get(&k)) {
+        match key.and_then(|key| self.entries.get(&key)) {
             Some(entry) if entry.ran && entry.succeeded.is_none() => {}
             Some(entry) if entry.ran => self.end_reuse(id, entry.succeeded == Some(true)),
             _ if running => {}
@@ -108,25 +112,28 @@
         if self.settings.preemption == Preemption::Off {
             self.record_violation(format!("stopped {id}, where nothing can be stopped"));
         }
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.stage == Stage::Running) else { return };
-        r.preempted = true;
-        if r.answered {
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.stage == Stage::Running)
+        else {
+            return;
+        };
+        request.preempted = true;
+        if request.answered {
             return self.end(id, Outcome::Cancelled);
         }
-        r.stage =
+        request.stage =
             if self.settings.preemption == Preemption::Abort { Stage::Queued } else { Stage::Suspended };
-        let took_ms = self.now - r.since;
+        let took_ms = self.now - request.since;
         self.events.push(Event::RunEnded { id, outcome: Outcome::Cancelled, took_ms });
     }
 
     /// A final answer that is no result; what runs goes on, all else is dropped.
     pub(super) fn final_answer(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        if r.answered {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        if request.answered {
             return self.record_violation(format!("answered {id} twice"));
         }
-        r.answered = true;
-        match r.stage {
+        request.answered = true;
+        match request.stage {
             Stage::Queued | Stage::Suspended | Stage::Reusing => drop(self.requests.remove(&id)),
             Stage::AtCall | Stage::Calling(..) => self.end(id, Outcome::Cancelled),
             Stage::Running => {}
--- a/tests/machine/mod.rs
+++ b/tests/machine/mod.rs
@@ -32,7 +32,7 @@
     duplicate_of: Option<RequestId>,
     arrived_at: f64,
     deadline: f64,
-    kb: f64,
+    request_kb: f64,
     stage: Stage,
     work_ms: f64,
     done_ms: f64,
@@ -142,7 +142,7 @@
             self.dispatch_events();
             self.check_rules();
         }
-        let open = self.requests.values().filter(|r| !r.answered).count();
+        let open = self.requests.values().filter(|request| !request.answered).count();
         if open > 0 {
             self.violations.push(format!("drain: {open} without an answer at the stop"));
         }
@@ -153,7 +153,7 @@
     }
 
     fn on_cores(&self) -> usize {
-        self.requests.values().filter(|r| r.stage == Stage::Running).count()
+        self.requests.values().filter(|request| request.stage == Stage::Running).count()
     }
 
     fn gauges(&self) -> Gauges {
@@ -178,21 +178,21 @@
         let (stalled, fails) = (self.within(self.stall), self.within(self.failing));
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
-            let Some(r) = self.requests.get_mut(&id) else { continue };
-            match r.stage {
+            let Some(request) = self.requests.get_mut(&id) else { continue };
+            match request.stage {
                 Stage::Running if !stalled => {
-                    r.done_ms += each;
-                    let fails = fails && r.done_ms > 5.0;
-                    if fails || r.done_ms >= r.work_ms {
+                    request.done_ms += each;
+                    let fails = fails && request.done_ms > 5.0;
+                    if fails || request.done_ms >= request.work_ms {
                         let outcome = if fails { Outcome::Error } else { Outcome::Ok };
                         self.end(id, outcome);
-                    } else if self.settings.classes[r.class].makes_upstream_calls
-                        && r.calls == 0
-                        && r.done_ms > r.work_ms / 2.0
+                    } else if self.settings.classes[request.class].makes_upstream_calls
+                        && request.calls == 0
+                        && request.done_ms > request.work_ms / 2.0
                     {
-                        r.calls += 1;
-                        r.stage = Stage::AtCall;
-                        if r.answered {
+                        request.calls += 1;
+                        request.stage = Stage::AtCall;
+                        if request.answered {
                             self.end(id, Outcome::Cancelled);
                         } else {
                             self.events.push(Event::UpstreamCallNeeded(id));
@@ -200,7 +200,7 @@
                     }
                 }
                 Stage::Calling(until, outcome) if until <= self.now => {
-                    r.stage = if outcome == Outcome::Ok { Stage::Running } else { Stage::AtCall };
+                    request.stage = if outcome == Outcome::Ok { Stage::Running } else { Stage::AtCall };
                     self.events.push(Event::UpstreamCallEnded { id, outcome, took_ms: 20.0 });
                 }
                 _ => {}
@@ -210,27 +210,30 @@
 
     /// A run is over: its answer goes by itself, and those that wait for it get theirs.
     fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let Some(r) = self.requests.remove(&id) else { return };
-        let took_ms = self.now - r.since;
+        let Some(request) = self.requests.remove(&id) else { return };
+        let took_ms = self.now - request.since;
         self.events.push(Event::RunEnded { id, outcome, took_ms });
-        if outcome == Outcome::Ok && !r.answered {
-            self.serve(r.class);
+        if outcome == Outcome::Ok && !request.answered {
+            self.serve(request.class);
         }
-        let Some(entry) = r.key.and_then(|k| self.entries.get_mut(&k)) else { return };
+        let Some(entry) = request.key.and_then(|key| self.entries.get_mut(&key)) else { return };
         entry.succeeded = Some(outcome == Outcome::Ok);
-        let waiting = self.requests.iter().filter(|(_, w)| w.stage == Stage::Reusing && w.key == r.key);
+        let waiting = self
+            .requests
+            .iter()
+            .filter(|(_, other)| other.stage == Stage::Reusing && other.key == request.key);
         for waiting in waiting.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.end_reuse(waiting, outcome == Outcome::Ok);
         }
     }
 
     fn end_reuse(&mut self, id: RequestId, succeeded: bool) {
-        if let Some(r) = self.requests.remove(&id) {
+        if let Some(request) = self.requests.remove(&id) {
             let outcome = if succeeded { Outcome::Ok } else { Outcome::Error };
-            if succeeded && !r.answered {
-                self.serve(r.class);
+            if succeeded && !request.answered {
+                self.serve(request.class);
             }
-            self.events.push(Event::RunEnded { id, outcome, took_ms: self.now - r.since });
+            self.events.push(Event::RunEnded { id, outcome, took_ms: self.now - request.since });
         }
     }
 
@@ -263,12 +266,14 @@
             n if again && n > 0 => Some(self.keys[self.rng.random_range(n.saturating_sub(20)..n)]),
             _ => keyed.then_some(self.next + 1),
         };
-        let original =
-            key.and_then(|k| self.entries.get(&k)).filter(|e| arrived_at <= e.until).map(|e| e.holder);
+        let original = key
+            .and_then(|key| self.entries.get(&key))
+            .filter(|entry| arrived_at <= entry.until)
+            .map(|entry| entry.holder);
         self.next += 1;
         let id = self.next;
-        self.keys.extend(key.filter(|k| *k == id));
-        let (kb, priority) = (self.rng.random_range(5.0..60.0), self.rng.random_range(0.0..1.0));
+        self.keys.extend(key.filter(|key| *key == id));
+        let (request_kb, priority) = (self.rng.random_range(5.0..60.0), self.rng.random_range(0.0..1.0));
         let tenant =
             if flood { 0 } else { self.rng.random_range(0..self.settings.tenant_quotas.len().max(1)) };
         let work_ms = WORK_MS * self.rng.random_range(0.3..1.7);
@@ -278,7 +283,7 @@
             duplicate_of: original,
             arrived_at,
             deadline: (arrived_at + waits).max(self.now),
-            kb,
+            request_kb,
             stage: Stage::Queued,
             work_ms,
             done_ms: 0.0,
@@ -295,8 +300,8 @@
             class,
             tenant,
             deadline,
-            request_kb: kb,
-            priority: priority,
+            request_kb,
+            priority,
             age_ms,
             duplicate_of: original,
             ..Arrival::default()
@@ -322,10 +327,13 @@
     /// The rules that hold at every moment.
     fn check_rules(&mut self) {
         let slack = self.settings.response_slack_ms;
-        let late = self.requests.iter_mut().filter(|(_, r)| !r.answered && self.now > r.deadline + slack);
+        let late = self
+            .requests
+            .iter_mut()
+            .filter(|(_, request)| !request.answered && self.now > request.deadline + slack);
         let late: Vec<RequestId> = late
-            .map(|(id, r)| {
-                r.answered = true;
+            .map(|(id, request)| {
+                request.answered = true;
                 *id
             })
             .collect();
@@ -337,12 +345,14 @@
         if self.on_cores() as f64 > most {
             self.record_violation(format!("{} runs crowd the cores", self.on_cores()));
         }
-        let of = |r: &MachineRequest| match r.stage {
-            Stage::Queued | Stage::Reusing => r.kb,
-            _ => r.kb * self.settings.run_memory_factor,
+        let memory_kb = |request: &MachineRequest| match request.stage {
+            Stage::Queued | Stage::Reusing => request.request_kb,
+            _ => request.request_kb * self.settings.run_memory_factor,
         };
-        self.entries.retain(|_, e| e.until > self.now || !e.ran && self.requests.contains_key(&e.holder));
-        let memory = self.requests.values().map(of).sum::<f64>()
+        self.entries.retain(|_, entry| {
+            entry.until > self.now || !entry.ran && self.requests.contains_key(&entry.holder)
+        });
+        let memory = self.requests.values().map(memory_kb).sum::<f64>()
             + self.entries.len() as f64 * self.settings.key_memory_kb;
         if memory > self.settings.memory_kb {
             self.record_violation(format!("{memory:.0} kB are in use"));
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -22,11 +22,11 @@
     runs: Vec<(f64, f64, u64)>,
     timers: Vec<(f64, u64)>,
     /// When requests came, within the settings' time, and whether their client heeds.
-    came: VecDeque<(f64, bool)>,
+    recent_arrivals: VecDeque<(f64, bool)>,
 }
 
 struct Fleet {
-    set: Settings,
+    settings: Settings,
     rng: ChaCha8Rng,
     now: f64,
     next: u64,
@@ -35,12 +35,12 @@
     heard: Vec<Vec<(f64, f64)>>,
     heeds: Vec<bool>,
     /// The most that a server was sent over its bound, as a factor: by all, and by clients that heed.
-    most: (f64, f64),
+    highest_load: (f64, f64),
 }
 
 impl Fleet {
     fn new(seed: u64, servers: usize, clients: usize, heeding: f64) -> Fleet {
-        let set = Settings {
+        let settings = Settings {
             server_count: servers as f64,
             client_count: clients as f64,
             cores: 6.0,
@@ -56,41 +56,44 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let heeds = (0..clients).map(|_| rng.random_bool(heeding)).collect();
         let server = |at: usize| Server {
-            controller: AdmissionController::new(0.0, Settings { seed: seed + at as u64, ..set.clone() }),
+            controller: AdmissionController::new(
+                0.0,
+                Settings { seed: seed + at as u64, ..settings.clone() },
+            ),
             share: 1.0,
             runs: Vec::new(),
             timers: Vec::new(),
-            came: VecDeque::new(),
+            recent_arrivals: VecDeque::new(),
         };
         let heard = vec![vec![(1.0, f64::NEG_INFINITY); servers]; clients];
         let mut fleet = Fleet {
             servers: (0..servers).map(server).collect(),
-            set,
+            settings,
             rng,
             now: 0.0,
             next: 0,
             heard,
             heeds,
-            most: (0.0, 0.0),
+            highest_load: (0.0, 0.0),
         };
         for at in 0..servers {
-            fleet.tell(at, Event::Start, None);
+            fleet.dispatch_event(at, Event::Start, None);
         }
         fleet
     }
 
     fn speed(&self) -> f64 {
-        self.set.cold_start_speed
-            + (1.0 - self.set.cold_start_speed) * (self.now / self.set.warm_up_ms).min(1.0)
+        self.settings.cold_start_speed
+            + (1.0 - self.settings.cold_start_speed) * (self.now / self.settings.warm_up_ms).min(1.0)
     }
 
     /// N: the crowd that the settings let a server survive now.
     fn budget(&self) -> f64 {
-        self.set.cores * (1.0 + (self.set.survivable_runs_per_core - 1.0) * self.speed())
+        self.settings.cores * (1.0 + (self.settings.survivable_runs_per_core - 1.0) * self.speed())
     }
 
     /// Hands an event to a server. Whoever gets an answer hears the share with it.
-    fn tell(&mut self, at: usize, event: Event, client: Option<usize>) {
+    fn dispatch_event(&mut self, at: usize, event: Event, client: Option<usize>) {
         let mut actions = Vec::new();
         self.servers[at].controller.on_event(self.now, event, &mut actions);
         for action in actions {
@@ -130,14 +133,14 @@
                 priority: self.rng.random_range(0.0..1.0),
                 ..Arrival::default()
             };
-            self.servers[at].came.push_back((self.now, self.heeds[client]));
-            self.tell(at, Event::Arrival(arrival), Some(client));
+            self.servers[at].recent_arrivals.push_back((self.now, self.heeds[client]));
+            self.dispatch_event(at, Event::Arrival(arrival), Some(client));
             return;
         }
     }
 
     fn play(&mut self, rate_per_s: f64) {
-        while self.now < self.set.warm_up_ms {
+        while self.now < self.settings.warm_up_ms {
             self.now += STEP_MS;
             let mut due = rate_per_s * self.servers.len() as f64 * STEP_MS / 1000.0;
             while due > 0.0 {
@@ -154,7 +157,7 @@
                 self.servers[at].runs = runs;
                 let over: Vec<(f64, f64, u64)> = over;
                 for (_, took_ms, id) in over {
-                    self.tell(at, Event::RunEnded { id, outcome: Outcome::Ok, took_ms }, None);
+                    self.dispatch_event(at, Event::RunEnded { id, outcome: Outcome::Ok, took_ms }, None);
                 }
                 let (timers, later) = std::mem::take(&mut self.servers[at].timers)
                     .into_iter()
@@ -163,28 +166,31 @@
                 let timers: Vec<(f64, u64)> = timers;
                 let running = self.servers[at].runs.len() as f64;
                 let gauges = Gauges {
-                    busy: Some((running / self.set.cores).min(1.0)),
+                    busy: Some((running / self.settings.cores).min(1.0)),
                     run_queue: Some(running),
                     ..Gauges::default()
                 };
                 for (_, token) in timers {
-                    self.tell(at, Event::Timer { token, gauges }, None);
+                    self.dispatch_event(at, Event::Timer { token, gauges }, None);
                 }
-                self.judge(at);
+                self.check_load(at);
             }
         }
     }
 
-    fn judge(&mut self, at: usize) {
+    fn check_load(&mut self, at: usize) {
         let n = self.budget();
         let bound = n + 2.0 * n.sqrt() + 2.0;
-        let since = self.now - self.set.overload_window_ms;
-        let came = &mut self.servers[at].came;
-        while came.front().is_some_and(|(when, _)| *when < since) {
-            came.pop_front();
+        let since = self.now - self.settings.overload_window_ms;
+        let recent_arrivals = &mut self.servers[at].recent_arrivals;
+        while recent_arrivals.front().is_some_and(|(when, _)| *when < since) {
+            recent_arrivals.pop_front();
         }
-        let heeding = came.iter().filter(|(_, heeds)| *heeds).count() as f64;
-        self.most = (self.most.0.max(came.len() as f64 / bound), self.most.1.max(heeding / bound));
+        let heeding = recent_arrivals.iter().filter(|(_, heeds)| *heeds).count() as f64;
+        self.highest_load = (
+            self.highest_load.0.max(recent_arrivals.len() as f64 / bound),
+            self.highest_load.1.max(heeding / bound),
+        );
         // What it runs of that is its own to bound, whatever clients send.
         assert!(
             (self.servers[at].runs.len() as f64) < n,
@@ -203,21 +209,22 @@
 fn what_a_cold_fleet_is_sent() {
     for (servers, clients) in [(20, 20), (30, 30)] {
         for (part, held) in [(0.33, true), (0.5, false), (0.75, false)] {
-            let mut most = (0.0f64, 0.0f64);
+            let mut highest_load = (0.0f64, 0.0f64);
             for seed in 1..=10 {
                 let mut fleet = Fleet::new(seed, servers, clients, 0.6);
-                let warm = fleet.set.cores * fleet.set.survivable_runs_per_core
-                    / fleet.set.overload_window_ms
+                let warm = fleet.settings.cores * fleet.settings.survivable_runs_per_core
+                    / fleet.settings.overload_window_ms
                     * 1000.0;
                 fleet.play(part * warm);
-                most = (most.0.max(fleet.most.0), most.1.max(fleet.most.1));
+                highest_load =
+                    (highest_load.0.max(fleet.highest_load.0), highest_load.1.max(fleet.highest_load.1));
             }
             println!(
                 "{servers} servers, {clients} clients, usual traffic {part} of what a warm one survives, seeds 1 to 10: \
                  sent by all {:.2} of N + 2 sqrt(N) + 2, by those that heed {:.2}",
-                most.0, most.1
+                highest_load.0, highest_load.1
             );
-            assert!(!held || most.0 <= 1.0, "{servers} servers: {:.2} of the bound", most.0);
+            assert!(!held || highest_load.0 <= 1.0, "{servers} servers: {:.2} of the bound", highest_load.0);
         }
     }
 }
@@ -227,14 +234,14 @@
 fn a_cold_server_advertises_the_share_of_its_speed() {
     let mut fleet = Fleet::new(1, 1, 1, 1.0);
     assert_eq!(fleet.servers[0].share, 0.3);
-    let mut told = vec![fleet.servers[0].share];
-    while fleet.now < fleet.set.warm_up_ms + 100.0 {
+    let mut advertised = vec![fleet.servers[0].share];
+    while fleet.now < fleet.settings.warm_up_ms + 100.0 {
         fleet.now += 50.0;
         let gauges = Gauges { busy: Some(0.1), run_queue: Some(0.0), ..Gauges::default() };
-        fleet.tell(0, Event::Timer { token: 1, gauges }, None);
+        fleet.dispatch_event(0, Event::Timer { token: 1, gauges }, None);
         assert!(fleet.servers[0].share <= fleet.speed() + 1e-9);
-        told.push(fleet.servers[0].share);
+        advertised.push(fleet.servers[0].share);
     }
-    assert!(told.windows(2).all(|pair| pair[0] <= pair[1]), "{told:?}");
-    assert_eq!(told.last(), Some(&1.0));
+    assert!(advertised.windows(2).all(|pair| pair[0] <= pair[1]), "{advertised:?}");
+    assert_eq!(advertised.last(), Some(&1.0));
 }
--- a/tests/rules_calls.rs
+++ b/tests/rules_calls.rs
@@ -77,11 +77,64 @@
     assert!(skipped >= 6);
 }
 
+/// A call to an upstream service whose answers take a fixed time.
+struct SimulatedCall {
+    id: u64,
+    from: f64,
+    /// Time at which it answers or times out.
+    ends_at: f64,
+    /// Time until which it occupies the upstream service.
+    until: f64,
+}
+
+/// Calls that take `duration_ms` each, or time out and linger for 200 ms.
+struct SimulatedCalls {
+    duration_ms: f64,
+    calls: Vec<SimulatedCall>,
+}
+
+impl SimulatedCalls {
+    /// Takes the calls that the actions make, and ends the runs that go on without one.
+    fn carry_out(&mut self, driver: &mut Driver, actions: &[Action]) {
+        for action in actions {
+            match action {
+                Action::CallUpstream { id, timeout_ms } => {
+                    let ends_at = driver.now + self.duration_ms.min(*timeout_ms);
+                    let until = if self.duration_ms < *timeout_ms { ends_at } else { ends_at + 200.0 };
+                    self.calls.push(SimulatedCall { id: *id, from: driver.now, ends_at, until });
+                }
+                Action::SkipUpstreamCall(id) => drop(driver.end(*id, Outcome::Ok)),
+                _ => {}
+            }
+        }
+    }
+
+    /// Ends the calls of the last timer period and their runs, and returns what the ends of the calls led to.
+    fn end_due(&self, driver: &mut Driver) -> Vec<Action> {
+        let period = driver.now - 50.0..driver.now;
+        let mut actions = Vec::new();
+        for call in self.calls.iter().filter(|call| period.contains(&call.ends_at)) {
+            let timed_out = call.until > call.ends_at;
+            let outcome = if timed_out { Outcome::TimedOut } else { Outcome::Ok };
+            let id = call.id;
+            actions.extend(driver.send(Event::UpstreamCallEnded { id, outcome, took_ms: 1.0 }));
+            driver.send(Event::RunEnded { id, outcome: Outcome::Ok, took_ms: 300.0 });
+        }
+        actions
+    }
+
+    /// Calls in progress on average over the last 5 s.
+    fn mean_in_progress(&self, now: f64) -> f64 {
+        let span_ms = |call: &SimulatedCall| (call.until.min(now) - call.from.max(now - 5000.0)).max(0.0);
+        self.calls.iter().map(span_ms).sum::<f64>() / 5000.0
+    }
+}
+
 /// A share below one call is a part of the window in which a call may be in progress.
 #[test]
 fn a_share_under_one_call_holds_over_the_window_whatever_the_upstream_does() {
     let share = 0.45;
-    for calls_last_ms in [15.0, 600.0, f64::INFINITY] {
+    for duration_ms in [15.0, 600.0, f64::INFINITY] {
         let mut settings = Settings {
             has_upstream: true,
             upstream_call_share: Some(share),
@@ -89,14 +142,12 @@
             ..settings()
         };
         settings.classes[0].degraded_weight = 0.6;
-        settings
-            .classes
-            .iter_mut()
-            .for_each(|c| (c.latency_objective_ms, c.client_timeout_ms) = (2000.0, 8000.0));
+        for class in &mut settings.classes {
+            (class.latency_objective_ms, class.client_timeout_ms) = (2000.0, 8000.0);
+        }
         let mut driver = Driver::new(settings);
-        // Whose call, from when, until when it answers, and until when it is in the upstream service's hands.
-        let mut calls: Vec<(u64, f64, f64, f64)> = Vec::new();
-        let (mut made, mut writes) = (0, 0);
+        let mut calls = SimulatedCalls { duration_ms, calls: Vec::new() };
+        let mut writes = 0;
         for at in 0..800u32 {
             let mut actions = driver.tick(0.5, 1.0);
             if at % 4 == 0 {
@@ -105,42 +156,17 @@
                 if runs(&begun, id) {
                     actions.extend(driver.send(Event::UpstreamCallNeeded(id)));
                 }
-                writes += usize::from(
-                    class == 1
-                        && actions
-                            .iter()
-                            .any(|action| matches!(action, Action::CallUpstream { id: x, .. } if *x == id)),
-                );
-            }
-            let over: Vec<(u64, bool)> = calls
-                .iter()
-                .filter(|c| (driver.now - 50.0..driver.now).contains(&c.2))
-                .map(|c| (c.0, c.3 > c.2))
-                .collect();
-            for (id, timed_out) in over {
-                let outcome = if timed_out { Outcome::TimedOut } else { Outcome::Ok };
-                actions.extend(driver.send(Event::UpstreamCallEnded { id, outcome, took_ms: 1.0 }));
-                driver.send(Event::RunEnded { id, outcome: Outcome::Ok, took_ms: 300.0 });
-            }
-            for arrival in &actions {
-                match arrival {
-                    Action::CallUpstream { id, timeout_ms: limit_ms } => {
-                        made += 1;
-                        let ends = driver.now + calls_last_ms.min(*limit_ms);
-                        let until = if calls_last_ms < *limit_ms { ends } else { ends + 200.0 };
-                        calls.push((*id, driver.now, ends, until));
-                    }
-                    Action::SkipUpstreamCall(id) => drop(driver.end(*id, Outcome::Ok)),
-                    _ => {}
-                }
+                let is_its_call = |action: &Action| matches!(action, Action::CallUpstream { id: other, .. } if *other == id);
+                writes += usize::from(class == 1 && actions.iter().any(is_its_call));
             }
-            let span =
-                |c: &(u64, f64, f64, f64)| (c.3.min(driver.now) - c.1.max(driver.now - 5000.0)).max(0.0);
-            let mean = calls.iter().map(span).sum::<f64>() / 5000.0;
-            assert!(mean <= share, "{mean} calls in hand over 5 s at {}", driver.now);
+            actions.extend(calls.end_due(&mut driver));
+            calls.carry_out(&mut driver, &actions);
+            let mean = calls.mean_in_progress(driver.now);
+            assert!(mean <= share, "{mean} calls in progress over 5 s at {}", driver.now);
         }
+        let made = calls.calls.len();
         assert!(made >= 8, "calls are made still: {made}");
-        assert!(writes >= 1, "and for those that can't leave them out");
+        assert!(writes >= 1, "and for those that can't be skipped");
     }
 }
 
