--- a/src/bin/dunlinspread-wirehost.rs
+++ b/src/bin/dunlinspread-wirehost.rs
@@ -1,4 +1,4 @@
-//! The adapter: hosts instances of the decision module on the simulator's wire.
+//! Hosts admission controllers for the simulator, over standard input and output.
 #![forbid(unsafe_code)]
 
 use std::io;
@@ -7,8 +7,8 @@
 fn main() -> ExitCode {
     match dunlinspread::simulator::serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("dunlinspread-wirehost: {e}");
+        Err(error) => {
+            eprintln!("dunlinspread-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
