--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! Admission and scheduling for servers that stand behind other people's load balancers.
 //!
-//! One [`AdmissionController`] lives in each server instance. It is told what happens as [`Event`]s and answers with
+//! One [`AdmissionController`] lives in each server instance. It takes [`Event`]s and returns
 //! [`Action`]s; it has no clock, threads or I/O of its own and shares nothing with other instances.
 //!
 //! ```
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The built adapter, driven over pipes.
+//! The built host of the simulator's instances, driven over pipes.
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -20,9 +21,9 @@
 }
 
 fn replies(input: &str) -> Vec<String> {
-    let out = drive(input);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let text = String::from_utf8(out.stdout).expect("utf-8");
+    let output = drive(input);
+    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    let text = String::from_utf8(output.stdout).expect("utf-8");
     text.split_terminator("END\n").map(str::to_owned).collect()
 }
 
@@ -43,8 +44,10 @@
     let lines: Vec<&str> = replies[0].lines().collect();
     assert!(lines.contains(&"HINT_OUT i=3 level=1"));
     assert!(lines.contains(&"REPORT_HEALTH i=3 active=1 from_state=1"));
-    let at =
-        |l: &str| lines.iter().position(|x| x.starts_with(l)).unwrap_or_else(|| panic!("{l}: {lines:?}"));
+    let at = |start: &str| {
+        let position = lines.iter().position(|line| line.starts_with(start));
+        position.unwrap_or_else(|| panic!("{start}: {lines:?}"))
+    };
     assert!(at("REMEMBER i=3 xid=c:a keep_for_ms=") < at("PROCESS i=3 xid=c:a"));
     assert!(at("PROCESS i=3 xid=c:a") < at("ECHO i=3 xid=c:b"));
     assert!(replies[1].starts_with("WAKE_ME i=3 mark=1 offset_ms="));
@@ -58,7 +61,7 @@
     );
     let replies = replies(&input);
     assert!(replies[1].contains("WAKE_ME"));
-    assert!(replies.iter().skip(1).all(|r| !r.contains("c:a")), "{replies:?}");
+    assert!(replies.iter().skip(1).all(|reply| !reply.contains("c:a")), "{replies:?}");
 }
 
 #[test]
@@ -67,7 +70,7 @@
     let one = "ARRIVAL i=3 xid=c:a profile=0 mem_kb=5";
     let alone = replies(&format!("CLOCK time_ms=1\n{BOOT}\n{one}\nFLUSH\n"));
     let both = replies(&format!("CLOCK time_ms=1\n{other}\n{BOOT}\n{one}\nFLUSH\n"));
-    let of_3: Vec<&str> = both[0].lines().filter(|l| l.contains("i=3")).collect();
+    let of_3: Vec<&str> = both[0].lines().filter(|line| line.contains("i=3")).collect();
     assert_eq!(alone[0].lines().collect::<Vec<_>>(), of_3);
 }
 
@@ -83,15 +86,45 @@
         ("WIND_DOWN i=3", vec!["line 3", "`deadline_ms`"]),
         ("CLOCK time_ms=2", vec!["line 3", "CLOCK"]),
     ] {
-        let out = drive(&format!("CLOCK time_ms=1\n{BOOT}\n{bad}\nFLUSH\n"));
-        let error = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success(), "{bad}");
-        assert!(out.stdout.is_empty(), "{bad}");
-        assert!(words.iter().all(|w| error.contains(w)), "{bad}: {error}");
+        let output = drive(&format!("CLOCK time_ms=1\n{BOOT}\n{bad}\nFLUSH\n"));
+        let error = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(!output.status.success(), "{bad}");
+        assert!(output.stdout.is_empty(), "{bad}");
+        assert!(words.iter().all(|word| error.contains(word)), "{bad}: {error}");
         assert!(!error.contains("panicked"));
     }
-    let out = drive(&format!("CLOCK time_ms=1\n{BOOT}\n"));
-    assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("inside a batch"));
-    let out = drive("FLUSH\n");
-    assert!(!out.status.success());
+    let output = drive(&format!("CLOCK time_ms=1\n{BOOT}\n"));
+    assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("inside a batch"));
+    let output = drive("FLUSH\n");
+    assert!(!output.status.success());
+}
+
+#[test]
+fn each_error_has_its_text() {
+    let start = format!("CLOCK time_ms=1\n{BOOT}\n");
+    for (message, error) in [
+        ("WHATEVER i=3", "WHATEVER: unknown message"),
+        ("WHATEVER", "WHATEVER: field `i` is missing"),
+        ("GONE i=three", "GONE: field `i` can't be read: three"),
+        ("GONE i=9", "GONE: field `i`: 9 was never started"),
+        ("RETIRE i=9", "RETIRE: field `i`: 9 was never started"),
+        ("CLOCK time_ms=2", "CLOCK: inside a batch"),
+        ("ARRIVAL i=3 xid=c:a profile=0 is_retry=maybe", "ARRIVAL: field `is_retry` can't be read: maybe"),
+        ("DONE i=3 xid=c:a reason=SORT_OF", "DONE: field `reason` can't be read: SORT_OF"),
+        ("RING i=3 mark=1 stats=core_use", "RING: field `stats`: core_use"),
+        ("RING i=3 mark=1 stats=core_use:high", "RING: field `stats` can't be read: high"),
+        ("BOOT i=4", "BOOT: field `nonce64` is missing"),
+    ] {
+        let output = drive(&format!("{start}{message}\nFLUSH\n"));
+        let expected = format!("dunlinspread-wirehost: line 3: {error}\n");
+        assert_eq!(String::from_utf8_lossy(&output.stderr), expected);
+    }
+    for (input, error) in [
+        ("FLUSH\n", "line 1: FLUSH: outside a batch"),
+        ("CLOCK time_ms=1\n", "line 2: the input ends inside a batch"),
+        ("CLOCK\n", "line 1: CLOCK: field `time_ms` is missing"),
+    ] {
+        let output = drive(input);
+        assert_eq!(String::from_utf8_lossy(&output.stderr), format!("dunlinspread-wirehost: {error}\n"));
+    }
 }
