--- a/crates/config-sync/src/client.rs
+++ b/crates/config-sync/src/client.rs
@@ -9,7 +9,7 @@
 use std::io;
 use std::thread::JoinHandle;
 
-pub use crate::judge::Judge;
+pub use crate::judge::{Judge, Rejection};
 pub use crate::net::ClientSettings;
 pub use crate::server::Server;
 pub use crate::update::Update;
@@ -42,7 +42,8 @@
         let run = move || {
             let forward = async {
                 forwarder.run().await;
-                info!(log, "config: nobody takes updates any more, no change comes in force");
+                info!(log, "update receiver closed, changes are no longer applied";
+                    "component" => "config_sync");
             };
             block_on(or(task.run(), forward));
         };
