--- a/src/bin/dunlinspread.rs
+++ b/src/bin/dunlinspread.rs
@@ -1,4 +1,4 @@
-//! The round server.
+//! The server program: admission and overload control in front of a worker pool.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
