--- a/crates/config-sync/src/fanout/state.rs
+++ b/crates/config-sync/src/fanout/state.rs
@@ -119,7 +119,7 @@
         self.progress.refusals_dropped()
     }
 
-    /// When the next [`FanoutEvent::Tick`] has something to do; at once if there was none yet.
+    /// When the next `FanoutEvent::Tick` has something to do; at once if there was none yet.
     pub fn deadline(&self) -> Millis {
         let heartbeat = self.last_heartbeat.map_or(0, |last| last.saturating_add(self.settings.heartbeat_ms));
         let flush = if self.flushed == self.head() { Millis::MAX } else { self.flush_due() };
