--- a/src/config.rs
+++ b/src/config.rs
@@ -15,5 +15,5 @@
 pub use error::ConfigError;
 pub use gauges::set_gauge;
 pub use limits::ResourceLimits;
-pub use server::Config;
+pub use server::{Config, ConfigFallbacks};
 pub use stated::StatedSettings;
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -7,6 +7,8 @@
 pub(super) const NAME: &str = "name";
 /// The address at which clients connect.
 pub(super) const LISTEN: &str = "listen";
+/// The address at which operators call.
+pub(super) const CONTROL: &str = "control";
 /// The address of the worker pool.
 pub(super) const WORKER_POOL: &str = "pool";
 /// The address of the registry.
--- a/src/config/server.rs
+++ b/src/config/server.rs
@@ -30,6 +30,8 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where operators call; without an address there is no control endpoint.
+    pub control: Option<SocketAddr>,
     /// The worker pool.
     pub worker_pool: SocketAddr,
     /// The registry.
@@ -50,16 +52,27 @@
     pub gauge_names: Vec<String>,
 }
 
+/// What stands in for keys that the configuration file lacks.
+#[derive(Clone, Debug, Default)]
+pub struct ConfigFallbacks {
+    /// The name of the server.
+    pub name: Option<String>,
+    /// Where clients connect.
+    pub listen: Option<String>,
+    /// Where operators call.
+    pub control: Option<String>,
+}
+
 impl Config {
-    /// Reads the text of the configuration file. `name` and `listen` stand in for keys that it lacks.
+    /// Reads the text of the configuration file. The fallbacks stand in for keys that it lacks.
     ///
     /// # Errors
     /// If a key is missing or can't be read.
-    pub fn read(text: &[u8], name: Option<&str>, listen: Option<&str>) -> Result<Config, ConfigError> {
+    pub fn read(text: &[u8], fallbacks: &ConfigFallbacks) -> Result<Config, ConfigError> {
         let root =
             json::parse(text).map_err(|e| ConfigError::new(keys::CONFIG_FILE_VARIABLE, e.to_string()))?;
         let file = File(&root);
-        let name = file.server_name(name)?;
+        let name = file.server_name(fallbacks.name.as_deref())?;
         let seed = file.seed()?;
         let stop_timeout = file.stop_timeout()?;
         let limits = file.limits()?;
@@ -74,7 +87,8 @@
             classes: stated.names(keys::CLASSES).map_err(within)?,
             tenants: stated.names(keys::TENANTS).map_err(within)?,
             gauge_names: stated.gauge_names(),
-            listen: file.required_address(keys::LISTEN, listen)?,
+            listen: file.required_address(keys::LISTEN, fallbacks.listen.as_deref())?,
+            control: file.address(keys::CONTROL, fallbacks.control.as_deref())?,
             worker_pool: file.required_address(keys::WORKER_POOL, None)?,
             registry: file.required_address(keys::REGISTRY, None)?,
             upstream: file.address(keys::UPSTREAM, None)?,
@@ -173,6 +187,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let upstream = self.upstream.map_or("none".to_owned(), |address| address.to_string());
         writeln!(f, "name      {}\nlisten    {}\npool      {}", self.name, self.listen, self.worker_pool)?;
+        if let Some(control) = self.control {
+            writeln!(f, "control   {control}")?;
+        }
         writeln!(f, "directory {}\nindex     {upstream}", self.registry)?;
         writeln!(f, "stop_ms   {}", self.stop_timeout.as_millis())?;
         writeln!(f, "classes   {}", listed(&self.classes))?;
--- a/src/daemon/command_line.rs
+++ b/src/daemon/command_line.rs
@@ -1,7 +1,7 @@
 //! The command line, and the files that it names.
 
 use super::error::DaemonError;
-use crate::config::Config;
+use crate::config::{Config, ConfigFallbacks};
 use crate::operator::{LogFormat, OperatorConfig};
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
@@ -10,6 +10,8 @@
 const NAME_VARIABLE: &str = "RELAY_NAME";
 /// Environment variable of the address for clients, where the configuration file has none.
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
+/// Environment variable of the address for operators, where the configuration file has none.
+const CONTROL_VARIABLE: &str = "RELAY_CONTROL";
 
 /// A round server: takes requests from client proxies, has the worker pool run them, and turns away what would come to
 /// nothing.
@@ -61,8 +63,12 @@
         let path = self.config.as_ref().ok_or(DaemonError::ConfigFileNotSet)?;
         let text = std::fs::read(path)
             .map_err(|source| DaemonError::ReadConfigFile { path: path.clone(), source })?;
-        let (name, listen) = (std::env::var(NAME_VARIABLE).ok(), std::env::var(LISTEN_VARIABLE).ok());
-        let platform = Config::read(&text, name.as_deref(), listen.as_deref())
+        let fallbacks = ConfigFallbacks {
+            name: std::env::var(NAME_VARIABLE).ok(),
+            listen: std::env::var(LISTEN_VARIABLE).ok(),
+            control: std::env::var(CONTROL_VARIABLE).ok(),
+        };
+        let platform = Config::read(&text, &fallbacks)
             .map_err(|source| DaemonError::Config { path: path.clone(), source })?;
         let operator = match &self.operator {
             Some(path) => OperatorConfig::load(path)?,
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -6,7 +6,7 @@
 use super::ledger::LedgerStart;
 use crate::config::Config;
 use crate::operator::LedgerConfig;
-use crate::server::dispatcher::{Dispatcher, Mailboxes};
+use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
 use crate::server::messages::{
@@ -14,6 +14,7 @@
 };
 use crate::server::name_table::NameTable;
 use crate::server::registry::RegistryReporter;
+use crate::server::serving_status::ServingStatus;
 use crate::server::supervisor::{self, TaskFailure};
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use crate::server::upstream::{UpstreamClient, UpstreamClientSettings};
@@ -79,6 +80,7 @@
     wheel: Rc<TimerWheel>,
     dispatcher: Sender<DispatcherMessage>,
     failures: Sender<TaskFailure>,
+    status: Arc<ServingStatus>,
     log: &'a Logger,
 }
 
@@ -99,6 +101,9 @@
     let (dispatcher, dispatcher_messages) = async_channel::bounded(config.limits.dispatcher_mailbox);
     let (listener, listener_messages) = async_channel::unbounded();
     let (failures, failed_tasks) = async_channel::unbounded();
+    // One message that waits stands for all later ones.
+    let (evacuation_changed, evacuation_changes) = async_channel::bounded(1);
+    let status = ServingStatus::new(&config.classes, evacuation_changed);
     let wiring = Wiring {
         config,
         executor,
@@ -106,8 +111,10 @@
         wheel: wheel.clone(),
         dispatcher: dispatcher.clone(),
         failures,
+        status,
         log,
     };
+    wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
     let mailboxes = wiring.start_peer_tasks();
     wiring.start_dispatcher(&mailboxes, &listener, operator.ledger.as_ref(), dispatcher_messages)?;
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
@@ -120,6 +127,14 @@
     TcpListener::bind(address).and_then(Async::new).map_err(|source| DaemonError::Listen { address, source })
 }
 
+/// Has the dispatcher report each change of the evacuation.
+async fn report_evacuation(changes: Receiver<()>, dispatcher: Sender<DispatcherMessage>) {
+    while changes.recv().await.is_ok() {
+        // The dispatcher's mailbox closes only at the end of the process.
+        let _ = dispatcher.send(DispatcherMessage::EvacuationChanged).await;
+    }
+}
+
 impl Wiring<'_> {
     /// Starts a task that should last as long as the process.
     fn supervise(&self, name: &'static str, task: BoxedLocal<()>) {
@@ -181,15 +196,14 @@
             registry: mailboxes.registry.clone(),
             listener: listener.clone(),
         };
-        let mut dispatcher = Dispatcher::new(
-            self.config,
-            self.clock,
-            self.wheel.clone(),
-            self.executor.clone(),
-            self.dispatcher.clone(),
-            mailboxes,
-            self.log.clone(),
-        );
+        let environment = DispatcherEnvironment {
+            clock: self.clock,
+            wheel: self.wheel.clone(),
+            executor: self.executor.clone(),
+            status: self.status.clone(),
+            log: self.log.clone(),
+        };
+        let mut dispatcher = Dispatcher::new(self.config, environment, self.dispatcher.clone(), mailboxes);
         if let Some(ledger_config) = ledger {
             let start = LedgerStart {
                 ledger_config,
--- a/src/server/dispatcher/actions.rs
+++ b/src/server/dispatcher/actions.rs
@@ -52,6 +52,12 @@
         self.report_health();
     }
 
+    /// An operator sends clients elsewhere, or takes them again: the registry hears of it at once.
+    pub(super) fn on_evacuation_changed(&self) {
+        info!(self.log, "evacuation changed"; "evacuated" => self.status.is_evacuated());
+        self.report_health();
+    }
+
     fn set_idle_timeout(&self, idle_ms: f64) {
         // The mailbox is unbounded and closes only at the end of the process.
         let _ = self.listener.try_send(ListenerMessage::SetIdleTimeout(idle_ms));
--- a/src/server/dispatcher/arrivals.rs
+++ b/src/server/dispatcher/arrivals.rs
@@ -15,6 +15,8 @@
     /// Takes a request in: it is answered at once, or enters the table and is left to the controller.
     pub(super) fn on_arrival(&mut self, mut incoming: IncomingRequest) {
         self.start_controller(None);
+        self.status.telemetry().record_taken();
+        incoming.reply.class = Some(incoming.class);
         let now = self.clock.now();
         incoming.received_at = incoming.received_at.min(now + MAX_FUTURE_MS);
         // Each attempt has a number of its own: a second request with it can't be told apart in the worker pool.
--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -37,10 +37,12 @@
             DispatcherMessage::Timer(token) => self.on_timer(token),
             DispatcherMessage::GaugesTimedOut(tag) => self.on_gauges(tag, Gauges::default()),
             DispatcherMessage::Drain { stop_at } => {
+                self.status.set_ready(false);
                 self.start_controller(None);
                 self.dispatch_event(Event::Drain { stop_at });
             }
             DispatcherMessage::Reconfigured(reconfigured) => self.on_reconfigured(*reconfigured),
+            DispatcherMessage::EvacuationChanged => self.on_evacuation_changed(),
             DispatcherMessage::SweepKeys => self.on_sweep(),
             DispatcherMessage::Usage(message) => self.on_usage_message(*message),
             DispatcherMessage::UsageTick => self.on_usage_tick(),
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -28,4 +28,4 @@
 mod timers;
 mod upstream_calls;
 
-pub use state::{Dispatcher, Mailboxes};
+pub use state::{Dispatcher, DispatcherEnvironment, Mailboxes};
--- a/src/server/dispatcher/responses.rs
+++ b/src/server/dispatcher/responses.rs
@@ -57,6 +57,7 @@
         if request.reply.take().is_none() {
             return;
         }
+        self.status.telemetry().record_client_gone();
         self.bill_cancelled(id);
         self.cancel_upstream_call(id);
         self.remove_if_idle(id);
--- a/src/server/dispatcher/runs.rs
+++ b/src/server/dispatcher/runs.rs
@@ -40,6 +40,7 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.state = ExecutionState::Running;
         let (attempt, class, body) = (request.attempt, request.class, request.body.clone());
+        self.status.telemetry().record_attempt(class);
         self.request_command(id, PoolCommand::Run { attempt, class, body });
     }
 
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -13,6 +13,8 @@
     ConnectionMessage, DispatcherMessage, ListenerMessage, PoolCommand, RegistryMessage, ReplyHandle,
     Response, UpstreamMessage, WorkerPoolMessage,
 };
+use crate::server::serving_status::ServingStatus;
+use crate::server::telemetry::RequestEnd;
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use crate::server::usage::Billing;
 use async_channel::{Sender, TrySendError};
@@ -20,6 +22,7 @@
 use slog::Logger;
 use std::collections::VecDeque;
 use std::rc::Rc;
+use std::sync::Arc;
 
 /// The mailboxes of the tasks that the dispatcher writes to.
 pub struct Mailboxes {
@@ -33,6 +36,20 @@
     pub listener: Sender<ListenerMessage>,
 }
 
+/// What the dispatcher shares with the rest of the process.
+pub struct DispatcherEnvironment {
+    /// The clock.
+    pub clock: Clock,
+    /// The timers.
+    pub wheel: Rc<TimerWheel>,
+    /// Runs the dispatcher's timers.
+    pub executor: Rc<LocalExecutor<'static>>,
+    /// What operators see and set.
+    pub status: Arc<ServingStatus>,
+    /// The log.
+    pub log: Logger,
+}
+
 /// How the worker pool started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PoolStart {
@@ -69,6 +86,7 @@
     pub(super) usage_tick_ms: f64,
     pub(super) controller_lines: LogLimit,
     pub(super) rejected_command_lines: LogLimit,
+    pub(super) status: Arc<ServingStatus>,
     pub(super) clock: Clock,
     wheel: Rc<TimerWheel>,
     executor: Rc<LocalExecutor<'static>>,
@@ -80,13 +98,11 @@
     /// Returns a dispatcher without requests. `own_mailbox` is where its timers send to.
     pub fn new(
         config: &Config,
-        clock: Clock,
-        wheel: Rc<TimerWheel>,
-        executor: Rc<LocalExecutor<'static>>,
+        environment: DispatcherEnvironment,
         own_mailbox: Sender<DispatcherMessage>,
         mailboxes: Mailboxes,
-        log: Logger,
     ) -> Self {
+        let DispatcherEnvironment { clock, wheel, executor, status, log } = environment;
         Dispatcher {
             settings: config.settings.clone(),
             max_requests: config.limits.requests,
@@ -106,6 +122,7 @@
             usage_tick_ms: 0.0,
             controller_lines: LogLimit::default(),
             rejected_command_lines: LogLimit::default(),
+            status,
             clock,
             wheel,
             executor,
@@ -165,6 +182,9 @@
 
     /// Sends a response to the connection of its request.
     pub(super) fn send_response(&self, reply: ReplyHandle, response: Response) {
+        if let (Some(class), Some(end)) = (reply.class, request_end(&response)) {
+            self.status.telemetry().record_end(class, end);
+        }
         let advertised_share = self.advertised_share;
         let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
         if let Err(TrySendError::Full(_)) = reply.mailbox.try_send(message) {
@@ -173,9 +193,10 @@
         }
     }
 
-    /// Returns whether the server is healthy: the controller says so, and responses can be billed.
+    /// Returns whether the server is healthy: the controller says so, responses can be billed, and no operator sends
+    /// clients elsewhere.
     pub(super) fn is_healthy(&self) -> bool {
-        self.healthy && self.can_bill()
+        self.healthy && self.can_bill() && !self.status.is_evacuated()
     }
 
     /// Reports health to the registry.
@@ -210,3 +231,13 @@
         }
     }
 }
+
+/// Returns how a request ended that gets this response; `None` for the response to a health check.
+fn request_end(response: &Response) -> Option<RequestEnd> {
+    match response {
+        Response::Completed(_) => Some(RequestEnd::Served),
+        Response::Rejected { .. } => Some(RequestEnd::Refused),
+        Response::Failed | Response::Invalid => Some(RequestEnd::Failed),
+        Response::Health(_) => None,
+    }
+}
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -93,7 +93,7 @@
 
     /// Returns where the response to a message goes.
     pub(super) fn reply_handle(&self, message_id: u64) -> ReplyHandle {
-        ReplyHandle { mailbox: self.responses.clone(), tag: message_id }
+        ReplyHandle { mailbox: self.responses.clone(), tag: message_id, class: None }
     }
 
     /// Returns whether a request with this message id is open.
--- a/src/server/messages/connection.rs
+++ b/src/server/messages/connection.rs
@@ -46,4 +46,6 @@
     pub mailbox: Sender<ConnectionMessage>,
     /// The connection's tag for the request.
     pub tag: u64,
+    /// The class of the request, by position; `None` where the response is to something else, or the class is not known.
+    pub class: Option<usize>,
 }
--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -74,6 +74,8 @@
     },
     /// Settings change. Requests that were decoded with the old settings are earlier in the mailbox.
     Reconfigured(Box<Reconfigured>),
+    /// Clients are to be sent elsewhere, or taken again, by an operator.
+    EvacuationChanged,
     /// Remove expired idempotency keys.
     SweepKeys,
     /// A message of the usage ledger's threads.
--- a/tests/stated_settings.rs
+++ b/tests/stated_settings.rs
@@ -2,7 +2,7 @@
 //! errors name their keys.
 
 use dunlinspread::codec::json::{self, Value};
-use dunlinspread::config::{Config, StatedSettings};
+use dunlinspread::config::{Config, ConfigFallbacks, StatedSettings};
 use std::collections::BTreeMap;
 
 /// Adds the paths and values of a tree: a list of plain values is joined by commas, a list of objects gives its length under
@@ -69,7 +69,7 @@
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:1","pool":"127.0.0.1:1","directory":"127.0.0.1:1","settings":{settings}}}"#
     );
-    Config::read(text.as_bytes(), None, None).expect_err("an error").to_string()
+    Config::read(text.as_bytes(), &ConfigFallbacks::default()).expect_err("an error").to_string()
 }
 
 #[test]
