--- a/src/admission/arrival.rs
+++ b/src/admission/arrival.rs
@@ -101,7 +101,7 @@
 
     /// Returns whether a run could start at once and would likely succeed.
     fn has_idle_capacity(&self, now: f64) -> bool {
-        let (counts, capacity) = (self.requests.run_counts(), self.capacity(now));
+        let (counts, capacity) = (self.run_counts(), self.capacity(now));
         let usual_run_ms = self.estimates.usual_run(&self.settings.classes).run_ms;
         self.queued() == 0
             && self.concurrency.has_capacity(counts, capacity)
@@ -117,7 +117,7 @@
         let Candidate { id, request, keyed, .. } = candidate;
         let waits = self.requests.waits_for_original(&request);
         self.requests.insert(id, request);
-        if self.memory.is_exceeded(&self.requests, self.reservations.len()) {
+        if self.free_memory_kb() < 0.0 {
             self.requests.remove(id);
             let retry_after_ms = self.overload.queue_drain_ms();
             let rejection = Rejection { retry_after_ms, do_not_retry: false };
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -4,13 +4,14 @@
 use super::backpressure::{Backpressure, Rejection, slow_start_share};
 use super::concurrency_limit::{Capacity, ConcurrencyLimit, SaturatedClasses};
 use super::event::{Event, RequestId};
+use super::external_load::ExternalLoad;
 use super::fault_detection::{FaultDetector, RunActivity};
 use super::idempotency::IdempotencyReservations;
 use super::idle_timeout::IdleTimeout;
 use super::memory::MemoryBudget;
 use super::overload_level::OverloadDetector;
 use super::priority_threshold::PriorityThreshold;
-use super::request_table::{Request, RequestState, RequestTable};
+use super::request_table::{Request, RequestState, RequestTable, RunCounts};
 use super::run_estimates::RunEstimates;
 use super::scheduling::Scheduler;
 use super::settings::{Reconfiguration, Settings};
@@ -41,6 +42,7 @@
     pub(super) estimates: RunEstimates,
     pub(super) upstream_calls: UpstreamCallBudget,
     pub(super) shutdown: Option<Shutdown>,
+    pub(super) external_load: ExternalLoad,
 }
 
 impl AdmissionController {
@@ -63,6 +65,7 @@
             estimates: RunEstimates::new(&settings.classes),
             upstream_calls: UpstreamCallBudget::new(&settings),
             shutdown: None,
+            external_load: ExternalLoad::default(),
             settings,
         }
     }
@@ -79,6 +82,9 @@
             Event::RunEnded { id, outcome, took_ms } => self.on_run_end(now, id, outcome, took_ms, actions),
             Event::ClientGone(id) => self.on_client_gone(now, id, actions),
             Event::Drain { stop_at } => self.on_drain(now, stop_at, actions),
+            Event::ExternalLoad { runs, memory_kb } => {
+                self.external_load = ExternalLoad::new(runs, memory_kb);
+            }
             Event::Reconfigured(changes) => self.on_reconfigured(&changes),
             Event::Timer { token: TIMER_TOKEN, gauges } => self.on_tick(now, gauges, actions),
             Event::Timer { .. } => {}
@@ -129,7 +135,12 @@
 
     /// Returns the memory that is left, kB.
     pub(super) fn free_memory_kb(&self) -> f64 {
-        self.memory.free_kb(&self.requests, self.reservations.len())
+        self.memory.free_kb(&self.requests, self.reservations.len()) - self.external_load.memory_kb()
+    }
+
+    /// Returns the numbers of requests that run or will soon, those of another process included.
+    pub(super) fn run_counts(&self) -> RunCounts {
+        self.external_load.added_to(self.requests.run_counts())
     }
 
     /// Returns the runs in progress and their usual time.
--- a/src/admission/event.rs
+++ b/src/admission/event.rs
@@ -106,6 +106,13 @@
         /// Time at which the process stops.
         stop_at: f64,
     },
+    /// What another process runs on the same machine, from now on.
+    ExternalLoad {
+        /// Its runs.
+        runs: usize,
+        /// The memory that they take, kB.
+        memory_kb: f64,
+    },
     /// Changes of settings take effect.
     Reconfigured(Box<Reconfiguration>),
     /// A timer fired.
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -46,11 +46,6 @@
         self.limit_kb - self.used_kb(requests, reserved_keys)
     }
 
-    /// Returns whether more memory is used than may be.
-    pub(super) fn is_exceeded(&self, requests: &RequestTable, reserved_keys: usize) -> bool {
-        self.used_kb(requests, reserved_keys) > self.limit_kb
-    }
-
     fn used_kb(&self, requests: &RequestTable, reserved_keys: usize) -> f64 {
         let request_kb = |request: &Request| match request.state {
             RequestState::Queued | RequestState::Reusing => request.request_kb,
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -20,6 +20,7 @@
 mod deadlines;
 mod drain;
 mod event;
+mod external_load;
 mod fault_detection;
 mod idempotency;
 mod idle_timeout;
--- a/src/admission/run_end.rs
+++ b/src/admission/run_end.rs
@@ -84,7 +84,7 @@
 
     /// Returns the request that is to start next, if one may.
     fn next_run(&self, now: f64) -> Option<RequestId> {
-        let (counts, capacity) = (self.requests.run_counts(), self.capacity(now));
+        let (counts, capacity) = (self.run_counts(), self.capacity(now));
         if !self.concurrency.has_capacity(counts, capacity) {
             return None;
         }
