--- a/crates/scale/src/probes/registry.rs
+++ b/crates/scale/src/probes/registry.rs
@@ -178,7 +178,7 @@
         let begins_ms = random.random_range(0.0..SPREAD_MS);
         let reporter = async move {
             wheel.sleep(begins_ms).await;
-            RegistryReporter { address: registry, name, clock, wheel, log }.run(messages).await;
+            RegistryReporter { address: registry, name, clock, wheel, active: true, log }.run(messages).await;
         };
         executor.spawn(reporter).detach();
     }
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -43,6 +43,7 @@
     pub(super) upstream_calls: UpstreamCallBudget,
     pub(super) shutdown: Option<Shutdown>,
     pub(super) external_load: ExternalLoad,
+    pub(super) starts_suspended: bool,
 }
 
 impl AdmissionController {
@@ -66,6 +67,7 @@
             upstream_calls: UpstreamCallBudget::new(&settings),
             shutdown: None,
             external_load: ExternalLoad::default(),
+            starts_suspended: false,
             settings,
         }
     }
@@ -82,6 +84,7 @@
             Event::RunEnded { id, outcome, took_ms } => self.on_run_end(now, id, outcome, took_ms, actions),
             Event::ClientGone(id) => self.on_client_gone(now, id, actions),
             Event::Drain { stop_at } => self.on_drain(now, stop_at, actions),
+            Event::SuspendStarts(suspended) => self.starts_suspended = suspended,
             Event::ExternalLoad { runs, memory_kb } => {
                 self.external_load = ExternalLoad::new(runs, memory_kb);
             }
--- a/src/admission/event.rs
+++ b/src/admission/event.rs
@@ -106,6 +106,8 @@
         /// Time at which the process stops.
         stop_at: f64,
     },
+    /// Whether no queued request may start from now on; suspended runs go on.
+    SuspendStarts(bool),
     /// What another process runs on the same machine, from now on.
     ExternalLoad {
         /// Its runs.
--- a/src/admission/run_end.rs
+++ b/src/admission/run_end.rs
@@ -106,7 +106,7 @@
     /// Returns whether a queued request is to be run at all, and not the one that it duplicates.
     fn may_start(&self, request: &Request) -> bool {
         let too_late = request.answered || self.is_after_grace(request.arrived_at);
-        !too_late && !self.requests.waits_for_original(request)
+        !self.starts_suspended && !too_late && !self.requests.waits_for_original(request)
     }
 
     /// Returns whether the request cannot complete without its upstream call.
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -14,6 +14,7 @@
 };
 use crate::server::name_table::NameTable;
 use crate::server::registry::RegistryReporter;
+use crate::server::request_ids::RequestIdSequence;
 use crate::server::serving_status::ServingStatus;
 use crate::server::supervisor::{self, TaskFailure};
 use crate::server::timer_wheel::{Clock, TimerWheel};
@@ -81,6 +82,7 @@
     dispatcher: Sender<DispatcherMessage>,
     failures: Sender<TaskFailure>,
     status: Arc<ServingStatus>,
+    request_ids: Rc<RequestIdSequence>,
     log: &'a Logger,
 }
 
@@ -112,6 +114,7 @@
         dispatcher: dispatcher.clone(),
         failures,
         status,
+        request_ids: Rc::default(),
         log,
     };
     wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
@@ -160,6 +163,7 @@
             name: self.config.name.clone(),
             clock: self.clock,
             wheel: self.wheel.clone(),
+            active: true,
             log: self.log.clone(),
         };
         self.supervise("registry reporter", Box::pin(reporter.run(messages)));
@@ -201,6 +205,7 @@
             wheel: self.wheel.clone(),
             executor: self.executor.clone(),
             status: self.status.clone(),
+            request_ids: self.request_ids.clone(),
             log: self.log.clone(),
         };
         let mut dispatcher = Dispatcher::new(self.config, environment, self.dispatcher.clone(), mailboxes);
@@ -238,7 +243,7 @@
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
             bills_accounts: loaded.operator.ledger.is_some(),
-            last_request_id: Cell::new(0),
+            request_ids: self.request_ids.clone(),
             fault_log: Cell::new(LogWindow::default()),
         }))
     }
@@ -279,6 +284,7 @@
             sender: sender.clone(),
             executor: self.executor.clone(),
             max_connections: self.config.limits.client_connections,
+            accepts: true,
         };
         let may_end = Rc::new(Cell::new(false));
         let (end_sender, ended) = async_channel::bounded(1);
--- a/src/server/dispatcher/actions.rs
+++ b/src/server/dispatcher/actions.rs
@@ -59,8 +59,7 @@
     }
 
     fn set_idle_timeout(&self, idle_ms: f64) {
-        // The mailbox is unbounded and closes only at the end of the process.
-        let _ = self.listener.try_send(ListenerMessage::SetIdleTimeout(idle_ms));
+        self.tell_listener(ListenerMessage::SetIdleTimeout(idle_ms));
     }
 
     fn log_controller(&mut self, text: &str) {
--- a/src/server/dispatcher/arrivals.rs
+++ b/src/server/dispatcher/arrivals.rs
@@ -12,11 +12,18 @@
 const UNBILLED_RETRY_AFTER_MS: f64 = 1000.0;
 
 impl Dispatcher {
-    /// Takes a request in: it is answered at once, or enters the table and is left to the controller.
+    /// Takes a request in: it is decided here, or by the successor of this process.
     pub(super) fn on_arrival(&mut self, mut incoming: IncomingRequest) {
-        self.start_controller(None);
         self.status.telemetry().record_taken();
         incoming.reply.class = Some(incoming.class);
+        if let Some(incoming) = self.hold_or_forward(incoming) {
+            self.decide_arrival(incoming);
+        }
+    }
+
+    /// Decides on a request: it is answered at once, or enters the table and is left to the controller.
+    pub(super) fn decide_arrival(&mut self, mut incoming: IncomingRequest) {
+        self.start_controller(None);
         let now = self.clock.now();
         incoming.received_at = incoming.received_at.min(now + MAX_FUTURE_MS);
         // Each attempt has a number of its own: a second request with it can't be told apart in the worker pool.
--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -3,8 +3,9 @@
 use super::state::Dispatcher;
 use super::timers::SWEEP_INTERVAL_MS;
 use crate::admission::{Event, Gauges};
-use crate::server::messages::{DispatcherMessage, Response};
+use crate::server::messages::{DispatcherMessage, Response, SuccessorMessage};
 use async_channel::Receiver;
+use dunlinspread_handover::PredecessorEvent;
 use futures_lite::StreamExt;
 use std::pin::pin;
 
@@ -19,6 +20,8 @@
         while let Some(message) = inbox.next().await {
             self.handle_message(message);
             self.flush_usage();
+            self.tell_predecessor_health();
+            self.notify_if_idle();
         }
     }
 
@@ -36,11 +39,10 @@
             }
             DispatcherMessage::Timer(token) => self.on_timer(token),
             DispatcherMessage::GaugesTimedOut(tag) => self.on_gauges(tag, Gauges::default()),
-            DispatcherMessage::Drain { stop_at } => {
-                self.status.set_ready(false);
-                self.start_controller(None);
-                self.dispatch_event(Event::Drain { stop_at });
-            }
+            DispatcherMessage::Drain { stop_at } => self.on_drain(stop_at),
+            DispatcherMessage::Successor(message) => self.on_successor_message(message),
+            DispatcherMessage::Predecessor(message) => self.on_predecessor_message(message),
+            DispatcherMessage::NotifyIdle(idle) => self.idle = Some(idle),
             DispatcherMessage::Reconfigured(reconfigured) => self.on_reconfigured(*reconfigured),
             DispatcherMessage::EvacuationChanged => self.on_evacuation_changed(),
             DispatcherMessage::SweepKeys => self.on_sweep(),
@@ -49,4 +51,24 @@
             DispatcherMessage::CloseUsage(writer) => self.close_usage(&writer),
         }
     }
+
+    /// Shutdown was requested. Requests that were forwarded fail at its end.
+    fn on_drain(&mut self, stop_at: f64) {
+        self.status.set_ready(false);
+        self.advance_handover(PredecessorEvent::ShutdownRequested);
+        let fail_forwarded = DispatcherMessage::Successor(SuccessorMessage::FailForwarded);
+        self.schedule(stop_at - self.clock.now(), fail_forwarded);
+        self.start_controller(None);
+        self.dispatch_event(Event::Drain { stop_at });
+    }
+
+    /// Tells whoever waits for it that no request is left.
+    fn notify_if_idle(&mut self) {
+        if self.idle.is_some() && self.requests.len() + self.handing_over.len() == 0 {
+            if let Some(idle) = self.idle.take() {
+                // The channel has room for this one message.
+                let _ = idle.try_send(());
+            }
+        }
+    }
 }
--- /dev/null
+++ b/src/server/dispatcher/handing_over.rs
@@ -0,0 +1,355 @@
+//! Handing over to a successor: this process is the predecessor.
+//!
+//! # Invariants
+//! - While the keys are on their way, no run starts here, and what arrives is held.
+//! - After the commit this process decides on no request that arrives: all go to the successor.
+
+use super::handover_records::{forwarded_request, response, sent_key};
+use super::request::{ExecutionState, Request};
+use super::state::Dispatcher;
+use crate::admission::{Event, RequestId};
+use crate::server::messages::{
+    ConnectionMessage, DispatcherMessage, IncomingRequest, ListenerMessage, RegistryMessage, ReplyHandle,
+    Response, SuccessorFrame, SuccessorMessage,
+};
+use async_channel::Sender;
+use dunlinspread_handover::{
+    ForwardedResponse, Predecessor, PredecessorAction, PredecessorEvent, PredecessorPhase, ServerIdentity,
+    ToPredecessor, ToSuccessor,
+};
+use slog::{error, info, warn};
+use std::collections::HashMap;
+use std::net::TcpListener;
+
+/// Bytes of keys and results in one frame of the snapshot, past which the next one begins.
+const SNAPSHOT_FRAME_BYTES: usize = 128 << 10;
+
+/// What the successor tells clients through this process.
+#[derive(Clone, Copy)]
+pub(super) struct SuccessorHealth {
+    pub(super) healthy: bool,
+    pub(super) advertised_share: Option<f64>,
+}
+
+/// The state of a handover to a successor.
+pub(super) struct HandingOver {
+    machine: Predecessor,
+    /// The listening socket, of which the successor gets a descriptor.
+    listening_socket: Option<TcpListener>,
+    /// Frames for the successor, while a link is up.
+    successor: Option<Sender<SuccessorFrame>>,
+    /// Requests that wait for the end of the transfer.
+    held: Vec<IncomingRequest>,
+    /// Where the responses to forwarded requests go.
+    forwarded: HashMap<RequestId, ReplyHandle>,
+    successor_health: SuccessorHealth,
+    /// The number of the time limit that is running.
+    time_limit: u64,
+}
+
+impl HandingOver {
+    pub(super) fn new(identity: ServerIdentity) -> HandingOver {
+        HandingOver {
+            machine: Predecessor::new(identity),
+            listening_socket: None,
+            successor: None,
+            held: Vec::new(),
+            forwarded: HashMap::new(),
+            successor_health: SuccessorHealth { healthy: true, advertised_share: None },
+            time_limit: 0,
+        }
+    }
+
+    /// Returns whether the keys are on their way to the successor.
+    pub(super) fn is_transferring(&self) -> bool {
+        self.machine.phase() == PredecessorPhase::Transferring
+    }
+
+    /// Returns whether the successor decides.
+    pub(super) fn is_handed_over(&self) -> bool {
+        self.machine.phase() == PredecessorPhase::HandedOver
+    }
+
+    /// Returns what the successor tells clients, once it decides.
+    pub(super) fn successor_health(&self) -> Option<SuccessorHealth> {
+        self.is_handed_over().then_some(self.successor_health)
+    }
+
+    /// Returns the number of requests that are held or forwarded.
+    pub(super) fn len(&self) -> usize {
+        self.held.len() + self.forwarded.len()
+    }
+
+    fn send(&self, message: ToSuccessor) {
+        self.send_with(SuccessorFrame { message, descriptor: None });
+    }
+
+    fn send_with(&self, frame: SuccessorFrame) {
+        if let Some(successor) = &self.successor {
+            // The queue is unbounded; it is closed once the link has ended, which is told by a message of its own.
+            let _ = successor.try_send(frame);
+        }
+    }
+}
+
+impl Dispatcher {
+    /// Lets a successor take over the listening socket.
+    pub fn enable_handover(&mut self, listening_socket: TcpListener) {
+        self.handing_over.listening_socket = Some(listening_socket);
+    }
+
+    pub(super) fn on_successor_message(&mut self, message: SuccessorMessage) {
+        match message {
+            SuccessorMessage::Connected(frames) => {
+                self.handing_over.successor = Some(frames);
+                self.advance_handover(PredecessorEvent::Connected);
+            }
+            SuccessorMessage::Step(input) => self.advance_handover(PredecessorEvent::Received(input)),
+            SuccessorMessage::Frame(frame) => self.on_successor_frame(frame),
+            SuccessorMessage::Disconnected => {
+                self.handing_over.successor = None;
+                self.advance_handover(PredecessorEvent::Disconnected);
+            }
+            SuccessorMessage::TimedOut(time_limit) => {
+                if time_limit == self.handing_over.time_limit {
+                    self.advance_handover(PredecessorEvent::TimedOut);
+                }
+            }
+            SuccessorMessage::FailForwarded => self.fail_forwarded(),
+        }
+    }
+
+    /// Passes an event to the protocol and carries out what follows.
+    pub(super) fn advance_handover(&mut self, event: PredecessorEvent) {
+        for action in self.handing_over.machine.on_event(event) {
+            self.carry_out_handover(action);
+        }
+    }
+
+    fn carry_out_handover(&mut self, action: PredecessorAction) {
+        match action {
+            PredecessorAction::SendWelcome => self.send_welcome(),
+            PredecessorAction::SendRefusal(reason) => {
+                self.handing_over.send(ToSuccessor::Refuse { reason });
+            }
+            PredecessorAction::Freeze => self.hold_queued_requests(),
+            PredecessorAction::SendSnapshot => self.send_snapshot(),
+            PredecessorAction::SendCommit => self.handing_over.send(ToSuccessor::Commit),
+            PredecessorAction::HandOver => self.hand_over(),
+            PredecessorAction::Resume => self.resume(),
+            PredecessorAction::TakeBack => self.take_back(),
+            PredecessorAction::Disconnect => self.handing_over.successor = None,
+            PredecessorAction::StartTimer { ms } => self.start_time_limit(ms),
+            PredecessorAction::StopTimer => self.handing_over.time_limit += 1,
+        }
+    }
+
+    fn start_time_limit(&mut self, ms: u64) {
+        self.handing_over.time_limit += 1;
+        let timed_out = SuccessorMessage::TimedOut(self.handing_over.time_limit);
+        self.schedule(ms as f64, DispatcherMessage::Successor(timed_out));
+    }
+
+    fn send_welcome(&mut self) {
+        let socket = self.handing_over.listening_socket.as_ref();
+        let descriptor = match socket.map(TcpListener::try_clone) {
+            Some(Ok(socket)) => Some(socket.into()),
+            Some(Err(error)) => {
+                error!(self.log, "listening socket not handed over"; "error" => error.to_string());
+                None
+            }
+            None => None,
+        };
+        let message = ToSuccessor::Welcome {
+            version: dunlinspread_handover::PROTOCOL_VERSION,
+            body_hash_key: self.keys.body_hash_key(),
+            evacuated: self.status.is_evacuated(),
+        };
+        self.handing_over.send_with(SuccessorFrame { message, descriptor });
+    }
+
+    /// Takes all requests that have not run out of the controller's queue and holds them.
+    fn hold_queued_requests(&mut self) {
+        info!(self.log, "handover: transfer begins"; "keys" => self.keys.len());
+        self.dispatch_event(Event::SuspendStarts(true));
+        let has_not_run = |request: &Request| {
+            matches!(request.state, ExecutionState::Queued)
+                && !request.run_requested
+                && request.reply.is_some()
+        };
+        for id in self.requests.ids_where(has_not_run) {
+            let Some(mut request) = self.requests.remove(id) else { continue };
+            self.keys.finish_attempt(id, &request);
+            if let Some(reply) = request.reply.take() {
+                self.handing_over.held.push(request.into_incoming(id, reply));
+            }
+            self.events.push_back(Event::ClientGone(id));
+        }
+        self.dispatch_pending_events();
+    }
+
+    fn send_snapshot(&mut self) {
+        let now = self.clock.now();
+        if let Some(until) = self.keys.blackout_until() {
+            self.handing_over.send(ToSuccessor::KeysUnknown { until });
+        }
+        let (mut keys, mut piece, mut piece_bytes) = (0, Vec::new(), 0);
+        for record in self.keys.export(now) {
+            let record = sent_key(&record);
+            piece_bytes += record.key.len() + result_bytes(&record);
+            piece.push(record);
+            keys += 1;
+            if piece_bytes >= SNAPSHOT_FRAME_BYTES {
+                self.handing_over.send(ToSuccessor::Keys(std::mem::take(&mut piece)));
+                piece_bytes = 0;
+            }
+        }
+        if !piece.is_empty() {
+            self.handing_over.send(ToSuccessor::Keys(piece));
+        }
+        self.handing_over.send(ToSuccessor::SnapshotEnd { keys });
+        self.handing_over.machine.snapshot_sent(keys);
+    }
+
+    /// The successor decides from now on.
+    fn hand_over(&mut self) {
+        let held = std::mem::take(&mut self.handing_over.held);
+        let health = SuccessorHealth { healthy: self.is_healthy(), advertised_share: self.advertised_share };
+        self.handing_over.successor_health = health;
+        info!(self.log, "handover: committed"; "held_requests" => held.len(),
+            "running_requests" => self.requests.len());
+        self.status.set_handed_over(true);
+        self.status.set_ready(false);
+        self.tell_listener(ListenerMessage::HandOver);
+        self.tell_registry(RegistryMessage::SetActive(false));
+        for incoming in held {
+            self.forward(incoming);
+        }
+        self.report_runs_in_progress();
+    }
+
+    /// The transfer failed: what was held is decided here.
+    fn resume(&mut self) {
+        let held = std::mem::take(&mut self.handing_over.held);
+        warn!(self.log, "handover: given up, serving on"; "held_requests" => held.len());
+        self.dispatch_event(Event::SuspendStarts(false));
+        for incoming in held {
+            self.decide_arrival(incoming);
+        }
+    }
+
+    /// The successor ended after the commit. Which keys it ran is not known.
+    fn take_back(&mut self) {
+        warn!(self.log, "handover: successor ended, serving again";
+            "forwarded_requests" => self.handing_over.forwarded.len());
+        self.fail_forwarded();
+        self.keys.begin_blackout(self.clock.now());
+        self.status.set_handed_over(false);
+        self.status.set_ready(self.pool.is_up());
+        self.tell_listener(ListenerMessage::StartAccepting);
+        self.tell_registry(RegistryMessage::SetActive(true));
+        self.report_health();
+        self.dispatch_event(Event::SuspendStarts(false));
+    }
+
+    /// Takes a request that was read. Returns it if it is to be decided here.
+    pub(super) fn hold_or_forward(&mut self, incoming: IncomingRequest) -> Option<IncomingRequest> {
+        if !self.handing_over.is_transferring() && !self.handing_over.is_handed_over() {
+            return Some(incoming);
+        }
+        if !self.has_room() || self.requests.id_of_attempt(incoming.attempt).is_some() {
+            return Some(incoming);
+        }
+        if self.handing_over.is_transferring() {
+            self.handing_over.held.push(incoming);
+        } else {
+            self.forward(incoming);
+        }
+        None
+    }
+
+    /// Passes a request on to the successor, which counts it from now on.
+    fn forward(&mut self, incoming: IncomingRequest) {
+        self.status.telemetry().record_client_gone();
+        let (request, mut reply) = forwarded_request(incoming);
+        reply.class = None;
+        self.handing_over.forwarded.insert(request.request, reply);
+        self.handing_over.send(ToSuccessor::Request(request));
+    }
+
+    /// The client of a held or forwarded request is gone. Returns whether there was such a request.
+    pub(super) fn cancel_held_or_forwarded(&mut self, id: RequestId) -> bool {
+        if self.handing_over.forwarded.remove(&id).is_some() {
+            self.handing_over.send(ToSuccessor::Cancel { request: id });
+            return true;
+        }
+        let held = self.handing_over.held.len();
+        self.handing_over.held.retain(|incoming| incoming.id != id);
+        let was_held = self.handing_over.held.len() < held;
+        if was_held {
+            self.status.telemetry().record_client_gone();
+        }
+        was_held
+    }
+
+    fn on_successor_frame(&mut self, frame: ToPredecessor) {
+        match frame {
+            ToPredecessor::Response(ForwardedResponse { request, outcome, advertised_share }) => {
+                if let Some(reply) = self.handing_over.forwarded.remove(&request) {
+                    pass_on(reply, response(outcome), advertised_share);
+                }
+            }
+            ToPredecessor::Health { healthy, advertised_share } => {
+                self.handing_over.successor_health = SuccessorHealth { healthy, advertised_share };
+            }
+            // Steps of the protocol, which come as such.
+            ToPredecessor::Hello { .. } | ToPredecessor::RequestTransfer | ToPredecessor::Loaded { .. } => {}
+        }
+    }
+
+    /// Fails all forwarded requests: they may have run.
+    fn fail_forwarded(&mut self) {
+        let share = self.handing_over.successor_health.advertised_share;
+        for (_, reply) in self.handing_over.forwarded.drain() {
+            pass_on(reply, Response::Failed, share);
+        }
+    }
+
+    /// Tells the successor how the run of a key ended.
+    pub(super) fn report_run_end(&self, id: RequestId, run_end: dunlinspread_handover::RunEnd) {
+        if !self.handing_over.is_transferring() && !self.handing_over.is_handed_over() {
+            return;
+        }
+        let Some(key) = self.requests.get(id).and_then(|request| request.key.as_ref()) else { return };
+        let key = key.key.to_vec();
+        self.handing_over.send(ToSuccessor::RunEnded { key, attempt: id, end: run_end });
+    }
+
+    /// Tells the successor what still runs here.
+    pub(super) fn report_runs_in_progress(&self) {
+        if !self.handing_over.is_handed_over() {
+            return;
+        }
+        let running = self.requests.running();
+        let memory_kb = running.request_kb * self.settings.run_memory_factor;
+        let runs = running.count as u64;
+        self.handing_over.send(ToSuccessor::RunsInProgress { runs, memory_kb });
+    }
+}
+
+/// Returns the bytes of the result of a key.
+fn result_bytes(record: &dunlinspread_handover::KeyRecord) -> usize {
+    match record.run.as_ref().map(|run| &run.state) {
+        Some(dunlinspread_handover::RunRecordState::Completed(result)) => result.len(),
+        _ => 0,
+    }
+}
+
+/// Passes a response of the successor on to the client.
+fn pass_on(reply: ReplyHandle, response: Response, advertised_share: Option<f64>) {
+    let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
+    if reply.mailbox.try_send(message).is_err() {
+        // A client that does not read takes no memory without bound: its connection ends.
+        reply.mailbox.close();
+    }
+}
--- a/src/server/dispatcher/idempotency_keys.rs
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -32,6 +32,11 @@
         RequestKey { key: Rc::from(key), body_hash: self.body_hasher.hash_one(body) }
     }
 
+    /// Returns the number of keys.
+    pub(super) fn len(&self) -> usize {
+        self.table.len()
+    }
+
     /// Returns whether an attempt of this key has room.
     pub(super) fn has_room(&self, key: &RequestKey) -> bool {
         self.table.has_room(&key.key)
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -16,6 +16,8 @@
 mod billing;
 mod event_loop;
 mod gauge_poll;
+mod handing_over;
+mod handover_records;
 mod idempotency_keys;
 mod log_limit;
 mod pool_events;
@@ -25,6 +27,7 @@
 mod responses;
 mod runs;
 mod state;
+mod taking_over;
 mod timers;
 mod upstream_calls;
 
--- a/src/server/dispatcher/pool_events.rs
+++ b/src/server/dispatcher/pool_events.rs
@@ -67,7 +67,7 @@
     /// A new link is up: all commands that the old one may have lost are sent again.
     fn on_link_up(&mut self, link: u64) {
         self.pool.set_up(link);
-        self.status.set_ready(true);
+        self.on_can_serve();
         let commands = self.requests.unconfirmed_commands();
         info!(self.log, "worker pool accepts commands"; "resent_commands" => commands.len());
         for command in commands {
--- a/src/server/dispatcher/request.rs
+++ b/src/server/dispatcher/request.rs
@@ -1,5 +1,6 @@
 //! A request and the state of its execution.
 
+use crate::admission::RequestId;
 use crate::server::messages::{IncomingRequest, PoolCommand, ReplyHandle};
 use dunlinspread_ledger::Outcome as BilledOutcome;
 use std::rc::Rc;
@@ -41,11 +42,28 @@
     pub(super) body_hash: u64,
 }
 
+/// Fields of a request that only the controller reads.
+#[derive(Clone, Copy)]
+pub(super) struct ArrivalFields {
+    /// Memory while queued, kB.
+    pub(super) request_kb: f64,
+    /// The quantile of its priority, 0 to 1.
+    pub(super) priority: f64,
+    /// How long the client waits, ms from its receipt, where that is sent.
+    pub(super) timeout_ms: Option<f64>,
+    /// The tenant, by position.
+    pub(super) tenant: usize,
+    /// Whether the result may be shared.
+    pub(super) shareable: bool,
+}
+
 /// A request between its arrival and its removal.
 pub(super) struct Request {
     /// The number that the client gave this attempt.
     pub(super) attempt: u64,
     pub(super) class: usize,
+    /// What the controller was told of it at its arrival.
+    pub(super) arrival: ArrivalFields,
     pub(super) key: Option<RequestKey>,
     /// When it reached the machine, Unix ms.
     pub(super) received_at: f64,
@@ -59,6 +77,8 @@
     /// Where the final response goes; none once it is given or no longer owed.
     pub(super) reply: Option<ReplyHandle>,
     pub(super) state: ExecutionState,
+    /// Whether a run was ever requested for it.
+    pub(super) run_requested: bool,
     /// Commands since the last event of the worker pool for this request. They are sent again on a new link.
     pub(super) unconfirmed: Vec<PoolCommand>,
 }
@@ -69,6 +89,13 @@
         Request {
             attempt: incoming.attempt,
             class: incoming.class,
+            arrival: ArrivalFields {
+                request_kb: incoming.request_kb,
+                priority: incoming.priority,
+                timeout_ms: incoming.timeout_ms,
+                tenant: incoming.tenant,
+                shareable: incoming.shareable,
+            },
             key,
             received_at: incoming.received_at,
             body: incoming.body.into(),
@@ -77,10 +104,30 @@
             billed: None,
             reply: Some(incoming.reply),
             state: ExecutionState::Queued,
+            run_requested: false,
             unconfirmed: Vec::new(),
         }
     }
 
+    /// Returns the request as it arrived.
+    pub(super) fn into_incoming(self, id: RequestId, reply: ReplyHandle) -> IncomingRequest {
+        IncomingRequest {
+            id,
+            attempt: self.attempt,
+            class: self.class,
+            received_at: self.received_at,
+            request_kb: self.arrival.request_kb,
+            priority: self.arrival.priority,
+            key: self.key.map(|key| key.key.to_vec()),
+            timeout_ms: self.arrival.timeout_ms,
+            tenant: self.arrival.tenant,
+            account: self.account,
+            shareable: self.arrival.shareable,
+            body: self.body.to_vec(),
+            reply,
+        }
+    }
+
     /// Returns whether its run was requested and the worker pool has reported nothing of it since.
     pub(super) fn is_start_unconfirmed(&self) -> bool {
         matches!(self.unconfirmed.first(), Some(PoolCommand::Run { .. }))
--- a/src/server/dispatcher/request_table.rs
+++ b/src/server/dispatcher/request_table.rs
@@ -5,6 +5,15 @@
 use crate::server::messages::PoolCommand;
 use std::collections::{BTreeMap, HashMap};
 
+/// The requests that run in the worker pool.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct RunningRequests {
+    /// How many.
+    pub(super) count: usize,
+    /// The memory that they took while queued, kB.
+    pub(super) request_kb: f64,
+}
+
 /// All requests that have not been removed.
 ///
 /// # Invariants
@@ -49,6 +58,15 @@
         self.requests.iter().filter(|(_, request)| condition(request)).map(|(id, _)| *id).collect()
     }
 
+    /// Returns what runs in the worker pool.
+    pub(super) fn running(&self) -> RunningRequests {
+        let running = self.requests.values().filter(|request| request.has_run_in_pool());
+        running.fold(RunningRequests::default(), |sum, request| RunningRequests {
+            count: sum.count + 1,
+            request_kb: sum.request_kb + request.arrival.request_kb,
+        })
+    }
+
     /// Returns the unconfirmed commands of all requests, in the order of their arrival.
     pub(super) fn unconfirmed_commands(&self) -> Vec<PoolCommand> {
         self.requests.values().flat_map(|request| request.unconfirmed.iter().cloned()).collect()
--- a/src/server/dispatcher/responses.rs
+++ b/src/server/dispatcher/responses.rs
@@ -53,6 +53,9 @@
 
     /// The client cancelled the request or closed its connection.
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
+        if self.cancel_held_or_forwarded(id) {
+            return;
+        }
         let Some(request) = self.requests.get_mut(id) else { return };
         if request.reply.take().is_none() {
             return;
--- a/src/server/dispatcher/runs.rs
+++ b/src/server/dispatcher/runs.rs
@@ -1,5 +1,6 @@
 //! Runs: their start, their end, and the reuse of their results.
 
+use super::handover_records::sent_run_end;
 use super::request::ExecutionState;
 use super::state::Dispatcher;
 use crate::admission::{Event, Outcome, Preemption, RequestId};
@@ -39,6 +40,7 @@
         }
         let Some(request) = self.requests.get_mut(id) else { return };
         request.state = ExecutionState::Running;
+        request.run_requested = true;
         let (attempt, class, body) = (request.attempt, request.class, request.body.clone());
         self.status.telemetry().record_attempt(class);
         self.request_command(id, PoolCommand::Run { attempt, class, body });
@@ -89,6 +91,7 @@
         self.answer_run(id, result.clone(), took_ms);
         self.finish_key_run(id, run_outcome, result);
         self.remove(id);
+        self.report_runs_in_progress();
         let outcome = controller_outcome(run_outcome);
         self.dispatch_event(Event::RunEnded { id, outcome, took_ms });
     }
@@ -113,6 +116,7 @@
             None if run_outcome == RunOutcome::NotStarted => RunResult::NotStarted,
             None => RunResult::Failed,
         };
+        self.report_run_end(id, sent_run_end(&run_result));
         let finished = self.keys.finish_run(id, request, run_result);
         for waiter in finished.waiters {
             self.finish_reuse(waiter, finished.result.clone());
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -2,23 +2,27 @@
 //! other tasks.
 
 use super::gauge_poll::GaugePoll;
+use super::handing_over::HandingOver;
 use super::idempotency_keys::IdempotencyKeys;
 use super::log_limit::LogLimit;
 use super::pool_link::PoolLink;
 use super::request::Request;
 use super::request_table::RequestTable;
+use super::taking_over::TakingOver;
 use crate::admission::{AdmissionController, Event, RequestId, Settings};
 use crate::config::Config;
 use crate::server::messages::{
     ConnectionMessage, DispatcherMessage, ListenerMessage, PoolCommand, RegistryMessage, ReplyHandle,
     Response, UpstreamMessage, WorkerPoolMessage,
 };
+use crate::server::request_ids::RequestIdSequence;
 use crate::server::serving_status::ServingStatus;
 use crate::server::telemetry::RequestEnd;
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use crate::server::usage::Billing;
 use async_channel::{Sender, TrySendError};
 use async_executor::LocalExecutor;
+use dunlinspread_handover::ServerIdentity;
 use slog::Logger;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -46,6 +50,8 @@
     pub executor: Rc<LocalExecutor<'static>>,
     /// What operators see and set.
     pub status: Arc<ServingStatus>,
+    /// The ids of requests.
+    pub request_ids: Rc<RequestIdSequence>,
     /// The log.
     pub log: Logger,
 }
@@ -87,6 +93,10 @@
     pub(super) controller_lines: LogLimit,
     pub(super) rejected_command_lines: LogLimit,
     pub(super) status: Arc<ServingStatus>,
+    pub(super) handing_over: HandingOver,
+    pub(super) taking_over: TakingOver,
+    /// Told once no request is left.
+    pub(super) idle: Option<Sender<()>>,
     pub(super) clock: Clock,
     wheel: Rc<TimerWheel>,
     executor: Rc<LocalExecutor<'static>>,
@@ -102,7 +112,12 @@
         own_mailbox: Sender<DispatcherMessage>,
         mailboxes: Mailboxes,
     ) -> Self {
-        let DispatcherEnvironment { clock, wheel, executor, status, log } = environment;
+        let DispatcherEnvironment { clock, wheel, executor, status, request_ids, log } = environment;
+        let identity = ServerIdentity {
+            name: config.name.clone(),
+            classes: config.classes.clone(),
+            tenants: config.tenants.clone(),
+        };
         Dispatcher {
             settings: config.settings.clone(),
             max_requests: config.limits.requests,
@@ -123,6 +138,9 @@
             controller_lines: LogLimit::default(),
             rejected_command_lines: LogLimit::default(),
             status,
+            handing_over: HandingOver::new(identity),
+            taking_over: TakingOver::new(request_ids),
+            idle: None,
             clock,
             wheel,
             executor,
@@ -157,6 +175,11 @@
     /// Passes an event to the controller and carries out its actions, with all events that these cause.
     pub(super) fn dispatch_event(&mut self, event: Event) {
         self.events.push_back(event);
+        self.dispatch_pending_events();
+    }
+
+    /// Passes the events that wait to the controller, and carries out its actions.
+    pub(super) fn dispatch_pending_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             let now = self.clock.now();
@@ -185,7 +208,10 @@
         if let (Some(class), Some(end)) = (reply.class, request_end(&response)) {
             self.status.telemetry().record_end(class, end);
         }
-        let advertised_share = self.advertised_share;
+        let advertised_share = match self.handing_over.successor_health() {
+            Some(successor) => successor.advertised_share,
+            None => self.advertised_share,
+        };
         let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
         if let Err(TrySendError::Full(_)) = reply.mailbox.try_send(message) {
             // So slow a reader would take memory without bound: its connection ends.
@@ -196,18 +222,32 @@
     /// Returns whether the server is healthy: the controller says so, responses can be billed, and no operator sends
     /// clients elsewhere.
     pub(super) fn is_healthy(&self) -> bool {
+        if let Some(successor) = self.handing_over.successor_health() {
+            return successor.healthy;
+        }
         self.healthy && self.can_bill() && !self.status.is_evacuated()
     }
 
     /// Reports health to the registry.
     pub(super) fn report_health(&self) {
+        self.tell_registry(RegistryMessage::SetHealth(self.is_healthy()));
+    }
+
+    /// Sends a message to the reporter of health.
+    pub(super) fn tell_registry(&self, message: RegistryMessage) {
+        // The mailbox is unbounded and closes only at the end of the process.
+        let _ = self.registry.try_send(message);
+    }
+
+    /// Sends a message to the listener.
+    pub(super) fn tell_listener(&self, message: ListenerMessage) {
         // The mailbox is unbounded and closes only at the end of the process.
-        let _ = self.registry.try_send(RegistryMessage::SetHealth(self.is_healthy()));
+        let _ = self.listener.try_send(message);
     }
 
     /// Returns whether the table has room for one more request.
     pub(super) fn has_room(&self) -> bool {
-        self.requests.len() < self.max_requests
+        self.requests.len() + self.handing_over.len() < self.max_requests
     }
 
     /// Sends a command for a request to the worker pool, at once or when a link is up again.
--- a/src/server/dispatcher/timers.rs
+++ b/src/server/dispatcher/timers.rs
@@ -51,5 +51,6 @@
         self.controller_lines.reset();
         self.rejected_command_lines.reset();
         self.keys.sweep(self.clock.now());
+        self.sweep_forwarded();
     }
 }
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -1,9 +1,10 @@
 //! State and settings shared by all client connections.
 
-use crate::admission::{Class, RequestId};
+use crate::admission::Class;
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::messages::DispatcherMessage;
 use crate::server::name_table::NameTable;
+use crate::server::request_ids::RequestIdSequence;
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use async_channel::Sender;
 use slog::{Logger, warn};
@@ -38,8 +39,8 @@
     pub log: Logger,
     /// Whether requests name the account that they are billed to.
     pub bills_accounts: bool,
-    /// Id of the last request read on any connection.
-    pub last_request_id: Cell<RequestId>,
+    /// The ids of requests.
+    pub request_ids: Rc<RequestIdSequence>,
     /// Log lines about faulty connections in the current window.
     pub fault_log: Cell<LogWindow>,
 }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -33,6 +33,8 @@
     pub executor: Rc<LocalExecutor<'static>>,
     /// The most connections.
     pub max_connections: usize,
+    /// Whether connections are accepted from the start on.
+    pub accepts: bool,
 }
 
 enum ListenerEvent {
@@ -46,6 +48,10 @@
     context: Rc<FrontendContext>,
     /// The listening socket; `None` once the server shuts down.
     socket: Option<Async<TcpListener>>,
+    /// Whether this process accepts from the socket, which another one may share.
+    accepts: bool,
+    /// Whether another process took over, so that the clients of this one are notified.
+    handed_over: bool,
     connections: ConnectionTable,
     idle_timeout_ms: f64,
     /// When all connections finish, Unix ms; `None` until the server shuts down.
@@ -89,10 +95,12 @@
 
 impl ListenerTask {
     fn new(listener: Listener) -> ListenerTask {
-        let Listener { context, socket, sender, executor, max_connections } = listener;
+        let Listener { context, socket, sender, executor, max_connections, accepts } = listener;
         ListenerTask {
             connections: ConnectionTable::new(context.clone(), sender, executor, max_connections),
             socket: Some(socket),
+            accepts,
+            handed_over: false,
             idle_timeout_ms: f64::INFINITY,
             finish_at: None,
             accept_paused_until: 0.0,
@@ -110,7 +118,7 @@
         let may_accept =
             self.connections.has_capacity() && self.context.clock.now() >= self.accept_paused_until;
         match &self.socket {
-            Some(socket) if may_accept => {
+            Some(socket) if may_accept && self.accepts => {
                 let accepted = socket.accept().await;
                 ListenerEvent::Accepted(accepted.and_then(|(stream, _)| stream.into_inner()))
             }
@@ -154,15 +162,17 @@
         match message {
             ListenerMessage::SetIdleTimeout(ms) => self.idle_timeout_ms = ms,
             ListenerMessage::ConnectionClosed(number) => self.connections.remove(number),
+            ListenerMessage::StartAccepting => (self.accepts, self.handed_over) = (true, false),
+            ListenerMessage::HandOver => (self.accepts, self.handed_over) = (false, true),
             ListenerMessage::Shutdown { finish_at } => self.shut_down(now, finish_at),
         }
     }
 
     /// Closes the listening socket. What waits in the system's queue is accepted first: its clients see a connection
-    /// and may have sent a request, which a close would lose.
+    /// and may have sent a request, which a close would lose. After a handover the other process accepts it.
     fn shut_down(&mut self, now: f64, finish_at: f64) {
         self.finish_at = Some(finish_at);
-        if let Some(socket) = self.socket.take() {
+        if let Some(socket) = self.socket.take().filter(|_| self.accepts) {
             while let Ok((stream, _)) = socket.get_ref().accept() {
                 self.connections.add(now, stream, Eviction::Deferred);
             }
@@ -175,7 +185,7 @@
         self.last_sweep_at = now;
         let policy = ConnectionPolicy {
             idle_timeout_ms: self.idle_timeout_ms,
-            notify_all: self.finish_at.is_some(),
+            notify_all: self.handed_over || self.finish_at.is_some(),
             finish_all: self.finish_at.is_some_and(|finish_at| now >= finish_at),
         };
         self.connections.sweep(now, policy);
--- a/src/server/frontend/request_decoder.rs
+++ b/src/server/frontend/request_decoder.rs
@@ -158,8 +158,7 @@
     let states_timeout = context.passes_deadline || fields.is_present(protocol::FIELD_TIMEOUT_MS);
     let max_timeout_ms = MAX_TIMEOUT_FACTOR * class.client_timeout_ms;
     let timeout_ms = if states_timeout { Some(fields.timeout_ms(max_timeout_ms)?) } else { None };
-    let request = IncomingRequest {
-        id: context.last_request_id.get() + 1,
+    Some(IncomingRequest {
         attempt: fields.attempt()?,
         class: target.class(),
         received_at: fields.received_at()?,
@@ -172,9 +171,8 @@
         shareable: fields.text(protocol::FIELD_SHARED_READ).is_some(),
         body: body.clone(),
         reply,
-    };
-    context.last_request_id.set(request.id);
-    Some(request)
+        id: context.request_ids.next_id(),
+    })
 }
 
 /// Returns the key of the idempotency table. Attempts of two classes are never attempts of one request, so the class is
--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -1,6 +1,7 @@
 //! Messages to the dispatcher.
 
 use super::connection::ReplyHandle;
+use super::handover::{PredecessorMessage, SuccessorMessage};
 use super::usage::UsageMessage;
 use super::worker_pool::PoolEvent;
 use crate::admission::{Outcome, Reconfiguration, RequestId};
@@ -74,6 +75,12 @@
     },
     /// Settings change. Requests that were decoded with the old settings are earlier in the mailbox.
     Reconfigured(Box<Reconfigured>),
+    /// A message about the process that takes over from this one.
+    Successor(SuccessorMessage),
+    /// A message about the process that this one takes over from.
+    Predecessor(PredecessorMessage),
+    /// Tell once no request is left.
+    NotifyIdle(Sender<()>),
     /// Clients are to be sent elsewhere, or taken again, by an operator.
     EvacuationChanged,
     /// Remove expired idempotency keys.
--- a/src/server/messages/listener.rs
+++ b/src/server/messages/listener.rs
@@ -7,6 +7,11 @@
     SetIdleTimeout(f64),
     /// The connection with this number ended.
     ConnectionClosed(u64),
+    /// Accept connections from now on.
+    StartAccepting,
+    /// Another process accepts from the same queue: accept no further connection, and notify the clients of the open
+    /// ones to send nothing new.
+    HandOver,
     /// Graceful shutdown: accept no new connections and notify the open ones.
     Shutdown {
         /// When open connections are closed, Unix ms. All requests are answered by then.
--- a/src/server/messages/mod.rs
+++ b/src/server/messages/mod.rs
@@ -6,6 +6,7 @@
 mod connection;
 mod dispatcher;
 mod export_worker;
+mod handover;
 mod listener;
 mod registry;
 mod upstream;
@@ -15,6 +16,7 @@
 pub use connection::{ConnectionMessage, ReplyHandle, Response};
 pub use dispatcher::{DispatcherMessage, IncomingRequest, Reconfigured};
 pub use export_worker::{EntryLine, ExportWorkerMessage};
+pub use handover::{PredecessorMessage, SuccessorFrame, SuccessorMessage};
 pub use listener::ListenerMessage;
 pub use registry::RegistryMessage;
 pub use upstream::{UpstreamCall, UpstreamMessage};
--- a/src/server/messages/registry.rs
+++ b/src/server/messages/registry.rs
@@ -7,6 +7,8 @@
 pub enum RegistryMessage {
     /// Whether the server is healthy.
     SetHealth(bool),
+    /// Whether reports are made at all.
+    SetActive(bool),
     /// The address of the registry changed.
     SetAddress(SocketAddr),
 }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -8,6 +8,7 @@
 pub mod messages;
 pub mod name_table;
 pub mod registry;
+pub mod request_ids;
 pub mod serving_status;
 pub mod supervisor;
 pub mod telemetry;
--- a/src/server/registry.rs
+++ b/src/server/registry.rs
@@ -9,7 +9,7 @@
 use crate::server::timer_wheel::{Clock, TimerWheel};
 use async_channel::Receiver;
 use async_io::Async;
-use futures_lite::future::{or, poll_fn};
+use futures_lite::future::{or, pending, poll_fn};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, StreamExt};
 use slog::{Logger, info, warn};
 use std::cell::Cell;
@@ -111,6 +111,8 @@
     pub clock: Clock,
     /// The timers.
     pub wheel: Rc<TimerWheel>,
+    /// Whether reports are made from the start on.
+    pub active: bool,
     /// The log.
     pub log: Logger,
 }
@@ -127,12 +129,20 @@
                 loop {
                     match messages.next().await {
                         Some(RegistryMessage::SetHealth(value)) if value == healthy => {}
+                        Some(RegistryMessage::SetActive(value)) if value == self.active => {}
                         message => return message,
                     }
                 }
             };
-            match or(change, self.report_repeatedly(healthy, &last_accepted)).await {
+            let reports = async {
+                if !self.active {
+                    pending().await
+                }
+                self.report_repeatedly(healthy, &last_accepted).await
+            };
+            match or(change, reports).await {
                 Some(RegistryMessage::SetHealth(value)) => healthy = value,
+                Some(RegistryMessage::SetActive(value)) => self.active = value,
                 Some(RegistryMessage::SetAddress(address)) => self.address = address,
                 None => return,
             }
--- a/src/server/serving_status.rs
+++ b/src/server/serving_status.rs
@@ -13,6 +13,7 @@
     telemetry: Telemetry,
     ready: AtomicBool,
     evacuated: AtomicBool,
+    handed_over: AtomicBool,
     /// Receives a message after each change of the evacuation; one that waits stands for all later ones.
     changed: Sender<()>,
 }
@@ -24,6 +25,7 @@
             telemetry: Telemetry::new(class_names),
             ready: AtomicBool::new(false),
             evacuated: AtomicBool::new(false),
+            handed_over: AtomicBool::new(false),
             changed,
         })
     }
@@ -48,6 +50,16 @@
         self.ready.store(ready, Ordering::Release);
     }
 
+    /// Returns whether another process has taken over.
+    pub fn is_handed_over(&self) -> bool {
+        self.handed_over.load(Ordering::Acquire)
+    }
+
+    /// Sets whether another process has taken over.
+    pub fn set_handed_over(&self, handed_over: bool) {
+        self.handed_over.store(handed_over, Ordering::Release);
+    }
+
     /// Returns whether clients are to be sent elsewhere.
     pub fn is_evacuated(&self) -> bool {
         self.evacuated.load(Ordering::Acquire)
