--- /dev/null
+++ b/src/daemon/handover/takeover.rs
@@ -0,0 +1,378 @@
+//! Taking over from a predecessor: connecting to it, and carrying out what the protocol asks of the successor.
+
+use super::frames::{frame, return_responses, send_to_predecessor};
+use super::successors::SuccessorAcceptor;
+use crate::daemon::error::DaemonError;
+use crate::server::handover::{
+    HandoverDirectory, HandoverStream, LinkEvent, OutgoingFrame, ReceivedFrame, connect, run_link,
+};
+use crate::server::messages::{ConnectionMessage, DispatcherMessage, PredecessorMessage};
+use crate::server::supervisor::TaskFailure;
+use crate::server::timer_wheel::{Clock, TimerWheel};
+use async_channel::{Receiver, Sender};
+use async_executor::{LocalExecutor, Task};
+use dunlinspread_handover::{
+    GiveUpReason, KeyRecord, ServerIdentity, Successor, SuccessorAction, SuccessorEvent, SuccessorInput,
+    SuccessorPhase, ToPredecessor, ToSuccessor,
+};
+use futures_lite::future::{or, pending};
+use slog::{Logger, error, info, warn};
+use std::net::TcpListener;
+use std::rc::Rc;
+
+/// Events of the link that wait for this task, before the predecessor has to wait.
+const LINK_EVENTS: usize = 64;
+
+/// A link to the predecessor.
+struct Link {
+    outgoing: Sender<OutgoingFrame>,
+    events: Receiver<LinkEvent>,
+    _task: Task<()>,
+}
+
+/// What wakes the task.
+enum Wake {
+    Link(LinkEvent),
+    CanServe,
+    TimedOut,
+    ReconnectDue,
+}
+
+/// A handover from a predecessor that was found.
+pub(in crate::daemon) struct Takeover {
+    machine: Successor,
+    identity: ServerIdentity,
+    directory: HandoverDirectory,
+    link: Option<Link>,
+    /// When the step under way is late, Unix ms.
+    late_at: Option<f64>,
+    /// When to connect anew, Unix ms.
+    reconnect_at: Option<f64>,
+    /// The listening socket, from the first welcome to the start of the listener.
+    listening_socket: Option<TcpListener>,
+    was_welcomed: bool,
+    /// Whether nobody listened at the last try, though a predecessor was there before.
+    predecessor_died: bool,
+    /// The piece of the snapshot that came last.
+    records: Vec<KeyRecord>,
+    /// Whether all pieces could be loaded.
+    all_loaded: bool,
+    given_up: Option<GiveUpReason>,
+    dispatcher: Sender<DispatcherMessage>,
+    executor: Rc<LocalExecutor<'static>>,
+    clock: Clock,
+    wheel: Rc<TimerWheel>,
+    log: Logger,
+}
+
+/// What the task of a handover needs once the server's tasks run.
+pub(in crate::daemon) struct TakeoverTask {
+    /// Told once the link to the worker pool is up.
+    pub(in crate::daemon) can_serve: Receiver<()>,
+    /// Responses to forwarded requests.
+    pub(in crate::daemon) responses: Receiver<ConnectionMessage>,
+    /// Keys that the predecessor ran are unknown for so long after it ended without a handover, ms.
+    pub(in crate::daemon) longest_key_window_ms: f64,
+    /// Accepts successors of this process, once it serves.
+    pub(in crate::daemon) acceptor: SuccessorAcceptor,
+    /// Receives the failure of the handover.
+    pub(in crate::daemon) failures: Sender<TaskFailure>,
+}
+
+/// The parts of the process that a handover uses.
+pub(in crate::daemon) struct TakeoverContext {
+    pub(in crate::daemon) dispatcher: Sender<DispatcherMessage>,
+    pub(in crate::daemon) executor: Rc<LocalExecutor<'static>>,
+    pub(in crate::daemon) clock: Clock,
+    pub(in crate::daemon) wheel: Rc<TimerWheel>,
+    pub(in crate::daemon) log: Logger,
+}
+
+impl Takeover {
+    /// Looks for a predecessor; `None` if there is none.
+    pub(in crate::daemon) fn find(
+        directory: &HandoverDirectory,
+        identity: ServerIdentity,
+        context: TakeoverContext,
+    ) -> Option<Takeover> {
+        let TakeoverContext { dispatcher, executor, clock, wheel, log } = context;
+        let stream = match connect(directory) {
+            Ok(stream) => stream?,
+            Err(error) => {
+                error!(log, "handover: no connection to a predecessor"; "error" => %error);
+                return None;
+            }
+        };
+        let mut takeover = Takeover {
+            machine: Successor::new(identity.clone()),
+            identity,
+            directory: directory.clone(),
+            link: None,
+            late_at: None,
+            reconnect_at: None,
+            listening_socket: None,
+            was_welcomed: false,
+            predecessor_died: false,
+            records: Vec::new(),
+            all_loaded: true,
+            given_up: None,
+            dispatcher,
+            executor,
+            clock,
+            wheel,
+            log,
+        };
+        takeover.start_link(stream);
+        Some(takeover)
+    }
+
+    /// Goes on until the predecessor has handed its listening socket over, and returns it.
+    ///
+    /// # Errors
+    /// If there will be no handover.
+    pub(in crate::daemon) async fn receive_socket(&mut self) -> Result<TcpListener, DaemonError> {
+        self.advance(SuccessorEvent::Connected).await;
+        loop {
+            if let Some(socket) = self.listening_socket.take() {
+                return Ok(socket);
+            }
+            if let Some(reason) = self.given_up {
+                return Err(DaemonError::Handover(reason));
+            }
+            let wake = self.next_wake(None).await;
+            self.on_wake(wake).await;
+        }
+    }
+
+    /// Goes on until the predecessor has ended. A handover that fails before the commit is a failure of the process,
+    /// unless the predecessor died: then nobody else serves.
+    pub(in crate::daemon) async fn run(mut self, task: TakeoverTask) {
+        let TakeoverTask { can_serve, responses, longest_key_window_ms, acceptor, failures } = task;
+        while self.machine.phase() != SuccessorPhase::Owner && self.given_up.is_none() {
+            let wake = self.next_wake(Some(&can_serve)).await;
+            self.on_wake(wake).await;
+        }
+        if let Some(reason) = self.given_up {
+            if !self.predecessor_died {
+                error!(self.log, "handover: given up"; "reason" => %reason);
+                let _ = failures.send(TaskFailure::Ended { task: "handover" }).await;
+                return;
+            }
+            self.tell_keys_unknown(longest_key_window_ms).await;
+        }
+        self.start_serving(responses, acceptor).await;
+        while self.machine.phase() == SuccessorPhase::Owner {
+            let wake = self.next_wake(None).await;
+            self.on_wake(wake).await;
+        }
+    }
+
+    async fn next_wake(&self, can_serve: Option<&Receiver<()>>) -> Wake {
+        let link_event = async {
+            match &self.link {
+                Some(link) => match link.events.recv().await {
+                    Ok(event) => Wake::Link(event),
+                    Err(_) => Wake::Link(LinkEvent::Closed { error: None }),
+                },
+                None => pending().await,
+            }
+        };
+        let can_serve = async {
+            match can_serve {
+                Some(can_serve) if can_serve.recv().await.is_ok() => Wake::CanServe,
+                _ => pending().await,
+            }
+        };
+        let timed_out = async {
+            self.sleep_until(self.late_at).await;
+            Wake::TimedOut
+        };
+        let reconnect_due = async {
+            self.sleep_until(self.reconnect_at).await;
+            Wake::ReconnectDue
+        };
+        or(link_event, or(can_serve, or(timed_out, reconnect_due))).await
+    }
+
+    /// Sleeps until that time, for ever without one.
+    async fn sleep_until(&self, at: Option<f64>) {
+        match at {
+            Some(at) => self.wheel.sleep(at - self.clock.now()).await,
+            None => pending().await,
+        }
+    }
+
+    async fn on_wake(&mut self, wake: Wake) {
+        match wake {
+            Wake::Link(LinkEvent::Frame(frame)) => self.on_frame(frame).await,
+            Wake::Link(LinkEvent::Closed { error }) => {
+                if let Some(error) = error {
+                    warn!(self.log, "handover: link to the predecessor failed"; "error" => %error);
+                }
+                self.link = None;
+                self.advance(SuccessorEvent::Disconnected).await;
+            }
+            Wake::CanServe => self.advance(SuccessorEvent::CanServe).await,
+            Wake::TimedOut => {
+                self.late_at = None;
+                self.advance(SuccessorEvent::TimedOut).await;
+            }
+            Wake::ReconnectDue => {
+                let connected = self.reconnect();
+                let event = if connected { SuccessorEvent::Connected } else { SuccessorEvent::Disconnected };
+                self.advance(event).await;
+            }
+        }
+    }
+
+    async fn on_frame(&mut self, frame: ReceivedFrame) {
+        let message = match ToSuccessor::decode(&frame.bytes) {
+            Ok(message) => message,
+            Err(error) => {
+                warn!(self.log, "handover: faulty frame of the predecessor"; "error" => %error);
+                if self.machine.phase() != SuccessorPhase::Owner {
+                    self.link = None;
+                    self.advance(SuccessorEvent::Disconnected).await;
+                }
+                return;
+            }
+        };
+        match message {
+            ToSuccessor::Welcome { version, body_hash_key, evacuated } => {
+                let Some(descriptor) = frame.descriptor else {
+                    warn!(self.log, "handover: welcome without the listening socket");
+                    self.link = None;
+                    return self.advance(SuccessorEvent::Disconnected).await;
+                };
+                if !self.was_welcomed {
+                    self.listening_socket = Some(TcpListener::from(descriptor));
+                    self.was_welcomed = true;
+                }
+                self.tell(PredecessorMessage::Welcome { body_hash_key, evacuated }).await;
+                self.step(SuccessorInput::Welcome { version }).await;
+            }
+            ToSuccessor::Refuse { reason } => self.step(SuccessorInput::Refuse { reason }).await,
+            ToSuccessor::Keys(records) => {
+                let count = records.len() as u64;
+                self.records = records;
+                self.step(SuccessorInput::Keys { count }).await;
+            }
+            ToSuccessor::SnapshotEnd { keys } => self.step(SuccessorInput::SnapshotEnd { keys }).await,
+            ToSuccessor::Commit => self.step(SuccessorInput::Commit).await,
+            message => self.tell(PredecessorMessage::Frame(message)).await,
+        }
+    }
+
+    async fn step(&mut self, input: SuccessorInput) {
+        self.advance(SuccessorEvent::Received(input)).await;
+    }
+
+    /// Passes an event to the protocol and carries out what follows.
+    async fn advance(&mut self, event: SuccessorEvent) {
+        for action in self.machine.on_event(event) {
+            self.carry_out(action).await;
+        }
+    }
+
+    async fn carry_out(&mut self, action: SuccessorAction) {
+        match action {
+            SuccessorAction::SendHello => {
+                let identity = self.identity.clone();
+                let version = dunlinspread_handover::PROTOCOL_VERSION;
+                self.send(&ToPredecessor::Hello { version, identity }).await;
+            }
+            SuccessorAction::SendRequestTransfer => self.send(&ToPredecessor::RequestTransfer).await,
+            SuccessorAction::SendLoaded { keys } => self.send_loaded(keys).await,
+            SuccessorAction::LoadKeys => self.load_keys().await,
+            SuccessorAction::DiscardKeys => {
+                self.all_loaded = true;
+                self.tell(PredecessorMessage::DiscardKeys).await;
+            }
+            // Carried out by [`Takeover::run`], which sees the phase.
+            SuccessorAction::BecomeOwner => {}
+            SuccessorAction::PredecessorGone => self.tell(PredecessorMessage::Gone).await,
+            SuccessorAction::Reconnect { after_ms } => {
+                self.reconnect_at = Some(self.clock.now() + after_ms as f64);
+            }
+            SuccessorAction::GiveUp(reason) => self.given_up = Some(reason),
+            SuccessorAction::Disconnect => self.link = None,
+            SuccessorAction::StartTimer { ms } => self.late_at = Some(self.clock.now() + ms as f64),
+            SuccessorAction::StopTimer => self.late_at = None,
+        }
+    }
+
+    /// Confirms the snapshot, if all of it could be loaded; otherwise the predecessor will time out and serve on.
+    async fn send_loaded(&mut self, keys: u64) {
+        if self.all_loaded {
+            self.send(&ToPredecessor::Loaded { keys }).await;
+        }
+    }
+
+    async fn load_keys(&mut self) {
+        let records = std::mem::take(&mut self.records);
+        let (loaded, all_loaded) = async_channel::bounded(1);
+        self.tell(PredecessorMessage::LoadKeys { records, loaded }).await;
+        self.all_loaded &= all_loaded.recv().await.unwrap_or(false);
+    }
+
+    /// Has the dispatcher decide from now on, and the next successor find this process.
+    async fn start_serving(&mut self, responses: Receiver<ConnectionMessage>, acceptor: SuccessorAcceptor) {
+        let mut to_predecessor = None;
+        if let Some(link) = &self.link {
+            let (predecessor, frames) = async_channel::unbounded();
+            self.executor.spawn(send_to_predecessor(frames, link.outgoing.clone())).detach();
+            self.executor.spawn(return_responses(responses, predecessor.clone())).detach();
+            to_predecessor = Some(predecessor);
+        }
+        self.tell(PredecessorMessage::BecomeOwner(to_predecessor)).await;
+        self.executor.spawn(acceptor.run()).detach();
+    }
+
+    /// The predecessor died before the commit: its listening socket is here, and what it ran is not known.
+    async fn tell_keys_unknown(&self, longest_key_window_ms: f64) {
+        warn!(self.log, "handover: predecessor died, serving without its keys");
+        let until = self.clock.now() + longest_key_window_ms;
+        self.tell(PredecessorMessage::KeysUnknown { until }).await;
+    }
+
+    /// Connects anew, and returns whether somebody listens.
+    fn reconnect(&mut self) -> bool {
+        self.reconnect_at = None;
+        match connect(&self.directory) {
+            Ok(Some(stream)) => {
+                info!(self.log, "handover: connecting anew");
+                self.predecessor_died = false;
+                self.start_link(stream);
+                true
+            }
+            Ok(None) => {
+                // A predecessor that lives listens, also while it is stopped. The protocol tries for more than a second.
+                self.predecessor_died = self.was_welcomed;
+                false
+            }
+            Err(error) => {
+                warn!(self.log, "handover: no connection to the predecessor"; "error" => %error);
+                false
+            }
+        }
+    }
+
+    fn start_link(&mut self, stream: HandoverStream) {
+        let (outgoing, frames) = async_channel::unbounded();
+        let (events, link_events) = async_channel::bounded(LINK_EVENTS);
+        let task = self.executor.spawn(run_link(stream, frames, events));
+        self.link = Some(Link { outgoing, events: link_events, _task: task });
+    }
+
+    async fn send(&self, message: &ToPredecessor) {
+        if let Some(link) = &self.link {
+            // A link that has ended tells so by an event.
+            let _ = link.outgoing.send(frame(message)).await;
+        }
+    }
+
+    async fn tell(&self, message: PredecessorMessage) {
+        // The dispatcher's mailbox closes only at the end of the process.
+        let _ = self.dispatcher.send(DispatcherMessage::Predecessor(message)).await;
+    }
+}
