--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -18,10 +18,18 @@
     /// Attempts received up to this time are its duplicates.
     pub(crate) window_end: f64,
     pub(crate) state: RunState<R>,
+    /// Whether another process began it.
+    pub(crate) is_imported: bool,
     /// Attempts that wait for its end.
     pub(crate) waiters: Vec<AttemptId>,
 }
 
+impl<R> Run<R> {
+    pub(crate) fn is_running(&self) -> bool {
+        matches!(self.state, RunState::Running)
+    }
+}
+
 impl<R: AsRef<[u8]>> Run<R> {
     /// Returns the bytes of the cached result, 0 without one.
     pub(crate) fn result_bytes(&self) -> usize {
@@ -51,6 +59,8 @@
     pub(crate) previous_window_end: f64,
     /// Attempts that have not finished. The entry stays while there are any, since each may still ask to run.
     pub(crate) open_attempts: usize,
+    /// Whether it came from another process that may still pass on attempts of it.
+    pub(crate) is_imported: bool,
 }
 
 impl<R> Entry<R> {
@@ -61,9 +71,31 @@
             reservation: None,
             previous_window_end: f64::NEG_INFINITY,
             open_attempts: 0,
+            is_imported: false,
         }
     }
 
+    /// Returns whether the attempt received at `received_at` falls in the window of the last run.
+    pub(crate) fn is_in_window_of_run(&self, received_at: f64) -> bool {
+        self.run.as_ref().is_some_and(|run| received_at <= run.window_end)
+    }
+
+    /// Returns whether there is a result of the last run.
+    pub(crate) fn has_result(&self) -> bool {
+        self.run.as_ref().is_some_and(|run| matches!(run.state, RunState::Completed(_)))
+    }
+
+    /// Returns whether this attempt was the last to be run, and there is its result.
+    pub(crate) fn has_result_of(&self, attempt: AttemptId) -> bool {
+        self.has_result() && self.run.as_ref().is_some_and(|run| run.attempt == attempt)
+    }
+
+    /// Returns whether an attempt of its windows is open, or can still come within `max_read_delay_ms` of its receipt.
+    pub(crate) fn is_needed(&self, now: f64, max_read_delay_ms: f64) -> bool {
+        let may_be_passed_on = self.is_imported && self.window_end() > f64::NEG_INFINITY;
+        self.open_attempts > 0 || may_be_passed_on || now <= self.window_end() + max_read_delay_ms
+    }
+
     /// Returns the time up to which received attempts may no longer run.
     pub(crate) fn window_end(&self) -> f64 {
         match &self.run {
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -26,12 +26,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod blackout;
 mod entry;
 mod outcome;
+mod record;
 mod result_cache;
 mod settings;
 mod table;
+mod transfer;
 
-pub use outcome::{AttemptId, DuplicateRun, FinishedRun, Lookup, ReuseOutcome, RunResult};
+pub use outcome::{AttemptId, DuplicateRun, FailedRun, FinishedRun, Lookup, ReuseOutcome, RunResult};
+pub use record::{ImportError, KeyRecord, RunRecord, RunRecordState};
 pub use settings::{Bounds, KeyWindow};
 pub use table::IdempotencyTable;
--- a/crates/idempotency/src/outcome.rs
+++ b/crates/idempotency/src/outcome.rs
@@ -43,6 +43,15 @@
     NotStarted,
 }
 
+/// A run whose end will never be known, and the attempts that waited for it: they fail.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct FailedRun {
+    /// The attempt that was run.
+    pub attempt: AttemptId,
+    /// The waiting attempts, in the order of their arrival.
+    pub waiters: Vec<AttemptId>,
+}
+
 /// The attempts that waited for a run, and what they get.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedRun<R> {
--- a/crates/idempotency/src/result_cache.rs
+++ b/crates/idempotency/src/result_cache.rs
@@ -26,6 +26,17 @@
         self.bytes
     }
 
+    /// Returns the results in the order in which they were cached. Some of them may be gone since.
+    pub(crate) fn oldest_first(&self) -> impl Iterator<Item = &CachedResult> {
+        self.oldest_first.iter()
+    }
+
+    /// Drops all results.
+    pub(crate) fn clear(&mut self) {
+        self.bytes = 0;
+        self.oldest_first.clear();
+    }
+
     /// Adds a result of so many bytes.
     pub(crate) fn add(&mut self, result: CachedResult, bytes: usize) {
         self.oldest_first.push_back(result);
--- a/crates/idempotency/src/settings.rs
+++ b/crates/idempotency/src/settings.rs
@@ -35,6 +35,17 @@
         received_at + self.0.get(class).map_or(0.0, |window| window.window_ms) + WINDOW_SLACK_MS
     }
 
+    /// Returns whether there is a class at this position.
+    pub(crate) fn has_class(&self, class: usize) -> bool {
+        class < self.0.len()
+    }
+
+    /// Returns the end of the longest window of an attempt received at `received_at`, slack included.
+    pub(crate) fn latest_window_end(&self, received_at: f64) -> f64 {
+        let longest = self.0.iter().map(|window| window.window_ms).fold(0.0, f64::max);
+        received_at + longest + WINDOW_SLACK_MS
+    }
+
     /// Returns the longest time between receipt and reading, ms.
     pub(crate) fn max_read_delay_ms(&self, class: usize) -> f64 {
         self.0.get(class).map_or(0.0, |window| window.max_read_delay_ms)
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -1,5 +1,6 @@
 //! The table of idempotency keys.
 
+use crate::blackout::Blackout;
 use crate::entry::{Entry, Reservation, Run, RunState};
 use crate::outcome::{AttemptId, DuplicateRun, FinishedRun, Lookup, ReuseOutcome, RunResult};
 use crate::result_cache::{CachedResult, ResultCache};
@@ -16,10 +17,11 @@
 /// - A key is run once in its window.
 /// - A key that was run is known until no attempt of its window can be read any more.
 pub struct IdempotencyTable<R> {
-    max_keys: usize,
-    windows: KeyWindows,
-    entries: HashMap<Rc<[u8]>, Entry<R>>,
-    results: ResultCache,
+    pub(crate) max_keys: usize,
+    pub(crate) windows: KeyWindows,
+    pub(crate) entries: HashMap<Rc<[u8]>, Entry<R>>,
+    pub(crate) results: ResultCache,
+    pub(crate) blackout: Blackout,
 }
 
 impl<R: Clone + AsRef<[u8]>> IdempotencyTable<R> {
@@ -30,6 +32,7 @@
             windows: KeyWindows::new(windows),
             entries: HashMap::new(),
             results: ResultCache::new(bounds.result_bytes),
+            blackout: Blackout::none(),
         }
     }
 
@@ -55,15 +58,18 @@
 
     /// Returns what an attempt would be that was received at `received_at` with this body.
     pub fn lookup(&self, key: &[u8], body_hash: u64, received_at: f64) -> Lookup {
-        match self.entries.get(key) {
-            Some(entry) => entry.lookup(body_hash, received_at),
-            None => Lookup::New,
+        let entry = self.entries.get(key);
+        let is_in_window_of_run = entry.is_some_and(|entry| entry.is_in_window_of_run(received_at));
+        if self.blackout.covers(received_at) && !is_in_window_of_run {
+            return Lookup::Expired;
         }
+        entry.map_or(Lookup::New, |entry| entry.lookup(body_hash, received_at))
     }
 
-    /// Returns whether the attempt received at `received_at` falls in the window of a run of its key.
+    /// Returns whether the attempt received at `received_at` falls in the window of a run of its key, or may do so.
     pub fn has_run(&self, key: &[u8], received_at: f64) -> bool {
-        self.entries.get(key).is_some_and(|entry| received_at <= entry.window_end())
+        self.blackout.covers(received_at)
+            || self.entries.get(key).is_some_and(|entry| received_at <= entry.window_end())
     }
 
     /// Registers an attempt and returns what it is.
@@ -103,10 +109,10 @@
         window_end: f64,
     ) {
         let Some(entry) = self.entries.get_mut(key) else { return };
-        let may_not_run_until = entry.window_end();
+        let may_not_run = received_at <= entry.window_end() || self.blackout.covers(received_at);
         match &mut entry.run {
             Some(run) if run.attempt == attempt => run.window_end = run.window_end.max(window_end),
-            _ if received_at <= may_not_run_until => {}
+            _ if may_not_run => {}
             _ => {
                 let earlier = entry.reservation.map_or(window_end, |earlier| earlier.window_end);
                 let window_end = earlier.max(window_end);
@@ -128,7 +134,7 @@
     /// supersedes: that run outlasted its own window, and they fail.
     ///
     /// # Errors
-    /// [`DuplicateRun`] if the attempt falls in the window of another run, or the key is unknown.
+    /// [`DuplicateRun`] if the attempt falls in the window of another run, or may do so, or the key is unknown.
     pub fn begin_run(
         &mut self,
         key: &[u8],
@@ -140,14 +146,21 @@
         if entry.run.as_ref().is_some_and(|run| run.attempt == attempt) {
             return Ok(Vec::new());
         }
-        if received_at <= entry.window_end() {
+        if received_at <= entry.window_end() || self.blackout.covers(received_at) {
             return Err(DuplicateRun);
         }
         let mut window_end = self.windows.window_end(entry.class, received_at);
         if let Some(own) = entry.reservation.take_if(|reservation| reservation.attempt == attempt) {
             window_end = window_end.max(own.window_end);
         }
-        let run = Run { attempt, body_hash, window_end, state: RunState::Running, waiters: Vec::new() };
+        let run = Run {
+            attempt,
+            body_hash,
+            window_end,
+            state: RunState::Running,
+            is_imported: false,
+            waiters: Vec::new(),
+        };
         let Some(superseded) = entry.run.replace(run) else { return Ok(Vec::new()) };
         entry.previous_window_end = entry.previous_window_end.max(superseded.window_end);
         self.results.subtract(superseded.result_bytes());
@@ -157,10 +170,11 @@
     /// Returns the result of the run that an attempt duplicates, or has the attempt wait for it.
     #[must_use]
     pub fn reuse_result(&mut self, key: &[u8], attempt: AttemptId, received_at: f64) -> ReuseOutcome<R> {
-        let Some(entry) = self.entries.get_mut(key) else { return ReuseOutcome::NotRun };
-        let Some(run) = entry.run.as_mut().filter(|run| received_at <= run.window_end) else {
-            let expired = received_at <= entry.previous_window_end;
-            return if expired { ReuseOutcome::Ready(None) } else { ReuseOutcome::NotRun };
+        let may_have_run = self.has_run(key, received_at);
+        let entry = self.entries.get_mut(key);
+        let run = entry.and_then(|entry| entry.run.as_mut());
+        let Some(run) = run.filter(|run| received_at <= run.window_end) else {
+            return if may_have_run { ReuseOutcome::Ready(None) } else { ReuseOutcome::NotRun };
         };
         match &run.state {
             RunState::Completed(result) => ReuseOutcome::Ready(Some(result.clone())),
@@ -172,7 +186,9 @@
         }
     }
 
-    /// Records the end of an attempt's run and returns the attempts that waited for it. Any other attempt has no effect.
+    /// Records the end of an attempt's run and returns the attempts that waited for it.
+    ///
+    /// Any other attempt, and one whose run has ended already, has no effect.
     #[must_use]
     pub fn finish_run(
         &mut self,
@@ -182,7 +198,9 @@
     ) -> FinishedRun<R> {
         let mut finished = FinishedRun { waiters: Vec::new(), result: None };
         let Some(entry) = self.entries.get_mut(key) else { return finished };
-        let Some(run) = entry.run.as_mut().filter(|run| run.attempt == attempt) else { return finished };
+        let Some(run) = entry.run.as_mut().filter(|run| run.attempt == attempt && run.is_running()) else {
+            return finished;
+        };
         finished.waiters = std::mem::take(&mut run.waiters);
         match run_result {
             RunResult::NotStarted => entry.run = None,
@@ -212,24 +230,19 @@
     pub fn sweep(&mut self, now: f64) {
         let (windows, results) = (&self.windows, &mut self.results);
         self.entries.retain(|_, entry| {
-            let last_read_at = entry.window_end() + windows.max_read_delay_ms(entry.class);
-            let stays = entry.open_attempts > 0 || now <= last_read_at;
+            let stays = entry.is_needed(now, windows.max_read_delay_ms(entry.class));
             if !stays {
                 results.subtract(entry.run.as_ref().map_or(0, Run::result_bytes));
             }
             stays
         });
         let entries = &self.entries;
-        results.trim(|cached| {
-            let run = entries.get(&cached.key).and_then(|entry| entry.run.as_ref());
-            run.is_some_and(|run| {
-                run.attempt == cached.attempt && matches!(run.state, RunState::Completed(_))
-            })
-        });
+        results
+            .trim(|cached| entries.get(&cached.key).is_some_and(|entry| entry.has_result_of(cached.attempt)));
     }
 
     /// Adds a result and evicts the oldest ones beyond the limit; duplicates of an evicted one fail.
-    fn cache_result(&mut self, result: CachedResult, bytes: usize) {
+    pub(crate) fn cache_result(&mut self, result: CachedResult, bytes: usize) {
         self.results.add(result, bytes);
         while let Some(oldest) = self.results.pop_excess() {
             let run = self.entries.get_mut(&oldest.key).and_then(|entry| entry.run.as_mut());
--- a/src/server/dispatcher/idempotency_keys.rs
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -1,12 +1,13 @@
 //! The idempotency keys of the requests: the table of keys, asked in terms of requests.
 
+use super::body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
 use super::request::{Request, RequestKey};
 use crate::admission::{Class, RequestId};
 use crate::config::Config;
 use dunlinspread_idempotency::{
-    Bounds, DuplicateRun, FinishedRun, IdempotencyTable, KeyWindow, Lookup, ReuseOutcome, RunResult,
+    Bounds, DuplicateRun, FailedRun, FinishedRun, IdempotencyTable, ImportError, KeyRecord, KeyWindow,
+    Lookup, ReuseOutcome, RunResult,
 };
-use std::hash::{BuildHasher, RandomState};
 use std::rc::Rc;
 
 /// How long after the client's timeout an attempt may be read that was received before it, ms.
@@ -15,8 +16,7 @@
 /// The idempotency keys in use. A request without a key passes all checks and leaves no trace.
 pub(super) struct IdempotencyKeys {
     table: IdempotencyTable<Rc<[u8]>>,
-    /// Hashes bodies; seeded at random, so that clients can't construct collisions.
-    body_hasher: RandomState,
+    body_hasher: BodyHasher,
 }
 
 impl IdempotencyKeys {
@@ -24,12 +24,12 @@
         let bounds =
             Bounds { keys: config.limits.idempotency_keys, result_bytes: config.limits.result_bytes };
         let windows = config.settings.classes.iter().map(key_window).collect();
-        IdempotencyKeys { table: IdempotencyTable::new(bounds, windows), body_hasher: RandomState::new() }
+        IdempotencyKeys { table: IdempotencyTable::new(bounds, windows), body_hasher: BodyHasher::new() }
     }
 
     /// Returns the key of a request with this body.
     pub(super) fn request_key(&self, key: Vec<u8>, body: &[u8]) -> RequestKey {
-        RequestKey { key: Rc::from(key), body_hash: self.body_hasher.hash_one(body) }
+        RequestKey { key: Rc::from(key), body_hash: self.body_hasher.hash(body) }
     }
 
     /// Returns whether an attempt of this key has room.
@@ -121,6 +121,70 @@
     }
 }
 
+/// The move of the keys to another process.
+#[expect(dead_code, reason = "the handover to a successor will call them")]
+impl IdempotencyKeys {
+    /// Returns the key of the hash of bodies.
+    pub(super) fn body_hash_key(&self) -> [u8; BODY_HASH_KEY_BYTES] {
+        self.body_hasher.key()
+    }
+
+    /// Hashes bodies with this key from now on. Only while no key is in use: the hashes of bodies seen before differ.
+    pub(super) fn set_body_hash_key(&mut self, key: [u8; BODY_HASH_KEY_BYTES]) {
+        self.body_hasher = BodyHasher::with_key(key);
+    }
+
+    /// Returns a record of each key that was run, those with a result first, oldest result first.
+    pub(super) fn export(&self, now: f64) -> impl Iterator<Item = KeyRecord<Rc<[u8]>>> + '_ {
+        self.table.export(now)
+    }
+
+    /// Loads a key from another process. Its run is known as `attempt` from then on, which no request may be.
+    ///
+    /// # Errors
+    /// [`ImportError`] if there is no room, or the key or its class doesn't fit. Nothing is loaded then.
+    pub(super) fn import(
+        &mut self,
+        record: KeyRecord<Rc<[u8]>>,
+        attempt: RequestId,
+    ) -> Result<(), ImportError> {
+        self.table.import(record, attempt)
+    }
+
+    /// Records the end of a run that goes on in the other process, and returns the requests that waited for it.
+    pub(super) fn finish_imported_run(
+        &mut self,
+        key: &Rc<[u8]>,
+        attempt: RequestId,
+        result: RunResult<Rc<[u8]>>,
+    ) -> FinishedRun<Rc<[u8]>> {
+        self.table.finish_run(key, attempt, result)
+    }
+
+    /// Records that the process from which keys were loaded is gone, and returns its runs whose end is not known.
+    ///
+    /// To be called once it is gone, also if none of its runs goes on: until then the loaded keys are not swept.
+    pub(super) fn end_import(&mut self) -> Vec<FailedRun> {
+        self.table.end_import()
+    }
+
+    /// Drops all keys, as if none had been loaded.
+    pub(super) fn clear(&mut self) {
+        self.table.clear();
+    }
+
+    /// Allows no run of a request received up to `until`, Unix ms, except for runs that are known already: the other
+    /// process may have run any key.
+    pub(super) fn begin_blackout(&mut self, until: f64) {
+        self.table.begin_blackout(until);
+    }
+
+    /// Returns the end of the longest window that a request received at `received_at` can have, Unix ms.
+    pub(super) fn latest_window_end(&self, received_at: f64) -> f64 {
+        self.table.latest_window_end(received_at)
+    }
+}
+
 /// Returns the times of the keys of a class.
 fn key_window(class: &Class) -> KeyWindow {
     KeyWindow {
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -14,6 +14,7 @@
 mod actions;
 mod arrivals;
 mod billing;
+mod body_hasher;
 mod event_loop;
 mod gauge_poll;
 mod idempotency_keys;
@@ -28,4 +29,5 @@
 mod timers;
 mod upstream_calls;
 
+pub use body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
 pub use state::{Dispatcher, DispatcherEnvironment, Mailboxes};
