--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -14,6 +14,7 @@
 mod actions;
 mod arrivals;
 mod billing;
+mod body_hasher;
 mod event_loop;
 mod gauge_poll;
 mod handing_over;
@@ -31,4 +32,5 @@
 mod timers;
 mod upstream_calls;
 
+pub use body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
 pub use state::{Dispatcher, DispatcherEnvironment, Mailboxes};
