--- a/crates/idempotency/src/blackout.rs
+++ b/crates/idempotency/src/blackout.rs
@@ -17,6 +17,11 @@
         self.until = self.until.max(until);
     }
 
+    /// Returns the end of this time; `None` if there is none.
+    pub(crate) fn until(&self) -> Option<f64> {
+        self.until.is_finite().then_some(self.until)
+    }
+
     /// Returns whether an attempt received at `received_at` falls in this time.
     pub(crate) fn covers(&self, received_at: f64) -> bool {
         received_at <= self.until
--- a/crates/idempotency/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -91,6 +91,11 @@
         self.blackout.extend_to(until);
     }
 
+    /// Returns until when unknown keys are not run; `None` if they are.
+    pub fn blackout_until(&self) -> Option<f64> {
+        self.blackout.until()
+    }
+
     /// Returns the end of the longest window that an attempt received at `received_at` can have, by its class.
     pub fn latest_window_end(&self, received_at: f64) -> f64 {
         self.windows.latest_window_end(received_at)
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -5,6 +5,7 @@
 use crate::server::distributed_config::ApplyError;
 use crate::server::supervisor::TaskFailure;
 use crate::server::usage::UsageError;
+use dunlinspread_handover::GiveUpReason;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -68,6 +69,9 @@
     /// A task failed that should last as long as the process.
     #[error(transparent)]
     Task(#[from] TaskFailure),
+    /// A predecessor serves, and there will be no handover.
+    #[error("handover: {0}")]
+    Handover(GiveUpReason),
     /// All tasks have ended.
     #[error("all tasks have ended")]
     AllTasksEnded,
--- a/src/daemon/handover/mod.rs
+++ b/src/daemon/handover/mod.rs
@@ -9,7 +9,7 @@
 mod takeover;
 
 pub(super) use successors::SuccessorAcceptor;
-pub(super) use takeover::{Takeover, TakeoverTask};
+pub(super) use takeover::{Takeover, TakeoverContext, TakeoverTask};
 
 use super::command_line::LoadedConfig;
 use crate::server::handover::HandoverDirectory;
--- a/src/daemon/handover/takeover.rs
+++ b/src/daemon/handover/takeover.rs
@@ -71,8 +71,6 @@
     pub(in crate::daemon) can_serve: Receiver<()>,
     /// Responses to forwarded requests.
     pub(in crate::daemon) responses: Receiver<ConnectionMessage>,
-    /// Keys that the predecessor ran are unknown for so long after it ended without a handover, ms.
-    pub(in crate::daemon) longest_key_window_ms: f64,
     /// Accepts successors of this process, once it serves.
     pub(in crate::daemon) acceptor: SuccessorAcceptor,
     /// Receives the failure of the handover.
@@ -147,7 +145,7 @@
     /// Goes on until the predecessor has ended. A handover that fails before the commit is a failure of the process,
     /// unless the predecessor died: then nobody else serves.
     pub(in crate::daemon) async fn run(mut self, task: TakeoverTask) {
-        let TakeoverTask { can_serve, responses, longest_key_window_ms, acceptor, failures } = task;
+        let TakeoverTask { can_serve, responses, acceptor, failures } = task;
         while self.machine.phase() != SuccessorPhase::Owner && self.given_up.is_none() {
             let wake = self.next_wake(Some(&can_serve)).await;
             self.on_wake(wake).await;
@@ -158,7 +156,8 @@
                 let _ = failures.send(TaskFailure::Ended { task: "handover" }).await;
                 return;
             }
-            self.tell_keys_unknown(longest_key_window_ms).await;
+            warn!(self.log, "handover: predecessor died, serving without its keys");
+            self.tell(PredecessorMessage::KeysUnknown).await;
         }
         self.start_serving(responses, acceptor).await;
         while self.machine.phase() == SuccessorPhase::Owner {
@@ -328,13 +327,6 @@
         self.executor.spawn(acceptor.run()).detach();
     }
 
-    /// The predecessor died before the commit: its listening socket is here, and what it ran is not known.
-    async fn tell_keys_unknown(&self, longest_key_window_ms: f64) {
-        warn!(self.log, "handover: predecessor died, serving without its keys");
-        let until = self.clock.now() + longest_key_window_ms;
-        self.tell(PredecessorMessage::KeysUnknown { until }).await;
-    }
-
     /// Connects anew, and returns whether somebody listens.
     fn reconnect(&mut self) -> bool {
         self.reconnect_at = None;
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -6,6 +6,7 @@
 mod command_line;
 mod config_follower;
 mod error;
+mod handover;
 mod ledger;
 mod logging;
 mod process;
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -111,9 +111,15 @@
     let drain = DispatcherMessage::Drain { stop_at };
     server.dispatcher.send(drain).await.map_err(|_| DaemonError::DispatcherGone)?;
     let connections_closed = async {
-        server.wheel.sleep(schedule.before_stop(CLOSE_MARGIN_MS)).await;
+        // A process that has handed over is no longer sent to: it ends as soon as nothing is owed.
+        if !server.status.is_handed_over() {
+            server.wheel.sleep(schedule.before_stop(CLOSE_MARGIN_MS)).await;
+        }
         let finish_at = requested_at + schedule.before_stop(FINISH_MARGIN_MS);
         close_connections(server, finish_at).await;
+        if server.status.is_handed_over() {
+            wait_until_idle(server).await;
+        }
     };
     let time_up = server.wheel.sleep(schedule.before_stop(EXIT_MARGIN_MS));
     let handle_signals = signals.handle_after_shutdown_request(reloader);
@@ -128,3 +134,11 @@
     let _ = server.listener.sender.send(ListenerMessage::Shutdown { finish_at }).await;
     let _ = server.listener.ended.recv().await;
 }
+
+/// Waits until no request is left: the successor waits for the ends of runs that were begun here.
+async fn wait_until_idle(server: &RunningServer) {
+    let (idle, is_idle) = async_channel::bounded(1);
+    if server.dispatcher.send(DispatcherMessage::NotifyIdle(idle)).await.is_ok() {
+        let _ = is_idle.recv().await;
+    }
+}
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -3,12 +3,14 @@
 use super::command_line::LoadedConfig;
 use super::config_follower::FollowerStart;
 use super::error::DaemonError;
+use super::handover::{self, SuccessorAcceptor, Takeover, TakeoverContext, TakeoverTask};
 use super::ledger::LedgerStart;
 use crate::config::Config;
 use crate::operator::LedgerConfig;
 use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
+use crate::server::handover::HandoverDirectory;
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
@@ -23,9 +25,10 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
+use dunlinspread_handover::ServerIdentity;
 use dunlinspread_ledger::DurabilityMode;
 use futures_lite::future::BoxedLocal;
-use slog::Logger;
+use slog::{Logger, error};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -69,6 +72,8 @@
     pub(super) mailboxes: MovableMailboxes,
     /// The listener.
     pub(super) listener: ListenerHandle,
+    /// What operators see and set.
+    pub(super) status: Arc<ServingStatus>,
     /// Failures of tasks that should last as long as the process.
     pub(super) failures: Receiver<TaskFailure>,
 }
@@ -98,8 +103,6 @@
     let LoadedConfig { platform: config, operator } = loaded;
     let clock = Clock::start();
     let wheel = TimerWheel::new(clock, config.settings.tick_ms);
-    let socket = listen(config.listen)?;
-    let listen = socket.get_ref().local_addr().unwrap_or(config.listen);
     let (dispatcher, dispatcher_messages) = async_channel::bounded(config.limits.dispatcher_mailbox);
     let (listener, listener_messages) = async_channel::unbounded();
     let (failures, failed_tasks) = async_channel::unbounded();
@@ -117,17 +120,43 @@
         request_ids: Rc::default(),
         log,
     };
-    wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
-    let mailboxes = wiring.start_peer_tasks();
-    wiring.start_dispatcher(&mailboxes, &listener, operator.ledger.as_ref(), dispatcher_messages)?;
+    // The timers run from here on: a handover has time limits.
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
+    let handover_directory = handover::directory(loaded, log);
+    let mut takeover = handover_directory.as_ref().and_then(|directory| wiring.find_predecessor(directory));
+    let socket = match &mut takeover {
+        Some(takeover) => takeover.receive_socket().await?,
+        None => listen(config.listen)?,
+    };
+    wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
+    // The process before reports until it has handed over.
+    let mailboxes = wiring.start_peer_tasks(takeover.is_none());
+    let mut dispatcher_task = wiring.new_dispatcher(&mailboxes, &listener, operator.ledger.as_ref())?;
+    let takes_over = takeover.is_some();
+    if let Some(directory) = handover_directory {
+        wiring.start_handover(directory, &socket, takeover, &mut dispatcher_task);
+    }
+    wiring.supervise("dispatcher", Box::pin(dispatcher_task.run(dispatcher_messages)));
     let context = wiring.start_frontend_context(loaded).await?;
-    let listener = wiring.start_listener(context, socket, listener, listener_messages);
-    Ok(RunningServer { listen, clock, wheel, dispatcher, mailboxes, listener, failures: failed_tasks })
+    let listen = socket.local_addr().unwrap_or(config.listen);
+    let socket = Async::new(socket).map_err(|source| DaemonError::Listen { address: listen, source })?;
+    let accepts = !takes_over;
+    let listener = wiring.start_listener(context, socket, accepts, listener, listener_messages);
+    let status = wiring.status;
+    Ok(RunningServer {
+        listen,
+        clock,
+        wheel,
+        dispatcher,
+        mailboxes,
+        listener,
+        status,
+        failures: failed_tasks,
+    })
 }
 
-fn listen(address: SocketAddr) -> Result<Async<TcpListener>, DaemonError> {
-    TcpListener::bind(address).and_then(Async::new).map_err(|source| DaemonError::Listen { address, source })
+fn listen(address: SocketAddr) -> Result<TcpListener, DaemonError> {
+    TcpListener::bind(address).map_err(|source| DaemonError::Listen { address, source })
 }
 
 /// Has the dispatcher report each change of the evacuation.
@@ -146,7 +175,7 @@
     }
 
     /// Starts the tasks of the server's peers.
-    fn start_peer_tasks(&self) -> MovableMailboxes {
+    fn start_peer_tasks(&self, reports_health: bool) -> MovableMailboxes {
         let upstream = self.config.upstream.map(|address| self.start_upstream_client(address));
         let (worker_pool, messages) = async_channel::unbounded();
         let link = WorkerPoolLink::new(
@@ -163,7 +192,7 @@
             name: self.config.name.clone(),
             clock: self.clock,
             wheel: self.wheel.clone(),
-            active: true,
+            active: reports_health,
             log: self.log.clone(),
         };
         self.supervise("registry reporter", Box::pin(reporter.run(messages)));
@@ -186,14 +215,13 @@
         sender
     }
 
-    /// Starts the dispatcher, with the usage ledger if the operator file has one.
-    fn start_dispatcher(
+    /// Returns the dispatcher, with the usage ledger if the operator file has one.
+    fn new_dispatcher(
         &self,
         mailboxes: &MovableMailboxes,
         listener: &Sender<ListenerMessage>,
         ledger: Option<&LedgerConfig>,
-        messages: Receiver<DispatcherMessage>,
-    ) -> Result<(), DaemonError> {
+    ) -> Result<Dispatcher, DaemonError> {
         let mailboxes = Mailboxes {
             worker_pool: mailboxes.worker_pool.clone(),
             upstream: mailboxes.upstream.clone(),
@@ -220,8 +248,56 @@
             };
             dispatcher.enable_billing(start.open(self.executor)?, ledger_tick_ms(ledger_config.mode));
         }
-        self.supervise("dispatcher", Box::pin(dispatcher.run(messages)));
-        Ok(())
+        Ok(dispatcher)
+    }
+
+    /// Looks for the process that this one is to take over from.
+    fn find_predecessor(&self, directory: &HandoverDirectory) -> Option<Takeover> {
+        let identity = ServerIdentity {
+            name: self.config.name.clone(),
+            classes: self.config.classes.clone(),
+            tenants: self.config.tenants.clone(),
+        };
+        let context = TakeoverContext {
+            dispatcher: self.dispatcher.clone(),
+            executor: self.executor.clone(),
+            clock: self.clock,
+            wheel: self.wheel.clone(),
+            log: self.log.clone(),
+        };
+        Takeover::find(directory, identity, context)
+    }
+
+    /// Lets this process hand over to a successor, once it serves, and take over from its predecessor before.
+    fn start_handover(
+        &self,
+        directory: HandoverDirectory,
+        socket: &TcpListener,
+        takeover: Option<Takeover>,
+        dispatcher: &mut Dispatcher,
+    ) {
+        match socket.try_clone() {
+            Ok(socket) => dispatcher.enable_handover(socket),
+            Err(error) => {
+                return error!(self.log, "handover is off: no further descriptor"; "error" => error.to_string());
+            }
+        }
+        let acceptor = SuccessorAcceptor {
+            directory,
+            dispatcher: self.dispatcher.clone(),
+            status: self.status.clone(),
+            executor: self.executor.clone(),
+            wheel: self.wheel.clone(),
+            log: self.log.clone(),
+        };
+        let Some(takeover) = takeover else {
+            return self.supervise("successor acceptor", Box::pin(acceptor.run()));
+        };
+        let (can_serve_sender, can_serve) = async_channel::bounded(1);
+        let (response_sender, responses) = async_channel::unbounded();
+        dispatcher.await_handover(can_serve_sender, response_sender);
+        let task = TakeoverTask { can_serve, responses, acceptor, failures: self.failures.clone() };
+        self.executor.spawn(takeover.run(task)).detach();
     }
 
     /// Returns what the connections share, with distributed settings if the operator file has them.
@@ -275,6 +351,7 @@
         &self,
         context: Rc<FrontendContext>,
         socket: Async<TcpListener>,
+        accepts: bool,
         sender: Sender<ListenerMessage>,
         messages: Receiver<ListenerMessage>,
     ) -> ListenerHandle {
@@ -284,7 +361,7 @@
             sender: sender.clone(),
             executor: self.executor.clone(),
             max_connections: self.config.limits.client_connections,
-            accepts: true,
+            accepts,
         };
         let may_end = Rc::new(Cell::new(false));
         let (end_sender, ended) = async_channel::bounded(1);
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -243,7 +243,8 @@
         warn!(self.log, "handover: successor ended, serving again";
             "forwarded_requests" => self.handing_over.forwarded.len());
         self.fail_forwarded();
-        self.keys.begin_blackout(self.clock.now());
+        let until = self.keys.latest_window_end(self.clock.now());
+        self.keys.begin_blackout(until);
         self.status.set_handed_over(false);
         self.status.set_ready(self.pool.is_up());
         self.tell_listener(ListenerMessage::StartAccepting);
--- a/src/server/dispatcher/idempotency_keys.rs
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -127,7 +127,6 @@
 }
 
 /// The move of the keys to another process.
-#[expect(dead_code, reason = "the handover to a successor will call them")]
 impl IdempotencyKeys {
     /// Returns the key of the hash of bodies.
     pub(super) fn body_hash_key(&self) -> [u8; BODY_HASH_KEY_BYTES] {
@@ -184,6 +183,11 @@
         self.table.begin_blackout(until);
     }
 
+    /// Returns until when unknown keys are not run, Unix ms; `None` if they are.
+    pub(super) fn blackout_until(&self) -> Option<f64> {
+        self.table.blackout_until()
+    }
+
     /// Returns the end of the longest window that a request received at `received_at` can have, Unix ms.
     pub(super) fn latest_window_end(&self, received_at: f64) -> f64 {
         self.table.latest_window_end(received_at)
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -89,7 +89,10 @@
             PredecessorMessage::BecomeOwner(predecessor) => self.become_owner(predecessor),
             PredecessorMessage::Frame(frame) => self.on_predecessor_frame(frame),
             PredecessorMessage::Gone => self.on_predecessor_gone(),
-            PredecessorMessage::KeysUnknown { until } => self.keys.set_blackout(until),
+            PredecessorMessage::KeysUnknown => {
+                let until = self.keys.latest_window_end(self.clock.now());
+                self.keys.begin_blackout(until);
+            }
         }
     }
 
@@ -143,7 +146,7 @@
                 self.start_controller(None);
                 self.dispatch_event(Event::ExternalLoad { runs, memory_kb });
             }
-            ToSuccessor::KeysUnknown { until } => self.keys.set_blackout(until),
+            ToSuccessor::KeysUnknown { until } => self.keys.begin_blackout(until),
             // Steps of the protocol, which come as such.
             ToSuccessor::Welcome { .. }
             | ToSuccessor::Refuse { .. }
@@ -169,7 +172,7 @@
         let pending = self.taking_over.pending_runs.get(key).filter(|pending| pending.attempt == attempt);
         let Some(id) = pending.map(|pending| pending.id) else { return };
         self.taking_over.pending_runs.remove(key);
-        let finished = self.keys.finish_imported_run(key, id, received_run_end(end));
+        let finished = self.keys.finish_imported_run(&Rc::from(key), id, received_run_end(end));
         self.answer_waiters(finished);
         self.dispatch_pending_events();
     }
@@ -184,10 +187,11 @@
     fn on_predecessor_gone(&mut self) {
         info!(self.log, "handover: predecessor ended"; "unknown_runs" => self.taking_over.pending_runs.len());
         self.taking_over.predecessor = None;
-        for (key, pending) in std::mem::take(&mut self.taking_over.pending_runs) {
-            let failed = received_run_end(RunEnd::Failed);
-            let finished = self.keys.finish_imported_run(&key, pending.id, failed);
-            self.answer_waiters(finished);
+        self.taking_over.pending_runs.clear();
+        for failed in self.keys.end_import() {
+            for waiter in failed.waiters {
+                self.finish_reuse(waiter, None);
+            }
         }
         for (_, id) in std::mem::take(&mut self.taking_over.forwarded) {
             self.on_client_gone(id);
--- a/src/server/messages/handover.rs
+++ b/src/server/messages/handover.rs
@@ -55,9 +55,6 @@
     Frame(ToSuccessor),
     /// The link to the predecessor ended; all its frames have been passed on.
     Gone,
-    /// The predecessor ended without a word on what it ran until now: keys that it knew are unknown here.
-    KeysUnknown {
-        /// Until this time, Unix ms, unknown keys may have run.
-        until: f64,
-    },
+    /// The predecessor ended before the commit: its keys are unknown here.
+    KeysUnknown,
 }
