--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -5,6 +5,8 @@
 pub struct ResourceLimits {
     /// Client connections.
     pub client_connections: usize,
+    /// Connections of operators, where there is a control endpoint.
+    pub control_connections: usize,
     /// Connections to the upstream service, open calls and idle ones together.
     pub upstream_connections: usize,
     /// Requests that have no response yet.
@@ -36,6 +38,8 @@
     const OTHER_DESCRIPTORS: usize = 24;
     /// The most requests, whatever the memory.
     const MAX_REQUESTS: usize = 10_000;
+    /// The most connections of operators.
+    const MAX_CONTROL_CONNECTIONS: usize = 32;
     /// The fewest connections to the upstream service.
     const MIN_UPSTREAM_CONNECTIONS: usize = 8;
     /// The smallest and largest queue of messages or log lines.
@@ -45,13 +49,15 @@
     ///
     /// Of the memory, a quarter is for clients, a fifth for results, a sixth for requests and a tenth for keys; the rest
     /// is for upstream calls, the log and the program itself. Of the descriptors, clients get a half, with a reserve
-    /// for connections that are closing, and upstream calls most of the rest.
+    /// for connections that are closing, and upstream calls most of the rest; operators' connections come out of the last
+    /// sixteenth, which neither of them gets.
     pub fn new(memory_bytes: usize, descriptors: usize) -> ResourceLimits {
         let queue = |length: usize| length.clamp(Self::QUEUE.0, Self::QUEUE.1);
         let upstream_connections = (descriptors * 3 / 8).saturating_sub(Self::OTHER_DESCRIPTORS);
         ResourceLimits {
             client_connections: (descriptors / 2 + descriptors / 16)
                 .min(memory_bytes / 4 / Self::CONNECTION_BYTES),
+            control_connections: (descriptors / 16).min(Self::MAX_CONTROL_CONNECTIONS),
             upstream_connections: upstream_connections.max(Self::MIN_UPSTREAM_CONNECTIONS),
             requests: (memory_bytes / 6 / Self::REQUEST_BYTES).min(Self::MAX_REQUESTS),
             idempotency_keys: memory_bytes / 10 / Self::KEY_BYTES,
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -45,6 +45,14 @@
         /// What happened.
         source: io::Error,
     },
+    /// The address for operators can't be listened on, or its thread can't be started.
+    #[error("`control`: {address}: {source}")]
+    Control {
+        /// The address.
+        address: SocketAddr,
+        /// What happened.
+        source: io::Error,
+    },
     /// The usage ledger was not opened.
     #[error(transparent)]
     Ledger(#[from] UsageError),
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -6,6 +6,7 @@
 use super::ledger::LedgerStart;
 use crate::config::Config;
 use crate::operator::LedgerConfig;
+use crate::server::control::{ControlEndpoint, ControlOptions};
 use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
@@ -70,6 +71,8 @@
     pub(super) listener: ListenerHandle,
     /// Failures of tasks that should last as long as the process.
     pub(super) failures: Receiver<TaskFailure>,
+    /// The control endpoint, if an address is set for it; it ends with the server.
+    _control: Option<ControlEndpoint>,
 }
 
 /// What the tasks are made of.
@@ -117,10 +120,20 @@
     wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
     let mailboxes = wiring.start_peer_tasks();
     wiring.start_dispatcher(&mailboxes, &listener, operator.ledger.as_ref(), dispatcher_messages)?;
+    let control = wiring.start_control()?;
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
     let context = wiring.start_frontend_context(loaded).await?;
     let listener = wiring.start_listener(context, socket, listener, listener_messages);
-    Ok(RunningServer { listen, clock, wheel, dispatcher, mailboxes, listener, failures: failed_tasks })
+    Ok(RunningServer {
+        listen,
+        clock,
+        wheel,
+        dispatcher,
+        mailboxes,
+        listener,
+        failures: failed_tasks,
+        _control: control,
+    })
 }
 
 fn listen(address: SocketAddr) -> Result<Async<TcpListener>, DaemonError> {
@@ -142,6 +155,16 @@
         self.executor.spawn(supervised).detach();
     }
 
+    /// Starts the control endpoint if an address is set for it.
+    fn start_control(&self) -> Result<Option<ControlEndpoint>, DaemonError> {
+        let Some(address) = self.config.control else { return Ok(None) };
+        let max_connections = self.config.limits.control_connections;
+        let options = ControlOptions { address, max_connections };
+        ControlEndpoint::start(options, self.status.clone(), self.failures.clone(), self.log)
+            .map(Some)
+            .map_err(|source| DaemonError::Control { address, source })
+    }
+
     /// Starts the tasks of the server's peers.
     fn start_peer_tasks(&self) -> MovableMailboxes {
         let upstream = self.config.upstream.map(|address| self.start_upstream_client(address));
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -2,6 +2,7 @@
 //! for the dispatcher. The dispatcher alone owns what becomes of a request; the other tasks carry bytes and decide
 //! nothing about one.
 
+pub mod control;
 pub mod dispatcher;
 pub mod distributed_config;
 pub mod frontend;
--- a/src/server/supervisor.rs
+++ b/src/server/supervisor.rs
@@ -66,3 +66,14 @@
     // Without a receiver the process is at its end.
     let _ = failures.send(TaskFailure::new(task, end)).await;
 }
+
+/// Runs the work of a thread, which returns whether its end is expected; a panic or an unexpected end is reported.
+pub fn supervise_thread(task: &'static str, work: impl FnOnce() -> bool, failures: &Sender<TaskFailure>) {
+    let end = match std::panic::catch_unwind(AssertUnwindSafe(work)) {
+        Ok(true) => return,
+        Ok(false) => Ok(()),
+        Err(payload) => Err(Panic::from_payload(&*payload)),
+    };
+    // Without a receiver the process is at its end.
+    let _ = failures.send_blocking(TaskFailure::new(task, end));
+}
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -75,7 +75,9 @@
             + (limits.requests + limits.dispatcher_mailbox) * (5 << 10);
         let all = held + limits.idempotency_keys * 400 + limits.result_bytes + limits.log_lines * 1024;
         assert!(all < (memory_mb << 20) * 7 / 8, "{limits:?} hold {all} bytes");
-        assert!(limits.client_connections + limits.upstream_connections < sockets, "{limits:?}");
+        let descriptors =
+            limits.client_connections + limits.upstream_connections + limits.control_connections;
+        assert!(descriptors < sockets && limits.control_connections >= 4, "{limits:?}");
         assert!(
             limits.client_connections >= sockets / 2
                 && limits.requests >= 1000
