--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -7,6 +7,7 @@
 use super::ledger::LedgerStart;
 use crate::config::Config;
 use crate::operator::LedgerConfig;
+use crate::server::control::{ControlEndpoint, ControlOptions};
 use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
@@ -76,6 +77,8 @@
     pub(super) status: Arc<ServingStatus>,
     /// Failures of tasks that should last as long as the process.
     pub(super) failures: Receiver<TaskFailure>,
+    /// The control endpoint, if an address is set for it; it ends with the server.
+    _control: Option<ControlEndpoint>,
 }
 
 /// What the tasks are made of.
@@ -120,6 +123,7 @@
         request_ids: Rc::default(),
         log,
     };
+    let control = wiring.start_control()?;
     // The timers run from here on: a handover has time limits.
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
     let handover_directory = handover::directory(loaded, log);
@@ -152,6 +156,7 @@
         listener,
         status,
         failures: failed_tasks,
+        _control: control,
     })
 }
 
@@ -174,6 +179,16 @@
         self.executor.spawn(supervised).detach();
     }
 
+    /// Starts the control endpoint if an address is set for it.
+    fn start_control(&self) -> Result<Option<ControlEndpoint>, DaemonError> {
+        let Some(address) = self.config.control else { return Ok(None) };
+        let max_connections = self.config.limits.control_connections;
+        let options = ControlOptions { address, max_connections };
+        ControlEndpoint::start(options, self.status.clone(), self.failures.clone(), self.log)
+            .map(Some)
+            .map_err(|source| DaemonError::Control { address, source })
+    }
+
     /// Starts the tasks of the server's peers.
     fn start_peer_tasks(&self, reports_health: bool) -> MovableMailboxes {
         let upstream = self.config.upstream.map(|address| self.start_upstream_client(address));
