--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -5,6 +5,7 @@
 pub mod dispatcher;
 pub mod distributed_config;
 pub mod frontend;
+pub mod handover;
 pub mod messages;
 pub mod name_table;
 pub mod registry;
