--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -3,7 +3,7 @@
 use super::command_line::LoadedConfig;
 use super::config_follower::FollowerStart;
 use super::error::DaemonError;
-use super::handover::{self, SuccessorAcceptor, Takeover, TakeoverContext, TakeoverTask};
+use super::handover::{self, HandoverStart};
 use super::ledger::LedgerStart;
 use crate::config::Config;
 use crate::operator::LedgerConfig;
@@ -11,7 +11,6 @@
 use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
-use crate::server::handover::HandoverDirectory;
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
@@ -29,7 +28,7 @@
 use dunlinspread_handover::ServerIdentity;
 use dunlinspread_ledger::DurabilityMode;
 use futures_lite::future::BoxedLocal;
-use slog::{Logger, error};
+use slog::Logger;
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -127,7 +126,8 @@
     // The timers run from here on: a handover has time limits.
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
     let handover_directory = handover::directory(loaded, log);
-    let mut takeover = handover_directory.as_ref().and_then(|directory| wiring.find_predecessor(directory));
+    let handover = wiring.handover_start();
+    let mut takeover = handover_directory.as_ref().and_then(|directory| handover.find_predecessor(directory));
     let socket = match &mut takeover {
         Some(takeover) => takeover.receive_socket().await?,
         None => listen(config.listen)?,
@@ -138,7 +138,7 @@
     let mut dispatcher_task = wiring.new_dispatcher(&mailboxes, &listener, operator.ledger.as_ref())?;
     let takes_over = takeover.is_some();
     if let Some(directory) = handover_directory {
-        wiring.start_handover(directory, &socket, takeover, &mut dispatcher_task);
+        handover.start(directory, &socket, takeover, &mut dispatcher_task);
     }
     wiring.supervise("dispatcher", Box::pin(dispatcher_task.run(dispatcher_messages)));
     let context = wiring.start_frontend_context(loaded).await?;
@@ -266,53 +266,21 @@
         Ok(dispatcher)
     }
 
-    /// Looks for the process that this one is to take over from.
-    fn find_predecessor(&self, directory: &HandoverDirectory) -> Option<Takeover> {
-        let identity = ServerIdentity {
-            name: self.config.name.clone(),
-            classes: self.config.classes.clone(),
-            tenants: self.config.tenants.clone(),
-        };
-        let context = TakeoverContext {
-            dispatcher: self.dispatcher.clone(),
+    fn handover_start(&self) -> HandoverStart {
+        HandoverStart {
+            identity: ServerIdentity {
+                name: self.config.name.clone(),
+                classes: self.config.classes.clone(),
+                tenants: self.config.tenants.clone(),
+            },
             executor: self.executor.clone(),
             clock: self.clock,
             wheel: self.wheel.clone(),
-            log: self.log.clone(),
-        };
-        Takeover::find(directory, identity, context)
-    }
-
-    /// Lets this process hand over to a successor, once it serves, and take over from its predecessor before.
-    fn start_handover(
-        &self,
-        directory: HandoverDirectory,
-        socket: &TcpListener,
-        takeover: Option<Takeover>,
-        dispatcher: &mut Dispatcher,
-    ) {
-        match socket.try_clone() {
-            Ok(socket) => dispatcher.enable_handover(socket),
-            Err(error) => {
-                return error!(self.log, "handover is off: no further descriptor"; "error" => error.to_string());
-            }
-        }
-        let acceptor = SuccessorAcceptor {
-            directory,
             dispatcher: self.dispatcher.clone(),
+            failures: self.failures.clone(),
             status: self.status.clone(),
-            executor: self.executor.clone(),
-            wheel: self.wheel.clone(),
             log: self.log.clone(),
-        };
-        let Some(takeover) = takeover else {
-            return self.supervise("successor acceptor", Box::pin(acceptor.run()));
-        };
-        let (can_serve_sender, can_serve) = async_channel::bounded(1);
-        let (response_sender, responses) = async_channel::unbounded();
-        dispatcher.await_handover(can_serve_sender, response_sender);
-        let task = TakeoverTask { can_serve, responses, acceptor, failures: self.failures.clone() };
-        self.executor.spawn(takeover.run(task)).detach();
+        }
     }
 
     /// Returns what the connections share, with distributed settings if the operator file has them.
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -19,6 +19,7 @@
 mod gauge_poll;
 mod handing_over;
 mod handover_records;
+mod handover_state;
 mod idempotency_keys;
 mod log_limit;
 mod pool_events;
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -2,13 +2,12 @@
 //! other tasks.
 
 use super::gauge_poll::GaugePoll;
-use super::handing_over::HandingOver;
+use super::handover_state::{HandingOver, TakingOver};
 use super::idempotency_keys::IdempotencyKeys;
 use super::log_limit::LogLimit;
 use super::pool_link::PoolLink;
 use super::request::Request;
 use super::request_table::RequestTable;
-use super::taking_over::TakingOver;
 use crate::admission::{AdmissionController, Event, RequestId, Settings};
 use crate::config::Config;
 use crate::server::messages::{
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -5,63 +5,20 @@
 //! - A key that runs at the predecessor is not run here; its duplicates get the result once it is told.
 
 use super::handover_records::{incoming_request, received_key, received_run_end};
+use super::handover_state::PendingRun;
 use super::state::Dispatcher;
 use crate::admission::{Event, RequestId};
 use crate::server::messages::{
     ConnectionMessage, ListenerMessage, PredecessorMessage, RegistryMessage, ReplyHandle,
 };
-use crate::server::request_ids::RequestIdSequence;
 use async_channel::Sender;
 use dunlinspread_handover::{
     ForwardedRequest, KeyRecord, RunEnd, RunRecordState, ToPredecessor, ToSuccessor,
 };
 use dunlinspread_idempotency::FinishedRun;
 use slog::{info, warn};
-use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The state of a handover from a predecessor.
-pub(super) struct TakingOver {
-    /// Whether this process decides.
-    pub(super) is_owner: bool,
-    /// Told once the link to the worker pool is up.
-    can_serve: Option<Sender<()>>,
-    /// Frames for the predecessor, from the commit to its end.
-    predecessor: Option<Sender<ToPredecessor>>,
-    /// Takes the responses to forwarded requests.
-    responses: Option<Sender<ConnectionMessage>>,
-    /// Runs of the predecessor whose end is awaited, by key: their attempt's number there and the id here.
-    pending_runs: HashMap<Vec<u8>, PendingRun>,
-    /// Forwarded requests by their number at the predecessor.
-    forwarded: HashMap<u64, RequestId>,
-    told_health: Option<(bool, Option<f64>)>,
-    request_ids: Rc<RequestIdSequence>,
-}
-
-/// A run of the predecessor whose end is awaited.
-struct PendingRun {
-    /// The number of its attempt at the predecessor.
-    attempt: u64,
-    /// The id under which its key is known here.
-    id: RequestId,
-}
-
-impl TakingOver {
-    /// Returns the state of a process that decides from its start on.
-    pub(super) fn new(request_ids: Rc<RequestIdSequence>) -> TakingOver {
-        TakingOver {
-            is_owner: true,
-            can_serve: None,
-            predecessor: None,
-            responses: None,
-            pending_runs: HashMap::new(),
-            forwarded: HashMap::new(),
-            told_health: None,
-            request_ids,
-        }
-    }
-}
-
 impl Dispatcher {
     /// Waits for a predecessor to hand over: `can_serve` is told once the link to the worker pool is up, and
     /// `responses` takes the responses to forwarded requests.
--- a/src/server/handover/frame.rs
+++ b/src/server/handover/frame.rs
@@ -30,7 +30,7 @@
 pub(super) fn encode_header(length: usize) -> Result<[u8; HEADER_BYTES], HandoverSocketError> {
     match u32::try_from(length) {
         Ok(encoded) if length <= MAX_FRAME_BYTES => Ok(encoded.to_be_bytes()),
-        _ => Err(HandoverSocketError::FrameTooLong(length)),
+        _ => Err(too_long(length)),
     }
 }
 
@@ -76,7 +76,7 @@
             self.bytes.extend_from_slice(bytes);
         }
         match self.frame_length() {
-            Some(length) if length > MAX_FRAME_BYTES => Err(HandoverSocketError::FrameTooLong(length)),
+            Some(length) if length > MAX_FRAME_BYTES => Err(too_long(length)),
             Some(length) if length == self.bytes.len() => Ok(Some(self.finish())),
             _ => Ok(None),
         }
@@ -92,3 +92,7 @@
         usize::try_from(u32::from_be_bytes(header)).ok()
     }
 }
+
+fn too_long(length: usize) -> HandoverSocketError {
+    HandoverSocketError::FrameTooLong { length, limit: MAX_FRAME_BYTES }
+}
