--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -16,7 +16,7 @@
 ///
 /// A link that could not be read further, for example after a frame that can't be decoded, is closed by the caller and
 /// told as `Disconnected`; not so after `HandOver`, where only the end of the successor's process may be told so.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorEvent {
     /// A successor has connected. While a link is there, the caller refuses further ones with `Busy` by itself.
     Connected,
@@ -31,7 +31,7 @@
 }
 
 /// The control frames among [`crate::ToPredecessor`].
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorInput {
     /// `Hello`.
     Hello {
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -19,7 +19,7 @@
 pub const FIRST_RECONNECT_MS: u64 = 50;
 
 /// What happens to the successor.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorEvent {
     /// The link is there.
     Connected,
@@ -34,7 +34,7 @@
 }
 
 /// The control frames among [`crate::ToSuccessor`].
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorInput {
     /// `Welcome`.
     Welcome {
