--- a/crates/handover/src/fault.rs
+++ b/crates/handover/src/fault.rs
@@ -8,7 +8,8 @@
     None,
     /// The successor owns the keys once it has sent `Loaded`, without waiting for `Commit`.
     OwnerBeforeCommit,
-    /// The predecessor commits before it sends the snapshot, and the successor accepts a commit before the snapshot's end.
+    /// The predecessor commits before it sends the snapshot, and the successor accepts a commit before the end of the
+    /// snapshot.
     CommitBeforeSnapshotEnd,
 }
 
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,10 @@
 //! Handover of a serving process (the *predecessor*) to a new one (the *successor*): messages, their encoding, and the
 //! decisions of both sides.
 //!
-//! The successor connects to the predecessor's Unix socket and names itself. Once it can serve, it asks for the transfer;
-//! the predecessor freezes, sends a snapshot of all idempotency keys, and commits once the successor has confirmed their
-//! number. From the commit on the successor owns the keys, and the predecessor forwards what it still gets.
+//! The successor connects to the predecessor's Unix socket and names itself. Once it can serve, it asks for the
+//! transfer; the predecessor freezes, sends a snapshot of all idempotency keys, and commits once the successor has
+//! confirmed their number. From the commit on the successor owns the keys, and the predecessor forwards what it still
+//! gets.
 //!
 //! [`Predecessor`] and [`Successor`] are state machines: an event goes in, actions come out. Both have an outcome for
 //! every event in every phase and never panic. [`ToPredecessor`] and [`ToSuccessor`] are the frames, of which the
@@ -17,7 +18,8 @@
 //! They rest on the order of frames on the link, and on one rule for the callers: after the commit the successor never
 //! closes the link while it lives, since its end tells the predecessor that the successor's process has ended.
 //!
-//! Nothing here does I/O or reads a clock. `docs/design/upgrade.md` has the reasons, `docs/formats/handover.md` the bytes.
+//! Nothing here does I/O or reads a clock. `docs/design/upgrade.md` has the reasons, `docs/formats/handover.md` the
+//! bytes.
 #![forbid(unsafe_code)]
 
 mod codec;
--- a/crates/handover/tests/processes/model.rs
+++ b/crates/handover/tests/processes/model.rs
@@ -1,5 +1,5 @@
-//! Every order of events within small bounds: reads and ends of links in any order, late or early; timers that run out at
-//! any moment; a crash of either; a cut; two successors, one after the other or at the same time.
+//! Every order of events within small bounds: reads and ends of links in any order, late or early; timers that run out
+//! at any moment; a crash of either; a cut; two successors, one after the other or at the same time.
 
 use crate::rules::Rules;
 use crate::world::{Step, World};
--- a/crates/handover/tests/processes/random_play.rs
+++ b/crates/handover/tests/processes/random_play.rs
@@ -1,5 +1,5 @@
-//! Random orders of events, longer and with more processes than the model explores, each followed by a time without faults
-//! in which everything under way comes to its end.
+//! Random orders of events, longer and with more processes than the model explores, each followed by a time without
+//! faults in which everything under way comes to its end.
 
 use crate::rules::Rules;
 use crate::world::{Step, World};
--- a/crates/handover/tests/processes/world.rs
+++ b/crates/handover/tests/processes/world.rs
@@ -290,7 +290,8 @@
     }
 
     fn time_out(&mut self, process: Process, rules: &Rules) {
-        // Timers beyond the bound run out only when nothing else goes on: counting them would tell states apart for nothing.
+        // Not counted beyond the bound, where timers run out only when nothing else goes on: it would tell states apart
+        // for nothing.
         self.timeouts = rules.timeouts.min(self.timeouts + 1);
         match process {
             Process::Predecessor => {
