--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -8,7 +8,7 @@
 use crate::config::Config;
 use crate::operator::LedgerConfig;
 use crate::server::control::{ControlEndpoint, ControlOptions};
-use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
+use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes, server_identity};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
 use crate::server::messages::{
@@ -25,7 +25,6 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
-use dunlinspread_handover::ServerIdentity;
 use dunlinspread_ledger::DurabilityMode;
 use futures_lite::future::BoxedLocal;
 use slog::Logger;
@@ -268,11 +267,7 @@
 
     fn handover_start(&self) -> HandoverStart {
         HandoverStart {
-            identity: ServerIdentity {
-                name: self.config.name.clone(),
-                classes: self.config.classes.clone(),
-                tenants: self.config.tenants.clone(),
-            },
+            identity: server_identity(self.config),
             executor: self.executor.clone(),
             clock: self.clock,
             wheel: self.wheel.clone(),
--- a/src/server/dispatcher/handover_state.rs
+++ b/src/server/dispatcher/handover_state.rs
@@ -1,10 +1,12 @@
 //! What the dispatcher keeps of a handover: to the process after this one, and from the one before.
 
 use crate::admission::RequestId;
+use crate::config::Config;
 use crate::server::messages::{ConnectionMessage, IncomingRequest, ReplyHandle, SuccessorFrame};
 use crate::server::request_ids::RequestIdSequence;
 use async_channel::Sender;
 use dunlinspread_handover::{Predecessor, PredecessorPhase, ServerIdentity, ToPredecessor, ToSuccessor};
+use sha2::{Digest, Sha256};
 use std::collections::HashMap;
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -118,3 +120,17 @@
         }
     }
 }
+
+/// Returns which server a process with this configuration is.
+///
+/// The tenants are stated by a digest: their names, of which there may be several hundred thousand, would not fit in a
+/// frame.
+pub fn server_identity(config: &Config) -> ServerIdentity {
+    let mut digest = Sha256::new();
+    for tenant in &config.tenants {
+        digest.update((tenant.len() as u64).to_be_bytes());
+        digest.update(tenant);
+    }
+    let digest: String = digest.finalize().iter().map(|byte| format!("{byte:02x}")).collect();
+    ServerIdentity { name: config.name.clone(), classes: config.classes.clone(), tenants: vec![digest] }
+}
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -34,4 +34,5 @@
 mod upstream_calls;
 
 pub use body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
+pub use handover_state::server_identity;
 pub use state::{Dispatcher, DispatcherEnvironment, Mailboxes};
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -2,7 +2,7 @@
 //! other tasks.
 
 use super::gauge_poll::GaugePoll;
-use super::handover_state::{HandingOver, TakingOver};
+use super::handover_state::{HandingOver, TakingOver, server_identity};
 use super::idempotency_keys::IdempotencyKeys;
 use super::log_limit::LogLimit;
 use super::pool_link::PoolLink;
@@ -21,7 +21,6 @@
 use crate::server::usage::Billing;
 use async_channel::{Sender, TrySendError};
 use async_executor::LocalExecutor;
-use dunlinspread_handover::ServerIdentity;
 use slog::Logger;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -112,11 +111,6 @@
         mailboxes: Mailboxes,
     ) -> Self {
         let DispatcherEnvironment { clock, wheel, executor, status, request_ids, log } = environment;
-        let identity = ServerIdentity {
-            name: config.name.clone(),
-            classes: config.classes.clone(),
-            tenants: config.tenants.clone(),
-        };
         Dispatcher {
             settings: config.settings.clone(),
             max_requests: config.limits.requests,
@@ -137,7 +131,7 @@
             controller_lines: LogLimit::default(),
             rejected_command_lines: LogLimit::default(),
             status,
-            handing_over: HandingOver::new(identity),
+            handing_over: HandingOver::new(server_identity(config)),
             taking_over: TakingOver::new(request_ids),
             idle: None,
             clock,
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -7,7 +7,7 @@
 use super::handover_records::{incoming_request, received_key, received_run_end};
 use super::handover_state::PendingRun;
 use super::state::Dispatcher;
-use crate::admission::{Event, RequestId};
+use crate::admission::Event;
 use crate::server::messages::{
     ConnectionMessage, ListenerMessage, PredecessorMessage, RegistryMessage, ReplyHandle,
 };
