--- a/src/server/dispatcher/actions.rs
+++ b/src/server/dispatcher/actions.rs
@@ -2,6 +2,7 @@
 
 use super::state::Dispatcher;
 use crate::admission::{Action, RequestId};
+use crate::server::evacuation::HealthInput;
 use crate::server::messages::{DispatcherMessage, ListenerMessage, Response};
 use slog::info;
 
@@ -45,17 +46,16 @@
     }
 
     fn set_health(&mut self, healthy: bool) {
-        if healthy != self.healthy {
+        if healthy != self.health.is_controller_healthy() {
             info!(self.log, "health changed"; "healthy" => healthy);
         }
-        self.healthy = healthy;
-        self.report_health();
+        self.update_health(&[HealthInput::ControllerHealth(healthy)]);
     }
 
     /// An operator sends clients elsewhere, or takes them again: the registry hears of it at once.
-    pub(super) fn on_evacuation_changed(&self) {
+    pub(super) fn on_evacuation_changed(&mut self) {
         info!(self.log, "evacuation changed"; "evacuated" => self.status.is_evacuated());
-        self.report_health();
+        self.refresh_health();
     }
 
     fn set_idle_timeout(&self, idle_ms: f64) {
--- a/src/server/dispatcher/billing.rs
+++ b/src/server/dispatcher/billing.rs
@@ -115,11 +115,8 @@
     /// Runs an operation on the ledger, and reports health if it changed whether requests can be billed.
     fn with_usage(&mut self, operation: impl FnOnce(&mut Billing)) {
         let Some(usage) = &mut self.usage else { return };
-        let served = usage.accepts_requests();
         operation(usage);
-        if usage.accepts_requests() != served {
-            self.report_health();
-        }
+        self.refresh_health();
     }
 
     /// After each message: passes new entries to the store if it is idle, and sends the responses that it released.
--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -3,6 +3,7 @@
 use super::state::Dispatcher;
 use super::timers::SWEEP_INTERVAL_MS;
 use crate::admission::{Event, Gauges};
+use crate::server::evacuation::HealthInput;
 use crate::server::messages::{DispatcherMessage, Response};
 use async_channel::Receiver;
 use futures_lite::StreamExt;
@@ -27,6 +28,7 @@
             DispatcherMessage::Request(incoming) => self.on_arrival(*incoming),
             DispatcherMessage::InvalidRequest(reply) => self.send_response(reply, Response::Invalid),
             DispatcherMessage::HealthCheck(reply) => {
+                self.refresh_health();
                 self.send_response(reply, Response::Health(self.is_healthy()));
             }
             DispatcherMessage::ClientGone(id) => self.on_client_gone(id),
@@ -38,6 +40,7 @@
             DispatcherMessage::GaugesTimedOut(tag) => self.on_gauges(tag, Gauges::default()),
             DispatcherMessage::Drain { stop_at } => {
                 self.status.set_ready(false);
+                self.update_health(&[HealthInput::Shutdown]);
                 self.start_controller(None);
                 self.dispatch_event(Event::Drain { stop_at });
             }
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -9,6 +9,7 @@
 use super::request_table::RequestTable;
 use crate::admission::{AdmissionController, Event, RequestId, Settings};
 use crate::config::Config;
+use crate::server::evacuation::{HealthInput, ServiceHealth};
 use crate::server::messages::{
     ConnectionMessage, DispatcherMessage, ListenerMessage, PoolCommand, RegistryMessage, ReplyHandle,
     Response, UpstreamMessage, WorkerPoolMessage,
@@ -76,8 +77,8 @@
     registry: Sender<RegistryMessage>,
     pub(super) listener: Sender<ListenerMessage>,
     pub(super) gauge_poll: GaugePoll,
-    /// Whether the controller takes the server for healthy.
-    pub(super) healthy: bool,
+    /// The health of this process.
+    pub(super) health: ServiceHealth,
     /// The share that goes out with every response.
     pub(super) advertised_share: Option<f64>,
     /// The usage ledger, if responses are billed.
@@ -116,7 +117,7 @@
             registry: mailboxes.registry,
             listener: mailboxes.listener,
             gauge_poll: GaugePoll::default(),
-            healthy: true,
+            health: ServiceHealth::default(),
             advertised_share: None,
             usage: None,
             usage_tick_ms: 0.0,
@@ -193,10 +194,24 @@
         }
     }
 
-    /// Returns whether the server is healthy: the controller says so, responses can be billed, and no operator sends
-    /// clients elsewhere.
+    /// Returns whether the server is healthy.
     pub(super) fn is_healthy(&self) -> bool {
-        self.healthy && self.can_bill() && !self.status.is_evacuated()
+        self.health.is_healthy()
+    }
+
+    /// Passes inputs to the health of this process, and reports a change to the registry.
+    pub(super) fn update_health(&mut self, inputs: &[HealthInput]) {
+        if self.health.on_inputs(inputs).is_some() {
+            self.report_health();
+        }
+    }
+
+    /// Takes the state of ledger and evacuation as it is now, without waiting for the messages that tell of changes.
+    pub(super) fn refresh_health(&mut self) {
+        let billing = HealthInput::BillingHealth(self.can_bill());
+        let is_evacuated = self.status.is_evacuated();
+        let evacuation = if is_evacuated { HealthInput::Evacuate } else { HealthInput::Rejoin };
+        self.update_health(&[billing, evacuation]);
     }
 
     /// Reports health to the registry.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -5,6 +5,7 @@
 pub mod control;
 pub mod dispatcher;
 pub mod distributed_config;
+pub mod evacuation;
 pub mod frontend;
 pub mod messages;
 pub mod name_table;
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -14,7 +14,9 @@
 #[allow(unused_imports, reason = "each test program uses a part of it")]
 pub use alone::Client;
 #[allow(unused_imports, reason = "each test program uses a part of it")]
-pub use bytes::unescape;
+pub use bytes::{message, unescape};
+#[allow(unused_imports, reason = "each test program uses a part of it")]
+pub use peers::answer_reports;
 #[allow(unused_imports, reason = "each test program uses a part of it")]
 pub use process::{config, start, without_file};
 
