--- a/src/server/telemetry.rs
+++ b/src/server/telemetry.rs
@@ -70,7 +70,7 @@
 
     /// Counts the end of a request that was taken. A class that is not listed is under no count.
     pub fn record_end(&self, class: usize, end: RequestEnd) {
-        self.ended.fetch_add(1, Ordering::Relaxed);
+        self.ended.fetch_add(1, Ordering::Release);
         let Some(counters) = self.classes.get(class) else { return };
         let counter = match end {
             RequestEnd::Served => &counters.served,
@@ -82,7 +82,7 @@
 
     /// Counts the end of a request that was taken and whose client waits no longer.
     pub fn record_client_gone(&self) {
-        self.ended.fetch_add(1, Ordering::Relaxed);
+        self.ended.fetch_add(1, Ordering::Release);
     }
 
     /// Counts a run that is handed to the worker pool.
@@ -94,7 +94,8 @@
 
     /// Returns all figures.
     pub fn snapshot(&self) -> TelemetrySnapshot {
-        // Read before the requests taken: one that ends in between is still in flight here, and never below zero.
+        // Read before the requests taken: one that ends in between is still in flight here, and never below zero. Who
+        // reads an end sees that the request was taken, by the order of release and acquire.
         let ended = self.ended.load(Ordering::Acquire);
         let taken = self.taken.load(Ordering::Acquire);
         let figures = self.classes.iter().map(ClassCounters::snapshot);
