--- a/tests/control_process.rs
+++ b/tests/control_process.rs
@@ -1,5 +1,6 @@
 //! The control endpoint of the built program: what operators do reaches health checks and the registry.
 
+use control_support::registry::Registry;
 use control_support::{call, request};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -27,7 +28,7 @@
     listen: String,
     control: SocketAddr,
     log: Receiver<String>,
-    reports: Receiver<String>,
+    registry: Registry,
 }
 
 impl Drop for Server {
@@ -46,11 +47,8 @@
 
 impl Server {
     fn start() -> Server {
-        let registry = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = registry.local_addr().expect("an address").to_string();
-        let (report_sender, reports) = channel();
-        play::answer_reports(registry, report_sender);
-        let mut process = play::start(&config(&address, "127.0.0.1:0"));
+        let registry = Registry::start();
+        let mut process = play::start(&config(&registry.address.to_string(), "127.0.0.1:0"));
         let stderr = BufReader::new(process.stderr.take().expect("a log"));
         let (sender, log) = channel();
         std::thread::spawn(move || {
@@ -58,7 +56,7 @@
         });
         let control = address_after("control: ", &log).parse().expect("the address of the endpoint");
         let listen = address_after("listen: ", &log);
-        Server { process, listen, control, log, reports }
+        Server { process, listen, control, log, registry }
     }
 
     /// Makes a call that is granted.
@@ -78,7 +76,7 @@
 
     /// Returns the next report that differs from the one before.
     fn report(&self) -> String {
-        self.reports.recv_timeout(TEST_TIMEOUT).expect("a report")
+        self.registry.changes.recv_timeout(TEST_TIMEOUT).expect("a report")
     }
 
     fn signal(&self, signal: &str) {
@@ -161,6 +159,8 @@
 #[test]
 fn without_an_address_there_is_no_thread_for_it() {
     let server = Server::start();
+    // The thread has its name once it runs.
+    server.ask("GET", "/api/telemetry");
     assert!(threads(server.process.id()).contains(&"control".to_owned()));
     let mut process = play::start(&play::config(NOBODY, NOBODY, NOBODY, &[]));
     let stderr = BufReader::new(process.stderr.take().expect("a log"));
--- a/tests/control_support/mod.rs
+++ b/tests/control_support/mod.rs
@@ -1,5 +1,8 @@
 //! A control endpoint on a free port of the loopback, and callers of it.
 
+#[allow(dead_code, reason = "each test program uses a part of it")]
+pub mod registry;
+
 use dunlinspread::server::control::{ControlEndpoint, ControlOptions};
 use dunlinspread::server::serving_status::ServingStatus;
 use dunlinspread::server::supervisor::TaskFailure;
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -16,8 +16,6 @@
 #[allow(unused_imports, reason = "each test program uses a part of it")]
 pub use bytes::{message, unescape};
 #[allow(unused_imports, reason = "each test program uses a part of it")]
-pub use peers::answer_reports;
-#[allow(unused_imports, reason = "each test program uses a part of it")]
 pub use process::{config, start, without_file};
 
 use playback::Playback;
