--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -3,6 +3,7 @@
 use super::state::Dispatcher;
 use super::timers::SWEEP_INTERVAL_MS;
 use crate::admission::{Event, Gauges};
+use crate::server::evacuation::HealthInput;
 use crate::server::messages::{DispatcherMessage, Response, SuccessorMessage};
 use async_channel::Receiver;
 use dunlinspread_handover::PredecessorEvent;
@@ -30,6 +31,7 @@
             DispatcherMessage::Request(incoming) => self.on_arrival(*incoming),
             DispatcherMessage::InvalidRequest(reply) => self.send_response(reply, Response::Invalid),
             DispatcherMessage::HealthCheck(reply) => {
+                self.refresh_health();
                 self.send_response(reply, Response::Health(self.is_healthy()));
             }
             DispatcherMessage::ClientGone(id) => self.on_client_gone(id),
@@ -55,6 +57,7 @@
     /// Shutdown was requested. Requests that were forwarded fail at its end.
     fn on_drain(&mut self, stop_at: f64) {
         self.status.set_ready(false);
+        self.update_health(&[HealthInput::Shutdown]);
         self.advance_handover(PredecessorEvent::ShutdownRequested);
         let fail_forwarded = DispatcherMessage::Successor(SuccessorMessage::FailForwarded);
         self.schedule(stop_at - self.clock.now(), fail_forwarded);
