--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -14,7 +14,7 @@
     Response, SuccessorFrame, SuccessorMessage,
 };
 use dunlinspread_handover::{
-    ForwardedResponse, PredecessorAction, PredecessorEvent, ToPredecessor, ToSuccessor,
+    ForwardedResponse, PredecessorAction, PredecessorEvent, RunEnd, ToPredecessor, ToSuccessor,
 };
 use slog::{error, info, warn};
 use std::net::TcpListener;
@@ -188,7 +188,15 @@
         if !self.handing_over.is_transferring() && !self.handing_over.is_handed_over() {
             return Some(incoming);
         }
-        if !self.has_room() || self.requests.id_of_attempt(incoming.attempt).is_some() {
+        if self.requests.id_of_attempt(incoming.attempt).is_some() {
+            return Some(incoming);
+        }
+        if !self.has_room() && incoming.key.is_some() {
+            // A rejection would promise that no attempt of the key ran, which is not known here.
+            self.answer_unadmitted(incoming, Response::Failed);
+            return None;
+        }
+        if !self.has_room() {
             return Some(incoming);
         }
         if self.handing_over.is_transferring() {
@@ -246,24 +254,30 @@
         }
     }
 
-    /// Tells the successor how the run of a key ended.
-    pub(super) fn report_run_end(&self, id: RequestId, run_end: dunlinspread_handover::RunEnd) {
-        if !self.handing_over.is_transferring() && !self.handing_over.is_handed_over() {
-            return;
+    /// Tells the successor how the run of a request's key ended.
+    pub(super) fn report_run_end(&self, id: RequestId, run_end: RunEnd) {
+        if let Some(key) = self.requests.get(id).and_then(|request| request.key.as_ref()) {
+            self.report_key_run_end(&key.key, id, run_end);
+        }
+    }
+
+    /// Tells the successor how the run of a key ended, which is known here under that id.
+    pub(super) fn report_key_run_end(&self, key: &[u8], id: RequestId, run_end: RunEnd) {
+        if self.handing_over.is_transferring() || self.handing_over.is_handed_over() {
+            let key = key.to_vec();
+            self.handing_over.send(ToSuccessor::RunEnded { key, attempt: id, end: run_end });
         }
-        let Some(key) = self.requests.get(id).and_then(|request| request.key.as_ref()) else { return };
-        let key = key.key.to_vec();
-        self.handing_over.send(ToSuccessor::RunEnded { key, attempt: id, end: run_end });
     }
 
-    /// Tells the successor what still runs here.
+    /// Tells the successor what still runs here, and in the process before this one.
     pub(super) fn report_runs_in_progress(&self) {
         if !self.handing_over.is_handed_over() {
             return;
         }
         let running = self.requests.running();
-        let memory_kb = running.request_kb * self.settings.run_memory_factor;
-        let runs = running.count as u64;
+        let before = self.taking_over.predecessor_load;
+        let memory_kb = running.request_kb * self.settings.run_memory_factor + before.memory_kb;
+        let runs = (running.count as u64).saturating_add(before.runs);
         self.handing_over.send(ToSuccessor::RunsInProgress { runs, memory_kb });
     }
 }
--- a/src/server/dispatcher/handover_state.rs
+++ b/src/server/dispatcher/handover_state.rs
@@ -93,10 +93,20 @@
     pub(super) pending_runs: HashMap<Vec<u8>, PendingRun>,
     /// Forwarded requests by their number at the predecessor.
     pub(super) forwarded: HashMap<u64, RequestId>,
+    pub(super) predecessor_load: PredecessorLoad,
     pub(super) told_health: Option<(bool, Option<f64>)>,
     pub(super) request_ids: Rc<RequestIdSequence>,
 }
 
+/// What the predecessor still runs.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct PredecessorLoad {
+    /// Runs.
+    pub(super) runs: u64,
+    /// The memory that they take, kB.
+    pub(super) memory_kb: f64,
+}
+
 /// A run of the predecessor whose end is awaited.
 pub(super) struct PendingRun {
     /// The number of its attempt at the predecessor.
@@ -115,6 +125,7 @@
             responses: None,
             pending_runs: HashMap::new(),
             forwarded: HashMap::new(),
+            predecessor_load: PredecessorLoad::default(),
             told_health: None,
             request_ids,
         }
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -5,7 +5,7 @@
 //! - A key that runs at the predecessor is not run here; its duplicates get the result once it is told.
 
 use super::handover_records::{incoming_request, received_key, received_run_end};
-use super::handover_state::PendingRun;
+use super::handover_state::{PendingRun, PredecessorLoad};
 use super::state::Dispatcher;
 use crate::admission::Event;
 use crate::server::messages::{
@@ -99,9 +99,7 @@
             }
             ToSuccessor::RunEnded { key, attempt, end } => self.on_predecessor_run_ended(&key, attempt, end),
             ToSuccessor::RunsInProgress { runs, memory_kb } => {
-                let runs = usize::try_from(runs).unwrap_or(usize::MAX);
-                self.start_controller(None);
-                self.dispatch_event(Event::ExternalLoad { runs, memory_kb });
+                self.set_predecessor_load(PredecessorLoad { runs, memory_kb });
             }
             ToSuccessor::KeysUnknown { until } => self.keys.begin_blackout(until),
             // Steps of the protocol, which come as such.
@@ -129,6 +127,7 @@
         let pending = self.taking_over.pending_runs.get(key).filter(|pending| pending.attempt == attempt);
         let Some(id) = pending.map(|pending| pending.id) else { return };
         self.taking_over.pending_runs.remove(key);
+        self.report_key_run_end(key, id, end.clone());
         let finished = self.keys.finish_imported_run(&Rc::from(key), id, received_run_end(end));
         self.answer_waiters(finished);
         self.dispatch_pending_events();
@@ -144,7 +143,9 @@
     fn on_predecessor_gone(&mut self) {
         info!(self.log, "handover: predecessor ended"; "unknown_runs" => self.taking_over.pending_runs.len());
         self.taking_over.predecessor = None;
-        self.taking_over.pending_runs.clear();
+        for (key, pending) in std::mem::take(&mut self.taking_over.pending_runs) {
+            self.report_key_run_end(&key, pending.id, RunEnd::Failed);
+        }
         for failed in self.keys.end_import() {
             for waiter in failed.waiters {
                 self.finish_reuse(waiter, None);
@@ -153,7 +154,16 @@
         for (_, id) in std::mem::take(&mut self.taking_over.forwarded) {
             self.on_client_gone(id);
         }
-        self.dispatch_event(Event::ExternalLoad { runs: 0, memory_kb: 0.0 });
+        self.set_predecessor_load(PredecessorLoad::default());
+    }
+
+    /// Has the controller count what the predecessor still runs.
+    fn set_predecessor_load(&mut self, load: PredecessorLoad) {
+        self.taking_over.predecessor_load = load;
+        let runs = usize::try_from(load.runs).unwrap_or(usize::MAX);
+        self.start_controller(None);
+        self.dispatch_event(Event::ExternalLoad { runs, memory_kb: load.memory_kb });
+        self.report_runs_in_progress();
     }
 
     /// Tells the predecessor what to tell its clients, if that has changed.
