--- a/src/server/worker_pool/link.rs
+++ b/src/server/worker_pool/link.rs
@@ -1,6 +1,6 @@
 //! The task that keeps a link to the worker pool.
 
-use super::connect::{CONNECT_RETRY_MS, connect};
+use super::connect::{CONNECT_RETRY_MS, ConnectAttempt, connect_after};
 use super::reader::{LinkReader, PoolProgress};
 use super::writer::{LinkEnd, LinkWriter};
 use crate::server::messages::{DispatcherMessage, PoolEvent, WorkerPoolMessage};
@@ -32,18 +32,27 @@
     progress: PoolProgress,
     /// The number of the last link.
     link: u64,
+    /// The attempt to connect to `address`. It outlasts a link.
+    connecting: Option<ConnectAttempt>,
 }
 
 /// What follows a link that ended.
 enum AfterLink {
     /// The pool's new address is connected.
     Continue(Async<TcpStream>),
-    /// Connect again after this delay, ms.
-    ReconnectAfter(f64),
+    /// The pool is to be connected again.
+    Reconnect,
     /// The process ends.
     ProcessEnds,
 }
 
+enum ConnectEvent {
+    /// The attempt ended.
+    Ended(io::Result<Async<TcpStream>>),
+    /// The pool's address changed.
+    AddressChanged(SocketAddr),
+}
+
 impl WorkerPoolLink {
     /// Returns a link that is not connected to the pool at `address`. `classes` are the names of the classes by
     /// position.
@@ -55,7 +64,7 @@
         log: Logger,
     ) -> Self {
         let progress = PoolProgress::default();
-        WorkerPoolLink { address, classes, dispatcher, wheel, log, progress, link: 0 }
+        WorkerPoolLink { address, classes, dispatcher, wheel, log, progress, link: 0, connecting: None }
     }
 
     /// Keeps the link until the process ends.
@@ -67,16 +76,12 @@
                 Some(stream) => Ok(stream),
                 None => self.connect(&messages).await,
             };
-            let mut delay_ms = CONNECT_RETRY_MS;
             match stream {
                 Ok(stream) => {
                     is_unreachable = false;
                     match self.serve(stream, &messages).await {
-                        AfterLink::Continue(stream) => {
-                            connected = Some(stream);
-                            continue;
-                        }
-                        AfterLink::ReconnectAfter(ms) => delay_ms = ms,
+                        AfterLink::Continue(stream) => connected = Some(stream),
+                        AfterLink::Reconnect => {}
                         AfterLink::ProcessEnds => return,
                     }
                 }
@@ -86,23 +91,35 @@
                             "error" => error.to_string());
                     }
                     is_unreachable = true;
+                    self.begin_connecting(CONNECT_RETRY_MS);
                 }
             }
-            let wheel = self.wheel.clone();
-            let new_address = async { self.address = next_address(&messages).await };
-            or(wheel.sleep(delay_ms), new_address).await;
         }
     }
 
-    /// Connects once; a change of the pool's address begins anew.
+    /// Waits for the end of an attempt to connect. A change of the pool's address begins another one.
     async fn connect(&mut self, messages: &Receiver<WorkerPoolMessage>) -> io::Result<Async<TcpStream>> {
-        let wheel = self.wheel.clone();
-        let at_present_address = connect(self.address, &wheel);
-        let at_new_address = async {
-            self.address = next_address(messages).await;
-            connect(self.address, &wheel).await
-        };
-        or(at_present_address, at_new_address).await
+        loop {
+            let (address, wheel) = (self.address, self.wheel.clone());
+            let attempt = self.connecting.get_or_insert_with(|| connect_after(0.0, address, wheel));
+            let ended = async { ConnectEvent::Ended(attempt.await) };
+            let address_changed = async { ConnectEvent::AddressChanged(next_address(messages).await) };
+            // A connection that is made comes first: if the address changed as well, the link moves in its usual way.
+            match or(ended, address_changed).await {
+                ConnectEvent::Ended(result) => {
+                    self.connecting = None;
+                    return result;
+                }
+                ConnectEvent::AddressChanged(address) => {
+                    self.address = address;
+                    self.begin_connecting(0.0);
+                }
+            }
+        }
+    }
+
+    fn begin_connecting(&mut self, delay_ms: f64) {
+        self.connecting = Some(connect_after(delay_ms, self.address, self.wheel.clone()));
     }
 
     /// Uses a connection until it ends.
@@ -123,7 +140,11 @@
             LinkEnd::Failed(error) => {
                 warn!(self.log, "worker pool link down"; "component" => "worker_pool",
                     "error" => error.to_string(), "last_notice" => self.progress.last_sequence);
-                AfterLink::ReconnectAfter(if bound { RECONNECT_MS } else { CONNECT_RETRY_MS })
+                // The pool's address may have changed just before: then an attempt is under way.
+                if self.connecting.is_none() {
+                    self.begin_connecting(if bound { RECONNECT_MS } else { CONNECT_RETRY_MS });
+                }
+                AfterLink::Reconnect
             }
         }
     }
@@ -142,7 +163,7 @@
             classes: &self.classes,
             address: &mut self.address,
             wheel: &self.wheel,
-            reconnecting: None,
+            reconnecting: &mut self.connecting,
         };
         let reader = LinkReader {
             link: self.link,
--- a/src/server/worker_pool/writer.rs
+++ b/src/server/worker_pool/writer.rs
@@ -1,7 +1,7 @@
 //! The writing side of a link: commands of the dispatcher to the worker pool.
 
 use super::codec::{encode_bind, encode_command};
-use super::connect::connect_with_retries;
+use super::connect::{CONNECT_RETRY_MS, ConnectAttempt, connect_after};
 use super::error::LinkError;
 use super::reader::MAX_LINE_BYTES;
 use crate::server::messages::WorkerPoolMessage;
@@ -9,7 +9,7 @@
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
-use futures_lite::future::{BoxedLocal, or, pending};
+use futures_lite::future::{or, pending};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -29,8 +29,8 @@
 
 enum WriterEvent {
     Message(WorkerPoolMessage),
-    /// The pool's new address was reached.
-    Reconnected(Async<TcpStream>),
+    /// The attempt to connect to the pool's new address ended.
+    Reconnected(io::Result<Async<TcpStream>>),
     /// The queue of messages is closed.
     QueueClosed,
 }
@@ -47,9 +47,9 @@
     pub(super) address: &'a mut SocketAddr,
     /// The timers.
     pub(super) wheel: &'a Rc<TimerWheel>,
-    /// The connection to the pool's new address, while it is being made. The present link is used until then: notices
-    /// on their way are still read, and the new link begins after the last of them.
-    pub(super) reconnecting: Option<BoxedLocal<Async<TcpStream>>>,
+    /// The attempt to connect to the pool's new address. The present link is used until then: notices on their way are
+    /// still read, and the new link begins after the last of them. If the link ends first, the attempt goes on.
+    pub(super) reconnecting: &'a mut Option<ConnectAttempt>,
 }
 
 impl LinkWriter<'_> {
@@ -64,7 +64,11 @@
             buffer.clear();
             match self.next_event(messages).await {
                 WriterEvent::Message(message) => self.encode_batch(message, messages, &mut buffer),
-                WriterEvent::Reconnected(stream) => return LinkEnd::Moved(stream),
+                WriterEvent::Reconnected(Ok(stream)) => {
+                    *self.reconnecting = None;
+                    return LinkEnd::Moved(stream);
+                }
+                WriterEvent::Reconnected(Err(_)) => self.reconnect_after(CONNECT_RETRY_MS),
                 WriterEvent::QueueClosed => return LinkEnd::Failed(LinkError::ProcessEnds),
             }
         }
@@ -79,11 +83,15 @@
         or(stream.write_all(text.as_bytes()), timed_out).await
     }
 
+    fn reconnect_after(&mut self, delay_ms: f64) {
+        *self.reconnecting = Some(connect_after(delay_ms, *self.address, self.wheel.clone()));
+    }
+
     async fn next_event(&mut self, messages: &Receiver<WorkerPoolMessage>) -> WriterEvent {
         let reconnecting = &mut self.reconnecting;
         let reconnected = async {
             match reconnecting {
-                Some(connecting) => WriterEvent::Reconnected(connecting.await),
+                Some(attempt) => WriterEvent::Reconnected(attempt.await),
                 None => pending().await,
             }
         };
@@ -113,7 +121,7 @@
                 WorkerPoolMessage::Command(_) => {}
                 WorkerPoolMessage::SetAddress(address) => {
                     *self.address = address;
-                    self.reconnecting = Some(Box::pin(connect_with_retries(address, self.wheel.clone())));
+                    self.reconnect_after(0.0);
                 }
             }
             next = if buffer.len() < WRITE_BUFFER_BYTES { messages.try_recv().ok() } else { None };
--- /dev/null
+++ b/tests/worker_pool_link.rs
@@ -0,0 +1,126 @@
+//! The link to the worker pool while the pool's address changes: every connection that is begun to the new address is
+//! used. One that is left behind would come to the pool as a further link.
+
+use async_channel::{Receiver, Sender};
+use dunlinspread::server::messages::{DispatcherMessage, WorkerPoolMessage};
+use dunlinspread::server::timer_wheel::{Clock, TimerWheel};
+use dunlinspread::server::worker_pool::WorkerPoolLink;
+use futures_lite::future::{BoxedLocal, block_on, or, poll_once};
+use std::io::{BufRead, BufReader, ErrorKind};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Time limit of what must happen.
+const TIME_LIMIT: Duration = Duration::from_secs(60);
+
+/// A link whose task is polled by the test.
+struct Link {
+    task: BoxedLocal<()>,
+    messages: Sender<WorkerPoolMessage>,
+    wheel: Rc<TimerWheel>,
+    _events: Receiver<DispatcherMessage>,
+}
+
+impl Link {
+    fn new(address: SocketAddr) -> Link {
+        let (dispatcher, events) = async_channel::unbounded();
+        let (messages, queue) = async_channel::unbounded();
+        let wheel = TimerWheel::new(Clock::start(), 1.0);
+        let log = slog::Logger::root(slog::Discard, slog::o!());
+        let link = WorkerPoolLink::new(address, Vec::new(), dispatcher, wheel.clone(), log);
+        Link { task: Box::pin(link.run(queue)), messages, wheel, _events: events }
+    }
+
+    fn set_address(&self, address: SocketAddr) {
+        self.messages.try_send(WorkerPoolMessage::SetAddress(address)).expect("the queue is open");
+    }
+
+    /// Polls the task once.
+    fn poll(&mut self) {
+        assert!(block_on(poll_once(&mut self.task)).is_none(), "the link's task ended");
+    }
+
+    /// Runs the task until `done` is.
+    fn run_until<T>(&mut self, done: impl Future<Output = T>) -> T {
+        let ended = async {
+            or(&mut self.task, self.wheel.clone().advance()).await;
+            panic!("the link's task ended")
+        };
+        block_on(or(done, ended))
+    }
+}
+
+fn listen() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    (listener, address)
+}
+
+/// Accepts a connection and returns it with its first line; an empty line if it was closed without any.
+fn accept(listener: &TcpListener) -> (TcpStream, String) {
+    let (stream, _) = listener.accept().expect("a connection");
+    stream.set_read_timeout(Some(TIME_LIMIT)).expect("a time limit");
+    let mut line = String::new();
+    BufReader::new(&stream).read_line(&mut line).expect("a line or the end");
+    (stream, line)
+}
+
+/// Runs the link until the first connection to `listener` is accepted and its first line read.
+fn run_until_accepted(link: &mut Link, listener: TcpListener) -> (TcpListener, TcpStream, String) {
+    let (sender, accepted) = async_channel::bounded(1);
+    std::thread::spawn(move || {
+        let (stream, line) = accept(&listener);
+        let _ = sender.send_blocking((listener, stream, line));
+    });
+    link.run_until(accepted.recv()).expect("a connection")
+}
+
+/// The first connection at the new address is the link, and there is no other.
+fn assert_moved(link: &mut Link, new_pool: TcpListener) {
+    let (new_pool, _stream, line) = run_until_accepted(link, new_pool);
+    assert_eq!(line, "{\"op\":\"bind\",\"seq\":0}\n", "the first connection is not the link");
+    new_pool.set_nonblocking(true).expect("a socket");
+    let further = new_pool.accept().map(drop).expect_err("no further connection");
+    assert_eq!(further.kind(), ErrorKind::WouldBlock, "{further}");
+}
+
+/// The old address refuses while the connection to the new one is being made.
+#[test]
+fn a_refusal_at_the_old_address_leaves_the_connection_to_the_new_one() {
+    let (old_pool, old_address) = listen();
+    drop(old_pool);
+    let (new_pool, new_address) = listen();
+    let mut link = Link::new(old_address);
+    link.set_address(new_address);
+    // Both attempts begin here, and neither can have ended before the next turn.
+    link.poll();
+    assert_moved(&mut link, new_pool);
+}
+
+/// The old link ends while the connection to the new address is being made.
+#[test]
+fn an_end_of_the_old_link_leaves_the_connection_to_the_new_one() {
+    let (old_pool, old_address) = listen();
+    let (new_pool, new_address) = listen();
+    let mut link = Link::new(old_address);
+    let (old_pool, old_stream, line) = run_until_accepted(&mut link, old_pool);
+    assert_eq!(line, "{\"op\":\"bind\",\"seq\":0}\n");
+    link.set_address(new_address);
+    link.poll();
+    drop((old_stream, old_pool));
+    assert_moved(&mut link, new_pool);
+}
+
+/// Addresses that change one after the other: the last one counts.
+#[test]
+fn the_last_of_several_addresses_is_connected() {
+    let (old_pool, old_address) = listen();
+    let (_silent_pool, silent_address) = listen();
+    let (new_pool, new_address) = listen();
+    let mut link = Link::new(old_address);
+    let (_old_pool, _old_stream, _) = run_until_accepted(&mut link, old_pool);
+    link.set_address(silent_address);
+    link.set_address(new_address);
+    assert_moved(&mut link, new_pool);
+}
