--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -34,3 +34,4 @@
 pub mod state_store;
 pub mod subscriber;
 pub mod table;
+pub mod write_schedule;
--- a/crates/config-sync/src/net/state_keeper.rs
+++ b/crates/config-sync/src/net/state_keeper.rs
@@ -2,25 +2,20 @@
 //! slow, full or broken costs a line in the log and the state's age after a restart, nothing else.
 
 use crate::resource::Millis;
-use crate::size::transaction_bytes;
 use crate::state_store::StateStore;
 use crate::subscriber::{Persist, PersistedState, Subscriber};
+use crate::write_schedule::{QueuedRecord, WriteSchedule, writable_records};
 use dunlinspread_store::{Disk, RealDisk, StoreError};
 use slog::{Logger, error, warn};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
+use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
 /// Records that may wait for the disk; past them the whole state is written once there is room.
 const MAX_WAITING: usize = 64;
-/// After so many transactions, or bytes of them, the whole state takes their place.
-const MAX_APPENDED: u64 = 4096;
-const MAX_APPENDED_BYTES: usize = 16 << 20;
-/// After a failure the disk is tried again this much later, ms.
-const RETRY_MS: Millis = 30_000;
 /// Where the files of a damaged state are put, within its directory.
 const SET_ASIDE: &str = "damaged";
 
@@ -40,14 +35,11 @@
 
 /// The subscriber's end.
 pub(super) struct StateKeeper {
-    records: Option<SyncSender<Persist>>,
+    records: Option<SyncSender<QueuedRecord>>,
+    /// Set by the thread, and cleared when the schedule was told.
     failed: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
-    /// The whole state is to be written before any further record.
-    whole_due: bool,
-    not_before: Millis,
-    appended: u64,
-    appended_bytes: usize,
+    schedule: WriteSchedule,
 }
 
 impl StateKeeper {
@@ -82,45 +74,37 @@
         let mut disk = DiskThread { store: Some(store), directory, owner, log, failed: failed.clone() };
         let run = move || disk.run(&inbox);
         let thread = std::thread::Builder::new().name("config-state".to_owned()).spawn(run)?;
-        Ok(StateKeeper {
-            records: Some(records),
-            failed,
-            thread: Some(thread),
-            whole_due: false,
-            not_before: 0,
-            appended: 0,
-            appended_bytes: 0,
-        })
+        let schedule = WriteSchedule::default();
+        Ok(StateKeeper { records: Some(records), failed, thread: Some(thread), schedule })
     }
 
     /// Hands a record to the thread; never waits.
     pub(super) fn keep(&mut self, record: Persist) {
-        match &record {
-            Persist::Replace(_) => (self.whole_due, self.appended, self.appended_bytes) = (false, 0, 0),
-            Persist::Append { transaction, .. } => {
-                self.appended += 1;
-                self.appended_bytes += transaction_bytes(transaction);
-            }
+        if let Some(queued) = self.schedule.next(record) {
+            self.hand_over(queued);
         }
-        let full = self.appended > MAX_APPENDED || self.appended_bytes > MAX_APPENDED_BYTES;
-        self.whole_due |= full || !self.hand_over(record);
     }
 
     /// Writes the whole state if that is due and possible.
     pub(super) fn catch_up(&mut self, now: Millis, subscriber: &Subscriber) {
         if self.failed.swap(false, Ordering::Relaxed) {
-            (self.whole_due, self.not_before) = (true, now + RETRY_MS);
+            self.schedule.on_failure(now);
         }
-        if !self.whole_due || now < self.not_before {
+        if !self.schedule.is_whole_state_due(now) {
             return;
         }
         if let Some(state) = subscriber.confirmed_state() {
-            self.keep(Persist::Replace(state));
+            let queued = self.schedule.whole_state(state);
+            self.hand_over(queued);
         }
     }
 
-    fn hand_over(&self, record: Persist) -> bool {
-        !self.whole_due && self.records.as_ref().is_some_and(|records| records.try_send(record).is_ok())
+    fn hand_over(&mut self, queued: QueuedRecord) {
+        let Some(records) = &self.records else { return };
+        if let Err(TrySendError::Full(queued) | TrySendError::Disconnected(queued)) = records.try_send(queued)
+        {
+            self.schedule.on_not_queued(&queued);
+        }
     }
 }
 
@@ -135,7 +119,7 @@
 }
 
 struct DiskThread {
-    /// None after a failure, until a whole state comes.
+    /// None after a failure, until the subscriber has it tried again.
     store: Option<StateStore>,
     directory: PathBuf,
     owner: String,
@@ -144,14 +128,13 @@
 }
 
 impl DiskThread {
-    fn run(&mut self, inbox: &Receiver<Persist>) {
+    fn run(&mut self, inbox: &Receiver<QueuedRecord>) {
         while let Ok(first) = inbox.recv() {
             let mut batch = vec![first];
             batch.extend(inbox.try_iter().take(MAX_WAITING));
-            if let Err(error) = self.keep(&batch) {
+            if let Err(error) = self.keep(batch) {
                 warn!(self.log, "writing state to disk failed, will be retried";
                     "component" => "config_sync", "error" => %error);
-                self.store = None;
                 self.failed.store(true, Ordering::Relaxed);
             }
         }
@@ -163,14 +146,16 @@
         }
     }
 
-    fn keep(&mut self, batch: &[Persist]) -> Result<(), KeepError> {
-        if let Some(store) = &mut self.store {
-            return Ok(store.keep(batch)?);
+    fn keep(&mut self, batch: Vec<QueuedRecord>) -> Result<(), KeepError> {
+        let records = writable_records(batch, self.store.is_some());
+        if records.is_empty() {
+            return Ok(());
         }
-        let whole = batch.iter().position(|record| matches!(record, Persist::Replace(_)));
-        let Some(whole) = whole else { return Ok(()) };
-        let (mut store, _) = open_or_set_aside(&self.directory, &self.owner, &self.log)?;
-        store.keep(&batch[whole..])?;
+        let mut store = match self.store.take() {
+            Some(store) => store,
+            None => open_or_set_aside(&self.directory, &self.owner, &self.log)?.0,
+        };
+        store.keep(&records)?;
         self.store = Some(store);
         Ok(())
     }
--- a/crates/config-sync/tests/client.rs
+++ b/crates/config-sync/tests/client.rs
@@ -215,6 +215,43 @@
     assert!(lines() <= 1 + begun.elapsed().as_secs() as usize / 30, "{:?}", log.all());
 }
 
+/// A publisher of another epoch makes the client keep a whole state in place of the one before. A disk that has failed is
+/// not tried again for that.
+#[test]
+fn whole_states_do_not_try_a_failed_disk_again() {
+    let store = tempfile::tempdir().expect("a directory");
+    let parent = tempfile::tempdir().expect("a directory");
+    let state = parent.path().join("state");
+    let log = Lines::default();
+    let mut running = publisher(store.path(), &log);
+    let redirect = Redirect::to(running.address());
+    let begun = Instant::now();
+    let (sender, updates) = async_channel::unbounded();
+    let client = Client::start(settings(redirect.address, Some(&state)), accept_all(), sender, log.logger())
+        .expect("it starts");
+    let mut table = Table::new();
+    let first = running.propose(vec![tenant("a", 1)]).expect("accepted");
+    follow(&client, &updates, &mut table, first);
+    wait_until("its confirmation", || client.status().in_force == first);
+    std::fs::remove_dir_all(&state).expect("removable");
+    std::fs::write(&state, "in the way").expect("writable");
+
+    let lines = || log.count("writing state to disk failed");
+    for epoch in first.epoch + 1..first.epoch + 5 {
+        drop(running);
+        let settings = PublisherNodeSettings { begin_epoch: Some(epoch), ..publisher_settings(any_port()) };
+        running = PublisherNode::open(settings, store.path(), log.logger()).expect("it opens");
+        redirect.set(running.address());
+        let next = running.propose(vec![tenant("b", epoch)]).expect("accepted");
+        follow(&client, &updates, &mut table, next);
+        wait_until("its confirmation", || client.status().in_force == next);
+        wait_until("the line", || lines() > 0);
+    }
+    // What was handed over is written or given up before this returns.
+    drop(client);
+    assert!(lines() <= 1 + begun.elapsed().as_secs() as usize / 30, "{:?}", log.all());
+}
+
 #[test]
 fn an_owner_that_takes_nothing_gets_all_later_changes_merged() {
     let store = tempfile::tempdir().expect("a directory");
