--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -6,6 +6,7 @@
 //! # Invariants
 //! - Of the attempts of one key that are received within the window of a run, none is run again.
 //! - Each attempt that waits for a result is named exactly once, when the run ends or is superseded.
+//! - All this holds over a move to another process ([`IdempotencyTable::export`], [`IdempotencyTable::import`]).
 //! - The number of keys and the bytes of cached results stay within [`Bounds`].
 //!
 //! ```
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -72,7 +72,7 @@
     /// Returns the record of a key, or `None` if only attempts that have not run are known of it.
     pub(crate) fn of_entry(key: &Rc<[u8]>, entry: &Entry<R>) -> Option<Self> {
         let previous_window_end = entry.previous_window_end;
-        let previous_window_end = previous_window_end.is_finite().then_some(previous_window_end);
+        let previous_window_end = (previous_window_end > f64::NEG_INFINITY).then_some(previous_window_end);
         if entry.run.is_none() && previous_window_end.is_none() {
             return None;
         }
