--- a/src/server/dispatcher/arrivals.rs
+++ b/src/server/dispatcher/arrivals.rs
@@ -48,6 +48,11 @@
         self.dispatch_event(Event::Arrival(arrival));
     }
 
+    /// Returns the end of the latest window that a run of another process may have, up to now, Unix ms.
+    pub(super) fn latest_unknown_window_end(&self) -> f64 {
+        self.keys.latest_window_end(self.clock.now() + MAX_FUTURE_MS)
+    }
+
     /// Returns the response to a request that finds no room or can't be billed.
     fn capacity_response(&self, incoming: &IncomingRequest, key: Option<&RequestKey>) -> Option<Response> {
         let can_bill = self.can_bill();
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -173,7 +173,7 @@
         warn!(self.log, "handover: successor ended, serving again";
             "forwarded_requests" => self.handing_over.forwarded.len());
         self.fail_forwarded();
-        let until = self.keys.latest_window_end(self.clock.now());
+        let until = self.latest_unknown_window_end();
         self.keys.begin_blackout(until);
         self.status.set_handed_over(false);
         self.status.set_ready(self.pool.is_up());
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -47,7 +47,7 @@
             PredecessorMessage::Frame(frame) => self.on_predecessor_frame(frame),
             PredecessorMessage::Gone => self.on_predecessor_gone(),
             PredecessorMessage::KeysUnknown => {
-                let until = self.keys.latest_window_end(self.clock.now());
+                let until = self.latest_unknown_window_end();
                 self.keys.begin_blackout(until);
             }
         }
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -4,8 +4,11 @@
 use crate::admission::RequestId;
 use crate::server::messages::{ConnectionMessage, ReplyHandle, Response};
 use async_channel::{Receiver, Sender};
+use async_io::Async;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
+use std::net::TcpStream;
+use std::rc::{Rc, Weak};
 
 /// Requests open on one connection, past which further ones are invalid: the protocol allows half as many.
 const MAX_OPEN_REQUESTS: usize = 64;
@@ -14,6 +17,8 @@
 
 /// One client connection.
 pub(super) struct Connection {
+    /// Its socket, while its task has it.
+    socket: Weak<Async<TcpStream>>,
     /// Its state machine.
     pub(super) state: RefCell<ConnectionState>,
     /// Whether all responses are written and only the client's close is awaited, so that it may be dropped.
@@ -27,9 +32,10 @@
 
 impl Connection {
     /// Returns a connection accepted at `now`, and the receiver of its responses.
-    pub(super) fn new(now: f64) -> (Connection, Receiver<ConnectionMessage>) {
+    pub(super) fn new(now: f64, socket: &Rc<Async<TcpStream>>) -> (Connection, Receiver<ConnectionMessage>) {
         let (responses, receiver) = async_channel::bounded(RESPONSE_QUEUE_CAPACITY);
         let connection = Connection {
+            socket: Rc::downgrade(socket),
             state: RefCell::new(ConnectionState::new(now)),
             is_lingering: Cell::new(false),
             responses,
@@ -54,8 +60,20 @@
         self.state.borrow().eviction_rank(now, self.response_owed())
     }
 
-    /// Advances the state machine to `now`: notifies an idle client, and closes the connection if it stays.
+    /// Returns whether bytes of the client wait in the system's buffer: a request may be among them, which a close would
+    /// lose.
+    fn has_unread_bytes(&self) -> bool {
+        let Some(socket) = self.socket.upgrade() else { return false };
+        matches!(socket.get_ref().peek(&mut [0]), Ok(length) if length > 0)
+    }
+
+    /// Advances the state machine to `now`: notifies an idle client, and closes the connection if it stays and has sent
+    /// nothing that is still unread.
     pub(super) fn advance(&self, now: f64, policy: ConnectionPolicy) {
+        let would_finish = self.state.borrow().would_finish(now, self.response_owed(), policy);
+        if would_finish && !policy.finish_all && self.has_unread_bytes() {
+            return self.state.borrow_mut().record_unread_bytes(now);
+        }
         let transition = self.state.borrow_mut().advance(now, self.response_owed(), policy);
         match transition {
             Transition::Stay => {}
@@ -64,10 +82,16 @@
         }
     }
 
-    /// Closes the connection at once: a request that crosses this is not accepted, and its client sends it again.
-    pub(super) fn evict(&self, now: f64) {
+    /// Closes the connection at once and returns true, unless bytes of the client are still unread. A request that
+    /// crosses this is not accepted, and its client sends it again.
+    pub(super) fn try_evict(&self, now: f64) -> bool {
+        if self.has_unread_bytes() {
+            self.state.borrow_mut().record_unread_bytes(now);
+            return false;
+        }
         self.notify_shutdown();
         self.finish(now);
+        true
     }
 
     /// Accepts no request and no response from `now` on.
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -121,6 +121,13 @@
         self.last_activity = now;
     }
 
+    /// Records that bytes have come that are not read yet: the times that a client has begin anew.
+    pub fn record_unread_bytes(&mut self, now: f64) {
+        self.last_activity = now;
+        self.accepted_at = now;
+        self.partial_message_since = self.partial_message_since.map(|_| now);
+    }
+
     /// Records that a request was read.
     pub fn record_request(&mut self) {
         self.sent_request = true;
@@ -153,6 +160,11 @@
         }
     }
 
+    /// Returns whether [`ConnectionState::advance`] would let it finish.
+    pub fn would_finish(&self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> bool {
+        self.accepts_requests() && self.is_over(now, response_owed, policy)
+    }
+
     /// Advances to `now` and returns what has to be done; `response_owed` says whether a response is still owed.
     pub fn advance(&mut self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> Transition {
         if !self.accepts_requests() {
--- a/src/server/frontend/connection_table.rs
+++ b/src/server/frontend/connection_table.rs
@@ -80,8 +80,9 @@
     /// Adds a connection and starts its task.
     pub(super) fn add(&mut self, now: f64, stream: TcpStream, eviction: Eviction) {
         let Ok(stream) = Async::new(stream) else { return };
+        let stream = Rc::new(stream);
         self.last_number += 1;
-        let (connection, responses) = Connection::new(now);
+        let (connection, responses) = Connection::new(now, &stream);
         let connection = Rc::new(connection);
         let task = {
             let (connection, context) = (connection.clone(), self.context.clone());
@@ -161,12 +162,20 @@
     /// Evicts the idle connection of the lowest rank, if there is one, so that clients that open connections by the
     /// hundred, or send once and stay, do not keep others out.
     fn evict_one(&self, now: f64) {
+        // One that turns out to have unread bytes is idle no longer and ranks behind others the next time.
+        while let Some(connection) = self.lowest_ranked(now) {
+            if connection.try_evict(now) {
+                return;
+            }
+        }
+    }
+
+    fn lowest_ranked(&self, now: f64) -> Option<&Connection> {
         let ranked = self
             .entries
             .values()
-            .filter_map(|entry| Some((entry.connection.eviction_rank(now)?, &entry.connection)));
-        if let Some((_, connection)) = ranked.min_by(|a, b| a.0.total_cmp(&b.0)) {
-            connection.evict(now);
-        }
+            .filter_map(|entry| Some((entry.connection.eviction_rank(now)?, &entry.connection)))
+            .filter(|(rank, _)| rank.last_activity < now);
+        ranked.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, connection)| &**connection)
     }
 }
--- a/src/server/frontend/connection_task.rs
+++ b/src/server/frontend/connection_task.rs
@@ -17,6 +17,7 @@
 use std::future::Future;
 use std::net::{Shutdown, TcpStream};
 use std::pin::{Pin, pin};
+use std::rc::Rc;
 
 /// Time for the responses that are queued to be written when a connection is closed, ms.
 const FLUSH_TIMEOUT_MS: f64 = 50.0;
@@ -47,7 +48,7 @@
 pub(super) async fn serve(
     connection: &Connection,
     context: &FrontendContext,
-    stream: Async<TcpStream>,
+    stream: Rc<Async<TcpStream>>,
     responses: Receiver<ConnectionMessage>,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
