--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -56,8 +56,8 @@
 
     /// Shutdown was requested. Requests that were forwarded fail at its end.
     fn on_drain(&mut self, stop_at: f64) {
-        self.status.set_ready(false);
         self.update_health(&[HealthInput::Shutdown]);
+        self.update_readiness();
         self.advance_handover(PredecessorEvent::ShutdownRequested);
         let fail_forwarded = DispatcherMessage::Successor(SuccessorMessage::FailForwarded);
         self.schedule(stop_at - self.clock.now(), fail_forwarded);
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -4,7 +4,7 @@
 //! - While the keys are on their way, no run starts here, and what arrives is held.
 //! - After the commit this process decides on no request that arrives: all go to the successor.
 
-use super::handover_records::{forwarded_request, response, sent_key};
+use super::handover_records::{forwarded_request, response, sent_key, sent_run_end};
 use super::handover_state::SuccessorHealth;
 use super::request::{ExecutionState, Request};
 use super::state::Dispatcher;
@@ -16,8 +16,10 @@
 use dunlinspread_handover::{
     ForwardedResponse, PredecessorAction, PredecessorEvent, RunEnd, ToPredecessor, ToSuccessor,
 };
+use dunlinspread_idempotency::RunResult;
 use slog::{error, info, warn};
 use std::net::TcpListener;
+use std::rc::Rc;
 
 /// Bytes of keys and results in one frame of the snapshot, past which the next one begins.
 const SNAPSHOT_FRAME_BYTES: usize = 128 << 10;
@@ -37,8 +39,10 @@
             SuccessorMessage::Step(input) => self.advance_handover(PredecessorEvent::Received(input)),
             SuccessorMessage::Frame(frame) => self.on_successor_frame(frame),
             SuccessorMessage::Disconnected => {
-                self.handing_over.successor = None;
-                self.advance_handover(PredecessorEvent::Disconnected);
+                // A link that this side closed ends without a further word to the protocol.
+                if self.handing_over.successor.take().is_some() {
+                    self.advance_handover(PredecessorEvent::Disconnected);
+                }
             }
             SuccessorMessage::TimedOut(time_limit) => {
                 if time_limit == self.handing_over.time_limit {
@@ -149,7 +153,7 @@
         info!(self.log, "handover: committed"; "held_requests" => held.len(),
             "running_requests" => self.requests.len());
         self.status.set_handed_over(true);
-        self.status.set_ready(false);
+        self.update_readiness();
         self.tell_listener(ListenerMessage::HandOver);
         self.tell_registry(RegistryMessage::SetActive(false));
         for incoming in held {
@@ -176,7 +180,7 @@
         let until = self.latest_unknown_window_end();
         self.keys.begin_blackout(until);
         self.status.set_handed_over(false);
-        self.status.set_ready(self.pool.is_up());
+        self.update_readiness();
         self.tell_listener(ListenerMessage::StartAccepting);
         self.tell_registry(RegistryMessage::SetActive(true));
         self.report_health();
@@ -185,7 +189,7 @@
 
     /// Takes a request that was read. Returns it if it is to be decided here.
     pub(super) fn hold_or_forward(&mut self, incoming: IncomingRequest) -> Option<IncomingRequest> {
-        if !self.handing_over.is_transferring() && !self.handing_over.is_handed_over() {
+        if !self.handing_over.is_under_way() {
             return Some(incoming);
         }
         if self.requests.id_of_attempt(incoming.attempt).is_some() {
@@ -255,15 +259,18 @@
     }
 
     /// Tells the successor how the run of a request's key ended.
-    pub(super) fn report_run_end(&self, id: RequestId, run_end: RunEnd) {
+    pub(super) fn report_run_end(&self, id: RequestId, run_result: &RunResult<Rc<[u8]>>) {
+        if !self.handing_over.is_under_way() {
+            return;
+        }
         if let Some(key) = self.requests.get(id).and_then(|request| request.key.as_ref()) {
-            self.report_key_run_end(&key.key, id, run_end);
+            self.report_key_run_end(&key.key, id, sent_run_end(run_result));
         }
     }
 
     /// Tells the successor how the run of a key ended, which is known here under that id.
     pub(super) fn report_key_run_end(&self, key: &[u8], id: RequestId, run_end: RunEnd) {
-        if self.handing_over.is_transferring() || self.handing_over.is_handed_over() {
+        if self.handing_over.is_under_way() {
             let key = key.to_vec();
             self.handing_over.send(ToSuccessor::RunEnded { key, attempt: id, end: run_end });
         }
--- a/src/server/dispatcher/handover_state.rs
+++ b/src/server/dispatcher/handover_state.rs
@@ -52,6 +52,11 @@
         self.machine.phase() == PredecessorPhase::Transferring
     }
 
+    /// Returns whether the keys are on their way to the successor, or there.
+    pub(super) fn is_under_way(&self) -> bool {
+        self.is_transferring() || self.is_handed_over()
+    }
+
     /// Returns whether the successor decides.
     pub(super) fn is_handed_over(&self) -> bool {
         self.machine.phase() == PredecessorPhase::HandedOver
--- a/src/server/dispatcher/pool_link.rs
+++ b/src/server/dispatcher/pool_link.rs
@@ -22,11 +22,6 @@
         self.link = Some(link);
     }
 
-    /// Returns whether a link accepts commands.
-    pub(super) fn is_up(&self) -> bool {
-        self.link.is_some()
-    }
-
     /// No link accepts commands from now on.
     pub(super) fn set_down(&mut self) {
         self.link = None;
--- a/src/server/dispatcher/runs.rs
+++ b/src/server/dispatcher/runs.rs
@@ -1,6 +1,5 @@
 //! Runs: their start, their end, and the reuse of their results.
 
-use super::handover_records::sent_run_end;
 use super::request::ExecutionState;
 use super::state::Dispatcher;
 use crate::admission::{Event, Outcome, Preemption, RequestId};
@@ -116,7 +115,7 @@
             None if run_outcome == RunOutcome::NotStarted => RunResult::NotStarted,
             None => RunResult::Failed,
         };
-        self.report_run_end(id, sent_run_end(&run_result));
+        self.report_run_end(id, &run_result);
         let finished = self.keys.finish_run(id, request, run_result);
         for waiter in finished.waiters {
             self.finish_reuse(waiter, finished.result.clone());
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -10,7 +10,7 @@
 use super::request_table::RequestTable;
 use crate::admission::{AdmissionController, Event, RequestId, Settings};
 use crate::config::Config;
-use crate::server::evacuation::{HealthInput, ServiceHealth};
+use crate::server::evacuation::{HealthInput, ServiceHealth, ServiceState};
 use crate::server::messages::{
     ConnectionMessage, DispatcherMessage, ListenerMessage, PoolCommand, RegistryMessage, ReplyHandle,
     Response, UpstreamMessage, WorkerPoolMessage,
@@ -94,6 +94,8 @@
     pub(super) status: Arc<ServingStatus>,
     pub(super) handing_over: HandingOver,
     pub(super) taking_over: TakingOver,
+    /// Whether a link to the worker pool was ever up.
+    pub(super) was_linked: bool,
     /// Told once no request is left.
     pub(super) idle: Option<Sender<()>>,
     pub(super) clock: Clock,
@@ -134,6 +136,7 @@
             status,
             handing_over: HandingOver::new(server_identity(config)),
             taking_over: TakingOver::new(request_ids),
+            was_linked: false,
             idle: None,
             clock,
             wheel,
@@ -241,6 +244,13 @@
         self.tell_registry(RegistryMessage::SetHealth(self.is_healthy()));
     }
 
+    /// Sets whether this process is ready to serve: it decides, its worker pool was reached, and it goes on.
+    pub(super) fn update_readiness(&self) {
+        let decides = self.taking_over.is_owner && !self.handing_over.is_handed_over();
+        let goes_on = self.health.state() != ServiceState::ShuttingDown;
+        self.status.set_ready(decides && self.was_linked && goes_on);
+    }
+
     /// Sends a message to the reporter of health.
     pub(super) fn tell_registry(&self, message: RegistryMessage) {
         // The mailbox is unbounded and closes only at the end of the process.
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -55,9 +55,8 @@
 
     /// The link to the worker pool is up.
     pub(super) fn on_can_serve(&mut self) {
-        if self.taking_over.is_owner {
-            self.status.set_ready(!self.status.is_handed_over());
-        }
+        self.was_linked = true;
+        self.update_readiness();
         if let Some(can_serve) = &self.taking_over.can_serve {
             // One message that waits is enough.
             let _ = can_serve.try_send(());
@@ -85,7 +84,7 @@
         self.taking_over.predecessor = predecessor;
         self.tell_listener(ListenerMessage::StartAccepting);
         self.tell_registry(RegistryMessage::SetActive(true));
-        self.status.set_ready(self.pool.is_up());
+        self.update_readiness();
         self.tell_predecessor_health();
     }
 
