--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -29,6 +29,6 @@
 pub use clock::unix_ms;
 pub use collector::{CollectorCounts, FakeCollector};
 pub use platform::{PlatformSettings, RequestClass};
-pub use registry::FakeRegistry;
+pub use registry::{FakeRegistry, RegistryReport};
 pub use upstream::{FakeUpstream, UpstreamFaults};
-pub use worker_pool::{FakeWorkerPool, WorkerPoolFaults};
+pub use worker_pool::{FakeWorkerPool, StartedRun, WorkerPoolFaults};
--- a/crates/fakes/src/worker_pool/fake_worker_pool.rs
+++ b/crates/fakes/src/worker_pool/fake_worker_pool.rs
@@ -4,14 +4,15 @@
 use crate::platform::PlatformSettings;
 use crate::worker_pool::faults::WorkerPoolFaults;
 use crate::worker_pool::link;
-use crate::worker_pool::machine::{Machine, RunCounts};
+use crate::worker_pool::machine::Machine;
+use crate::worker_pool::occupancy::Occupancy;
+use crate::worker_pool::run_log::{RunLog, StartedRun};
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::PoisonError;
 use std::time::Duration;
 
 /// A fault that is asked for by hand.
@@ -26,7 +27,10 @@
     _server: FakeServer,
     address: SocketAddr,
     controls: Sender<Control>,
-    run_counts: RunCounts,
+    platform: PlatformSettings,
+    run_log: RunLog,
+    /// A second handle on the part of this pool, from which those of further pools are made.
+    occupancy: Occupancy,
 }
 
 impl FakeWorkerPool {
@@ -38,17 +42,38 @@
         platform: &PlatformSettings,
         seed: u64,
         faults: WorkerPoolFaults,
+    ) -> io::Result<FakeWorkerPool> {
+        FakeWorkerPool::start_on(platform, seed, faults, RunLog::default(), Occupancy::of_new_machine())
+    }
+
+    /// Starts a further one on the same machine, for another process of the same server: it listens at an address of its
+    /// own, numbers its notices on its own and tells only of runs begun through it; the cores and the run log are shared.
+    ///
+    /// # Errors
+    /// If there is no port or thread.
+    pub fn start_beside(&self, seed: u64, faults: WorkerPoolFaults) -> io::Result<FakeWorkerPool> {
+        FakeWorkerPool::start_on(&self.platform, seed, faults, self.run_log.clone(), self.occupancy.beside())
+    }
+
+    fn start_on(
+        platform: &PlatformSettings,
+        seed: u64,
+        faults: WorkerPoolFaults,
+        run_log: RunLog,
+        occupancy: Occupancy,
     ) -> io::Result<FakeWorkerPool> {
         let (controls, received) = async_channel::unbounded();
-        let run_counts = RunCounts::default();
-        let (platform, shared) = (platform.clone(), run_counts.clone());
+        let platform = platform.clone();
+        let machine_parts = (platform.clone(), run_log.clone(), occupancy.clone());
         let (server, address) = FakeServer::listen("worker pool", move |tasks| {
-            let machine = Rc::new(RefCell::new(Machine::new(platform, seed, faults, shared)));
+            let (platform, run_log, occupancy) = machine_parts;
+            let machine = Machine::new(platform, seed, faults, run_log, occupancy);
+            let machine = Rc::new(RefCell::new(machine));
             tasks.spawn(obey_controls(machine.clone(), received));
             let tasks = tasks.clone();
             move |stream| link::serve(machine.clone(), tasks.clone(), stream)
         })?;
-        Ok(FakeWorkerPool { _server: server, address, controls, run_counts })
+        Ok(FakeWorkerPool { _server: server, address, controls, platform, run_log, occupancy })
     }
 
     /// Returns the address on which it listens.
@@ -73,7 +98,12 @@
 
     /// Returns how often each body was begun to run.
     pub fn run_counts(&self) -> HashMap<Vec<u8>, u32> {
-        self.run_counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.run_log.counts()
+    }
+
+    /// Returns all runs that were begun on the machine, also through other worker pools, in order.
+    pub fn started_runs(&self) -> Vec<StartedRun> {
+        self.run_log.runs()
     }
 }
 
--- a/crates/fakes/src/worker_pool/machine.rs
+++ b/crates/fakes/src/worker_pool/machine.rs
@@ -4,6 +4,8 @@
 use crate::run_result::run_result;
 use crate::worker_pool::faults::WorkerPoolFaults;
 use crate::worker_pool::notices::Notices;
+use crate::worker_pool::occupancy::{Occupancy, PoolUsage};
+use crate::worker_pool::run_log::RunLog;
 use async_channel::Sender;
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -12,7 +14,6 @@
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::ops::Range;
-use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 /// The work of a run, as a part of its class's mean.
@@ -26,9 +27,6 @@
 /// The links that the gauge reports.
 const LINKS: u32 = 4;
 
-/// How often each body was begun to run.
-pub(crate) type RunCounts = Arc<Mutex<HashMap<Vec<u8>, u32>>>;
-
 enum RunState {
     Running {
         since: Instant,
@@ -79,7 +77,8 @@
     started_at: Instant,
     runs: HashMap<String, Run>,
     generations: u64,
-    run_counts: RunCounts,
+    run_log: RunLog,
+    occupancy: Occupancy,
 }
 
 impl Machine {
@@ -88,7 +87,8 @@
         platform: PlatformSettings,
         seed: u64,
         faults: WorkerPoolFaults,
-        run_counts: RunCounts,
+        run_log: RunLog,
+        occupancy: Occupancy,
     ) -> Machine {
         Machine {
             platform,
@@ -98,7 +98,8 @@
             started_at: Instant::now(),
             runs: HashMap::new(),
             generations: 0,
-            run_counts,
+            run_log,
+            occupancy,
         }
     }
 
@@ -108,6 +109,7 @@
         self.runs.clear();
         self.notices.clear();
         self.started_at = Instant::now();
+        self.report_usage();
     }
 
     /// Connects a server that has the notices up to `after`.
@@ -116,6 +118,7 @@
             // A server that starts: its notices begin at 1, and what ran for the one before is nobody's.
             self.notices.clear();
             self.runs.clear();
+            self.report_usage();
         }
         let uptime_ms = self.started_at.elapsed().as_millis() as u64;
         let bound = json!({"op": "bound", "end": "old", "ms": uptime_ms});
@@ -127,11 +130,16 @@
         self.runs.values().filter(|run| matches!(run.state, RunState::Running { .. })).count()
     }
 
-    /// Returns the gauges, in the order of the platform's configuration.
+    /// Reports what this pool uses of the machine.
+    fn report_usage(&self) {
+        self.occupancy.report(PoolUsage { running: self.running(), held: self.runs.len() });
+    }
+
+    /// Returns the gauges of the whole machine, in the order of the platform's configuration.
     pub fn gauges(&self) -> Value {
-        let running = self.running();
+        let PoolUsage { running, held } = self.occupancy.total();
         let core_use = running as f64 / self.platform.cores as f64;
-        let memory_use = self.runs.len() as f64 / RUNS_IN_MEMORY;
+        let memory_use = held as f64 / RUNS_IN_MEMORY;
         json!([core_use.min(1.0), running, memory_use.min(1.0), LINKS])
     }
 
@@ -145,9 +153,7 @@
         let class = self.platform.classes.iter().position(|known| class == known.name)?;
         let RequestClass { work_ms, makes_upstream_calls, .. } = self.platform.classes[class];
         let left_ms = work_ms * self.rng.random_range(WORK_SPREAD);
-        let mut run_counts = self.run_counts.lock().unwrap_or_else(PoisonError::into_inner);
-        *run_counts.entry(body.clone()).or_insert(0) += 1;
-        drop(run_counts);
+        self.run_log.add(id, self.platform.classes[class].name, &body);
         let call_due = makes_upstream_calls;
         let run = Run { class, body, left_ms, used_ms: 0.0, call_due, state: RunState::Paused };
         self.runs.insert(id.to_owned(), run);
@@ -163,6 +169,7 @@
         run.used_ms += ran_ms;
         run.state = RunState::Paused;
         let used_ms = run.used_ms;
+        self.report_usage();
         self.notify(json!({"op": "finished", "id": id, "end": "cut", "ms": used_ms}));
         true
     }
@@ -187,13 +194,14 @@
 
     /// Sets a run going: to its call if one is due, else to its end. The cores are shared by all that run now.
     fn go_on(&mut self, id: &str) -> Option<RunTimer> {
-        let runs_per_core = (self.running() + 1) as f64 / self.platform.cores as f64;
+        let runs_per_core = (self.occupancy.total().running + 1) as f64 / self.platform.cores as f64;
         self.generations += 1;
         let generation = self.generations;
         let run = self.runs.get_mut(id)?;
         run.state = RunState::Running { since: Instant::now(), generation };
         let part = if run.call_due { WORK_BEFORE_CALL } else { 1.0 };
         let ms = run.left_ms * part * runs_per_core.max(1.0);
+        self.report_usage();
         Some(RunTimer { id: id.to_owned(), generation, after: Duration::from_secs_f64(ms / 1000.0) })
     }
 
@@ -218,13 +226,16 @@
         run.call_due = false;
         run.left_ms *= 1.0 - WORK_BEFORE_CALL;
         run.state = RunState::Blocked(notice);
-        let body = BASE64.encode(self.platform.classes[run.class].name);
+        let class = run.class;
+        self.report_usage();
+        let body = BASE64.encode(self.platform.classes[class].name);
         // The remark that may stand before a notice would take its number.
         self.notices.send(json!({"op": "blocked", "id": id, "body": body}));
     }
 
     fn finish(&mut self, id: &str) {
         let Some(run) = self.runs.remove(id) else { return };
+        self.report_usage();
         let failed = self.rng.random::<f64>() < self.faults.bad;
         let notice = if failed {
             json!({"op": "finished", "id": id, "end": "bad", "ms": run.used_ms})
--- a/crates/fakes/src/worker_pool/mod.rs
+++ b/crates/fakes/src/worker_pool/mod.rs
@@ -6,6 +6,9 @@
 mod link;
 mod machine;
 mod notices;
+mod occupancy;
+mod run_log;
 
 pub use fake_worker_pool::FakeWorkerPool;
 pub use faults::WorkerPoolFaults;
+pub use run_log::StartedRun;
