--- /dev/null
+++ b/tests/upgrade_check.rs
@@ -0,0 +1,134 @@
+//! The upgrade tests' own check: each fault that it is to find, made on purpose, and scripted servers for the clients.
+
+mod upgrade_support;
+
+use dunlinspread_fakes::StartedRun;
+use std::io::Read;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::Arc;
+use std::time::Duration;
+use upgrade_support::check::{Verdict, judge};
+use upgrade_support::clients::Clients;
+use upgrade_support::load::{LoadSettings, PlannedRequest};
+use upgrade_support::records::{AttemptRecord, Outcome, Records};
+use upgrade_support::wait_for;
+
+const SEED: u64 = 1;
+const WINDOW_MS: f64 = 1000.0;
+/// A connection that ends this soon after a request was written was not read.
+const CROSSING: Duration = Duration::from_millis(50);
+
+fn attempt(call: u64, key: Option<&str>, written_ms: u64, outcome: Outcome) -> AttemptRecord {
+    let request = PlannedRequest {
+        class: "pour-entry",
+        key: key.map(str::to_owned),
+        key_window_ms: key.map(|_| WINDOW_MS),
+        body: b"body".to_vec(),
+        priority: 0.5,
+        memory_kb: 20.0,
+    };
+    AttemptRecord {
+        call,
+        request: Arc::new(request),
+        received_ms: written_ms,
+        connected_ms: Some(written_ms),
+        written_ms: Some(written_ms),
+        ended_ms: written_ms + 10,
+        outcome,
+    }
+}
+
+fn run(call: u64, class: &'static str, body: &[u8]) -> StartedRun {
+    StartedRun { id: format!("{call:016x}"), class, body: body.to_vec(), started_ms: 0 }
+}
+
+fn good_run(call: u64) -> StartedRun {
+    run(call, "pour-entry", b"body")
+}
+
+fn verdict(attempts: Vec<AttemptRecord>, runs: &[StartedRun]) -> Verdict {
+    judge(&Records { attempts, ..Records::default() }, runs)
+}
+
+#[test]
+fn good_requests_break_no_rule() {
+    let attempts = vec![
+        attempt(1, Some("k"), 1000, Outcome::Served),
+        attempt(2, Some("k"), 1500, Outcome::Served),
+        attempt(3, None, 1500, Outcome::Rejected),
+        // After the window a key may run again.
+        attempt(4, Some("k"), 2001, Outcome::Served),
+    ];
+    let verdict = verdict(attempts, &[good_run(1), good_run(4)]);
+    assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "{verdict}");
+    assert_eq!((verdict.served, verdict.rejected, verdict.runs), (3, 1, 2));
+}
+
+#[test]
+fn runs_that_may_not_be_are_found() {
+    let served = |call| attempt(call, None, 1000, Outcome::Served);
+    assert_eq!(verdict(vec![served(1)], &[good_run(1), good_run(1)]).run_twice, 1);
+    assert_eq!(verdict(vec![served(1)], &[good_run(1), good_run(2)]).unknown_runs, 1);
+    assert_eq!(verdict(vec![served(1)], &[good_run(1), run(1, "pour-entry", b"other")]).changed, 1);
+    assert_eq!(verdict(vec![served(1)], &[run(1, "rate-check", b"body")]).changed, 1);
+    assert_eq!(verdict(vec![served(1)], &[]).served_without_run, 1);
+    let rejected = attempt(1, None, 1000, Outcome::Rejected);
+    assert_eq!(verdict(vec![rejected], &[good_run(1)]).rejected_but_run, 1);
+}
+
+#[test]
+fn a_key_that_runs_again_within_its_window_is_found() {
+    let tries = |second_ms| {
+        vec![attempt(1, Some("k"), 1000, Outcome::Failed), attempt(2, Some("k"), second_ms, Outcome::Served)]
+    };
+    assert_eq!(verdict(tries(2000), &[good_run(1), good_run(2)]).key_run_twice, 1);
+    assert_eq!(verdict(tries(2001), &[good_run(1), good_run(2)]).key_run_twice, 0);
+}
+
+/// Runs clients against a server that does this with each connection, until some attempts have ended; returns the records.
+fn clients_against(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> Records {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    let serve = Arc::new(serve);
+    std::thread::spawn(move || {
+        while let Ok((stream, _)) = listener.accept() {
+            let serve = serve.clone();
+            std::thread::spawn(move || serve(stream));
+        }
+    });
+    records_of(address)
+}
+
+fn records_of(address: SocketAddr) -> Records {
+    let load = LoadSettings { seed: SEED, rate: 200.0, shared_connections: 4, withdrawals: false };
+    let clients = Clients::start(address, load);
+    wait_for(SEED, "ends of attempts", || clients.snapshot().attempts.len() >= 20);
+    clients.finish()
+}
+
+#[test]
+fn a_connection_that_ends_late_loses_its_requests() {
+    let records = clients_against(|mut stream| {
+        let _ = stream.read(&mut [0; 4096]);
+        std::thread::sleep(CROSSING * 4);
+    });
+    assert!(records.count(Outcome::Lost) > 0, "{records:?}");
+}
+
+#[test]
+fn a_connection_that_ends_at_once_and_a_refused_one_turn_requests_away() {
+    let records = clients_against(drop);
+    assert!(records.count(Outcome::TurnedAway) > 0);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    drop(listener);
+    let records = records_of(address);
+    assert_eq!(records.count(Outcome::TurnedAway), records.attempts.len());
+}
+
+#[test]
+fn a_request_that_is_never_answered_counts_as_unanswered() {
+    let records =
+        clients_against(|mut stream| while stream.read(&mut [0; 4096]).is_ok_and(|count| count > 0) {});
+    assert_eq!(records.count(Outcome::Unanswered), records.attempts.len());
+}
--- /dev/null
+++ b/tests/upgrade_support/attempts.rs
@@ -0,0 +1,223 @@
+//! The attempts of requests: choosing a connection, sending, waiting, withdrawing and recording.
+
+use crate::upgrade_support::connection::{Connection, Outgoing};
+use crate::upgrade_support::load::{PlannedAttempt, PlannedRequest, Way};
+use crate::upgrade_support::messages::{RequestFields, Response, encode_request, encode_withdrawal};
+use crate::upgrade_support::records::{AttemptRecord, Outcome, Records};
+use crate::upgrade_support::settings::CLIENT_TIMEOUT_MS;
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use dunlinspread_fakes::unix_ms;
+use futures_lite::future::or;
+use std::cell::{Cell, RefCell};
+use std::future::pending;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+/// A request that a connection's end meets this soon after its writing was not read, and is sent again once.
+const CLOSE_CROSSING_MS: u64 = 50;
+/// Requests that are sent on a shared connection before it is replaced.
+const MAX_REQUESTS_PER_CONNECTION: u64 = 40;
+/// What the machine's workers put before a body to make its result.
+const RESULT_PREFIX: &[u8] = b"done:";
+
+/// How the wait for a response ended.
+enum WaitEnd {
+    Responded(Response),
+    /// The connection has ended.
+    Ended,
+    TimedOut,
+    Withdrawn,
+}
+
+/// A shared connection and how many requests it still takes.
+struct SharedConnection {
+    connection: Rc<Connection>,
+    requests_left: u64,
+}
+
+/// Sends attempts to the server and records what becomes of them.
+pub struct AttemptSender {
+    address: SocketAddr,
+    shared_connections: usize,
+    shared: RefCell<Vec<SharedConnection>>,
+    sent: Cell<u64>,
+    executor: Rc<LocalExecutor<'static>>,
+    records: Arc<Mutex<Records>>,
+}
+
+impl AttemptSender {
+    /// Returns a sender without connections.
+    pub fn new(
+        address: SocketAddr,
+        shared_connections: usize,
+        executor: Rc<LocalExecutor<'static>>,
+        records: Arc<Mutex<Records>>,
+    ) -> AttemptSender {
+        let (shared, sent) = (RefCell::default(), Cell::new(0));
+        AttemptSender { address, shared_connections, shared, sent, executor, records }
+    }
+
+    /// Opens a connection and serves it in the background.
+    pub async fn connect(&self) -> Option<Rc<Connection>> {
+        let connection = Connection::open(self.address).await.ok()?;
+        let (served, records) = (connection.clone(), self.records.clone());
+        let serving = async move {
+            served.serve().await;
+            let mut records = records.lock().unwrap_or_else(PoisonError::into_inner);
+            records.duplicate_responses += served.duplicate_responses();
+        };
+        self.executor.spawn(serving).detach();
+        Some(connection)
+    }
+
+    /// Makes an attempt: once, and once more if the server did not let it in.
+    pub async fn attempt(&self, request: &Arc<PlannedRequest>, attempt: &PlannedAttempt) {
+        for _ in 0..2 {
+            let received_ms = unix_ms();
+            let connection = self.choose_connection(&attempt.way).await;
+            let written_ms = Rc::new(Cell::new(None));
+            self.count_open(1);
+            let outcome = match &connection {
+                Some(connection) => send_on(connection, request, attempt, received_ms, &written_ms).await,
+                None => Outcome::TurnedAway,
+            };
+            self.count_open(-1);
+            let record = AttemptRecord {
+                call: attempt.call,
+                request: request.clone(),
+                received_ms,
+                connected_ms: connection.as_ref().map(|connection| connection.connected_ms),
+                written_ms: written_ms.get(),
+                ended_ms: unix_ms(),
+                outcome,
+            };
+            self.records.lock().unwrap_or_else(PoisonError::into_inner).attempts.push(record);
+            if let (Some(connection), false) = (connection, matches!(attempt.way, Way::Shared)) {
+                connection.retire();
+            }
+            if outcome != Outcome::TurnedAway {
+                return;
+            }
+        }
+    }
+
+    fn count_open(&self, change: i64) {
+        let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner);
+        records.open = records.open.saturating_add_signed(change);
+    }
+
+    async fn choose_connection(&self, way: &Way) -> Option<Rc<Connection>> {
+        match way {
+            Way::Shared => self.choose_shared().await,
+            Way::Fresh | Way::Pieces { .. } => self.connect().await,
+            Way::AfterIdle(time) => {
+                let connection = self.connect().await?;
+                Timer::after(*time).await;
+                if connection.takes_requests() { Some(connection) } else { self.connect().await }
+            }
+        }
+    }
+
+    /// Returns the shared connection whose turn it is, or a new one while there are too few.
+    async fn choose_shared(&self) -> Option<Rc<Connection>> {
+        self.drop_unusable();
+        self.sent.set(self.sent.get() + 1);
+        let has_all = self.shared.borrow().len() >= self.shared_connections;
+        if !has_all {
+            let connection = self.connect().await?;
+            // Spread, so that the connections are not replaced all at once.
+            let requests_left = 1 + self.sent.get() * 7 % MAX_REQUESTS_PER_CONNECTION;
+            let added = SharedConnection { connection: connection.clone(), requests_left };
+            self.shared.borrow_mut().push(added);
+            return Some(connection);
+        }
+        let mut shared = self.shared.borrow_mut();
+        let index = self.sent.get() as usize % shared.len();
+        shared[index].requests_left -= 1;
+        Some(shared[index].connection.clone())
+    }
+
+    fn drop_unusable(&self) {
+        self.shared.borrow_mut().retain(|shared| {
+            let keep = shared.requests_left > 0 && shared.connection.takes_requests();
+            if !keep {
+                shared.connection.retire();
+            }
+            keep
+        });
+    }
+}
+
+/// Sends an attempt on a connection and waits for its end.
+async fn send_on(
+    connection: &Connection,
+    request: &PlannedRequest,
+    attempt: &PlannedAttempt,
+    received_ms: u64,
+    written_ms: &Rc<Cell<Option<u64>>>,
+) -> Outcome {
+    let fields = RequestFields {
+        call: attempt.call,
+        received_ms,
+        timeout_ms: CLIENT_TIMEOUT_MS as u64,
+        memory_kb: request.memory_kb,
+        priority: request.priority,
+        key: request.key.as_deref(),
+    };
+    let (id, responded) = connection.open_request();
+    let bytes = encode_request(id, request.class, &fields, &request.body);
+    let (pieces, pause) = match attempt.way {
+        Way::Pieces { pieces, pause } => (split(&bytes, pieces), pause),
+        _ => (vec![bytes], Duration::ZERO),
+    };
+    connection.send(Outgoing { pieces, pause, written_ms: written_ms.clone() });
+    let response = async { responded.recv().await.map_or(WaitEnd::Ended, WaitEnd::Responded) };
+    let timeout = async {
+        Timer::after(Duration::from_secs_f64(CLIENT_TIMEOUT_MS / 1000.0)).await;
+        WaitEnd::TimedOut
+    };
+    let withdrawal = async {
+        let Some(delay) = attempt.withdrawal else { return pending().await };
+        Timer::after(delay).await;
+        WaitEnd::Withdrawn
+    };
+    let end = or(response, or(timeout, withdrawal)).await;
+    outcome_of(connection, id, request, end, written_ms.get())
+}
+
+fn outcome_of(
+    connection: &Connection,
+    id: u64,
+    request: &PlannedRequest,
+    end: WaitEnd,
+    written_ms: Option<u64>,
+) -> Outcome {
+    match end {
+        WaitEnd::Responded(Response::Completed(result)) => {
+            let expected = [RESULT_PREFIX, &request.body].concat();
+            if result.as_slice() == Some(&expected) { Outcome::Served } else { Outcome::WrongResult }
+        }
+        WaitEnd::Responded(Response::Rejected) => Outcome::Rejected,
+        WaitEnd::Responded(Response::Failed(_)) => Outcome::Failed,
+        WaitEnd::Ended => {
+            let ended_ms = connection.ended_ms().unwrap_or_else(unix_ms);
+            match written_ms {
+                Some(written_ms) if ended_ms >= written_ms + CLOSE_CROSSING_MS => Outcome::Lost,
+                _ => Outcome::TurnedAway,
+            }
+        }
+        WaitEnd::TimedOut | WaitEnd::Withdrawn => {
+            connection.send_bytes(encode_withdrawal(id));
+            connection.abandon(id);
+            if matches!(end, WaitEnd::Withdrawn) { Outcome::Withdrawn } else { Outcome::Unanswered }
+        }
+    }
+}
+
+/// Splits bytes into so many pieces of about the same length.
+fn split(bytes: &[u8], pieces: usize) -> Vec<Vec<u8>> {
+    bytes.chunks(bytes.len().div_ceil(pieces)).map(<[u8]>::to_vec).collect()
+}
--- /dev/null
+++ b/tests/upgrade_support/connection.rs
@@ -0,0 +1,185 @@
+//! One connection of a client to the server.
+
+use crate::upgrade_support::messages::{Response, ServerMessage, decode};
+use async_channel::{Receiver, Sender};
+use async_io::{Async, Timer};
+use dunlinspread_fakes::unix_ms;
+use futures_lite::future::or;
+use futures_lite::{AsyncReadExt, AsyncWriteExt};
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, HashSet};
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Requests open on one connection at most.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Bytes read at a time.
+const READ_BYTES: usize = 16 * 1024;
+
+/// A message that waits to be written.
+pub struct Outgoing {
+    /// Its bytes, in the pieces in which they are written.
+    pub pieces: Vec<Vec<u8>>,
+    /// Time between the pieces.
+    pub pause: Duration,
+    /// Is set to the Unix ms of the last byte's writing.
+    pub written_ms: Rc<Cell<Option<u64>>>,
+}
+
+/// A connection and its open requests.
+pub struct Connection {
+    /// When it was opened, Unix ms.
+    pub connected_ms: u64,
+    stream: Async<TcpStream>,
+    outgoing: Sender<Outgoing>,
+    queued: Receiver<Outgoing>,
+    open: RefCell<HashMap<u64, Sender<Response>>>,
+    answered: RefCell<HashSet<u64>>,
+    duplicate_responses: Cell<u64>,
+    last_id: Cell<u64>,
+    retired: Cell<bool>,
+    shutdown_seen: Cell<bool>,
+    ended_ms: Cell<Option<u64>>,
+}
+
+impl Connection {
+    /// Connects to the server; [`Connection::serve`] has to run until the connection's end.
+    ///
+    /// # Errors
+    /// If the server does not let it in.
+    pub async fn open(address: SocketAddr) -> io::Result<Rc<Connection>> {
+        let stream = Async::<TcpStream>::connect(address).await?;
+        stream.get_ref().set_nodelay(true)?;
+        let (outgoing, queued) = async_channel::unbounded();
+        Ok(Rc::new(Connection {
+            connected_ms: unix_ms(),
+            stream,
+            outgoing,
+            queued,
+            open: RefCell::default(),
+            answered: RefCell::default(),
+            duplicate_responses: Cell::new(0),
+            last_id: Cell::new(0),
+            retired: Cell::new(false),
+            shutdown_seen: Cell::new(false),
+            ended_ms: Cell::new(None),
+        }))
+    }
+
+    /// Returns whether a new request may be sent on it.
+    pub fn takes_requests(&self) -> bool {
+        let usable = !self.retired.get() && !self.shutdown_seen.get() && self.ended_ms.get().is_none();
+        usable && self.open.borrow().len() < MAX_OPEN_REQUESTS
+    }
+
+    /// Returns the Unix ms of its end; `None` while it stands.
+    pub fn ended_ms(&self) -> Option<u64> {
+        self.ended_ms.get()
+    }
+
+    /// Returns how many second responses it carried.
+    pub fn duplicate_responses(&self) -> u64 {
+        self.duplicate_responses.get()
+    }
+
+    /// Sends no further request on it; it is closed once nothing is open.
+    pub fn retire(&self) {
+        self.retired.set(true);
+        if self.open.borrow().is_empty() {
+            self.outgoing.close();
+        }
+    }
+
+    /// Opens a request: returns its id, and the channel of its response, which ends if none comes.
+    pub fn open_request(&self) -> (u64, Receiver<Response>) {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        let (response, responded) = async_channel::bounded(1);
+        self.open.borrow_mut().insert(id, response);
+        (id, responded)
+    }
+
+    /// Awaits no response to a request any more.
+    pub fn abandon(&self, id: u64) {
+        self.open.borrow_mut().remove(&id);
+        self.close_if_done();
+    }
+
+    /// Queues a message.
+    pub fn send(&self, message: Outgoing) {
+        // A closed queue belongs to a connection that has ended, which its requests learn from their channels.
+        let _ = self.outgoing.try_send(message);
+    }
+
+    /// Queues a message in one piece, of which nobody wants to know when it is written.
+    pub fn send_bytes(&self, bytes: Vec<u8>) {
+        self.send(Outgoing { pieces: vec![bytes], pause: Duration::ZERO, written_ms: Rc::default() });
+    }
+
+    /// Reads and writes until either side ends the connection.
+    pub async fn serve(&self) {
+        or(self.read(), self.write()).await;
+        self.ended_ms.set(Some(unix_ms()));
+        self.outgoing.close();
+        let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Both);
+        // Whoever waits learns that no response comes.
+        self.open.borrow_mut().clear();
+    }
+
+    /// Closes the connection if no new request comes and nothing is open.
+    fn close_if_done(&self) {
+        let is_closing = self.retired.get() || self.shutdown_seen.get();
+        if is_closing && self.open.borrow().is_empty() {
+            self.outgoing.close();
+        }
+    }
+
+    async fn read(&self) {
+        let (mut buffer, mut chunk) = (Vec::new(), vec![0; READ_BYTES]);
+        loop {
+            match (&self.stream).read(&mut chunk).await {
+                Ok(count) if count > 0 => buffer.extend_from_slice(&chunk[..count]),
+                _ => return,
+            }
+            while let Some((message, length)) = decode(&buffer) {
+                buffer.drain(..length);
+                self.handle_message(message);
+            }
+        }
+    }
+
+    fn handle_message(&self, message: ServerMessage) {
+        match message {
+            ServerMessage::Response(id, response) => {
+                if !self.answered.borrow_mut().insert(id) {
+                    self.duplicate_responses.set(self.duplicate_responses.get() + 1);
+                }
+                // One response to what was abandoned does no harm.
+                let waiting = self.open.borrow_mut().remove(&id);
+                if let Some(waiting) = waiting {
+                    let _ = waiting.try_send(response);
+                }
+            }
+            ServerMessage::Shutdown => self.shutdown_seen.set(true),
+            ServerMessage::Other => {}
+        }
+        self.close_if_done();
+    }
+
+    /// Writes until the queue is closed and empty.
+    async fn write(&self) {
+        while let Ok(message) = self.queued.recv().await {
+            for (index, piece) in message.pieces.iter().enumerate() {
+                if index > 0 {
+                    Timer::after(message.pause).await;
+                }
+                if (&self.stream).write_all(piece).await.is_err() {
+                    return;
+                }
+            }
+            message.written_ms.set(Some(unix_ms()));
+        }
+    }
+}
--- /dev/null
+++ b/tests/upgrade_support/mod.rs
@@ -0,0 +1,45 @@
+//! A server of the platform as its operators see it: the built program in one or several processes that share a client
+//! address and a temporary folder, the fakes around them, clients under load, and the check of what became of each
+//! request.
+#![allow(dead_code, reason = "each test program uses a part of it")]
+
+pub mod attempts;
+pub mod check;
+pub mod clients;
+pub mod connection;
+pub mod health;
+pub mod http;
+pub mod load;
+pub mod messages;
+pub mod process;
+pub mod records;
+pub mod settings;
+pub mod site;
+pub mod upgrade;
+
+use std::time::{Duration, Instant};
+
+/// Time limit of a wait, far beyond any delay of a working program.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Waits until the condition holds; `seed` is printed where it does not.
+pub fn wait_for(seed: u64, what: &str, mut holds: impl FnMut() -> bool) {
+    let since = Instant::now();
+    while !holds() {
+        assert!(since.elapsed() < TEST_TIMEOUT, "seed {seed}: timed out waiting for: {what}");
+        std::thread::sleep(POLL_INTERVAL);
+    }
+}
+
+/// Lets a load run for a while.
+pub fn run_for(time: Duration) {
+    std::thread::sleep(time);
+}
+
+/// Returns a number from the environment.
+pub fn from_environment(variable: &str, default: u64) -> u64 {
+    let Ok(text) = std::env::var(variable) else { return default };
+    text.parse().unwrap_or_else(|error| panic!("{variable} is no number: {text}: {error}"))
+}
--- /dev/null
+++ b/tests/upgrade_support/records.rs
@@ -0,0 +1,84 @@
+//! What the clients sent, and what became of it.
+
+use crate::upgrade_support::load::PlannedRequest;
+use std::sync::Arc;
+
+/// What became of an attempt, as its client saw it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Outcome {
+    /// Completed with the result of the request's run.
+    Served,
+    /// Completed with anything else.
+    WrongResult,
+    /// Answered that it never ran.
+    Rejected,
+    /// Answered with another error.
+    Failed,
+    /// The client told the server that it no longer waits.
+    Withdrawn,
+    /// Written whole, and no response came for as long as a client waits.
+    Unanswered,
+    /// Not let in: no connection, or one that ended before or within the crossing time after the request was written.
+    TurnedAway,
+    /// Written whole, and the connection ended later without a response.
+    Lost,
+}
+
+/// One writing of an attempt to a connection. An attempt that was turned away is written again, once.
+#[derive(Clone, Debug)]
+pub struct AttemptRecord {
+    /// The id of the attempt.
+    pub call: u64,
+    /// Its request.
+    pub request: Arc<PlannedRequest>,
+    /// When the attempt began, as the server is told, Unix ms.
+    pub received_ms: u64,
+    /// When its connection was opened, Unix ms; `None` if there was none.
+    pub connected_ms: Option<u64>,
+    /// When its last byte was written, Unix ms.
+    pub written_ms: Option<u64>,
+    /// When its end was known, Unix ms.
+    pub ended_ms: u64,
+    /// What became of it.
+    pub outcome: Outcome,
+}
+
+/// The answer to a health check.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HealthAnswer {
+    Good,
+    Bad,
+    /// None within a second.
+    Missing,
+}
+
+/// What all clients recorded.
+#[derive(Clone, Debug, Default)]
+pub struct Records {
+    /// All writings of attempts, in the order of their ends.
+    pub attempts: Vec<AttemptRecord>,
+    /// Second responses to one request.
+    pub duplicate_responses: u64,
+    /// Answers to health checks with their Unix ms.
+    pub health: Vec<(u64, HealthAnswer)>,
+    /// Attempts written whole or in part, without an end yet.
+    pub open: u64,
+}
+
+impl Records {
+    /// Returns how many attempts ended so.
+    pub fn count(&self, outcome: Outcome) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.outcome == outcome).count()
+    }
+
+    /// Returns how many attempts of a class ended so.
+    pub fn count_of_class(&self, class: &str, outcome: Outcome) -> usize {
+        let of_class = self.attempts.iter().filter(|attempt| attempt.request.class == class);
+        of_class.filter(|attempt| attempt.outcome == outcome).count()
+    }
+
+    /// Returns how many answers to health checks were of that kind.
+    pub fn health_count(&self, answer: HealthAnswer) -> usize {
+        self.health.iter().filter(|(_, each)| *each == answer).count()
+    }
+}
--- /dev/null
+++ b/tests/upgrade_support/site.rs
@@ -0,0 +1,176 @@
+//! The machine of one server, and the systems around it.
+
+use crate::upgrade_support::process::{ServerProcess, StartError};
+use crate::upgrade_support::settings::{Addresses, config, platform};
+use dunlinspread_fakes::{
+    FakeRegistry, FakeUpstream, FakeWorkerPool, StartedRun, UpstreamFaults, WorkerPoolFaults,
+};
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+
+/// The mean time of an upstream call, ms.
+const CALL_MS: f64 = 10.0;
+/// Starts with other ports before a test fails.
+const MAX_STARTS: u32 = 10;
+
+/// The number of the last site; it makes the names of folders unique in the test program.
+static LAST_SITE: AtomicU64 = AtomicU64::new(0);
+
+/// The fakes, and the folder that the processes share. The folder is removed at the end.
+pub struct Site {
+    seed: u64,
+    faults: WorkerPoolFaults,
+    first_pool: FakeWorkerPool,
+    pools: Vec<FakeWorkerPool>,
+    registry: Option<FakeRegistry>,
+    registry_address: SocketAddr,
+    upstream: FakeUpstream,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    folder: PathBuf,
+    configs: u64,
+}
+
+impl Site {
+    /// Starts the fakes.
+    pub fn start(seed: u64) -> Site {
+        Site::with_faults(seed, WorkerPoolFaults::default())
+    }
+
+    /// Starts the fakes, with these faults of the worker pools.
+    pub fn with_faults(seed: u64, faults: WorkerPoolFaults) -> Site {
+        let first_pool = FakeWorkerPool::start(&platform(), seed, faults);
+        let registry = FakeRegistry::start().expect("a free port");
+        let number = LAST_SITE.fetch_add(1, Ordering::Relaxed);
+        let folder = std::env::temp_dir().join(format!("dls{}-{number}", std::process::id()));
+        std::fs::create_dir_all(folder.join("tmp")).expect("a folder");
+        Site {
+            seed,
+            faults,
+            first_pool: first_pool.expect("a free port"),
+            pools: Vec::new(),
+            registry_address: registry.address(),
+            registry: Some(registry),
+            upstream: FakeUpstream::start(CALL_MS, seed, UpstreamFaults::default()).expect("a free port"),
+            listen: free_address(),
+            folder,
+            configs: 0,
+        }
+    }
+
+    /// Starts the first process and waits until it is ready.
+    pub fn start_first(&mut self) -> ServerProcess {
+        self.start_first_with(|site| site.start_process(), |process| process.wait_ready().map(drop))
+    }
+
+    /// Starts the only process, without a control endpoint, and waits until it serves.
+    pub fn start_first_without_control(&mut self) -> ServerProcess {
+        self.start_first_with(|site| site.start_with_control(None), ServerProcess::wait_serving)
+    }
+
+    /// Starts a process with another client address as long as that is taken.
+    fn start_first_with(
+        &mut self,
+        start: impl Fn(&mut Site) -> ServerProcess,
+        wait: impl Fn(&mut ServerProcess) -> Result<(), StartError>,
+    ) -> ServerProcess {
+        for _ in 0..MAX_STARTS {
+            self.listen = free_address();
+            let mut process = start(self);
+            match wait(&mut process) {
+                Ok(()) => return process,
+                Err(StartError::AddressInUse) => {}
+                Err(error) => panic!("seed {}: the first process: {error:?}", self.seed),
+            }
+        }
+        panic!("seed {}: no free address after {MAX_STARTS} starts", self.seed);
+    }
+
+    /// Starts a process with a control address and a worker pool address of its own.
+    pub fn start_process(&mut self) -> ServerProcess {
+        let control = free_address();
+        self.start_with_control(Some(control))
+    }
+
+    /// Starts a process and waits until it is ready, with another control address where that is taken; returns the time
+    /// that it took.
+    pub fn start_successor(&mut self) -> (ServerProcess, Duration) {
+        for _ in 0..MAX_STARTS {
+            let mut process = self.start_process();
+            match process.wait_ready() {
+                Ok(took) => return (process, took),
+                Err(StartError::AddressInUse) => {}
+                Err(error) => panic!("seed {}: the new process: {error:?}", self.seed),
+            }
+        }
+        panic!("seed {}: no free address after {MAX_STARTS} starts", self.seed);
+    }
+
+    /// Starts a process with a worker pool address of its own.
+    pub fn start_with_control(&mut self, control: Option<SocketAddr>) -> ServerProcess {
+        self.configs += 1;
+        let pool_seed = self.seed.wrapping_add(self.configs);
+        let pool = self.first_pool.start_beside(pool_seed, self.faults).expect("a free port");
+        let addresses = Addresses {
+            listen: self.listen,
+            control,
+            worker_pool: pool.address(),
+            registry: self.registry_address,
+            upstream: self.upstream.address(),
+        };
+        self.pools.push(pool);
+        let path = self.folder.join(format!("config-{}.json", self.configs));
+        std::fs::write(&path, config(&platform(), &addresses)).expect("it is written");
+        ServerProcess::start(&path, &self.temporary_folder(), control)
+    }
+
+    /// Returns the folder that the processes may write.
+    pub fn temporary_folder(&self) -> PathBuf {
+        self.folder.join("tmp")
+    }
+
+    /// Returns the names of everything below the folder that the processes may write.
+    pub fn temporary_files(&self) -> Vec<PathBuf> {
+        list_files(&self.temporary_folder())
+    }
+
+    /// Returns all runs that were begun on the machine.
+    pub fn started_runs(&self) -> Vec<StartedRun> {
+        self.first_pool.started_runs()
+    }
+
+    /// Returns the worker pool of the process that was started last.
+    pub fn last_pool(&self) -> &FakeWorkerPool {
+        self.pools.last().expect("a process was started")
+    }
+
+    /// Returns the registry.
+    pub fn registry(&self) -> &FakeRegistry {
+        self.registry.as_ref().expect("it runs")
+    }
+
+    /// Stops the registry for good: it refuses connections.
+    pub fn stop_registry(&mut self) {
+        self.registry = None;
+    }
+}
+
+impl Drop for Site {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+/// Returns an address that is free now; another program may take it before it is used.
+fn free_address() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("an address")
+}
+
+fn list_files(folder: &Path) -> Vec<PathBuf> {
+    let Ok(entries) = std::fs::read_dir(folder) else { return Vec::new() };
+    let paths = entries.filter_map(|entry| Some(entry.ok()?.path()));
+    paths.flat_map(|path| [vec![path.clone()], list_files(&path)].concat()).collect()
+}
--- /dev/null
+++ b/tests/upgrade_support/upgrade.rs
@@ -0,0 +1,93 @@
+//! One upgrade as the operators make it.
+
+use crate::upgrade_support::POLL_INTERVAL;
+use crate::upgrade_support::clients::Clients;
+use crate::upgrade_support::process::ServerProcess;
+use crate::upgrade_support::records::Outcome;
+use crate::upgrade_support::site::Site;
+use std::time::{Duration, Instant};
+
+/// Time from the shutdown request to the kill: the longest deadline, counted as 3 s, and 0.7 s.
+const KILL_AFTER: Duration = Duration::from_millis(3700);
+/// Time after an upgrade in which attempts at the door are still counted for it.
+const SETTLE_TIME: Duration = Duration::from_millis(150);
+
+/// What one upgrade took.
+#[derive(Clone, Copy, Debug)]
+pub struct UpgradeReport {
+    /// From the start of the new process until it was ready.
+    pub ready_after: Duration,
+    /// From the shutdown request to the end of the old process.
+    pub ended_after: Duration,
+    /// Whether the old process had to be killed.
+    pub killed: bool,
+    /// Attempts that ended at the door meanwhile.
+    pub turned_away: usize,
+    /// The peak of the resident memory of both processes together, kB.
+    pub peak_resident_kb: u64,
+}
+
+/// Starts a successor, requests the shutdown of the process after `pause` from its readiness, and waits for its end.
+pub fn upgrade(
+    site: &mut Site,
+    old: &mut ServerProcess,
+    clients: &Clients,
+    pause: Duration,
+) -> (ServerProcess, UpgradeReport) {
+    let turned_away_before = clients.count(Outcome::TurnedAway);
+    let (new, ready_after) = site.start_successor();
+    let mut peak_resident_kb = 0;
+    let since = Instant::now();
+    while since.elapsed() < pause {
+        peak_resident_kb = peak_resident_kb.max(old.resident_kb() + new.resident_kb());
+        std::thread::sleep(POLL_INTERVAL);
+    }
+    let (ended_after, killed) = finish_predecessor(old, |old| {
+        peak_resident_kb = peak_resident_kb.max(old.resident_kb() + new.resident_kb());
+    });
+    std::thread::sleep(SETTLE_TIME);
+    let turned_away = clients.count(Outcome::TurnedAway) - turned_away_before;
+    (new, UpgradeReport { ready_after, ended_after, killed, turned_away, peak_resident_kb })
+}
+
+/// Requests the shutdown of a process and kills it if it does not end in time; returns the time to its end, and whether it
+/// was killed.
+pub fn finish_predecessor(
+    old: &mut ServerProcess,
+    mut meanwhile: impl FnMut(&ServerProcess),
+) -> (Duration, bool) {
+    old.signal("TERM");
+    let since = Instant::now();
+    while old.exit_status().is_none() {
+        if since.elapsed() >= KILL_AFTER {
+            old.kill();
+            return (since.elapsed(), true);
+        }
+        meanwhile(old);
+        std::thread::sleep(POLL_INTERVAL);
+    }
+    (since.elapsed(), false)
+}
+
+/// Returns a line on several upgrades.
+pub fn summarize(reports: &[UpgradeReport]) -> String {
+    let mut ready_ms: Vec<u128> = reports.iter().map(|report| report.ready_after.as_millis()).collect();
+    ready_ms.sort_unstable();
+    let median_ms = ready_ms.get(ready_ms.len() / 2).copied().unwrap_or(0);
+    let max_ms = ready_ms.last().copied().unwrap_or(0);
+    let ended_ms = reports.iter().map(|report| report.ended_after.as_millis()).max().unwrap_or(0);
+    let killed = reports.iter().filter(|report| report.killed).count();
+    let most = reports.iter().map(|report| report.turned_away).max().unwrap_or(0);
+    let door: Vec<String> = (0..=most)
+        .map(|count| (count, reports.iter().filter(|report| report.turned_away == count).count()))
+        .filter(|(_, upgrades)| *upgrades > 0)
+        .map(|(count, upgrades)| format!("{count}: {upgrades}"))
+        .collect();
+    let peak_kb = reports.iter().map(|report| report.peak_resident_kb).max().unwrap_or(0);
+    format!(
+        "{} upgrades, ready after {median_ms} ms (median) and {max_ms} ms (max), old ended after {ended_ms} ms at most, \
+         {killed} killed, door {{{}}}, peak resident {peak_kb} kB",
+        reports.len(),
+        door.join(", ")
+    )
+}
