--- a/src/admission/run_end.rs
+++ b/src/admission/run_end.rs
@@ -84,7 +84,7 @@
 
     /// Returns the request that is to start next, if one may.
     fn next_run(&self, now: f64) -> Option<RequestId> {
-        let (counts, capacity) = (self.requests.run_counts(), self.capacity(now));
+        let (counts, capacity) = (self.run_counts(), self.capacity(now));
         if !self.concurrency.has_capacity(counts, capacity) {
             return None;
         }
@@ -106,7 +106,7 @@
     /// Returns whether a queued request is to be run at all, and not the one that it duplicates.
     fn may_start(&self, request: &Request) -> bool {
         let too_late = request.answered || self.is_after_grace(request.arrived_at);
-        !too_late && !self.requests.waits_for_original(request)
+        !self.starts_suspended && !too_late && !self.requests.waits_for_original(request)
     }
 
     /// Returns whether the request cannot complete without its upstream call.
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -3,17 +3,21 @@
 use super::command_line::LoadedConfig;
 use super::config_follower::FollowerStart;
 use super::error::DaemonError;
+use super::handover::{self, SuccessorAcceptor, Takeover, TakeoverContext, TakeoverTask};
 use super::ledger::LedgerStart;
 use crate::config::Config;
 use crate::operator::LedgerConfig;
+use crate::server::control::{ControlEndpoint, ControlOptions};
 use crate::server::dispatcher::{Dispatcher, DispatcherEnvironment, Mailboxes};
 use crate::server::distributed_config::DistributedSettings;
 use crate::server::frontend::{FrontendContext, Listener, LogWindow};
+use crate::server::handover::HandoverDirectory;
 use crate::server::messages::{
     DispatcherMessage, ListenerMessage, RegistryMessage, UpstreamMessage, WorkerPoolMessage,
 };
 use crate::server::name_table::NameTable;
 use crate::server::registry::RegistryReporter;
+use crate::server::request_ids::RequestIdSequence;
 use crate::server::serving_status::ServingStatus;
 use crate::server::supervisor::{self, TaskFailure};
 use crate::server::timer_wheel::{Clock, TimerWheel};
@@ -22,9 +26,10 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
+use dunlinspread_handover::ServerIdentity;
 use dunlinspread_ledger::DurabilityMode;
 use futures_lite::future::BoxedLocal;
-use slog::Logger;
+use slog::{Logger, error};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -68,8 +73,12 @@
     pub(super) mailboxes: MovableMailboxes,
     /// The listener.
     pub(super) listener: ListenerHandle,
+    /// What operators see and set.
+    pub(super) status: Arc<ServingStatus>,
     /// Failures of tasks that should last as long as the process.
     pub(super) failures: Receiver<TaskFailure>,
+    /// The control endpoint, if an address is set for it; it ends with the server.
+    _control: Option<ControlEndpoint>,
 }
 
 /// What the tasks are made of.
@@ -81,6 +90,7 @@
     dispatcher: Sender<DispatcherMessage>,
     failures: Sender<TaskFailure>,
     status: Arc<ServingStatus>,
+    request_ids: Rc<RequestIdSequence>,
     log: &'a Logger,
 }
 
@@ -96,8 +106,6 @@
     let LoadedConfig { platform: config, operator } = loaded;
     let clock = Clock::start();
     let wheel = TimerWheel::new(clock, config.settings.tick_ms);
-    let socket = listen(config.listen)?;
-    let listen = socket.get_ref().local_addr().unwrap_or(config.listen);
     let (dispatcher, dispatcher_messages) = async_channel::bounded(config.limits.dispatcher_mailbox);
     let (listener, listener_messages) = async_channel::unbounded();
     let (failures, failed_tasks) = async_channel::unbounded();
@@ -112,19 +120,48 @@
         dispatcher: dispatcher.clone(),
         failures,
         status,
+        request_ids: Rc::default(),
         log,
     };
-    wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
-    let mailboxes = wiring.start_peer_tasks();
-    wiring.start_dispatcher(&mailboxes, &listener, operator.ledger.as_ref(), dispatcher_messages)?;
+    let control = wiring.start_control()?;
+    // The timers run from here on: a handover has time limits.
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
+    let handover_directory = handover::directory(loaded, log);
+    let mut takeover = handover_directory.as_ref().and_then(|directory| wiring.find_predecessor(directory));
+    let socket = match &mut takeover {
+        Some(takeover) => takeover.receive_socket().await?,
+        None => listen(config.listen)?,
+    };
+    wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
+    // The process before reports until it has handed over.
+    let mailboxes = wiring.start_peer_tasks(takeover.is_none());
+    let mut dispatcher_task = wiring.new_dispatcher(&mailboxes, &listener, operator.ledger.as_ref())?;
+    let takes_over = takeover.is_some();
+    if let Some(directory) = handover_directory {
+        wiring.start_handover(directory, &socket, takeover, &mut dispatcher_task);
+    }
+    wiring.supervise("dispatcher", Box::pin(dispatcher_task.run(dispatcher_messages)));
     let context = wiring.start_frontend_context(loaded).await?;
-    let listener = wiring.start_listener(context, socket, listener, listener_messages);
-    Ok(RunningServer { listen, clock, wheel, dispatcher, mailboxes, listener, failures: failed_tasks })
+    let listen = socket.local_addr().unwrap_or(config.listen);
+    let socket = Async::new(socket).map_err(|source| DaemonError::Listen { address: listen, source })?;
+    let accepts = !takes_over;
+    let listener = wiring.start_listener(context, socket, accepts, listener, listener_messages);
+    let status = wiring.status;
+    Ok(RunningServer {
+        listen,
+        clock,
+        wheel,
+        dispatcher,
+        mailboxes,
+        listener,
+        status,
+        failures: failed_tasks,
+        _control: control,
+    })
 }
 
-fn listen(address: SocketAddr) -> Result<Async<TcpListener>, DaemonError> {
-    TcpListener::bind(address).and_then(Async::new).map_err(|source| DaemonError::Listen { address, source })
+fn listen(address: SocketAddr) -> Result<TcpListener, DaemonError> {
+    TcpListener::bind(address).map_err(|source| DaemonError::Listen { address, source })
 }
 
 /// Has the dispatcher report each change of the evacuation.
@@ -142,8 +179,18 @@
         self.executor.spawn(supervised).detach();
     }
 
+    /// Starts the control endpoint if an address is set for it.
+    fn start_control(&self) -> Result<Option<ControlEndpoint>, DaemonError> {
+        let Some(address) = self.config.control else { return Ok(None) };
+        let max_connections = self.config.limits.control_connections;
+        let options = ControlOptions { address, max_connections };
+        ControlEndpoint::start(options, self.status.clone(), self.failures.clone(), self.log)
+            .map(Some)
+            .map_err(|source| DaemonError::Control { address, source })
+    }
+
     /// Starts the tasks of the server's peers.
-    fn start_peer_tasks(&self) -> MovableMailboxes {
+    fn start_peer_tasks(&self, reports_health: bool) -> MovableMailboxes {
         let upstream = self.config.upstream.map(|address| self.start_upstream_client(address));
         let (worker_pool, messages) = async_channel::unbounded();
         let link = WorkerPoolLink::new(
@@ -160,6 +207,7 @@
             name: self.config.name.clone(),
             clock: self.clock,
             wheel: self.wheel.clone(),
+            active: reports_health,
             log: self.log.clone(),
         };
         self.supervise("registry reporter", Box::pin(reporter.run(messages)));
@@ -182,14 +230,13 @@
         sender
     }
 
-    /// Starts the dispatcher, with the usage ledger if the operator file has one.
-    fn start_dispatcher(
+    /// Returns the dispatcher, with the usage ledger if the operator file has one.
+    fn new_dispatcher(
         &self,
         mailboxes: &MovableMailboxes,
         listener: &Sender<ListenerMessage>,
         ledger: Option<&LedgerConfig>,
-        messages: Receiver<DispatcherMessage>,
-    ) -> Result<(), DaemonError> {
+    ) -> Result<Dispatcher, DaemonError> {
         let mailboxes = Mailboxes {
             worker_pool: mailboxes.worker_pool.clone(),
             upstream: mailboxes.upstream.clone(),
@@ -201,6 +248,7 @@
             wheel: self.wheel.clone(),
             executor: self.executor.clone(),
             status: self.status.clone(),
+            request_ids: self.request_ids.clone(),
             log: self.log.clone(),
         };
         let mut dispatcher = Dispatcher::new(self.config, environment, self.dispatcher.clone(), mailboxes);
@@ -215,8 +263,56 @@
             };
             dispatcher.enable_billing(start.open(self.executor)?, ledger_tick_ms(ledger_config.mode));
         }
-        self.supervise("dispatcher", Box::pin(dispatcher.run(messages)));
-        Ok(())
+        Ok(dispatcher)
+    }
+
+    /// Looks for the process that this one is to take over from.
+    fn find_predecessor(&self, directory: &HandoverDirectory) -> Option<Takeover> {
+        let identity = ServerIdentity {
+            name: self.config.name.clone(),
+            classes: self.config.classes.clone(),
+            tenants: self.config.tenants.clone(),
+        };
+        let context = TakeoverContext {
+            dispatcher: self.dispatcher.clone(),
+            executor: self.executor.clone(),
+            clock: self.clock,
+            wheel: self.wheel.clone(),
+            log: self.log.clone(),
+        };
+        Takeover::find(directory, identity, context)
+    }
+
+    /// Lets this process hand over to a successor, once it serves, and take over from its predecessor before.
+    fn start_handover(
+        &self,
+        directory: HandoverDirectory,
+        socket: &TcpListener,
+        takeover: Option<Takeover>,
+        dispatcher: &mut Dispatcher,
+    ) {
+        match socket.try_clone() {
+            Ok(socket) => dispatcher.enable_handover(socket),
+            Err(error) => {
+                return error!(self.log, "handover is off: no further descriptor"; "error" => error.to_string());
+            }
+        }
+        let acceptor = SuccessorAcceptor {
+            directory,
+            dispatcher: self.dispatcher.clone(),
+            status: self.status.clone(),
+            executor: self.executor.clone(),
+            wheel: self.wheel.clone(),
+            log: self.log.clone(),
+        };
+        let Some(takeover) = takeover else {
+            return self.supervise("successor acceptor", Box::pin(acceptor.run()));
+        };
+        let (can_serve_sender, can_serve) = async_channel::bounded(1);
+        let (response_sender, responses) = async_channel::unbounded();
+        dispatcher.await_handover(can_serve_sender, response_sender);
+        let task = TakeoverTask { can_serve, responses, acceptor, failures: self.failures.clone() };
+        self.executor.spawn(takeover.run(task)).detach();
     }
 
     /// Returns what the connections share, with distributed settings if the operator file has them.
@@ -238,7 +334,7 @@
             dispatcher: self.dispatcher.clone(),
             log: self.log.clone(),
             bills_accounts: loaded.operator.ledger.is_some(),
-            last_request_id: Cell::new(0),
+            request_ids: self.request_ids.clone(),
             fault_log: Cell::new(LogWindow::default()),
         }))
     }
@@ -270,6 +366,7 @@
         &self,
         context: Rc<FrontendContext>,
         socket: Async<TcpListener>,
+        accepts: bool,
         sender: Sender<ListenerMessage>,
         messages: Receiver<ListenerMessage>,
     ) -> ListenerHandle {
@@ -279,6 +376,7 @@
             sender: sender.clone(),
             executor: self.executor.clone(),
             max_connections: self.config.limits.client_connections,
+            accepts,
         };
         let may_end = Rc::new(Cell::new(false));
         let (end_sender, ended) = async_channel::bounded(1);
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -14,8 +14,11 @@
 mod actions;
 mod arrivals;
 mod billing;
+mod body_hasher;
 mod event_loop;
 mod gauge_poll;
+mod handing_over;
+mod handover_records;
 mod idempotency_keys;
 mod log_limit;
 mod pool_events;
@@ -25,7 +28,9 @@
 mod responses;
 mod runs;
 mod state;
+mod taking_over;
 mod timers;
 mod upstream_calls;
 
+pub use body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
 pub use state::{Dispatcher, DispatcherEnvironment, Mailboxes};
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -2,12 +2,15 @@
 //! for the dispatcher. The dispatcher alone owns what becomes of a request; the other tasks carry bytes and decide
 //! nothing about one.
 
+pub mod control;
 pub mod dispatcher;
 pub mod distributed_config;
 pub mod frontend;
+pub mod handover;
 pub mod messages;
 pub mod name_table;
 pub mod registry;
+pub mod request_ids;
 pub mod serving_status;
 pub mod supervisor;
 pub mod telemetry;
