--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -31,4 +31,4 @@
 pub use platform::{PlatformSettings, RequestClass};
 pub use registry::{FakeRegistry, RegistryReport};
 pub use upstream::{FakeUpstream, UpstreamFaults};
-pub use worker_pool::{FakeWorkerPool, StartedRun, WorkerPoolFaults};
+pub use worker_pool::{FakeWorkerPool, RequestEnds, StartedRun, WorkerPoolFaults};
--- a/crates/fakes/src/worker_pool/mod.rs
+++ b/crates/fakes/src/worker_pool/mod.rs
@@ -7,8 +7,11 @@
 mod machine;
 mod notices;
 mod occupancy;
+mod request_ends;
 mod run_log;
+mod shared_machine;
 
 pub use fake_worker_pool::FakeWorkerPool;
 pub use faults::WorkerPoolFaults;
+pub use request_ends::RequestEnds;
 pub use run_log::StartedRun;
--- /dev/null
+++ b/tests/daily.rs
@@ -0,0 +1,290 @@
+//! The operators' calls to a real process under load: its figures against the clients' own counts, evacuation and its end,
+//! and clients that send in pieces, leave, or say nothing while the registry is down.
+//!
+//! `DAILY_SEED` sets the seed.
+
+mod upgrade_support;
+
+use dunlinspread_fakes::{WorkerPoolFaults, unix_ms};
+use serde_json::Value;
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+use upgrade_support::check::{judge, print_attempts};
+use upgrade_support::clients::Clients;
+use upgrade_support::http::{HttpReply, call};
+use upgrade_support::load::LoadSettings;
+use upgrade_support::messages::{RequestFields, encode_request};
+use upgrade_support::process::ServerProcess;
+use upgrade_support::records::{HealthAnswer, Outcome, Records};
+use upgrade_support::settings::{CLASSES, CLIENT_TIMEOUT_MS, SERVER_NAME};
+use upgrade_support::site::Site;
+use upgrade_support::{from_environment, run_for, wait_for};
+
+/// The seed where the environment sets none.
+const DEFAULT_SEED: u64 = 1;
+/// The time in which a call of the operators is answered.
+const CALL_LIMIT: Duration = Duration::from_secs(1);
+/// What counts may miss by: this many, or this part.
+const COUNT_TOLERANCE: f64 = 3.0;
+const COUNT_TOLERANCE_PART: f64 = 0.01;
+const ATTEMPT_TOLERANCE_PART: f64 = 0.02;
+const IN_FLIGHT_TOLERANCE_PART: f64 = 0.1;
+/// The first digits of the ids of clients that leave; no other client draws them.
+const LEAVING_IDS: u64 = 0xfeed_0000_0000_0000;
+
+fn seed() -> u64 {
+    from_environment("DAILY_SEED", DEFAULT_SEED)
+}
+
+fn light_load(seed: u64) -> LoadSettings {
+    LoadSettings { seed, rate: 100.0, shared_connections: 8, withdrawals: false }
+}
+
+fn operators_call(process: &ServerProcess, method: &str, path: &str) -> HttpReply {
+    let control = process.control.expect("it has a control endpoint");
+    let reply = call(control, method, path).unwrap_or_else(|error| panic!("{method} {path}: {error}"));
+    assert!(reply.took < CALL_LIMIT, "{method} {path} took {:?}", reply.took);
+    reply
+}
+
+fn telemetry(process: &ServerProcess) -> Value {
+    let reply = operators_call(process, "GET", "/api/telemetry");
+    assert!(reply.is_success(), "{reply:?}");
+    reply.json()
+}
+
+fn figure(telemetry: &Value, class: &str, name: &str) -> u64 {
+    let figure = &telemetry["requests"][class][name];
+    figure.as_u64().unwrap_or_else(|| panic!("no figure {class} {name}: {telemetry}"))
+}
+
+fn in_flight(telemetry: &Value) -> u64 {
+    telemetry["in_flight"].as_u64().unwrap_or_else(|| panic!("no figure in_flight: {telemetry}"))
+}
+
+fn agrees(stated: u64, true_count: usize, part: f64) -> bool {
+    let (stated, true_count) = (stated as f64, true_count as f64);
+    (stated - true_count).abs() <= COUNT_TOLERANCE.max(true_count * part)
+}
+
+/// Returns the figures that are not those of the clients and of the machine.
+fn differences(telemetry: &Value, records: &Records, site: &Site) -> Vec<String> {
+    let runs = site.started_runs();
+    let mut found = Vec::new();
+    for class in CLASSES {
+        let count = |outcome| records.count_of_class(class, outcome);
+        let expected = [
+            ("served", count(Outcome::Served), COUNT_TOLERANCE_PART),
+            ("refused", count(Outcome::Rejected), COUNT_TOLERANCE_PART),
+            ("failed", count(Outcome::Failed), COUNT_TOLERANCE_PART),
+            ("attempts", runs.iter().filter(|run| run.class == class).count(), ATTEMPT_TOLERANCE_PART),
+        ];
+        for (name, true_count, part) in expected {
+            let stated = figure(telemetry, class, name);
+            println!("{class} {name}: {stated} stated, {true_count} counted");
+            if !agrees(stated, true_count, part) {
+                found.push(format!("{class} {name}: {stated} stated, {true_count} counted"));
+            }
+        }
+    }
+    found
+}
+
+/// After a load that the machine can't bear, with runs that fail, the figures are those that the clients counted.
+#[test]
+fn figures_are_those_that_clients_count() {
+    let seed = seed();
+    let faults = WorkerPoolFaults { bad: 0.05, ..WorkerPoolFaults::default() };
+    let mut site = Site::with_faults(seed, faults);
+    let process = site.start_first();
+    let load = LoadSettings { rate: 900.0, shared_connections: 40, ..light_load(seed) };
+    let clients = Clients::start(site.listen, site.request_ends(), load);
+    let slow_callers = hold_control_connections(&process);
+    for _ in 0..30 {
+        run_for(Duration::from_millis(100));
+        let _ = telemetry(&process);
+    }
+    drop(slow_callers);
+    let records = clients.finish();
+    let verdict = judge(&records, &site.started_runs());
+    println!("mixed load, seed {seed}: {verdict}");
+    print_attempts(&records, &[Outcome::Lost, Outcome::Unanswered, Outcome::TurnedAway]);
+    assert!(verdict.rejected > 100 && verdict.failed > 10, "seed {seed}: too little to compare: {verdict}");
+    assert_eq!(verdict.broken_rules(), 0, "seed {seed}: a rule is broken: {verdict}");
+    assert_eq!(verdict.without_response(), 0, "seed {seed}: requests without a response: {verdict}");
+    // Counts may lag by half a second.
+    run_for(Duration::from_millis(500));
+    let stated = telemetry(&process);
+    let differences = differences(&stated, &records, &site);
+    assert!(differences.is_empty(), "seed {seed}: {differences:?}\n{verdict}");
+    assert!(in_flight(&stated) <= COUNT_TOLERANCE as u64, "seed {seed}: {stated}");
+}
+
+/// Opens connections to the control endpoint that never send a whole call.
+fn hold_control_connections(process: &ServerProcess) -> Vec<TcpStream> {
+    let control = process.control.expect("it has a control endpoint");
+    let hold = |bytes: &[u8]| {
+        let mut stream = TcpStream::connect(control).expect("it listens");
+        stream.write_all(bytes).expect("the connection is open");
+        stream
+    };
+    (0..10).flat_map(|_| [hold(b""), hold(b"GET /api/ready HTTP/1.1\r\nHo")]).collect()
+}
+
+/// While the machine holds its runs, the requests in flight are those that clients wait for.
+#[test]
+fn requests_in_flight_are_those_that_clients_wait_for() {
+    const MIN_OPEN: u64 = 20;
+    const AGREEING_SAMPLES: u32 = 5;
+    let seed = seed();
+    let mut site = Site::start(seed);
+    let process = site.start_first();
+    let clients = Clients::start(site.listen, site.request_ends(), light_load(seed));
+    wait_for(seed, "responses", || clients.count(Outcome::Served) > 20);
+    site.last_pool().stall(Duration::from_secs(3));
+    wait_for(seed, "requests that wait", || clients.open() >= MIN_OPEN);
+    let mut agreeing = 0;
+    wait_for(seed, "figures that agree", || {
+        let before = clients.open();
+        let stated = in_flight(&telemetry(&process));
+        let after = clients.open();
+        let (least, most) = (before.min(after) as f64, before.max(after) as f64);
+        let tolerance = COUNT_TOLERANCE.max(most * IN_FLIGHT_TOLERANCE_PART);
+        let within = (least - tolerance..=most + tolerance).contains(&(stated as f64));
+        println!("in flight {stated}, clients wait for {least} to {most}");
+        agreeing = if within && least >= MIN_OPEN as f64 { agreeing + 1 } else { 0 };
+        assert!(clients.open() >= MIN_OPEN, "seed {seed}: the runs went on before the figures agreed");
+        agreeing == AGREEING_SAMPLES
+    });
+    let records = clients.finish();
+    let verdict = judge(&records, &site.started_runs());
+    println!("held runs, seed {seed}: {verdict}");
+    assert_eq!(verdict.broken_rules() + verdict.lost, 0, "seed {seed}: {verdict}");
+    wait_for(seed, "nothing in flight", || in_flight(&telemetry(&process)) == 0);
+}
+
+/// Returns the answers to health checks that were made from one time to another, Unix ms.
+fn health_between(records: &Records, from_ms: u64, to_ms: u64) -> Vec<HealthAnswer> {
+    let between = records.health.iter().filter(|(at, _)| (from_ms..to_ms).contains(at));
+    between.map(|(_, answer)| *answer).collect()
+}
+
+/// Evacuation turns health bad within a second and nothing else; the end of it turns health good within two.
+#[test]
+fn evacuation_shows_in_health_and_costs_no_request() {
+    const BAD_WITHIN_MS: u64 = 1000;
+    const GOOD_WITHIN_MS: u64 = 2000;
+    const STAY: Duration = Duration::from_millis(2500);
+    let seed = seed();
+    let mut site = Site::start(seed);
+    let mut process = site.start_first();
+    let clients = Clients::start(site.listen, site.request_ends(), light_load(seed));
+    run_for(Duration::from_millis(500));
+    let evacuated_ms = unix_ms();
+    assert!(operators_call(&process, "PUT", "/api/evacuate").is_success());
+    run_for(STAY);
+    let rejoined_ms = unix_ms();
+    assert!(operators_call(&process, "PUT", "/api/rejoin").is_success());
+    run_for(STAY);
+    let end_ms = unix_ms();
+    assert!(process.exit_status().is_none(), "seed {seed}: the process ended");
+    let records = clients.finish();
+    let verdict = judge(&records, &site.started_runs());
+    println!("evacuation, seed {seed}: {verdict}");
+    let first_bad = records.health.iter().find(|(_, answer)| *answer != HealthAnswer::Good);
+    let first_good =
+        records.health.iter().find(|(at, answer)| *at >= rejoined_ms && *answer == HealthAnswer::Good);
+    println!(
+        "bad after {:?} ms, good again after {:?} ms",
+        first_bad.map(|(at, _)| at.saturating_sub(evacuated_ms)),
+        first_good.map(|(at, _)| at - rejoined_ms)
+    );
+    let evacuated = health_between(&records, evacuated_ms + BAD_WITHIN_MS, rejoined_ms);
+    assert!(!evacuated.is_empty(), "seed {seed}: no health checks");
+    assert!(evacuated.iter().all(|answer| *answer == HealthAnswer::Bad), "seed {seed}: {evacuated:?}");
+    let rejoined = health_between(&records, rejoined_ms + GOOD_WITHIN_MS, end_ms);
+    assert!(!rejoined.is_empty(), "seed {seed}: no health checks after the end");
+    assert!(rejoined.iter().all(|answer| *answer == HealthAnswer::Good), "seed {seed}: {rejoined:?}");
+    assert_reports(seed, &site, evacuated_ms, rejoined_ms);
+    assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
+    assert_eq!(verdict.rejected + verdict.failed + verdict.turned_away, 0, "seed {seed}: {verdict}");
+}
+
+/// Asserts that the registry heard of the evacuation and of its end.
+fn assert_reports(seed: u64, site: &Site, evacuated_ms: u64, rejoined_ms: u64) {
+    let reports = site.registry().reports();
+    assert!(reports.iter().all(|report| report.server == SERVER_NAME), "seed {seed}: {reports:?}");
+    let status = |from_ms: u64, to_ms: u64| -> Vec<bool> {
+        let between = reports.iter().filter(|report| (from_ms..to_ms).contains(&report.received_ms));
+        between.map(|report| report.passing).collect()
+    };
+    let (before, evacuated, after) =
+        (status(0, evacuated_ms), status(evacuated_ms, rejoined_ms), status(rejoined_ms, u64::MAX));
+    println!("reports passing before {before:?}, evacuated {evacuated:?}, after {after:?}");
+    assert!(before.iter().all(|passing| *passing), "seed {seed}: critical before: {before:?}");
+    assert_eq!(evacuated.last(), Some(&false), "seed {seed}: no critical report: {evacuated:?}");
+    assert_eq!(after.last(), Some(&true), "seed {seed}: no passing report afterwards: {after:?}");
+}
+
+/// Clients that send in pieces, withdraw, leave with requests open, or hold silent connections, with the registry down:
+/// nothing is lost for the others, and nothing stays in flight.
+#[test]
+fn pieces_leaving_clients_and_silence_with_the_registry_down() {
+    const ROUNDS: u64 = 40;
+    let seed = seed();
+    let mut site = Site::start(seed);
+    let mut process = site.start_first();
+    site.stop_registry();
+    let clients = Clients::start(
+        site.listen,
+        site.request_ends(),
+        LoadSettings { withdrawals: true, ..light_load(seed) },
+    );
+    let mut silent = Vec::new();
+    for round in 0..ROUNDS {
+        silent.extend(open_silent(site.listen, round));
+        leave_with_a_request(&site, LEAVING_IDS + round);
+        run_for(Duration::from_millis(50));
+    }
+    let before = clients.count(Outcome::Served);
+    wait_for(seed, "further responses", || clients.count(Outcome::Served) > before + 20);
+    let records = clients.finish();
+    drop(silent);
+    let mut runs = site.started_runs();
+    let of_leaving = format!("{:08x}", LEAVING_IDS >> 32);
+    runs.retain(|run| !run.id.starts_with(&of_leaving));
+    let verdict = judge(&records, &runs);
+    println!("less room, seed {seed}: {verdict}");
+    assert!(process.exit_status().is_none(), "seed {seed}: the process ended");
+    assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
+    assert_eq!(verdict.turned_away, 0, "seed {seed}: {verdict}");
+    wait_for(seed, "nothing in flight", || in_flight(&telemetry(&process)) == 0);
+}
+
+/// Opens a connection that never sends a whole message.
+fn open_silent(address: SocketAddr, round: u64) -> Option<TcpStream> {
+    let mut stream = TcpStream::connect(address).ok()?;
+    if round % 2 == 0 {
+        stream.write_all(b"\x94\x00\x01").ok()?;
+    }
+    Some(stream)
+}
+
+/// Sends a request and leaves without reading the response.
+fn leave_with_a_request(site: &Site, call: u64) {
+    let mut stream = TcpStream::connect(site.listen).expect("it listens");
+    let fields = RequestFields {
+        call,
+        received_ms: unix_ms(),
+        timeout_ms: CLIENT_TIMEOUT_MS as u64,
+        memory_kb: 20.0,
+        priority: 0.5,
+        key: None,
+    };
+    let request = encode_request(1, CLASSES[1], &fields, b"a client that leaves");
+    // The server may have closed the connection to make room.
+    let _ = stream.write_all(&request);
+    drop(stream);
+    site.request_ends().end(&format!("{call:016x}"));
+}
--- a/tests/upgrade_support/records.rs
+++ b/tests/upgrade_support/records.rs
@@ -1,6 +1,7 @@
 //! What the clients sent, and what became of it.
 
 use crate::upgrade_support::load::PlannedRequest;
+use std::fmt;
 use std::sync::Arc;
 
 /// What became of an attempt, as its client saw it.
@@ -41,6 +42,18 @@
     pub ended_ms: u64,
     /// What became of it.
     pub outcome: Outcome,
+    /// The name of the error, for one that failed.
+    pub error: Option<String>,
+}
+
+impl fmt::Display for AttemptRecord {
+    /// Writes what helps to find the attempt in the logs of the processes; times are Unix ms.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let AttemptRecord { call, request, connected_ms, written_ms, ended_ms, outcome, error, .. } = self;
+        let (class, key) = (request.class, request.key.as_deref().unwrap_or("none"));
+        write!(f, "{outcome:?} {call:016x} {class}, key {key}, connected {connected_ms:?}, ")?;
+        write!(f, "written {written_ms:?}, ended {ended_ms}, error {error:?}")
+    }
 }
 
 /// The answer to a health check.
