--- a/crates/fakes/src/worker_pool/machine.rs
+++ b/crates/fakes/src/worker_pool/machine.rs
@@ -78,6 +78,8 @@
     runs: HashMap<String, Run>,
     generations: u64,
     shared: SharedMachine,
+    /// By which the machine hears of the ends of requests whose runs wait.
+    request_ended: Sender<String>,
 }
 
 impl Machine {
@@ -87,6 +89,7 @@
         seed: u64,
         faults: WorkerPoolFaults,
         shared: SharedMachine,
+        request_ended: Sender<String>,
     ) -> Machine {
         Machine {
             platform,
@@ -97,6 +100,7 @@
             runs: HashMap::new(),
             generations: 0,
             shared,
+            request_ended,
         }
     }
 
@@ -195,6 +199,7 @@
         if end != CallEnd::Supplied && end != CallEnd::Passed(Some(notice)) {
             return None;
         }
+        self.shared.request_ends.stop_awaiting(id);
         self.go_on(id)
     }
 
@@ -241,7 +246,7 @@
     }
 
     fn begin_call(&mut self, id: &str) {
-        if self.shared.request_ends.is_over(id) {
+        if self.shared.request_ends.await_end(id, &self.request_ended) {
             return self.cut(id);
         }
         let notice = self.notices.next_number();
