--- a/src/daemon/handover/mod.rs
+++ b/src/daemon/handover/mod.rs
@@ -5,11 +5,11 @@
 //! `TMPDIR` is set: no page promises a socket in the file system otherwise.
 
 mod frames;
+mod start;
 mod successors;
 mod takeover;
 
-pub(super) use successors::SuccessorAcceptor;
-pub(super) use takeover::{Takeover, TakeoverContext, TakeoverTask};
+pub(super) use start::HandoverStart;
 
 use super::command_line::LoadedConfig;
 use crate::server::handover::HandoverDirectory;
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -5,6 +5,7 @@
 //! - After the commit this process decides on no request that arrives: all go to the successor.
 
 use super::handover_records::{forwarded_request, response, sent_key};
+use super::handover_state::SuccessorHealth;
 use super::request::{ExecutionState, Request};
 use super::state::Dispatcher;
 use crate::admission::{Event, RequestId};
@@ -12,86 +13,15 @@
     ConnectionMessage, DispatcherMessage, IncomingRequest, ListenerMessage, RegistryMessage, ReplyHandle,
     Response, SuccessorFrame, SuccessorMessage,
 };
-use async_channel::Sender;
 use dunlinspread_handover::{
-    ForwardedResponse, Predecessor, PredecessorAction, PredecessorEvent, PredecessorPhase, ServerIdentity,
-    ToPredecessor, ToSuccessor,
+    ForwardedResponse, PredecessorAction, PredecessorEvent, ToPredecessor, ToSuccessor,
 };
 use slog::{error, info, warn};
-use std::collections::HashMap;
 use std::net::TcpListener;
 
 /// Bytes of keys and results in one frame of the snapshot, past which the next one begins.
 const SNAPSHOT_FRAME_BYTES: usize = 128 << 10;
 
-/// What the successor tells clients through this process.
-#[derive(Clone, Copy)]
-pub(super) struct SuccessorHealth {
-    pub(super) healthy: bool,
-    pub(super) advertised_share: Option<f64>,
-}
-
-/// The state of a handover to a successor.
-pub(super) struct HandingOver {
-    machine: Predecessor,
-    /// The listening socket, of which the successor gets a descriptor.
-    listening_socket: Option<TcpListener>,
-    /// Frames for the successor, while a link is up.
-    successor: Option<Sender<SuccessorFrame>>,
-    /// Requests that wait for the end of the transfer.
-    held: Vec<IncomingRequest>,
-    /// Where the responses to forwarded requests go.
-    forwarded: HashMap<RequestId, ReplyHandle>,
-    successor_health: SuccessorHealth,
-    /// The number of the time limit that is running.
-    time_limit: u64,
-}
-
-impl HandingOver {
-    pub(super) fn new(identity: ServerIdentity) -> HandingOver {
-        HandingOver {
-            machine: Predecessor::new(identity),
-            listening_socket: None,
-            successor: None,
-            held: Vec::new(),
-            forwarded: HashMap::new(),
-            successor_health: SuccessorHealth { healthy: true, advertised_share: None },
-            time_limit: 0,
-        }
-    }
-
-    /// Returns whether the keys are on their way to the successor.
-    pub(super) fn is_transferring(&self) -> bool {
-        self.machine.phase() == PredecessorPhase::Transferring
-    }
-
-    /// Returns whether the successor decides.
-    pub(super) fn is_handed_over(&self) -> bool {
-        self.machine.phase() == PredecessorPhase::HandedOver
-    }
-
-    /// Returns what the successor tells clients, once it decides.
-    pub(super) fn successor_health(&self) -> Option<SuccessorHealth> {
-        self.is_handed_over().then_some(self.successor_health)
-    }
-
-    /// Returns the number of requests that are held or forwarded.
-    pub(super) fn len(&self) -> usize {
-        self.held.len() + self.forwarded.len()
-    }
-
-    fn send(&self, message: ToSuccessor) {
-        self.send_with(SuccessorFrame { message, descriptor: None });
-    }
-
-    fn send_with(&self, frame: SuccessorFrame) {
-        if let Some(successor) = &self.successor {
-            // The queue is unbounded; it is closed once the link has ended, which is told by a message of its own.
-            let _ = successor.try_send(frame);
-        }
-    }
-}
-
 impl Dispatcher {
     /// Lets a successor take over the listening socket.
     pub fn enable_handover(&mut self, listening_socket: TcpListener) {
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -19,6 +19,7 @@
 mod gauge_poll;
 mod handing_over;
 mod handover_records;
+mod handover_state;
 mod idempotency_keys;
 mod log_limit;
 mod pool_events;
@@ -33,4 +34,5 @@
 mod upstream_calls;
 
 pub use body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
+pub use handover_state::server_identity;
 pub use state::{Dispatcher, DispatcherEnvironment, Mailboxes};
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -2,15 +2,15 @@
 //! other tasks.
 
 use super::gauge_poll::GaugePoll;
-use super::handing_over::HandingOver;
+use super::handover_state::{HandingOver, TakingOver, server_identity};
 use super::idempotency_keys::IdempotencyKeys;
 use super::log_limit::LogLimit;
 use super::pool_link::PoolLink;
 use super::request::Request;
 use super::request_table::RequestTable;
-use super::taking_over::TakingOver;
 use crate::admission::{AdmissionController, Event, RequestId, Settings};
 use crate::config::Config;
+use crate::server::evacuation::{HealthInput, ServiceHealth};
 use crate::server::messages::{
     ConnectionMessage, DispatcherMessage, ListenerMessage, PoolCommand, RegistryMessage, ReplyHandle,
     Response, UpstreamMessage, WorkerPoolMessage,
@@ -22,7 +22,6 @@
 use crate::server::usage::Billing;
 use async_channel::{Sender, TrySendError};
 use async_executor::LocalExecutor;
-use dunlinspread_handover::ServerIdentity;
 use slog::Logger;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -82,8 +81,8 @@
     registry: Sender<RegistryMessage>,
     pub(super) listener: Sender<ListenerMessage>,
     pub(super) gauge_poll: GaugePoll,
-    /// Whether the controller takes the server for healthy.
-    pub(super) healthy: bool,
+    /// The health of this process.
+    pub(super) health: ServiceHealth,
     /// The share that goes out with every response.
     pub(super) advertised_share: Option<f64>,
     /// The usage ledger, if responses are billed.
@@ -113,11 +112,6 @@
         mailboxes: Mailboxes,
     ) -> Self {
         let DispatcherEnvironment { clock, wheel, executor, status, request_ids, log } = environment;
-        let identity = ServerIdentity {
-            name: config.name.clone(),
-            classes: config.classes.clone(),
-            tenants: config.tenants.clone(),
-        };
         Dispatcher {
             settings: config.settings.clone(),
             max_requests: config.limits.requests,
@@ -131,14 +125,14 @@
             registry: mailboxes.registry,
             listener: mailboxes.listener,
             gauge_poll: GaugePoll::default(),
-            healthy: true,
+            health: ServiceHealth::default(),
             advertised_share: None,
             usage: None,
             usage_tick_ms: 0.0,
             controller_lines: LogLimit::default(),
             rejected_command_lines: LogLimit::default(),
             status,
-            handing_over: HandingOver::new(identity),
+            handing_over: HandingOver::new(server_identity(config)),
             taking_over: TakingOver::new(request_ids),
             idle: None,
             clock,
@@ -219,13 +213,27 @@
         }
     }
 
-    /// Returns whether the server is healthy: the controller says so, responses can be billed, and no operator sends
-    /// clients elsewhere.
+    /// Returns whether the server is healthy.
     pub(super) fn is_healthy(&self) -> bool {
         if let Some(successor) = self.handing_over.successor_health() {
             return successor.healthy;
         }
-        self.healthy && self.can_bill() && !self.status.is_evacuated()
+        self.health.is_healthy()
+    }
+
+    /// Passes inputs to the health of this process, and reports a change to the registry.
+    pub(super) fn update_health(&mut self, inputs: &[HealthInput]) {
+        if self.health.on_inputs(inputs).is_some() {
+            self.report_health();
+        }
+    }
+
+    /// Takes the state of ledger and evacuation as it is now, without waiting for the messages that tell of changes.
+    pub(super) fn refresh_health(&mut self) {
+        let billing = HealthInput::BillingHealth(self.can_bill());
+        let is_evacuated = self.status.is_evacuated();
+        let evacuation = if is_evacuated { HealthInput::Evacuate } else { HealthInput::Rejoin };
+        self.update_health(&[billing, evacuation]);
     }
 
     /// Reports health to the registry.
--- a/src/server/handover/error.rs
+++ b/src/server/handover/error.rs
@@ -1,6 +1,5 @@
 //! Errors of the socket between two processes of one server.
 
-use super::frame::MAX_FRAME_BYTES;
 use std::io;
 use std::path::PathBuf;
 
@@ -63,9 +62,14 @@
     /// The other side closed the connection within a frame.
     #[error("reading a handover frame: the connection ended within it")]
     CutFrame,
-    /// A frame past [`MAX_FRAME_BYTES`].
-    #[error("handover frame of {0} bytes: the longest has {MAX_FRAME_BYTES}")]
-    FrameTooLong(usize),
+    /// A frame past the limit on its length.
+    #[error("handover frame of {length} bytes: the longest has {limit}")]
+    FrameTooLong {
+        /// Bytes of the frame.
+        length: usize,
+        /// The most bytes of a frame.
+        limit: usize,
+    },
     /// A descriptor came that this process can't hold, for example because it has too many.
     #[error("reading a handover frame: its file descriptor could not be received")]
     DescriptorLost,
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -5,6 +5,7 @@
 pub mod control;
 pub mod dispatcher;
 pub mod distributed_config;
+pub mod evacuation;
 pub mod frontend;
 pub mod handover;
 pub mod messages;
