--- /dev/null
+++ b/tests/pauses.rs
@@ -0,0 +1,113 @@
+//! A server that stands still for a moment, as on a machine that is short of cores, with as many connections open as
+//! clients may have: what was written meanwhile is answered, and no connection is closed over it.
+//!
+//! `DAILY_SEED` sets the seed.
+
+mod upgrade_support;
+
+use dunlinspread_fakes::unix_ms;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+use upgrade_support::messages::{RequestFields, Response, ServerMessage, decode, encode_request};
+use upgrade_support::settings::{CLASSES, CLIENT_TIMEOUT_MS};
+use upgrade_support::site::Site;
+use upgrade_support::{TEST_TIMEOUT, from_environment, run_for};
+
+/// The seed where the environment sets none.
+const DEFAULT_SEED: u64 = 1;
+/// Connections before the pause, and those that are opened in it: together at most half of the descriptor limit.
+const CONNECTIONS: usize = 496;
+const FURTHER_CONNECTIONS: usize = 16;
+/// Connections on which a request is written in the pause: those that have been idle longest.
+const REQUESTS: usize = 50;
+/// The pause, far beyond the 50 ms within which a request may cross a close.
+const PAUSE: Duration = Duration::from_millis(300);
+
+/// The last id of an attempt; ids are unique in the test program.
+static LAST_CALL: AtomicU64 = AtomicU64::new(0);
+
+/// A connection and what was read of it.
+struct Connection {
+    stream: TcpStream,
+    bytes: Vec<u8>,
+    last_id: u64,
+    shutdown_seen: bool,
+}
+
+impl Connection {
+    /// Opens a connection and writes a request.
+    fn open(address: SocketAddr) -> Connection {
+        let stream = TcpStream::connect(address).expect("it listens");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
+        let mut connection = Connection { stream, bytes: Vec::new(), last_id: 0, shutdown_seen: false };
+        connection.send();
+        connection
+    }
+
+    /// Writes a request.
+    fn send(&mut self) {
+        self.last_id += 1;
+        let fields = RequestFields {
+            call: LAST_CALL.fetch_add(1, Ordering::Relaxed) + 1,
+            received_ms: unix_ms(),
+            timeout_ms: CLIENT_TIMEOUT_MS as u64,
+            memory_kb: 20.0,
+            priority: 0.9,
+            key: None,
+        };
+        let request = encode_request(self.last_id, CLASSES[0], &fields, b"written in a pause");
+        self.stream.write_all(&request).expect("the connection is open");
+    }
+
+    /// Returns the response to the last message; `None` if the connection ends without.
+    fn response(&mut self) -> Option<Response> {
+        let mut chunk = [0; 4096];
+        loop {
+            while let Some((message, length)) = decode(&self.bytes) {
+                self.bytes.drain(..length);
+                match message {
+                    ServerMessage::Response(id, response) if id == self.last_id => return Some(response),
+                    ServerMessage::Shutdown => self.shutdown_seen = true,
+                    ServerMessage::Response(..) | ServerMessage::Other => {}
+                }
+            }
+            match self.stream.read(&mut chunk) {
+                Ok(0) => return None,
+                Ok(count) => self.bytes.extend_from_slice(&chunk[..count]),
+                Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
+                Err(error) => panic!("no response: {error}"),
+            }
+        }
+    }
+}
+
+/// Requests that were written on idle connections while the server stood still are answered, also where more connections
+/// than before wait to be accepted.
+#[test]
+fn requests_written_in_a_pause_are_answered() {
+    let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
+    let mut site = Site::start(seed);
+    let mut process = site.start_first();
+    let mut connections = Vec::new();
+    for _ in 0..CONNECTIONS {
+        let mut connection = Connection::open(site.listen);
+        assert!(connection.response().is_some(), "seed {seed}: a request without a response");
+        connections.push(connection);
+    }
+    process.signal("STOP");
+    let mut further: Vec<Connection> =
+        (0..FURTHER_CONNECTIONS).map(|_| Connection::open(site.listen)).collect();
+    for connection in connections.iter_mut().take(REQUESTS) {
+        connection.send();
+    }
+    run_for(PAUSE);
+    process.signal("CONT");
+    let of_idle = connections.iter_mut().take(REQUESTS).filter_map(Connection::response).count();
+    let of_further = further.iter_mut().filter_map(Connection::response).count();
+    println!("seed {seed}: answered {of_idle} of {REQUESTS}, and {of_further} of {FURTHER_CONNECTIONS}");
+    let notified = connections.iter().filter(|connection| connection.shutdown_seen).count();
+    assert_eq!(of_idle, REQUESTS, "seed {seed}: requests on idle connections lost, {notified} notified");
+    assert_eq!(of_further, FURTHER_CONNECTIONS, "seed {seed}: requests on further connections lost");
+}
