--- a/tests/pauses.rs
+++ b/tests/pauses.rs
@@ -1,5 +1,5 @@
-//! A server that stands still for a moment, as on a machine that is short of cores, with as many connections open as
-//! clients may have: what was written meanwhile is answered, and no connection is closed over it.
+//! A server that stands still or lags, as on a machine that is short of cores, with as many connections open as clients may
+//! have: what was written meanwhile is answered, and no connection is closed over it.
 //!
 //! `DAILY_SEED` sets the seed.
 
@@ -10,7 +10,11 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
+use upgrade_support::check::{judge, print_attempts};
+use upgrade_support::clients::Clients;
+use upgrade_support::load::LoadSettings;
 use upgrade_support::messages::{RequestFields, Response, ServerMessage, decode, encode_request};
+use upgrade_support::records::Outcome;
 use upgrade_support::settings::{CLASSES, CLIENT_TIMEOUT_MS};
 use upgrade_support::site::Site;
 use upgrade_support::{TEST_TIMEOUT, from_environment, run_for};
@@ -111,3 +115,21 @@
     assert_eq!(of_idle, REQUESTS, "seed {seed}: requests on idle connections lost, {notified} notified");
     assert_eq!(of_further, FURTHER_CONNECTIONS, "seed {seed}: requests on further connections lost");
 }
+
+/// A load under which the event loop lags loses nothing: what is not served is refused.
+#[test]
+fn a_load_past_what_the_event_loop_bears_loses_nothing() {
+    const LOAD_TIME: Duration = Duration::from_secs(3);
+    let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
+    let mut site = Site::start(seed);
+    let mut process = site.start_first();
+    let load = LoadSettings { seed, rate: 900.0, shared_connections: 40, withdrawals: false };
+    let clients = Clients::start(site.listen, site.request_ends(), load);
+    run_for(LOAD_TIME);
+    let records = clients.finish();
+    let verdict = judge(&records, &site.started_runs());
+    println!("overload, seed {seed}: {verdict}");
+    print_attempts(&records, &[Outcome::Lost, Outcome::Unanswered]);
+    assert!(process.exit_status().is_none(), "seed {seed}: the process ended");
+    assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
+}
