--- a/crates/fakes/src/worker_pool/fake_worker_pool.rs
+++ b/crates/fakes/src/worker_pool/fake_worker_pool.rs
@@ -4,14 +4,16 @@
 use crate::platform::PlatformSettings;
 use crate::worker_pool::faults::WorkerPoolFaults;
 use crate::worker_pool::link;
-use crate::worker_pool::machine::{Machine, RunCounts};
+use crate::worker_pool::machine::Machine;
+use crate::worker_pool::request_ends::RequestEnds;
+use crate::worker_pool::run_log::StartedRun;
+use crate::worker_pool::shared_machine::SharedMachine;
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::PoisonError;
 use std::time::Duration;
 
 /// A fault that is asked for by hand.
@@ -26,7 +28,8 @@
     _server: FakeServer,
     address: SocketAddr,
     controls: Sender<Control>,
-    run_counts: RunCounts,
+    platform: PlatformSettings,
+    shared: SharedMachine,
 }
 
 impl FakeWorkerPool {
@@ -38,17 +41,38 @@
         platform: &PlatformSettings,
         seed: u64,
         faults: WorkerPoolFaults,
+    ) -> io::Result<FakeWorkerPool> {
+        FakeWorkerPool::start_on(platform, seed, faults, SharedMachine::new())
+    }
+
+    /// Starts a further one on the same machine, for another process of the same server: it listens at an address of its
+    /// own, numbers its notices on its own and tells only of runs begun through it; the cores and the run log are shared.
+    ///
+    /// # Errors
+    /// If there is no port or thread.
+    pub fn start_beside(&self, seed: u64, faults: WorkerPoolFaults) -> io::Result<FakeWorkerPool> {
+        FakeWorkerPool::start_on(&self.platform, seed, faults, self.shared.beside())
+    }
+
+    fn start_on(
+        platform: &PlatformSettings,
+        seed: u64,
+        faults: WorkerPoolFaults,
+        shared: SharedMachine,
     ) -> io::Result<FakeWorkerPool> {
         let (controls, received) = async_channel::unbounded();
-        let run_counts = RunCounts::default();
-        let (platform, shared) = (platform.clone(), run_counts.clone());
+        let (request_ends, ended) = async_channel::unbounded();
+        let platform = platform.clone();
+        let (machine_platform, machine_shared) = (platform.clone(), shared.clone());
         let (server, address) = FakeServer::listen("worker pool", move |tasks| {
-            let machine = Rc::new(RefCell::new(Machine::new(platform, seed, faults, shared)));
+            let machine = Machine::new(machine_platform, seed, faults, machine_shared, request_ends);
+            let machine = Rc::new(RefCell::new(machine));
             tasks.spawn(obey_controls(machine.clone(), received));
+            tasks.spawn(hear_request_ends(machine.clone(), ended));
             let tasks = tasks.clone();
             move |stream| link::serve(machine.clone(), tasks.clone(), stream)
         })?;
-        Ok(FakeWorkerPool { _server: server, address, controls, run_counts })
+        Ok(FakeWorkerPool { _server: server, address, controls, platform, shared })
     }
 
     /// Returns the address on which it listens.
@@ -71,9 +95,26 @@
         let _ = self.controls.try_send(Control::BreakLink);
     }
 
+    /// Returns where clients tell the worker pools of the machine that a request is over. A machine that is told of no end
+    /// carries all runs on.
+    pub fn request_ends(&self) -> RequestEnds {
+        self.shared.request_ends.clone()
+    }
+
     /// Returns how often each body was begun to run.
     pub fn run_counts(&self) -> HashMap<Vec<u8>, u32> {
-        self.run_counts.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.shared.run_log.counts()
+    }
+
+    /// Returns all runs that were begun on the machine, also through other worker pools, in order.
+    pub fn started_runs(&self) -> Vec<StartedRun> {
+        self.shared.run_log.runs()
+    }
+}
+
+async fn hear_request_ends(machine: Rc<RefCell<Machine>>, ended: Receiver<String>) {
+    while let Ok(id) = ended.recv().await {
+        machine.borrow_mut().on_request_end(&id);
     }
 }
 
