--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -148,8 +148,10 @@
     /// The successor decides from now on.
     fn hand_over(&mut self) {
         let held = std::mem::take(&mut self.handing_over.held);
-        let health = SuccessorHealth { healthy: self.is_healthy(), advertised_share: self.advertised_share };
-        self.handing_over.successor_health = health;
+        // What this process says itself, until the successor has told its own.
+        let healthy = self.health.is_healthy();
+        let advertised_share = self.advertised_share;
+        self.handing_over.successor_health = SuccessorHealth { healthy, advertised_share };
         info!(self.log, "handover: committed"; "held_requests" => held.len(),
             "running_requests" => self.requests.len());
         self.status.set_handed_over(true);
