--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -39,7 +39,7 @@
 #[test]
 fn figures_are_those_that_clients_count() {
     let seed = seed();
-    let faults = WorkerPoolFaults { bad: 0.05, ..WorkerPoolFaults::default() };
+    let faults = WorkerPoolFaults { bad: 0.1, ..WorkerPoolFaults::default() };
     // Heavy runs: what is full is the machine and not the event loop.
     let mut site = Site::with_platform(seed, platform_with_work(6.0), faults);
     let process = site.start_first();
@@ -135,6 +135,7 @@
     let records = clients.finish();
     let verdict = judge(&records, &site.started_runs());
     println!("evacuation, seed {seed}: {verdict}");
+    print_attempts(&records, &[Outcome::TurnedAway, Outcome::Lost]);
     let first_bad = records.health.iter().find(|(_, answer)| *answer != HealthAnswer::Good);
     let first_good =
         records.health.iter().find(|(at, answer)| *at >= rejoined_ms && *answer == HealthAnswer::Good);
