--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -1,13 +1,15 @@
 //! The state of one connection that its task and the connection table share.
 
 use super::connection_state::{ConnectionPolicy, ConnectionState, EvictionRank, Transition};
+use super::response_encoder::encode_shutdown;
 use crate::admission::RequestId;
 use crate::server::messages::{ConnectionMessage, ReplyHandle, Response};
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::net::TcpStream;
+use std::io::Write;
+use std::net::{Shutdown, TcpStream};
 use std::rc::{Rc, Weak};
 
 /// Requests open on one connection, past which further ones are invalid: the protocol allows half as many.
@@ -24,6 +26,8 @@
     /// Whether all responses are written and only the client's close is awaited, so that it may be dropped.
     pub(super) is_lingering: Cell<bool>,
     responses: Sender<ConnectionMessage>,
+    /// Whether the writer has bytes in hand.
+    pub(super) is_writing: Cell<bool>,
     /// Open requests: the dispatcher's id by message id.
     open_requests: RefCell<HashMap<u64, RequestId>>,
     /// Responses owed to health checks and to invalid requests.
@@ -39,6 +43,7 @@
             state: RefCell::new(ConnectionState::new(now)),
             is_lingering: Cell::new(false),
             responses,
+            is_writing: Cell::new(false),
             open_requests: RefCell::default(),
             other_responses_owed: Cell::new(0),
         };
@@ -67,33 +72,56 @@
         matches!(socket.get_ref().peek(&mut [0]), Ok(length) if length > 0)
     }
 
+    /// Returns whether the connection stays open for bytes that are still unread.
+    fn is_held_open(&self, now: f64) -> bool {
+        self.has_unread_bytes() && self.state.borrow_mut().hold_open_for_unread_bytes(now)
+    }
+
     /// Advances the state machine to `now`: notifies an idle client, and closes the connection if it stays and has sent
     /// nothing that is still unread.
     pub(super) fn advance(&self, now: f64, policy: ConnectionPolicy) {
         let would_finish = self.state.borrow().would_finish(now, self.response_owed(), policy);
-        if would_finish && !policy.finish_all && self.has_unread_bytes() {
-            return self.state.borrow_mut().record_unread_bytes(now);
+        if would_finish && !policy.finish_all && self.is_held_open(now) {
+            return;
         }
         let transition = self.state.borrow_mut().advance(now, self.response_owed(), policy);
         match transition {
             Transition::Stay => {}
             Transition::NotifyShutdown => self.notify_shutdown(),
-            Transition::Finish => self.close_response_queue(),
+            Transition::Finish => self.close_sending_side(None),
         }
     }
 
     /// Closes the connection at once and returns true, unless bytes of the client are still unread. A request that
     /// crosses this is not accepted, and its client sends it again.
     pub(super) fn try_evict(&self, now: f64) -> bool {
-        if self.has_unread_bytes() {
-            self.state.borrow_mut().record_unread_bytes(now);
+        if self.is_held_open(now) {
             return false;
         }
-        self.notify_shutdown();
-        self.finish(now);
+        let mut notification = Vec::new();
+        encode_shutdown(&mut notification);
+        self.state.borrow_mut().finish(now);
+        self.close_sending_side(Some(&notification));
         true
     }
 
+    /// Closes the queue of responses, and where nothing waits to be written shuts the socket's sending side at once, after
+    /// these last bytes. The client then sees the end before anything can hold up the connection's task.
+    fn close_sending_side(&self, last_bytes: Option<&[u8]>) {
+        let is_writer_idle = self.responses.is_empty() && !self.is_writing.get();
+        let socket = self.socket.upgrade().filter(|_| is_writer_idle);
+        match (socket, last_bytes) {
+            (Some(socket), _) => {
+                // An idle socket has room for a notification; without it the client sees the end alone.
+                let _ = last_bytes.map(|bytes| socket.get_ref().write_all(bytes));
+                let _ = socket.get_ref().shutdown(Shutdown::Write);
+            }
+            (None, Some(_)) => self.notify_shutdown(),
+            (None, None) => {}
+        }
+        self.close_response_queue();
+    }
+
     /// Accepts no request and no response from `now` on.
     pub(super) fn finish(&self, now: f64) {
         self.state.borrow_mut().finish(now);
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -22,6 +22,10 @@
 /// Shortest time for which bytes are discarded where descriptors are short, ms: within it the protocol has a request
 /// that crosses a close sent again.
 pub const MIN_LINGER_MS: f64 = 50.0;
+/// Longest time for which unread bytes keep a connection open that would be closed, ms: from when they are found until a
+/// request is read. It covers the longest stall that is not excluded from a client's times, and together with
+/// [`MESSAGE_TIMEOUT_MS`] stays within the three seconds that the platform allows.
+pub const UNREAD_GRACE_MS: f64 = 800.0;
 /// Age below which a connection without a request is not evicted, ms: its first request may be on its way.
 const NEW_CONNECTION_GRACE_MS: f64 = 50.0;
 
@@ -90,6 +94,8 @@
     sent_request: bool,
     partial_message_since: Option<f64>,
     last_activity: f64,
+    /// Since when unread bytes have kept the connection open without a request.
+    held_open_since: Option<f64>,
 }
 
 impl ConnectionState {
@@ -101,6 +107,7 @@
             sent_request: false,
             partial_message_since: None,
             last_activity: now,
+            held_open_since: None,
         }
     }
 
@@ -110,6 +117,7 @@
         self.accepted_at += stalled_ms;
         self.last_activity += stalled_ms;
         self.partial_message_since = self.partial_message_since.map(|since| since + stalled_ms);
+        self.held_open_since = self.held_open_since.map(|since| since + stalled_ms);
         match &mut self.phase {
             Phase::Serving => {}
             Phase::Notified(at) | Phase::Finishing(at) => *at += stalled_ms,
@@ -121,16 +129,21 @@
         self.last_activity = now;
     }
 
-    /// Records that bytes have come that are not read yet: the times that a client has begin anew.
-    pub fn record_unread_bytes(&mut self, now: f64) {
-        self.last_activity = now;
-        self.accepted_at = now;
-        self.partial_message_since = self.partial_message_since.map(|_| now);
+    /// Records that bytes were found unread where the connection would be closed, and returns whether it stays open for
+    /// them: for [`UNREAD_GRACE_MS`], so that a client that sends no request can't stay by sending other bytes.
+    pub fn hold_open_for_unread_bytes(&mut self, now: f64) -> bool {
+        let since = *self.held_open_since.get_or_insert(now);
+        let is_held_open = now - since < UNREAD_GRACE_MS;
+        if is_held_open {
+            self.last_activity = self.last_activity.max(now);
+        }
+        is_held_open
     }
 
     /// Records that a request was read.
     pub fn record_request(&mut self) {
         self.sent_request = true;
+        self.held_open_since = None;
     }
 
     /// Records that all bytes that have come were decoded.
--- a/src/server/frontend/connection_table.rs
+++ b/src/server/frontend/connection_table.rs
@@ -98,7 +98,7 @@
             return;
         }
         if eviction == Eviction::Allowed {
-            self.evict_one(now);
+            self.evict(now, 1);
         }
         if self.may_log(now) {
             warn!(self.context.log, "connections near limit"; "component" => "frontend",
@@ -124,9 +124,7 @@
         if self.is_tight() {
             self.drop_lingering(now);
             let finishing = self.entries.values().filter(|e| !e.connection.accepts_requests()).count();
-            for _ in self.comfortable_len()..self.len() - finishing {
-                self.evict_one(now);
-            }
+            self.evict(now, (self.len() - finishing).saturating_sub(self.comfortable_len()));
         }
         for entry in self.entries.values() {
             entry.connection.advance(now, policy);
@@ -159,23 +157,18 @@
         });
     }
 
-    /// Evicts the idle connection of the lowest rank, if there is one, so that clients that open connections by the
-    /// hundred, or send once and stay, do not keep others out.
-    fn evict_one(&self, now: f64) {
-        // One that turns out to have unread bytes is idle no longer and ranks behind others the next time.
-        while let Some(connection) = self.lowest_ranked(now) {
-            if connection.try_evict(now) {
+    /// Evicts up to `count` idle connections, those of the lowest rank first, so that clients that open connections by
+    /// the hundred, or send once and stay, do not keep others out. One that turns out to have unread bytes is passed over.
+    fn evict(&self, now: f64, count: usize) {
+        let rank = |entry: &Entry| Some((entry.connection.eviction_rank(now)?, entry.connection.clone()));
+        let mut ranked: Vec<_> = self.entries.values().filter_map(rank).collect();
+        ranked.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let mut evicted = 0;
+        for (_, connection) in ranked {
+            if evicted == count {
                 return;
             }
+            evicted += usize::from(connection.try_evict(now));
         }
     }
-
-    fn lowest_ranked(&self, now: f64) -> Option<&Connection> {
-        let ranked = self
-            .entries
-            .values()
-            .filter_map(|entry| Some((entry.connection.eviction_rank(now)?, &entry.connection)))
-            .filter(|(rank, _)| rank.last_activity < now);
-        ranked.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, connection)| &**connection)
-    }
 }
--- a/src/server/frontend/writer.rs
+++ b/src/server/frontend/writer.rs
@@ -50,7 +50,10 @@
             context.wheel.sleep(WRITE_TIMEOUT_MS).await;
             Err(ErrorKind::TimedOut.into())
         };
-        match or(stream.write_all(&buffer), timed_out).await {
+        connection.is_writing.set(true);
+        let written = or(stream.write_all(&buffer), timed_out).await;
+        connection.is_writing.set(false);
+        match written {
             Ok(()) => {}
             Err(error) if error.kind() == ErrorKind::TimedOut => {
                 return WriteEnd::Faulty(ConnectionError::WriteStalled);
--- a/tests/connection_state.rs
+++ b/tests/connection_state.rs
@@ -3,6 +3,7 @@
 
 use dunlinspread::server::frontend::connection_state::{
     CLOSE_GRACE_MS, ConnectionPolicy, ConnectionState, MESSAGE_TIMEOUT_MS, ReadProgress, Transition,
+    UNREAD_GRACE_MS,
 };
 use proptest::prelude::*;
 
@@ -103,3 +104,18 @@
         prop_assert!(!connection.accepts_requests(), "it stays open for ever");
     }
 }
+
+/// Unread bytes hold a connection open for a bounded time, which a stall doesn't shorten and a request begins anew.
+#[test]
+fn unread_bytes_hold_a_connection_open_until_the_grace_is_over() {
+    const STALL_MS: f64 = 700.0;
+    let mut connection = ConnectionState::new(0.0);
+    assert!(connection.hold_open_for_unread_bytes(0.0));
+    connection.exclude_stall(STALL_MS);
+    assert!(connection.hold_open_for_unread_bytes(STALL_MS + UNREAD_GRACE_MS - 1.0));
+    assert!(!connection.hold_open_for_unread_bytes(STALL_MS + UNREAD_GRACE_MS));
+    connection.record_read(ReadProgress { completed_message: true, ends_in_partial_message: false });
+    assert!(!connection.hold_open_for_unread_bytes(STALL_MS + UNREAD_GRACE_MS), "no request was read");
+    connection.record_request();
+    assert!(connection.hold_open_for_unread_bytes(STALL_MS + UNREAD_GRACE_MS));
+}
--- a/tests/fleet/worker_pool.rs
+++ b/tests/fleet/worker_pool.rs
@@ -47,6 +47,15 @@
         ));
     }
 
+    fn cut(&mut self, id: &str) {
+        if let Some(at) = self.running.iter().position(|run| run.id == id) {
+            self.running.remove(at);
+            self.last_sequence += 1;
+            let seq = self.last_sequence;
+            self.write_line(&format!(r#"{{"op":"finished","seq":{seq},"id":"{id}","end":"cut","ms":1}}"#));
+        }
+    }
+
     fn handle_command(&mut self, command: &Value) {
         let word = |key: &str| match command.get(key) {
             Some(Value::Str(text)) => text.clone(),
@@ -67,6 +76,8 @@
                     self.finish(&id);
                 }
             }
+            // The client of a run is gone.
+            "suspend" => self.cut(&word("id")),
             other => panic!("unknown command `{other}`"),
         }
     }
@@ -97,6 +108,15 @@
         self.lock().holds_runs = true;
     }
 
+    /// Completes all runs that wait, and further ones at once.
+    pub fn release_runs(&self) {
+        let mut state = self.lock();
+        state.holds_runs = false;
+        for run in std::mem::take(&mut state.running) {
+            state.finish(&run.id);
+        }
+    }
+
     /// Returns the classes of the runs that wait, in the order of their start.
     pub fn running(&self) -> Vec<String> {
         self.lock().running.iter().map(|run| run.class.clone()).collect()
--- a/tests/play/alone.rs
+++ b/tests/play/alone.rs
@@ -3,10 +3,14 @@
 use super::HANG;
 use super::bytes::{message, request, unescape};
 use super::process::{listening_address, start_with};
-use std::io::{BufRead, BufReader, Write};
+use rustix::process::{Pid, Signal, WaitOptions, kill_process, waitpid};
+use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::process::Child;
 
+/// The first bytes of a notification, escaped.
+const NOTIFICATION: &str = r"\x93\x02";
+
 /// The server without its peers.
 pub struct Alone {
     server: Child,
@@ -38,6 +42,18 @@
         alone
     }
 
+    /// Stops the process, and waits until it stands still.
+    pub fn stop(&self) {
+        let id = Pid::from_child(&self.server);
+        kill_process(id, Signal::STOP).expect("it runs");
+        waitpid(Some(id), WaitOptions::UNTRACED).expect("it is a child");
+    }
+
+    /// Continues the process.
+    pub fn resume(&self) {
+        kill_process(Pid::from_child(&self.server), Signal::CONT).expect("it is stopped");
+    }
+
     /// Returns the response to a health check.
     pub fn check(&mut self) -> String {
         let mut stream = TcpStream::connect(&self.address).expect("it listens");
@@ -70,4 +86,41 @@
     pub fn ask(&mut self, id: u64, class: &str) {
         self.0.write_all(&request("g", &format!("{id} {class}"))).expect("the connection is open");
     }
+
+    /// Sends these bytes, and returns whether the connection took them.
+    pub fn write(&mut self, bytes: &[u8]) -> bool {
+        self.0.write_all(bytes).is_ok()
+    }
+
+    /// Returns the next response, or how the connection ended; notifications are passed over.
+    pub fn response(&mut self) -> String {
+        loop {
+            let received = message(&mut self.0);
+            if !received.starts_with(NOTIFICATION) {
+                return received;
+            }
+        }
+    }
+
+    /// Returns whether nothing has come and the connection stands.
+    pub fn is_quiet(&self) -> bool {
+        self.0.set_nonblocking(true).expect("a socket");
+        let peeked = self.0.peek(&mut [0]);
+        self.0.set_nonblocking(false).expect("a socket");
+        matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
+    }
+
+    /// Reads what has come, and returns whether the connection stands.
+    pub fn is_open(&mut self) -> bool {
+        self.0.set_nonblocking(true).expect("a socket");
+        let ended = loop {
+            match self.0.read(&mut [0; 64]) {
+                Ok(0) => break true,
+                Ok(_) => {}
+                Err(error) => break error.kind() != ErrorKind::WouldBlock,
+            }
+        };
+        self.0.set_nonblocking(false).expect("a socket");
+        !ended
+    }
 }
--- /dev/null
+++ b/tests/unread_close.rs
@@ -0,0 +1,242 @@
+//! No connection is closed over a request that lies unread in the system's buffer, on real sockets: the server is stopped
+//! while clients write, at a time when their connections are due to be closed once it continues. Stops are shorter and
+//! longer than the stall that the server excludes from the times of its clients.
+
+#[allow(unused_imports, reason = "each test program uses a part of it")]
+mod fleet;
+#[allow(dead_code, reason = "each test program uses a part of it")]
+mod play;
+
+use fleet::{FakeWorkerPool, wait_for};
+use play::alone::Alone;
+use play::{Client, config, unescape};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// Descriptors in the configuration of the server.
+const DESCRIPTORS: usize = 64;
+/// The most connections with so many descriptors.
+const MAX_CONNECTIONS: usize = DESCRIPTORS / 2 + DESCRIPTORS / 16;
+/// Connections up to which none is evicted.
+const COMFORTABLE_CONNECTIONS: usize = MAX_CONNECTIONS - MAX_CONNECTIONS / 8;
+/// A stop that the server does not notice, and one that it excludes from the times of its clients.
+const STOPS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(700)];
+/// Rounds with each stop: the order of the server's tasks as it continues is not the same in all.
+const ROUNDS: usize = 3;
+/// Time limit for the end of a connection that sends no request: 2 s for a whole message, 0.8 s for unread bytes, and
+/// slack for a starved machine.
+const CLOSE_LIMIT: Duration = Duration::from_millis(2800 + 2200);
+
+/// The number of the last attempt: each has one of its own.
+static LAST_ATTEMPT: AtomicU64 = AtomicU64::new(0);
+
+/// Returns the class and the attempt of a new request.
+fn new_attempt() -> String {
+    format!("route-sheet call={:016x}", LAST_ATTEMPT.fetch_add(1, Ordering::Relaxed) + 1)
+}
+
+struct Site {
+    pool: FakeWorkerPool,
+    server: Alone,
+}
+
+impl Site {
+    fn start(idle_timeout_ms: u64) -> Site {
+        let pool = FakeWorkerPool::new();
+        let changes = [
+            (r#""sockets":1024"#.to_owned(), format!(r#""sockets":{DESCRIPTORS}"#)),
+            (
+                r#""keepalive_max_ms":32000000000"#.to_owned(),
+                format!(r#""keepalive_max_ms":{idle_timeout_ms}"#),
+            ),
+        ];
+        let address = pool.address().to_string();
+        let server = Alone::new(&config(&address, "127.0.0.1:1", "127.0.0.1:1", &changes));
+        Site { pool, server }
+    }
+
+    /// Opens connections, each with a request that is answered: none is idle before all are open.
+    fn open_answered(&self, count: usize) -> Vec<Client> {
+        self.pool.hold_runs();
+        let mut clients: Vec<Client> = (0..count).map(|_| Client::new(&self.server.address)).collect();
+        clients.iter_mut().for_each(|client| client.ask(1, &new_attempt()));
+        wait_for("a run", || !self.pool.running().is_empty());
+        self.pool.release_runs();
+        for client in &mut clients {
+            assert_answered(client, 1);
+        }
+        clients
+    }
+
+    /// Stops the server, has `write` called, and continues it once it has been stopped for so long.
+    fn while_stopped(&self, stop: Duration, write: impl FnOnce()) {
+        self.server.stop();
+        let since = Instant::now();
+        write();
+        std::thread::sleep(stop.saturating_sub(since.elapsed()));
+        self.server.resume();
+    }
+}
+
+/// Keeps the server busy with health checks until it is dropped. A server that is stopped while it works, and not while it
+/// waits, comes to its timers first when it continues, and only then to its sockets.
+struct HealthChecks {
+    is_over: Arc<AtomicBool>,
+    threads: Vec<JoinHandle<()>>,
+}
+
+impl HealthChecks {
+    const THREADS: usize = 2;
+    /// Health checks that are sent at once.
+    const BATCH: usize = 24;
+
+    fn start(address: &str) -> HealthChecks {
+        let is_over = Arc::new(AtomicBool::new(false));
+        let send = |_| {
+            let (is_over, address) = (is_over.clone(), address.to_owned());
+            std::thread::spawn(move || {
+                while !is_over.load(Ordering::Relaxed) {
+                    check_until(&is_over, &mut Client::new(&address));
+                }
+            })
+        };
+        HealthChecks { threads: (0..HealthChecks::THREADS).map(send).collect(), is_over }
+    }
+}
+
+impl Drop for HealthChecks {
+    fn drop(&mut self) {
+        self.is_over.store(true, Ordering::Relaxed);
+        self.threads.drain(..).for_each(|thread| thread.join().expect("it checks"));
+    }
+}
+
+/// Makes health checks until the end, or until the connection is closed.
+fn check_until(is_over: &AtomicBool, client: &mut Client) {
+    let check = unescape("\\x94\\x00\\x01\\xa6isWell\\x91\\x80");
+    while !is_over.load(Ordering::Relaxed) && client.write(&check.repeat(HealthChecks::BATCH)) {
+        for _ in 0..HealthChecks::BATCH {
+            if !client.response().starts_with(r"\x94") {
+                return;
+            }
+        }
+    }
+}
+
+fn assert_answered(client: &mut Client, id: u64) {
+    let response = client.response();
+    assert!(
+        response.starts_with(&format!(r"\x94\x01\x{id:02x}")),
+        "request {id} was answered by `{response}`"
+    );
+}
+
+/// Asserts that each of these clients is answered its second request, after all were given the time to.
+fn assert_all_answered(what: &str, clients: &mut [Client]) {
+    let responses: Vec<String> = clients.iter_mut().map(Client::response).collect();
+    let lost: Vec<&String> = responses.iter().filter(|text| !text.starts_with(r"\x94\x01\x02")).collect();
+    assert!(lost.is_empty(), "{what}: {} of {} requests lost: {lost:?}", lost.len(), responses.len());
+}
+
+fn rounds() -> impl Iterator<Item = Duration> {
+    STOPS.into_iter().flat_map(|stop| std::iter::repeat_n(stop, ROUNDS))
+}
+
+/// More idle connections than the server keeps: eviction is due at the first sweep after the stop.
+#[test]
+fn no_request_is_lost_to_an_eviction_after_a_stop() {
+    for stop in rounds() {
+        let site = Site::start(32_000_000_000);
+        let _checks = HealthChecks::start(&site.server.address);
+        let mut clients = site.open_answered(MAX_CONNECTIONS - HealthChecks::THREADS - 1);
+        let mut waiting = None;
+        site.while_stopped(stop, || {
+            // What the server closed before it was stopped has ended for its clients.
+            clients.retain_mut(Client::is_open);
+            assert!(!clients.is_empty(), "the server closed all before it was stopped");
+            // The listener is woken before the connections are.
+            waiting = Some(Client::new(&site.server.address));
+            clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
+        });
+        assert_all_answered(&format!("a stop of {stop:?}"), &mut clients);
+    }
+}
+
+/// Clients were notified, and the time that they have to close is over at the first sweep after the stop.
+#[test]
+fn no_request_is_lost_to_the_end_of_the_grace_after_a_stop() {
+    const IDLE_TIMEOUT_MS: u64 = 500;
+    const IDLE_CONNECTIONS: usize = 24;
+    const BEFORE_THE_END: Duration = Duration::from_millis(800);
+    let mut written = 0;
+    for stop in rounds() {
+        let site = Site::start(IDLE_TIMEOUT_MS);
+        let _checks = HealthChecks::start(&site.server.address);
+        let mut clients = site.open_answered(IDLE_CONNECTIONS);
+        wait_for("a notification", || !clients.iter_mut().all(|client| client.is_quiet()));
+        std::thread::sleep(BEFORE_THE_END);
+        let mut waiting = None;
+        site.while_stopped(stop, || {
+            // The listener is woken before the connections are.
+            waiting = Some(Client::new(&site.server.address));
+            // On a starved machine the server may be stopped too late for some of them.
+            clients.retain_mut(Client::is_open);
+            written += clients.len();
+            clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
+        });
+        assert_all_answered(&format!("a stop of {stop:?}"), &mut clients);
+    }
+    assert!(written >= IDLE_CONNECTIONS, "the server closed all but {written} before it was stopped");
+}
+
+/// New connections wait in the accept queue as the server continues, so that idle ones are evicted for them.
+#[test]
+fn no_request_is_lost_to_an_eviction_for_waiting_connections() {
+    for stop in rounds() {
+        let site = Site::start(32_000_000_000);
+        let mut clients = site.open_answered(COMFORTABLE_CONNECTIONS);
+        let mut waiting = Vec::new();
+        site.while_stopped(stop, || {
+            // The listener is woken before the connections are.
+            waiting.extend((0..DESCRIPTORS).map(|_| Client::new(&site.server.address)));
+            clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
+            waiting.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
+        });
+        assert_all_answered(&format!("a stop of {stop:?}, idle"), &mut clients);
+        assert_all_answered(&format!("a stop of {stop:?}, waiting"), &mut waiting);
+    }
+}
+
+/// Returns after which time the connection ended under writes of `bytes`, one each `interval`.
+fn time_to_close(client: &mut Client, bytes: impl Iterator<Item = Vec<u8>>, interval: Duration) -> Duration {
+    let since = Instant::now();
+    for piece in bytes {
+        if !client.write(&piece) || !client.is_quiet() {
+            return since.elapsed();
+        }
+        assert!(since.elapsed() < 2 * CLOSE_LIMIT, "still open after {:?}", since.elapsed());
+        std::thread::sleep(interval);
+    }
+    client.response();
+    since.elapsed()
+}
+
+/// Connections that send no request end in a bounded time: silent, by single bytes of one message, and by notifications
+/// that are sent without a pause, so that some are unread whenever the server looks.
+#[test]
+fn a_connection_without_a_request_is_closed_in_a_bounded_time() {
+    let site = Site::start(32_000_000_000);
+    let address = &site.server.address;
+    let silent = time_to_close(&mut Client::new(address), std::iter::empty(), Duration::ZERO);
+    let long_message =
+        [&b"\x94\x00\x01\xda\xff\xff"[..], &[b'a'; 64]].concat().into_iter().map(|byte| vec![byte]);
+    let drips = time_to_close(&mut Client::new(address), long_message, Duration::from_secs(1));
+    let notifications = std::iter::repeat_with(|| b"\x93\x02\xa4none\x90".repeat(64));
+    let floods = time_to_close(&mut Client::new(address), notifications, Duration::ZERO);
+    println!("closed after: silent {silent:?}, single bytes {drips:?}, notifications {floods:?}");
+    for (what, took) in [("silent", silent), ("single bytes", drips), ("notifications", floods)] {
+        assert!(took < CLOSE_LIMIT, "{what}: closed after {took:?}");
+    }
+}
