--- a/crates/config-sync/src/net/publisher_store.rs
+++ b/crates/config-sync/src/net/publisher_store.rs
@@ -7,7 +7,8 @@
 use crate::state_store::{StateError, owner_of, read_snapshot, replay};
 use crate::subscriber::PersistedState;
 use dunlinspread_store::{
-    Disk, Log, Options, Progress, ReplayItem, ReplayRejection, StoreError, Writer, WriterOptions,
+    Disk, Log, Options, Progress, ReplayItem, ReplayRejection, StoreError, WriteFailure, Writer,
+    WriterOptions,
 };
 use std::collections::VecDeque;
 use std::io;
@@ -134,13 +135,20 @@
 }
 
 impl PublisherStore {
-    /// Starts the writer's thread, which reports its progress to `on_progress`.
+    /// Starts the writer's thread, which reports its progress to `on_progress`. Its panic is reported as a failure of all
+    /// that waits, after which nothing is written any more.
     pub(super) fn start(
         log: Log,
-        on_progress: impl FnMut(Progress) + Send + 'static,
+        on_progress: impl Fn(Progress) + Clone + Send + 'static,
     ) -> io::Result<PublisherStore> {
         let options = WriterOptions { queue_bytes: MAILBOX_BYTES, ..WriterOptions::default() };
-        Ok(PublisherStore { writer: Writer::start(log, options, on_progress)?, under_way: VecDeque::new() })
+        let report_failure = on_progress.clone();
+        let on_panic = move |_| {
+            let reason = WriteFailure::Poisoned("the writer's thread panicked".into());
+            report_failure(Progress::Failed { from: 1, through: u64::MAX, reason, generation: 0 });
+        };
+        let writer = Writer::start(log, options, on_progress, on_panic)?;
+        Ok(PublisherStore { writer, under_way: VecDeque::new() })
     }
 
     /// Hands a transaction to the disk; false if there is no room.
--- a/crates/store/benches/commit.rs
+++ b/crates/store/benches/commit.rs
@@ -44,9 +44,8 @@
 fn group_commit(waiting: usize) {
     let folder = folder();
     let (sender, reports) = channel();
-    let writer = Writer::start(open(folder.path()), WriterOptions::default(), move |progress| {
-        drop(sender.send(progress))
-    });
+    let on_progress = move |progress| drop(sender.send(progress));
+    let writer = Writer::start(open(folder.path()), WriterOptions::default(), on_progress, drop);
     let mut writer = writer.expect("a thread");
     let (mut latency, mut sent, mut count) = (Histogram::new(3).expect("bounds"), VecDeque::new(), 0);
     let began = Instant::now();
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -50,4 +50,4 @@
 pub use options::Options;
 pub use real_disk::RealDisk;
 pub use recovery::{Recovery, ReplayItem, TornTail};
-pub use writer::{Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
+pub use writer::{PanicPayload, Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
--- a/crates/store/src/writer/handle.rs
+++ b/crates/store/src/writer/handle.rs
@@ -7,11 +7,16 @@
 use super::progress::Progress;
 use crate::error::StoreError;
 use crate::log::Log;
+use std::any::Any;
 use std::io;
+use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
+/// What a panic of the writer's thread carried, as [`std::panic::catch_unwind`] returns it.
+pub type PanicPayload = Box<dyn Any + Send>;
+
 /// The owner's end of a thread that commits records in groups.
 ///
 /// The thread ends when this is dropped or closed; what waits then is still written.
@@ -28,18 +33,28 @@
 impl Writer {
     /// Starts the thread. It calls `on_progress`, which may block: that delays commits and nothing else.
     ///
+    /// If the thread panics, it calls `on_panic` with the payload, and ends: nothing is reported or written any more, the
+    /// log is not marked as closed cleanly, and it is unknown of what was not reported whether it is there.
+    ///
     /// # Errors
     /// If the thread can't be started.
     pub fn start(
         log: Log,
         options: WriterOptions,
         on_progress: impl FnMut(Progress) + Send + 'static,
+        on_panic: impl FnOnce(PanicPayload) + Send + 'static,
     ) -> io::Result<Writer> {
         let (commands, receiver) = sync_channel(options.queue_records.max(1));
         let counters = Arc::new(Counters::default());
         let worker = CommitThread::new(log, options, counters.clone(), Box::new(on_progress));
         let thread = std::thread::Builder::new().name("store".to_owned());
-        let thread = thread.spawn(move || worker.run(&receiver))?;
+        let thread = thread.spawn(move || {
+            // What the thread owned is dropped by the panic, so that nobody sees it half changed.
+            catch_unwind(AssertUnwindSafe(move || worker.run(&receiver))).unwrap_or_else(|payload| {
+                on_panic(payload);
+                Err(StoreError::Poisoned { cause: "the writer's thread panicked".to_owned() })
+            })
+        })?;
         Ok(Writer { commands, counters, options, last_ticket: 0, generation: 0, thread: Some(thread) })
     }
 
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -13,6 +13,6 @@
 mod progress;
 
 pub use gauges::WriterGauges;
-pub use handle::Writer;
+pub use handle::{PanicPayload, Writer};
 pub use options::WriterOptions;
 pub use progress::{Progress, WriteFailure};
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -2,14 +2,17 @@
 //! bounded.
 
 use dunlinspread_store::sim::{Faults, SimDisk};
-use dunlinspread_store::{Log, Options, Progress, ReplayItem, WriteFailure, Writer, WriterOptions};
+use dunlinspread_store::{
+    Log, Options, PanicPayload, Progress, ReplayItem, StoreError, WriteFailure, Writer, WriterOptions,
+};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, channel};
 
 fn start(disk: &SimDisk, options: WriterOptions) -> (Writer, Receiver<Progress>) {
     let (log, _) = Log::open(Arc::new(disk.clone()), Options::new("n3"), |_| Ok(())).expect("opens");
     let (sender, reports) = channel();
-    let writer = Writer::start(log, options, move |progress| drop(sender.send(progress))).expect("a thread");
+    let on_progress = move |progress| drop(sender.send(progress));
+    let writer = Writer::start(log, options, on_progress, drop).expect("a thread");
     (writer, reports)
 }
 
@@ -97,11 +100,11 @@
     let (report_sender, reports) = channel();
     let (release, gate) = channel::<()>();
     let options = WriterOptions { queue_records: 3, queue_bytes: 40, ..WriterOptions::default() };
-    let mut writer = Writer::start(log, options, move |progress| {
+    let on_progress = move |progress| {
         let _ = report_sender.send(progress);
         let _ = gate.recv();
-    })
-    .expect("a thread");
+    };
+    let mut writer = Writer::start(log, options, on_progress, drop).expect("a thread");
     writer.append(b"first".to_vec()).expect("room");
     assert!(reports.recv().is_ok());
     assert!(writer.append(vec![1; 30]).is_ok());
@@ -126,3 +129,35 @@
     writer.close().expect("closes");
     assert_eq!(records(&disk), [b"one".to_vec(), b"two".to_vec()]);
 }
+
+/// A panic of the thread is passed on with its message, and what was reported before it is there; the log is not marked as
+/// closed cleanly.
+#[test]
+fn a_panic_of_the_thread_is_passed_on_and_loses_nothing_that_was_reported() {
+    let disk = SimDisk::new(1);
+    let (log, _) = Log::open(Arc::new(disk.clone()), Options::new("n3"), |_| Ok(())).expect("opens");
+    let (report_sender, reports) = channel();
+    let (panic_sender, panics) = channel();
+    let on_progress = move |progress| {
+        let Progress::Durable { through, .. } = progress else { panic!("no progress: {progress:?}") };
+        assert!(through < 3, "a fault at {through}");
+        let _ = report_sender.send(through);
+    };
+    let on_panic = move |payload: PanicPayload| {
+        let _ = panic_sender.send(payload.downcast_ref::<String>().cloned());
+    };
+    let options = WriterOptions { batch_records: 1, ..WriterOptions::default() };
+    let mut writer = Writer::start(log, options, on_progress, on_panic).expect("a thread");
+    for n in 1..=3u8 {
+        assert_eq!(writer.append(vec![n]), Ok(u64::from(n)));
+    }
+    assert_eq!(panics.recv(), Ok(Some("a fault at 3".to_owned())));
+    assert_eq!(reports.iter().collect::<Vec<_>>(), [1, 2]);
+    assert_eq!(writer.append(vec![4]), Err(vec![4]), "nobody is there to write it");
+    let Err(StoreError::Poisoned { cause }) = writer.close() else { panic!("claimed to be closed cleanly") };
+    assert_eq!(cause, "the writer's thread panicked");
+    disk.power_cycle();
+    assert_eq!(records(&disk), [vec![1], vec![2], vec![3]]);
+    let (_, recovery) = Log::open(Arc::new(disk), Options::new("n3"), |_| Ok(())).expect("opens");
+    assert!(!recovery.closed_cleanly);
+}
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -4,6 +4,7 @@
 
 use crate::config::Config;
 use crate::operator::LedgerConfig;
+use crate::server::fault_injection::{self, PanicPoint};
 use crate::server::messages::{DispatcherMessage, ExportWorkerMessage, UsageMessage};
 use crate::server::supervisor::{Panic, TaskFailure};
 use crate::server::timer_wheel::Clock;
@@ -13,12 +14,17 @@
 };
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
+use dunlinspread_store::{PanicPayload, Progress};
 use slog::{Logger, info, o, warn};
 use std::panic::AssertUnwindSafe;
 
 /// Messages of the ledger's threads that wait for the dispatcher at most.
 const MAX_WAITING_MESSAGES: usize = 1024;
 
+/// The names of the ledger's threads in their failures.
+const STORE_THREAD: &str = "store";
+const EXPORT_WORKER_THREAD: &str = "export worker";
+
 /// What the ledger needs of the process.
 pub struct LedgerStart<'a> {
     /// The block `ledger` of the operator file.
@@ -55,8 +61,15 @@
             now_ms,
         };
         // The store's thread may wait for the dispatcher; the dispatcher never waits for it.
-        let on_progress = move |event| drop(progress.send_blocking(UsageMessage::StoreProgress(event)));
-        let mut billing = Billing::start(store, &options, on_progress, log.clone())?;
+        let on_progress = move |event| {
+            // A new ledger's first line is its own; the next ones bill requests.
+            if matches!(&event, Progress::Durable { through, .. } if *through > 1) {
+                fault_injection::pass(PanicPoint::StoreProgress);
+            }
+            drop(progress.send_blocking(UsageMessage::StoreProgress(event)));
+        };
+        let on_panic = report_panic(STORE_THREAD, self.failures.clone());
+        let mut billing = Billing::start(store, &options, on_progress, on_panic, log.clone())?;
         executor.spawn(forward_messages(from_threads, self.dispatcher.clone())).detach();
         let (to_worker, messages) = std::sync::mpsc::channel();
         billing.set_export_worker(to_worker);
@@ -110,17 +123,27 @@
     options: ExportWorkerOptions,
     failures: Sender<TaskFailure>,
 ) -> Result<(), UsageError> {
+    let on_panic = report_panic(EXPORT_WORKER_THREAD, failures);
     let work = move || {
         let run = AssertUnwindSafe(|| ExportWorker::run(options));
-        if let Err(panic) = std::panic::catch_unwind(run) {
-            let failure = TaskFailure::new("export worker", Err(Panic::from_payload(&*panic)));
-            let _ = failures.send_blocking(failure);
-        }
+        std::panic::catch_unwind(run).unwrap_or_else(on_panic);
     };
     let spawned = std::thread::Builder::new().name("export-worker".to_owned()).spawn(work);
     spawned.map(drop).map_err(UsageError::Thread)
 }
 
+/// Returns what reports the panic of a thread, which ends the process.
+fn report_panic(
+    thread: &'static str,
+    failures: Sender<TaskFailure>,
+) -> impl FnOnce(PanicPayload) + Send + 'static {
+    move |payload| {
+        let failure = TaskFailure::new(thread, Err(Panic::from_payload(&*payload)));
+        // Without a receiver the process is at its end.
+        let _ = failures.send_blocking(failure);
+    }
+}
+
 /// Passes the messages of the ledger's threads on to the dispatcher.
 async fn forward_messages(from_threads: Receiver<UsageMessage>, dispatcher: Sender<DispatcherMessage>) {
     while let Ok(message) = from_threads.recv().await {
--- a/src/daemon/logging.rs
+++ b/src/daemon/logging.rs
@@ -1,39 +1,53 @@
-//! The log: its form, its level and its writer.
+//! The log: its form, its level and its thread.
 
+use super::log_writer::{FormatWriter, LogWriter, WholeLines};
 use crate::operator::{LogFormat, LogLevel, LogSettings};
 use slog::{Drain, Level, Logger, o};
 use slog_async::{AsyncGuard, OverflowStrategy};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A logger, and the guard that flushes its lines when it is dropped.
+/// A logger, and what flushes its lines.
 pub(super) struct Log {
     /// The logger.
     pub(super) logger: Logger,
-    /// Writes the lines that wait when it is dropped.
-    pub(super) flush_guard: AsyncGuard,
+    end_expected: Arc<AtomicBool>,
+    flush_guard: AsyncGuard,
+}
+
+impl Log {
+    /// Writes the lines that wait, and ends the log's thread.
+    pub(super) fn flush(self) {
+        self.end_expected.store(true, Ordering::Relaxed);
+        drop(self.flush_guard);
+    }
 }
 
 /// Returns the log of a server. Its writer has a thread of its own, so a log that nobody reads does not delay serving; past
-/// `max_waiting_lines` lines are dropped and counted.
+/// `max_waiting_lines` lines are dropped and counted. If the thread ends, that is said on standard error, and all further
+/// lines are dropped: nothing that is owed to a client depends on a line.
 pub(super) fn start(settings: &LogSettings, server_name: &str, max_waiting_lines: usize) -> Log {
-    let (drain, flush_guard) = slog_async::Async::new(writer(settings.format))
+    let end_expected = Arc::new(AtomicBool::new(false));
+    let new_writer = match settings.format {
+        LogFormat::Text => text_writer,
+        LogFormat::Json => json_writer,
+    };
+    let (drain, flush_guard) = slog_async::Async::new(LogWriter::new(new_writer, end_expected.clone()))
         .chan_size(max_waiting_lines)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    let drain = drain.filter_level(level(settings.level)).fuse();
-    Log { logger: Logger::root(drain, o!("name" => server_name.to_owned())), flush_guard }
+    let drain = drain.filter_level(level(settings.level)).ignore_res();
+    let logger = Logger::root(drain, o!("name" => server_name.to_owned()));
+    Log { logger, end_expected, flush_guard }
 }
 
-fn writer(format: LogFormat) -> Box<dyn Drain<Ok = (), Err = slog::Never> + Send> {
-    match format {
-        LogFormat::Text => {
-            let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
-            Box::new(slog_term::FullFormat::new(decorator).build().fuse())
-        }
-        LogFormat::Json => {
-            let json = slog_json::Json::new(std::io::stderr()).add_default_keys().set_flush(true).build();
-            Box::new(std::sync::Mutex::new(json).fuse())
-        }
-    }
+fn text_writer() -> FormatWriter {
+    let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
+    Box::new(slog_term::FullFormat::new(decorator).build())
+}
+
+fn json_writer() -> FormatWriter {
+    Box::new(slog_json::Json::new(WholeLines::default()).add_default_keys().set_flush(true).build())
 }
 
 fn level(level: LogLevel) -> Level {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -8,6 +8,7 @@
 mod error;
 mod handover;
 mod ledger;
+mod log_writer;
 mod logging;
 mod process;
 mod reload;
--- a/src/daemon/process.rs
+++ b/src/daemon/process.rs
@@ -4,7 +4,7 @@
 use super::error::DaemonError;
 use super::reload::ConfigReloader;
 use super::shutdown::{ProcessSignals, run_until_shutdown};
-use super::{ledger, logging, wiring};
+use super::{ledger, log_writer, logging, wiring};
 use crate::operator::LogSettings;
 use async_executor::LocalExecutor;
 use clap::Parser;
@@ -19,7 +19,7 @@
     let loaded = match command_line.files.load() {
         Ok(loaded) => loaded,
         Err(error) => {
-            eprintln!("dunlinspread: configuration: {error}");
+            log_writer::report(&format!("configuration: {error}"));
             return ExitCode::FAILURE;
         }
     };
@@ -33,14 +33,17 @@
     };
     let log = logging::start(&log_settings, &loaded.platform.name, loaded.platform.limits.log_lines);
     let executor = Rc::new(LocalExecutor::new());
-    let served =
-        async_io::block_on(executor.run(serve(command_line.files, loaded, executor.clone(), log.logger)));
-    // Lines still on their way are written before the end.
-    drop(log.flush_guard);
+    let served = async_io::block_on(executor.run(serve(
+        command_line.files,
+        loaded,
+        executor.clone(),
+        log.logger.clone(),
+    )));
+    log.flush();
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("dunlinspread: {error}");
+            log_writer::report(&error.to_string());
             ExitCode::FAILURE
         }
     }
@@ -61,6 +64,10 @@
     run_until_shutdown(&server, &mut signals, &mut reloader, &log).await?;
     if has_ledger {
         ledger::close(&server.dispatcher, &log).await;
+        // The store's writer works until here.
+        if let Ok(failure) = server.failures.try_recv() {
+            return Err(failure.into());
+        }
     }
     info!(log, "shutdown complete");
     Ok(())
--- a/src/server/frontend/reader.rs
+++ b/src/server/frontend/reader.rs
@@ -6,6 +6,7 @@
 use super::error::ConnectionError;
 use super::request_decoder::{ClientMessage, decode_request, parse_message};
 use crate::codec::msgpack::{Decoder, Value};
+use crate::server::fault_injection::{self, PanicPoint};
 use crate::server::messages::DispatcherMessage;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
@@ -37,6 +38,7 @@
             Ok(_) if !connection.accepts_requests() => continue,
             Ok(length) => reader.decoder.feed(&buffer[..length]),
         }
+        fault_injection::pass(PanicPoint::ConnectionRead);
         connection.state.borrow_mut().record_activity(context.clock.now());
         reader.handle_buffered().await?;
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -6,6 +6,7 @@
 pub mod dispatcher;
 pub mod distributed_config;
 pub mod evacuation;
+pub mod fault_injection;
 pub mod frontend;
 pub mod handover;
 pub mod messages;
--- a/src/server/upstream/call.rs
+++ b/src/server/upstream/call.rs
@@ -4,6 +4,7 @@
 use super::protocol;
 use crate::admission::Outcome;
 use crate::codec::http;
+use crate::server::fault_injection::{self, PanicPoint};
 use crate::server::messages::UpstreamCall;
 use crate::server::supervisor::catch_panic;
 use crate::server::timer_wheel::{Clock, TimerWheel};
@@ -132,6 +133,7 @@
         time_left_ms: f64,
         request_sent: &Cell<bool>,
     ) -> Result<CallResult, CallError> {
+        fault_injection::pass(PanicPoint::UpstreamConnect);
         let address = self.address.get();
         let kept = self.kept_connection(call);
         let is_reused = kept.is_some();
@@ -144,6 +146,7 @@
         request_sent.set(true);
         let mut writer = &stream;
         writer.write_all(&request).await.map_err(CallError::Write)?;
+        fault_injection::pass(PanicPoint::UpstreamRequestSent);
         let (reply, may_reuse) = match read_reply(&stream).await {
             Ok(reply) => reply,
             Err(error) => {
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -10,7 +10,7 @@
     AccountName, Action, LedgerGauges, LedgerSettings, LineKind, Notice, Outcome, ReplyDecision,
     UsageAccumulator, UsageRecord,
 };
-use dunlinspread_store::{Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
+use dunlinspread_store::{PanicPayload, Progress, WriteFailure, Writer, WriterGauges, WriterOptions};
 use slog::{Logger, error, info, warn};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -78,7 +78,8 @@
 }
 
 impl Billing {
-    /// Puts an open store to use. `on_progress` is called with the store's progress, on its thread.
+    /// Puts an open store to use. `on_progress` is called with the store's progress, on its thread, and `on_panic` with
+    /// a panic of that thread: what is held then is never released.
     ///
     /// # Errors
     /// If the store's thread can't be started.
@@ -86,6 +87,7 @@
         store: UsageStore,
         options: &BillingOptions<'_>,
         on_progress: impl FnMut(Progress) + Send + 'static,
+        on_panic: impl FnOnce(PanicPayload) + Send + 'static,
         log: Logger,
     ) -> Result<Billing, UsageError> {
         let (store_log, recovered) = store.into_parts();
@@ -94,7 +96,8 @@
         let accumulator = UsageAccumulator::start(options.now_ms, settings, recovered, &mut actions);
         let acknowledges_early = acknowledges_early();
         let writer_options = writer_options(acknowledges_early);
-        let writer = Writer::start(store_log, writer_options, on_progress).map_err(UsageError::Thread)?;
+        let writer = Writer::start(store_log, writer_options, on_progress, on_panic);
+        let writer = writer.map_err(UsageError::Thread)?;
         let mut billing = Billing {
             accumulator,
             writer,
--- a/src/server/usage/operator_requests.rs
+++ b/src/server/usage/operator_requests.rs
@@ -2,6 +2,7 @@
 
 use super::dispatcher_link::DispatcherLink;
 use super::export_error::{ExportError, RetryableError};
+use crate::server::fault_injection::{self, PanicPoint};
 use dunlinspread_ledger::operator_request::{OperatorRequest, RequestFile};
 use dunlinspread_ledger::{Correction, Line, LineError, LineId, LineIdText, LineKind};
 use dunlinspread_store::{Disk, Log, ReplayItem, ReplayRejection};
@@ -72,6 +73,7 @@
     /// If the folder or the ledger's lines can't be read, or the program ends.
     pub(super) fn execute_all(&self, disk: &dyn Disk, link: &mut DispatcherLink) -> Result<(), ExportError> {
         for token in self.tokens()? {
+            fault_injection::pass(PanicPoint::ExportWorkerRequest);
             let (request_name, answer_name) = RequestFile::file_names(&token);
             let request_path = self.folder.join(request_name);
             let answer = match read_request(&request_path) {
--- /dev/null
+++ b/tests/early_signals.rs
@@ -0,0 +1,70 @@
+//! SIGTERM while the program starts, which a file that is a named pipe holds at a known point.
+
+#[allow(dead_code, reason = "each test program uses a part of it")]
+mod play;
+
+use play::{LoggedServer, OPERATOR};
+use rustix::fs::{CWD, FileType, Mode, mknodat};
+use std::fs::File;
+use std::io::Write;
+use std::os::unix::process::ExitStatusExt;
+use std::path::Path;
+use tempfile::TempDir;
+
+/// An address that nobody listens on.
+const NOBODY: &str = "127.0.0.1:1";
+/// The number of SIGTERM.
+const SIGTERM: i32 = 15;
+
+fn make_pipe(path: &Path) {
+    mknodat(CWD, path, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).expect("a named pipe");
+}
+
+/// Returns the writing end of a pipe, once the server has opened it for reading and so waits for its bytes.
+fn wait_for_reader(pipe: &Path) -> File {
+    File::options().write(true).open(pipe).expect("the server opens the pipe")
+}
+
+/// Before the signals are handled the system ends the process. Nothing was listened on, so nothing is owed.
+#[test]
+fn a_request_to_end_while_the_configuration_is_read_ends_the_process() {
+    let folder = TempDir::new().expect("a folder");
+    let pipe = folder.path().join("config.json");
+    make_pipe(&pipe);
+    let mut command = play::command(&play::config(NOBODY, NOBODY, NOBODY, &[]), "unlimited").0;
+    let mut server = LoggedServer::spawn(command.env("RELAY_CONFIG", &pipe));
+    let _held = wait_for_reader(&pipe);
+    server.signal("TERM");
+    assert_eq!(server.end().signal(), Some(SIGTERM));
+    assert_eq!(server.log_to_end(), Vec::<String>::new());
+}
+
+/// From then on a request to end is kept until the start is complete, and answered by a whole shutdown.
+#[test]
+fn a_request_to_end_during_the_start_is_answered_by_a_shutdown_after_it() {
+    let folder = TempDir::new().expect("a folder");
+    let key = folder.path().join("fleet.key");
+    make_pipe(&key);
+    let operator = folder.path().join("operator.hcl");
+    std::fs::write(&operator, operator_text(&key)).expect("the operator file is written");
+    let stop = (r#""stop_ms":30000"#.to_owned(), r#""stop_ms":8000"#.to_owned());
+    let mut command = play::command(&play::config(NOBODY, NOBODY, NOBODY, &[stop]), "unlimited").0;
+    let mut server = LoggedServer::spawn(command.env(OPERATOR, &operator));
+    // The key is read with the tasks of most peers started, and before clients are accepted.
+    let mut held = wait_for_reader(&key);
+    server.signal("TERM");
+    held.write_all(b"0123456789abcdef0123456789abcdef").expect("the server reads the key");
+    drop(held);
+    for words in ["serving", "shutdown requested", "closing connections", "shutdown complete"] {
+        server.log_line(words);
+    }
+    assert_eq!(server.end().code(), Some(0));
+}
+
+fn operator_text(key: &Path) -> String {
+    let key = key.display();
+    format!(
+        "config_sync {{\n  zone = \"z1\"\n  region = \"r1\"\n  key_file = \"{key}\"\n  \
+         relay \"a\" {{\n    address = \"{NOBODY}\"\n  }}\n}}\n"
+    )
+}
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -3,6 +3,7 @@
 use dunlinspread::codec::{http, json, msgpack};
 use dunlinspread::config::ResourceLimits;
 
+#[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
 macro_rules! exchanges {
--- /dev/null
+++ b/tests/log_failures.rs
@@ -0,0 +1,135 @@
+//! A log that can't be written: standard error is closed or full, a line panics, or the log's thread ends. Serving goes
+//! on, nothing that is owed is lost, and the log goes on as soon as it can.
+
+#[allow(dead_code, reason = "each test program uses a part of it")]
+mod play;
+
+use play::{Client, LoggedServer, PANIC_AT, sockets};
+use rustix::fs::{CWD, FileType, Mode, OFlags, mknodat};
+use std::fs::File;
+use std::io::{BufRead, BufReader};
+use std::path::Path;
+use std::process::{Command, Stdio};
+
+/// Bytes that are no message, which is logged.
+const NOISE: &[u8] = b"\xc1\xc1\xc1";
+/// The beginning of the response to a health check.
+const HEALTHY: &str = r"\x94\x01\x01\xc0\x92\xc3";
+/// An address that nobody listens on.
+const NOBODY: &str = "127.0.0.1:1";
+const FORMATS: [&str; 2] = ["text", "json"];
+
+/// Returns what starts a server with a log in that format.
+fn command(format: &str) -> Command {
+    let stops = (r#""stop_ms":30000"#.to_owned(), r#""stop_ms":1000"#.to_owned());
+    let mut command = play::command(&play::config(NOBODY, NOBODY, NOBODY, &[stops]), "unlimited").0;
+    command.args(["--log-format", format]);
+    command
+}
+
+/// Checks that the server answers, also beside what it logs.
+fn assert_serves(address: &str) {
+    for _ in 0..3 {
+        assert!(Client::new(address).check().starts_with(HEALTHY));
+        assert_ne!(Client::new(address).send(NOISE), "");
+    }
+}
+
+/// Ends the server as an operator would.
+fn assert_ends_well(server: &mut LoggedServer) {
+    server.signal("TERM");
+    assert_eq!(server.end().code(), Some(0));
+}
+
+/// Opens the end of a named pipe from which the log is read, without waiting for its writer.
+fn open_reader(pipe: &Path) -> File {
+    let reader = rustix::fs::open(pipe, OFlags::RDONLY | OFlags::NONBLOCK, Mode::empty()).expect("the pipe");
+    rustix::fs::fcntl_setfl(&reader, OFlags::empty()).expect("it waits for lines");
+    reader.into()
+}
+
+/// Returns the first line with these words; the server has the other end of the pipe open, so that there is one.
+fn find_line(lines: &mut impl Iterator<Item = String>, words: &str) -> String {
+    lines.find(|line| line.contains(words)).unwrap_or_else(|| panic!("not logged: {words}"))
+}
+
+/// The reader of the log goes, lines are lost, and a new reader receives the lines that follow, whole.
+#[test]
+fn the_log_goes_on_when_its_reader_comes_back() {
+    for format in FORMATS {
+        let folder = tempfile::TempDir::new().expect("a folder");
+        let pipe = folder.path().join("log");
+        mknodat(CWD, &pipe, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).expect("a named pipe");
+        let reader = open_reader(&pipe);
+        let writer = File::options().write(true).open(&pipe).expect("the other end");
+        let mut server = LoggedServer::spawn(command(format).stderr(Stdio::from(writer)));
+        let mut lines = BufReader::new(reader).lines().map_while(Result::ok);
+        let serving = find_line(&mut lines, "serving");
+        let address = address_in(&serving);
+        drop(lines);
+        assert_serves(&address);
+        let mut lines = BufReader::new(open_reader(&pipe)).lines().map_while(Result::ok);
+        server.signal("TERM");
+        let line = find_line(&mut lines, "shutdown requested");
+        println!("{format}: {line}");
+        if format == "json" {
+            assert!(serde_json::from_str::<serde_json::Value>(&line).is_ok(), "not whole: {line}");
+        }
+        assert_eq!(server.end().code(), Some(0));
+    }
+}
+
+/// Returns the listening address in a line of either format.
+fn address_in(line: &str) -> String {
+    let (_, rest) = line.split_once("127.0.0.1:").expect("an address");
+    format!("127.0.0.1:{}", rest.chars().take_while(char::is_ascii_digit).collect::<String>())
+}
+
+/// The disk of the log is full from the start.
+#[test]
+fn a_full_disk_under_the_log_ends_nothing() {
+    for format in FORMATS {
+        let full = File::options().write(true).open("/dev/full").expect("the device");
+        let mut server = LoggedServer::spawn(command(format).stderr(Stdio::from(full)));
+        let address = sockets::listening_address(server.id());
+        assert_serves(&address);
+        assert_ends_well(&mut server);
+    }
+}
+
+/// A panic while a line is written costs that line, and is said once.
+#[test]
+fn a_panic_over_a_line_costs_that_line() {
+    for format in FORMATS {
+        let mut server = start_with_panic("log-line:4", format);
+        // The fourth line is that of the first noise at the latest.
+        assert_serves(&server.address);
+        server.log_line("log: a line was lost, its writer panicked: deliberate panic at log-line");
+        assert_ends_well(&mut server);
+        let rest = server.log_to_end();
+        assert!(rest.iter().any(|line| line.contains("shutdown complete")), "{rest:?}");
+    }
+}
+
+/// The log's thread ends: that is said once, no line follows, and serving goes on to a good end.
+#[test]
+fn the_end_of_the_logs_thread_is_said_and_ends_nothing() {
+    for format in FORMATS {
+        let mut server = start_with_panic("log-thread:4", format);
+        assert_serves(&server.address);
+        server.log_line("log: its thread ended, no further line is written; serving goes on");
+        assert_serves(&server.address);
+        assert_ends_well(&mut server);
+        let rest = server.log_to_end();
+        assert!(rest.iter().all(|line| !line.contains("shutdown")), "{rest:?}");
+        assert!(rest.iter().all(|line| !line.contains("its thread ended")), "said twice: {rest:?}");
+    }
+}
+
+/// Starts a server that panics at a point of its log once it serves: its first lines come before.
+fn start_with_panic(at: &str, format: &str) -> LoggedServer {
+    let mut command = command(format);
+    let mut server = LoggedServer::spawn(command.env(PANIC_AT, at));
+    server.address = address_in(&server.log_line("serving"));
+    server
+}
--- a/tests/play/alone.rs
+++ b/tests/play/alone.rs
@@ -40,11 +40,7 @@
 
     /// Returns the response to a health check.
     pub fn check(&mut self) -> String {
-        let mut stream = TcpStream::connect(&self.address).expect("it listens");
-        stream.set_read_timeout(Some(HANG)).expect("a time limit");
-        let check = [&[0x94, 0, 1][..], &unescape("\\xa6isWell\\x91\\x80")[..]].concat();
-        stream.write_all(&check).expect("the connection is open");
-        message(&mut stream)
+        Client::new(&self.address).check()
     }
 }
 
@@ -66,6 +62,24 @@
         message(&mut client.0).starts_with(r"\x94").then_some(client)
     }
 
+    /// Returns the response to a health check.
+    pub fn check(&mut self) -> String {
+        let check = [&[0x94, 0, 1][..], &unescape("\\xa6isWell\\x91\\x80")[..]].concat();
+        self.0.write_all(&check).expect("the connection is open");
+        message(&mut self.0)
+    }
+
+    /// Sends bytes, and returns the next message or how the connection ended.
+    pub fn send(&mut self, bytes: &[u8]) -> String {
+        self.0.write_all(bytes).expect("the connection is open");
+        message(&mut self.0)
+    }
+
+    /// Returns the next message, or how the connection ended.
+    pub fn answer(&mut self) -> String {
+        message(&mut self.0)
+    }
+
     /// Sends a request.
     pub fn ask(&mut self, id: u64, class: &str) {
         self.0.write_all(&request("g", &format!("{id} {class}"))).expect("the connection is open");
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -10,15 +10,20 @@
 mod peers;
 mod playback;
 mod process;
+#[allow(dead_code, reason = "each test program uses a part of it")]
+pub mod sockets;
 
 #[allow(unused_imports, reason = "each test program uses a part of it")]
 pub use alone::Client;
 #[allow(unused_imports, reason = "each test program uses a part of it")]
 pub use bytes::{message, unescape};
 #[allow(unused_imports, reason = "each test program uses a part of it")]
-pub use process::{config, start, without_file};
+pub use process::{
+    LoggedServer, OPERATOR, PANIC_AT, command, config, listening_address, start, without_file,
+};
 
-use playback::Playback;
+#[allow(unused_imports, reason = "each test program uses a part of it")]
+pub use playback::{Playback, Setup};
 use std::time::Duration;
 
 /// The time limit of each wait, far beyond any delay of a working server: it ends a test that would hang.
@@ -26,14 +31,9 @@
 
 /// Plays a script and returns its transcript.
 pub fn play(script: &str) -> String {
-    let config_changes = script.lines().filter_map(|line| line.strip_prefix("config ")?.split_once(" -> "));
-    let config_changes: Vec<(String, String)> =
-        config_changes.map(|(from, to)| (from.to_owned(), to.to_owned())).collect();
-    let descriptors = script.lines().find_map(|line| line.strip_prefix("descriptors "));
-    let mut playback = Playback::start(&config_changes, descriptors.unwrap_or("unlimited"));
-    let is_setting = |line: &str| line.starts_with("config ") || line.starts_with("descriptors ");
+    let mut playback = Playback::start(&Setup::of_script(script));
     let mut transcript = String::new();
-    for line in script.lines().filter(|line| !line.is_empty() && !is_setting(line)) {
+    for line in script.lines().filter(|line| !line.is_empty() && !Setup::is_setting(line)) {
         transcript.push_str(line);
         transcript.push('\n');
         if line.starts_with('#') {
--- a/tests/play/playback.rs
+++ b/tests/play/playback.rs
@@ -3,7 +3,7 @@
 use super::HANG;
 use super::bytes::{message, request, unescape};
 use super::peers::{Listeners, Peer, answer_reports, read_http_request, read_line};
-use super::process::{listening_address, start_with, without_file};
+use super::process::{OPERATOR, PANIC_AT, command, listening_address, without_file};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpStream};
@@ -15,6 +15,41 @@
 /// Health checks that a flood sends at a time.
 const FLOOD_CHECKS: usize = 1000;
 
+/// What a server is started with.
+#[derive(Default)]
+pub struct Setup {
+    /// What is replaced in its configuration, and by what.
+    pub config_changes: Vec<(String, String)>,
+    /// How many descriptors it has; as many as the system allows without it.
+    pub descriptors: Option<String>,
+    /// Where it panics, as `POINT:PASS`.
+    pub panic: Option<String>,
+    /// Its operator file.
+    pub operator_file: Option<PathBuf>,
+}
+
+impl Setup {
+    /// Returns what the lines of a script set.
+    pub fn of_script(script: &str) -> Setup {
+        let values = |key: &str| {
+            let prefix = format!("{key} ");
+            script.lines().filter_map(move |line| line.strip_prefix(&prefix)).collect::<Vec<_>>()
+        };
+        let changes = values("config").into_iter().filter_map(|change| change.split_once(" -> "));
+        Setup {
+            config_changes: changes.map(|(from, to)| (from.to_owned(), to.to_owned())).collect(),
+            descriptors: values("descriptors").first().map(|&count| count.to_owned()),
+            panic: values("panic").first().map(|&at| at.to_owned()),
+            operator_file: None,
+        }
+    }
+
+    /// Returns whether a line of a script sets something.
+    pub fn is_setting(line: &str) -> bool {
+        ["config ", "descriptors ", "panic "].iter().any(|key| line.starts_with(key))
+    }
+}
+
 /// The running exchange.
 pub struct Playback {
     server: Child,
@@ -22,6 +57,8 @@
     /// What the script changes in the configuration.
     config_changes: Vec<(String, String)>,
     address: String,
+    /// The log until the server served.
+    start_lines: Vec<String>,
     log: Receiver<String>,
     reports: Receiver<String>,
     report_sender: Sender<String>,
@@ -41,9 +78,12 @@
 
 impl Playback {
     /// Starts the server and waits until it serves.
-    pub fn start(config_changes: &[(String, String)], descriptors: &str) -> Playback {
-        let (listeners, text) = Listeners::bind(config_changes);
-        let (mut server, config_file) = start_with(&text, descriptors);
+    pub fn start(setup: &Setup) -> Playback {
+        let (listeners, text) = Listeners::bind(&setup.config_changes);
+        let (mut command, config_file) = command(&text, setup.descriptors.as_deref().unwrap_or("unlimited"));
+        let variables = setup.panic.iter().map(|at| (PANIC_AT, at.as_ref()));
+        let variables = variables.chain(setup.operator_file.iter().map(|file| (OPERATOR, file.as_os_str())));
+        let mut server = command.envs(variables).spawn().expect("the server starts");
         let (log_sender, log) = channel();
         let stderr = BufReader::new(server.stderr.take().expect("a log"));
         std::thread::spawn(move || {
@@ -54,8 +94,9 @@
         let mut playback = Playback {
             server,
             config_file,
-            config_changes: config_changes.to_vec(),
+            config_changes: setup.config_changes.clone(),
             address: String::new(),
+            start_lines: Vec::new(),
             log,
             reports,
             report_sender,
@@ -64,11 +105,20 @@
             upstream: Peer::new(listeners.upstream),
             old_upstream: None,
         };
-        let serving = playback.log_line("serving");
-        playback.address = listening_address(&serving).expect("the address is logged");
+        while playback.address.is_empty() {
+            let line = playback.log_line("");
+            playback.address = listening_address(&line).unwrap_or_default();
+            playback.start_lines.push(line);
+        }
         playback
     }
 
+    /// Returns the log line with these words that was written before the server served.
+    pub fn start_line(&self, words: &str) -> &str {
+        let line = self.start_lines.iter().find(|line| line.contains(words));
+        line.unwrap_or_else(|| panic!("not logged: {words}"))
+    }
+
     /// Has a party send something: the line `NAME: TEXT` of a script.
     pub fn send(&mut self, name: &str, text: &str) {
         match name {
--- a/tests/play/process.rs
+++ b/tests/play/process.rs
@@ -1,7 +1,12 @@
 //! The server as a process with a configuration of its own.
 
+use super::HANG;
+use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::time::{Duration, Instant};
 
 const SETTINGS: &str = r#"{"tick_ms":5.0,"servers":2,
 "profiles":[{"name":"route-sheet","effect":"pure","give_up_ms":90000,"target_ms":80000,"worth":1},
@@ -11,6 +16,15 @@
 "below":"tier","class_calls":[true,true],"class_skip_worth":[0.5,0],"keepalive_max_ms":32000000000,"callers":1,
 "gauges":["core_use","on_cores","heap_share","links"]}}"#;
 
+/// The configuration files that this test program has written.
+static FILES_WRITTEN: AtomicUsize = AtomicUsize::new(0);
+
+/// The variable that makes the server panic at a named point.
+pub const PANIC_AT: &str = "DUNLINSPREAD_PANIC_AT";
+
+/// The variable that names the operator file.
+pub const OPERATOR: &str = "DUNLINSPREAD_OPERATOR";
+
 /// Returns the configuration, with each `from=to` of the script's `config` lines replaced.
 pub fn config(pool: &str, directory: &str, index: &str, changes: &[(String, String)]) -> String {
     let mut text = format!(
@@ -32,21 +46,25 @@
 
 /// Starts the server on a configuration and with so many descriptors, and returns it with its configuration file.
 pub fn start_with(config: &str, descriptors: &str) -> (Child, PathBuf) {
-    let unique = format!("dunlinspread-{}-{:p}.json", std::process::id(), config);
+    let (mut command, path) = command(config, descriptors);
+    (command.spawn().expect("the server starts"), path)
+}
+
+/// Returns what starts the server, with its log in a pipe, and its configuration file.
+pub fn command(config: &str, descriptors: &str) -> (Command, PathBuf) {
+    let number = FILES_WRITTEN.fetch_add(1, Ordering::Relaxed);
+    let unique = format!("dunlinspread-{}-{number}.json", std::process::id());
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(unique);
     std::fs::write(&path, config).expect("the configuration is written");
-    let child = Command::new("sh")
-        .args([
-            "-c",
-            "[ $1 = unlimited ] || ulimit -n $1; exec $0",
-            env!("CARGO_BIN_EXE_dunlinspread"),
-            descriptors,
-        ])
-        .env("RELAY_CONFIG", &path)
-        .stderr(Stdio::piped())
-        .spawn()
-        .expect("the server starts");
-    (child, path)
+    let mut command = Command::new("sh");
+    command.args([
+        "-c",
+        r#"n=$1; shift; [ $n = unlimited ] || ulimit -n $n; exec "$0" "$@""#,
+        env!("CARGO_BIN_EXE_dunlinspread"),
+        descriptors,
+    ]);
+    command.env("RELAY_CONFIG", &path).stderr(Stdio::piped());
+    (command, path)
 }
 
 /// Returns a message without the name of the configuration file, which is new in every run.
@@ -59,3 +77,81 @@
 pub fn listening_address(line: &str) -> Option<String> {
     Some(line.split_once("listen: ")?.1.split(',').next()?.to_owned())
 }
+
+/// A server whose log is read line by line, without played peers.
+pub struct LoggedServer {
+    process: Child,
+    /// Where it listens.
+    pub address: String,
+    log: Receiver<String>,
+}
+
+impl Drop for LoggedServer {
+    fn drop(&mut self) {
+        let _ = self.process.kill();
+        let _ = self.process.wait();
+    }
+}
+
+impl LoggedServer {
+    /// Starts a server; it may not serve yet.
+    pub fn spawn(command: &mut Command) -> LoggedServer {
+        let mut process = command.spawn().expect("the server starts");
+        let (sender, log) = channel();
+        if let Some(stderr) = process.stderr.take() {
+            let lines = BufReader::new(stderr).lines().map_while(Result::ok);
+            std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
+        }
+        LoggedServer { process, address: String::new(), log }
+    }
+
+    /// Starts a server and waits until it serves.
+    pub fn start(command: &mut Command) -> LoggedServer {
+        let mut server = LoggedServer::spawn(command);
+        server.address = listening_address(&server.log_line("listen: ")).expect("the address is logged");
+        server
+    }
+
+    /// Returns the next log line with these words.
+    pub fn log_line(&self, words: &str) -> String {
+        loop {
+            let line = self.log.recv_timeout(HANG).unwrap_or_else(|_| panic!("not logged: {words}"));
+            if line.contains(words) {
+                return line;
+            }
+        }
+    }
+
+    /// Returns all further lines of the log, once the server has ended.
+    pub fn log_to_end(&self) -> Vec<String> {
+        let line = || match self.log.recv_timeout(HANG) {
+            Ok(line) => Some(line),
+            Err(RecvTimeoutError::Disconnected) => None,
+            Err(RecvTimeoutError::Timeout) => panic!("the log does not end"),
+        };
+        std::iter::from_fn(line).collect()
+    }
+
+    /// Sends a signal to the server.
+    pub fn signal(&self, signal: &str) {
+        let sent = Command::new("kill").args(["-s", signal, &self.process.id().to_string()]).status();
+        assert!(sent.expect("kill is there").success());
+    }
+
+    /// Returns the id of the process.
+    pub fn id(&self) -> u32 {
+        self.process.id()
+    }
+
+    /// Returns how the server ended, which is waited for.
+    pub fn end(&mut self) -> ExitStatus {
+        let since = Instant::now();
+        while since.elapsed() < HANG {
+            if let Some(status) = self.process.try_wait().expect("its state") {
+                return status;
+            }
+            std::thread::sleep(Duration::from_millis(5));
+        }
+        panic!("the server does not end");
+    }
+}
