--- a/src/daemon/handover/start.rs
+++ b/src/daemon/handover/start.rs
@@ -50,7 +50,7 @@
         dispatcher: &mut Dispatcher,
     ) {
         match socket.try_clone() {
-            Ok(socket) => dispatcher.enable_handover(socket),
+            Ok(socket) => dispatcher.enable_handover(self.identity.clone(), socket),
             Err(error) => {
                 return error!(self.log, "handover is off: no further descriptor"; "error" => error.to_string());
             }
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -124,9 +124,8 @@
     let control = wiring.start_control()?;
     // The timers run from here on: a handover has time limits.
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
-    let handover_directory = handover::directory(loaded, log);
-    let handover = wiring.handover_start();
-    let mut takeover = handover_directory.as_ref().and_then(|directory| handover.find_predecessor(directory));
+    let handover = handover::directory(loaded, log).map(|directory| (wiring.handover_start(), directory));
+    let mut takeover = handover.as_ref().and_then(|(start, directory)| start.find_predecessor(directory));
     let socket = match &mut takeover {
         Some(takeover) => takeover.receive_socket().await?,
         None => listen(config.listen)?,
@@ -136,8 +135,8 @@
     let mailboxes = wiring.start_peer_tasks(takeover.is_none());
     let mut dispatcher_task = wiring.new_dispatcher(&mailboxes, &listener, operator.ledger.as_ref())?;
     let takes_over = takeover.is_some();
-    if let Some(directory) = handover_directory {
-        handover.start(directory, &socket, takeover, &mut dispatcher_task);
+    if let Some((start, directory)) = handover {
+        start.start(directory, &socket, takeover, &mut dispatcher_task);
     }
     wiring.supervise("dispatcher", Box::pin(dispatcher_task.run(dispatcher_messages)));
     let context = wiring.start_frontend_context(loaded).await?;
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -14,19 +14,18 @@
     Response, SuccessorFrame, SuccessorMessage,
 };
 use dunlinspread_handover::{
-    ForwardedResponse, PredecessorAction, PredecessorEvent, RunEnd, ToPredecessor, ToSuccessor,
+    ForwardedResponse, Predecessor, PredecessorAction, PredecessorEvent, RunEnd, ServerIdentity,
+    ToPredecessor, ToSuccessor, snapshot_pieces,
 };
 use dunlinspread_idempotency::RunResult;
 use slog::{error, info, warn};
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Bytes of keys and results in one frame of the snapshot, past which the next one begins.
-const SNAPSHOT_FRAME_BYTES: usize = 128 << 10;
-
 impl Dispatcher {
-    /// Lets a successor take over the listening socket.
-    pub fn enable_handover(&mut self, listening_socket: TcpListener) {
+    /// Lets a successor of this identity take over the listening socket.
+    pub fn enable_handover(&mut self, identity: ServerIdentity, listening_socket: TcpListener) {
+        self.handing_over.machine = Predecessor::new(identity);
         self.handing_over.listening_socket = Some(listening_socket);
     }
 
@@ -127,19 +126,10 @@
         if let Some(until) = self.keys.blackout_until() {
             self.handing_over.send(ToSuccessor::KeysUnknown { until });
         }
-        let (mut keys, mut piece, mut piece_bytes) = (0, Vec::new(), 0);
-        for record in self.keys.export(now) {
-            let record = sent_key(&record);
-            piece_bytes += record.key.len() + result_bytes(&record);
-            piece.push(record);
-            keys += 1;
-            if piece_bytes >= SNAPSHOT_FRAME_BYTES {
-                self.handing_over.send(ToSuccessor::Keys(std::mem::take(&mut piece)));
-                piece_bytes = 0;
-            }
-        }
-        if !piece.is_empty() {
-            self.handing_over.send(ToSuccessor::Keys(piece));
+        let mut keys = 0;
+        let records = self.keys.export(now).map(|record| sent_key(&record)).inspect(|_| keys += 1);
+        for piece in snapshot_pieces(records) {
+            self.handing_over.send(piece);
         }
         self.handing_over.send(ToSuccessor::SnapshotEnd { keys });
         self.handing_over.machine.snapshot_sent(keys);
@@ -291,14 +281,6 @@
     }
 }
 
-/// Returns the bytes of the result of a key.
-fn result_bytes(record: &dunlinspread_handover::KeyRecord) -> usize {
-    match record.run.as_ref().map(|run| &run.state) {
-        Some(dunlinspread_handover::RunRecordState::Completed(result)) => result.len(),
-        _ => 0,
-    }
-}
-
 /// Passes a response of the successor on to the client.
 fn pass_on(reply: ReplyHandle, response: Response, advertised_share: Option<f64>) {
     let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
--- a/src/server/dispatcher/handover_state.rs
+++ b/src/server/dispatcher/handover_state.rs
@@ -35,9 +35,10 @@
 }
 
 impl HandingOver {
-    pub(super) fn new(identity: ServerIdentity) -> HandingOver {
+    /// Returns the state of a process that hands over to nobody.
+    pub(super) fn new() -> HandingOver {
         HandingOver {
-            machine: Predecessor::new(identity),
+            machine: Predecessor::new(ServerIdentity::default()),
             listening_socket: None,
             successor: None,
             held: Vec::new(),
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -2,7 +2,7 @@
 //! other tasks.
 
 use super::gauge_poll::GaugePoll;
-use super::handover_state::{HandingOver, TakingOver, server_identity};
+use super::handover_state::{HandingOver, TakingOver};
 use super::idempotency_keys::IdempotencyKeys;
 use super::log_limit::LogLimit;
 use super::pool_link::PoolLink;
@@ -134,7 +134,7 @@
             controller_lines: LogLimit::default(),
             rejected_command_lines: LogLimit::default(),
             status,
-            handing_over: HandingOver::new(server_identity(config)),
+            handing_over: HandingOver::new(),
             taking_over: TakingOver::new(request_ids),
             was_linked: false,
             idle: None,
