--- a/src/server/distributed_config/change_validator.rs
+++ b/src/server/distributed_config/change_validator.rs
@@ -1,5 +1,5 @@
-//! Validation of changes before they are applied. It runs on the subscriber's thread and keeps hashes of the names that
-//! it accepted, so that it needs no state of the serving thread.
+//! Validation of changes before they are applied. It runs on the subscriber's thread and keeps hashes of the
+//! accepted names, so that it does not access state of the serving thread.
 
 use super::error::ChangeError;
 use crate::server::name_table::NameTable;
@@ -11,39 +11,41 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The least time between two log lines about rejected changes.
+/// Minimum time between two log lines about rejected changes.
 const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The most tenants and routes.
+/// Limits of the number of tenants and routes.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Tenants, the platform's among them.
+    /// Maximum number of tenants, including the platform's.
     pub max_tenants: usize,
-    /// Routes.
+    /// Maximum number of routes.
     pub max_routes: usize,
 }
 
-/// Validates changes for a server. Accepted changes are taken to be in force from then on.
+/// Validates changes for a server. It counts accepted changes as in force from then on.
 pub struct ChangeValidator {
     classes: Arc<NameTable>,
     platform_tenants: Arc<NameTable>,
     capacity: Capacity,
     hasher: RandomState,
-    /// A lock for the trait's sake: only the subscriber's thread validates.
+    /// A mutex only because [`Judge`] takes `&self` and requires `Sync`: only the subscriber's thread
+    /// validates.
     accepted: Mutex<AcceptedNames>,
     log: Logger,
 }
 
-/// Hashes of the names in force, and what was logged.
+/// Hashes of the names in force, and the rate limit of the log.
 #[derive(Default)]
 struct AcceptedNames {
     tenants: HashSet<u64>,
     routes: HashSet<u64>,
-    logged_at: Option<Instant>,
-    not_logged: u64,
+    last_logged_at: Option<Instant>,
+    /// Number of rejections since the last log line.
+    unlogged_rejections: u64,
 }
 
-/// The number of names that changes add and remove.
+/// Number of names that a list of changes adds and removes.
 #[derive(Default)]
 struct CountChange {
     added: usize,
@@ -62,7 +64,7 @@
 }
 
 impl ChangeValidator {
-    /// Returns a validator for a server with these classes and tenants of the platform.
+    /// Returns a validator for a server with the classes and tenants of the platform's configuration file.
     pub fn new(
         classes: Arc<NameTable>,
         platform_tenants: Arc<NameTable>,
@@ -106,7 +108,7 @@
             let exists_after = matches!(change, Change::Put(_));
             let hash = self.hasher.hash_one(key.name());
             match key {
-                Key::Tenant(name) if self.is_of_platform(&name) => {}
+                Key::Tenant(name) if self.is_platform_tenant(&name) => {}
                 Key::Tenant(_) => tenants.record(exists_after, accepted.tenants.contains(&hash)),
                 Key::Route(_) => routes.record(exists_after, accepted.routes.contains(&hash)),
                 Key::Class(_) => {}
@@ -124,7 +126,7 @@
         Ok(())
     }
 
-    fn is_of_platform(&self, tenant: &str) -> bool {
+    fn is_platform_tenant(&self, tenant: &str) -> bool {
         self.platform_tenants.position(tenant.as_bytes()).is_some()
     }
 
@@ -133,7 +135,7 @@
             let key = change.key();
             let hash = self.hasher.hash_one(key.name());
             let names = match &key {
-                Key::Tenant(name) if self.is_of_platform(name) => continue,
+                Key::Tenant(name) if self.is_platform_tenant(name) => continue,
                 Key::Tenant(_) => &mut accepted.tenants,
                 Key::Route(_) => &mut accepted.routes,
                 Key::Class(_) => continue,
@@ -146,13 +148,13 @@
     }
 
     fn log_rejection(&self, accepted: &mut AcceptedNames, error: &ChangeError) {
-        if accepted.logged_at.is_some_and(|at| at.elapsed() < LOG_INTERVAL) {
-            accepted.not_logged += 1;
+        if accepted.last_logged_at.is_some_and(|at| at.elapsed() < LOG_INTERVAL) {
+            accepted.unlogged_rejections += 1;
             return;
         }
         warn!(self.log, "configuration change rejected";
-            "reason" => error.to_string(), "rejected_since_last_line" => accepted.not_logged);
-        (accepted.logged_at, accepted.not_logged) = (Some(Instant::now()), 0);
+            "reason" => error.to_string(), "rejected_since_last_line" => accepted.unlogged_rejections);
+        (accepted.last_logged_at, accepted.unlogged_rejections) = (Some(Instant::now()), 0);
     }
 }
 
--- a/src/server/distributed_config/distributed_settings.rs
+++ b/src/server/distributed_config/distributed_settings.rs
@@ -1,8 +1,8 @@
-//! The distributed settings on the serving thread.
+//! Distributed settings on the serving thread.
 //!
-//! Connections look up names for each request. A change is swapped in only while no request is between its lookup and
-//! the dispatcher's mailbox; the mailbox keeps order, so it separates requests decoded before the change from those
-//! decoded after it.
+//! Connections look up names for each request. A change is swapped in only while no request is between its
+//! lookup and the dispatcher's mailbox. The mailbox preserves order, so the change's message separates
+//! requests decoded before the change from those decoded after it.
 
 use super::effective_settings::EffectiveSettings;
 use super::error::ApplyError;
@@ -15,23 +15,27 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Interval at which a change that can't be swapped in yet, and whoever waits for it, check again, ms.
-const RETRY_MS: f64 = 1.0;
-/// Changes up to this many are applied on the serving thread; more are applied to a copy on a thread of their own.
+/// Interval in ms at which a change that can't be swapped in yet, and the requests that wait for it, check
+/// again.
+const SWAP_CHECK_INTERVAL_MS: f64 = 1.0;
+/// Up to this number of changes is applied on the serving thread; more are applied to a copy on a separate
+/// thread.
 const MAX_CHANGES_IN_PLACE: usize = 256;
-/// The position of a request whose tenant is not listed, at a site whose platform lists no tenants: it has no quota.
+/// Tenant position of a request whose tenant is not listed, on a server whose platform lists no tenants. It
+/// has no quota.
 const UNLISTED_TENANT: usize = usize::MAX;
 
-/// The distributed settings in force, shared by all tasks of the serving thread.
+/// Settings in force, shared by all tasks of the serving thread.
 pub struct DistributedSettings {
     effective: RefCell<Arc<EffectiveSettings>>,
-    /// Requests between their lookup and the dispatcher's mailbox.
+    /// Number of requests between their lookup and the dispatcher's mailbox.
     lookups_in_flight: Cell<usize>,
-    /// Whether a change waits for those, so that further requests wait for the change.
+    /// Whether a change waits to be swapped in; new requests then wait for the change.
     is_change_pending: Cell<bool>,
 }
 
-/// A request between its lookup and the dispatcher's mailbox; no change is swapped in while one exists.
+/// Marks a request between its lookup and the dispatcher's mailbox. No change is swapped in while a guard
+/// exists.
 pub struct LookupGuard<'a>(&'a DistributedSettings);
 
 impl Drop for LookupGuard<'_> {
@@ -43,14 +47,14 @@
 /// Sizes of the distributed settings after a change, for the log and for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedCounts {
-    /// Tenants that the platform does not list.
+    /// Number of tenants that the platform does not list.
     pub tenants: usize,
-    /// Routes.
+    /// Number of routes.
     pub routes: usize,
 }
 
 impl DistributedSettings {
-    /// Returns settings with nothing distributed in force beyond `effective`.
+    /// Returns settings whose initial state is `effective`.
     pub fn new(effective: EffectiveSettings) -> DistributedSettings {
         DistributedSettings {
             effective: RefCell::new(Arc::new(effective)),
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Returns the position of the tenant that a request names, or `None` if the request has to be turned down.
+    /// Returns the position of the tenant that a request names, or `None` if the request must be rejected.
     pub fn tenant(&self, name: Option<&str>) -> Option<usize> {
         let effective = self.effective.borrow();
         let position = name.and_then(|name| effective.tenant(name));
@@ -69,28 +73,32 @@
         position.or(Some(UNLISTED_TENANT))
     }
 
-    /// Returns the position of the class that a route leads to.
+    /// Returns the position of the class that the route for a method names, or `None` if there is no such
+    /// route.
     pub fn route(&self, method: &[u8]) -> Option<usize> {
         self.effective.borrow().route(method)
     }
 
-    /// Waits while a change waits to be swapped in.
+    /// Waits until no change is waiting to be swapped in.
     pub async fn wait_for_pending_change(&self, wheel: &Rc<TimerWheel>) {
         while self.is_change_pending.get() {
-            wheel.sleep(RETRY_MS).await;
+            wheel.sleep(SWAP_CHECK_INTERVAL_MS).await;
         }
     }
 
-    /// Returns a guard to be held from a request's lookup until it is in the dispatcher's mailbox.
+    /// Returns a guard that the caller holds from a request's lookup until the request is in the dispatcher's
+    /// mailbox.
     pub fn guard_lookup(&self) -> LookupGuard<'_> {
         self.lookups_in_flight.set(self.lookups_in_flight.get() + 1);
         LookupGuard(self)
     }
 
-    /// Applies changes and waits until the dispatcher has them; one call at a time.
+    /// Applies changes and waits until the dispatcher has applied them. Only one call may be in progress at a
+    /// time.
     ///
     /// # Errors
-    /// If the changes could not be applied; none of them is in force then.
+    /// - [`ApplyError::CopyFailed`] if the thread that applied the changes to a copy panicked.
+    /// - [`ApplyError::DispatcherGone`] if the dispatcher has ended.
     pub async fn apply(
         &self,
         changes: Vec<Change>,
@@ -105,7 +113,7 @@
         };
         self.is_change_pending.set(!self.can_swap(dispatcher));
         while !self.can_swap(dispatcher) {
-            wheel.sleep(RETRY_MS).await;
+            wheel.sleep(SWAP_CHECK_INTERVAL_MS).await;
         }
         let applied = self.swap(prepared, dispatcher);
         self.is_change_pending.set(false);
@@ -115,11 +123,13 @@
         Ok(AppliedCounts { tenants: effective.tenant_count(), routes: effective.route_count() })
     }
 
+    /// Returns whether no request is between its lookup and the mailbox, and the mailbox has capacity.
     fn can_swap(&self, dispatcher: &DispatcherSender) -> bool {
         self.lookups_in_flight.get() == 0 && !dispatcher.is_full_for_requests()
     }
 
-    /// Applies changes to a copy on a thread of its own. Without a thread they are left to be applied in place.
+    /// Applies changes to a copy on a separate thread. If the thread can't be started, returns the changes to
+    /// be applied in place.
     async fn prepare_copy(&self, changes: Vec<Change>) -> Result<PreparedChange, ApplyError> {
         let (job_sender, jobs) = async_channel::bounded(1);
         let (copy_sender, copies) = async_channel::bounded(1);
@@ -128,19 +138,20 @@
             if let Ok((effective, changes)) = jobs.recv_blocking() {
                 let _ = copy_sender.send_blocking(apply_to_copy(effective, changes));
             }
-            // Large tables take a while to free, which is kept off the serving thread.
+            // Freeing large tables takes long, so the replaced settings are not freed on the serving thread.
             drop(replaced_receiver.recv_blocking());
         };
         if std::thread::Builder::new().name("config-copy".to_owned()).spawn(work).is_err() {
             return Ok(PreparedChange::InPlace(changes));
         }
-        // The thread waits for its one job, so the queue has capacity.
+        // Never fails because of capacity: this is the only job, and the queue holds one.
         let _ = job_sender.try_send((self.effective.borrow().clone(), changes));
         let (next, reconfiguration) = copies.recv().await.map_err(|_| ApplyError::CopyFailed)?;
         Ok(PreparedChange::Copy { next, reconfiguration, replaced })
     }
 
-    /// Swaps the settings in one step: nothing else runs on this thread meanwhile.
+    /// Swaps the settings in one step, without yielding to other tasks of this thread. Returns the channel on
+    /// which the dispatcher confirms the change.
     fn swap(
         &self,
         prepared: PreparedChange,
@@ -161,15 +172,15 @@
     }
 }
 
-/// Changes that wait to be swapped in.
+/// Changes that are ready to be swapped in.
 enum PreparedChange {
     /// Changes to be applied on the serving thread.
     InPlace(Vec<Change>),
-    /// Changes that were applied to a copy.
+    /// Changes that were applied to a copy, which replaces the settings in force.
     Copy {
         next: Arc<EffectiveSettings>,
         reconfiguration: Reconfiguration,
-        /// Takes the settings that the copy replaces, to be freed.
+        /// Sends the replaced settings to the thread that frees them.
         replaced: Sender<Arc<EffectiveSettings>>,
     },
 }
--- a/src/server/distributed_config/effective_settings.rs
+++ b/src/server/distributed_config/effective_settings.rs
@@ -1,13 +1,14 @@
-//! The settings in force: the platform's tenants and classes with the distributed settings on top. A state machine
-//! without I/O.
+//! Settings in force: the platform's tenants and classes, overridden and extended by the distributed
+//! settings. A state machine without I/O.
 //!
-//! Tenants have positions, which requests carry to the admission controller. The platform's tenants keep theirs. Another
-//! tenant gets a free position, and gives it back when its quota is deleted.
+//! Each tenant has a position, which requests carry to the admission controller. The positions of the
+//! platform's tenants are fixed. Any other tenant is assigned a free position, which is released when the
+//! tenant's quota is deleted.
 //!
 //! # Invariants
-//! - Changes are applied whole.
-//! - A position that was given back is not used before [`EffectiveSettings::recycle_positions`] says that no request
-//!   decoded before the change is on its way.
+//! - Each list of changes is applied as a whole.
+//! - A released position is not reused until the caller confirms with
+//!   [`EffectiveSettings::recycle_positions`] that no request decoded before the change is still in flight.
 
 use crate::admission::{ClassLimitChange, QuotaChange, Reconfiguration};
 use crate::server::name_table::NameTable;
@@ -15,66 +16,68 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Quotas are distributed in thousandths of a request a second.
+/// Distributed quotas are given in thousandths of a request per second.
 const MILLI_PER_UNIT: f64 = 1000.0;
-/// Spare capacity of a table, as a divisor of its size and at least, so that later changes seldom make it grow.
+/// Spare capacity of a table is its size divided by this, so that later changes rarely make the table grow.
 const SPARE_DIVISOR: usize = 8;
+/// Minimum spare capacity of a table.
 const MIN_SPARE: usize = 1024;
 
-/// The settings of the platform's file, for the life of the process.
+/// Settings from the platform's configuration file, which are fixed for the lifetime of the process.
 #[derive(Debug, Default)]
 pub struct PlatformSettings {
-    /// The classes by name.
+    /// Positions of classes by name.
     pub classes: Arc<NameTable>,
-    /// The tenants by name.
+    /// Positions of tenants by name.
     pub tenants: Arc<NameTable>,
-    /// The quotas of the tenants, requests a second.
+    /// Quotas of the tenants by position, in requests per second.
     pub quotas: Vec<f64>,
 }
 
-/// The settings in force.
+/// Settings in force.
 #[derive(Clone, Debug)]
 pub struct EffectiveSettings {
     platform: Arc<PlatformSettings>,
-    /// Positions of tenants that the platform does not list.
+    /// Positions by name of the tenants that the platform does not list.
     tenants: HashMap<Arc<str>, u32>,
-    /// Classes of routes, by position.
+    /// Positions of the routes' classes, by route name.
     routes: HashMap<Arc<str>, u32>,
-    /// Positions that new tenants may get.
-    free: Vec<u32>,
-    /// Positions given back that a request on its way may still carry.
-    retired: Vec<u32>,
-    /// The number of positions that were ever used.
+    /// Positions that can be assigned to new tenants.
+    free_positions: Vec<u32>,
+    /// Released positions that a request in flight may still carry.
+    released_positions: Vec<u32>,
+    /// Number of positions assigned so far, including the platform's: the next new position.
     position_count: u32,
 }
 
 impl EffectiveSettings {
-    /// Returns the platform's settings alone.
+    /// Returns the platform's settings, without any distributed settings.
     pub fn new(platform: Arc<PlatformSettings>) -> EffectiveSettings {
         let position_count = u32::try_from(platform.quotas.len()).unwrap_or(u32::MAX);
         EffectiveSettings {
             platform,
             tenants: HashMap::new(),
             routes: HashMap::new(),
-            free: Vec::new(),
-            retired: Vec::new(),
+            free_positions: Vec::new(),
+            released_positions: Vec::new(),
             position_count,
         }
     }
 
-    /// Returns the position of a tenant.
+    /// Returns the position of a tenant, or `None` if the tenant is unknown.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        let of_platform = self.platform.tenants.position(name.as_bytes());
-        of_platform.or_else(|| self.tenants.get(name).map(|position| *position as usize))
+        let platform_position = self.platform.tenants.position(name.as_bytes());
+        platform_position.or_else(|| self.tenants.get(name).map(|position| *position as usize))
     }
 
-    /// Returns the position of the class that a route leads to.
+    /// Returns the position of the class that the route for a method names, or `None` if there is no such
+    /// route.
     pub fn route(&self, method: &[u8]) -> Option<usize> {
         let name = std::str::from_utf8(method).ok()?;
         self.routes.get(name).map(|class| *class as usize)
     }
 
-    /// Returns whether the platform lists tenants. Where it does, a request has to name a known one.
+    /// Returns whether the platform lists tenants. If it does, each request must name a known tenant.
     pub fn platform_lists_tenants(&self) -> bool {
         !self.platform.tenants.is_empty()
     }
@@ -89,21 +92,22 @@
         self.routes.len()
     }
 
-    /// Returns whether so many additions fit without a table growing.
+    /// Returns whether `additions` entries can be added to either table without growing it.
     pub fn has_capacity(&self, additions: usize) -> bool {
         let fits = |capacity: usize, len: usize| capacity - len >= additions;
         fits(self.tenants.capacity(), self.tenants.len()) && fits(self.routes.capacity(), self.routes.len())
     }
 
-    /// Reserves capacity for so many additions, and some more.
+    /// Reserves capacity for `additions` entries and spare capacity in both tables.
     pub fn reserve(&mut self, additions: usize) {
         let spare = |len: usize| additions + MIN_SPARE.max((len + additions) / SPARE_DIVISOR);
         self.tenants.reserve(spare(self.tenants.len()));
         self.routes.reserve(spare(self.routes.len()));
     }
 
-    /// Applies changes, each key at most once, and returns those for the admission controller. The changes were
-    /// validated: one that names an unknown class has no effect beyond removing what it replaces.
+    /// Applies changes, which contain each key at most once, and returns the changes for the admission
+    /// controller. The caller has validated the changes: a route to an unknown class only removes the route
+    /// that it replaces, and a limit of an unknown class is ignored.
     pub fn apply(&mut self, changes: &[Change]) -> Reconfiguration {
         let mut reconfiguration = Reconfiguration::default();
         for change in changes {
@@ -130,16 +134,17 @@
         reconfiguration
     }
 
-    /// Makes positions that were given back free: no request decoded before the last change is on its way.
+    /// Makes released positions available again. The caller ensures that no request decoded before the last
+    /// change is still in flight.
     pub fn recycle_positions(&mut self) {
-        self.free.append(&mut self.retired);
+        self.free_positions.append(&mut self.released_positions);
     }
 
     fn assign_position(&mut self, name: &Arc<str>) -> usize {
         if let Some(position) = self.tenant(name) {
             return position;
         }
-        let position = self.free.pop().unwrap_or_else(|| {
+        let position = self.free_positions.pop().unwrap_or_else(|| {
             self.position_count += 1;
             self.position_count - 1
         });
@@ -153,7 +158,7 @@
             return Some(QuotaChange { tenant, per_second });
         }
         let position = self.tenants.remove(name)?;
-        self.retired.push(position);
+        self.released_positions.push(position);
         Some(QuotaChange { tenant: position as usize, per_second: None })
     }
 
--- a/src/server/distributed_config/error.rs
+++ b/src/server/distributed_config/error.rs
@@ -1,9 +1,9 @@
 //! Errors of distributed settings.
 
-/// Why changes were not applied; the settings in force are as they were.
+/// Error of applying changes. None of the changes is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The process ends.
+    /// The dispatcher has ended because the process is shutting down.
     #[error("the dispatcher has ended")]
     DispatcherGone,
     /// The thread that applied the changes to a copy panicked.
@@ -11,37 +11,37 @@
     CopyFailed,
 }
 
-/// Why changes can't be applied on this server.
+/// Reason why this server rejects changes.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// A class limit names a class that the server does not know.
+    /// A class limit names a class that this server does not have.
     #[error("class `{class}` is not known on this server")]
     UnknownClass {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// A route leads to a class that the server does not know.
+    /// A route names a class that this server does not have.
     #[error("route `{route}`: class `{class}` is not known on this server")]
     UnknownClassOfRoute {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// There would be more tenants than the server takes.
-    #[error("{count} tenants, this server takes {max}")]
+    /// The changes would exceed the server's limit of tenants.
+    #[error("{count} tenants exceed this server's limit of {max}")]
     TooManyTenants {
-        /// Tenants after the changes, including the platform's.
+        /// Number of tenants after the changes, including the platform's.
         count: usize,
-        /// The most tenants.
+        /// Maximum number of tenants.
         max: usize,
     },
-    /// There would be more routes than the server takes.
-    #[error("{count} routes, this server takes {max}")]
+    /// The changes would exceed the server's limit of routes.
+    #[error("{count} routes exceed this server's limit of {max}")]
     TooManyRoutes {
-        /// Routes after the changes.
+        /// Number of routes after the changes.
         count: usize,
-        /// The most routes.
+        /// Maximum number of routes.
         max: usize,
     },
 }
--- a/src/server/distributed_config/mod.rs
+++ b/src/server/distributed_config/mod.rs
@@ -1,9 +1,10 @@
-//! Distributed settings of a server: tenant quotas, routes and class limits that come from the fleet's publisher and are
-//! in force beside the platform's file.
+//! Distributed settings of a server: tenant quotas, routes and class limits that the fleet's publisher
+//! distributes and that apply in addition to the platform's configuration file.
 //!
-//! [`EffectiveSettings`] holds what is in force as positions of tenants and classes by name, without I/O.
-//! [`ChangeValidator`] rejects changes that this server can't apply. [`DistributedSettings`] is the serving thread's
-//! side: it swaps the state in one step between two requests, so that no request sees half a change.
+//! [`EffectiveSettings`] maps the names in force to positions of tenants and classes, without I/O.
+//! [`ChangeValidator`] rejects changes that this server can't apply. [`DistributedSettings`] holds the
+//! settings on the serving thread: it swaps them in one step between two requests, so that no request
+//! observes a partial change.
 
 mod change_validator;
 mod distributed_settings;
--- a/src/server/handover/directory.rs
+++ b/src/server/handover/directory.rs
@@ -1,4 +1,4 @@
-//! The private directory of the handover socket.
+//! Private directory that contains the handover socket.
 
 use super::error::HandoverSocketError;
 use rustix::fs::{FlockOperation, flock};
@@ -10,37 +10,43 @@
 use std::os::unix::fs::{DirBuilderExt, MetadataExt};
 use std::path::{Path, PathBuf};
 
-/// The name under which the listening process is found.
+/// File name of the socket that successors connect to.
 const SOCKET_NAME: &str = "handover.sock";
-/// The name of a socket that does not listen yet. It is used under the directory's lock alone.
+/// Temporary file name of a socket until it is renamed to [`SOCKET_NAME`]. Used only under the directory
+/// lock.
 const UNPUBLISHED_SOCKET_NAME: &str = "handover.new";
-/// The permissions of the directory.
+/// Permissions of a new directory: access for its owner only.
 const DIRECTORY_MODE: u32 = 0o700;
-/// The permission bits.
+/// Mask of the permission bits in a file mode.
 const MODE_BITS: u32 = 0o7777;
-/// The permissions that let other users in.
-const MODE_BITS_OF_OTHERS: u32 = 0o077;
-/// The longest path of a Unix socket in bytes: its field of 108 bytes without the NUL at the end.
+/// Mask of the permission bits that grant access to the group and to other users.
+const GROUP_AND_OTHER_MODE_BITS: u32 = 0o077;
+/// Maximum length of a Unix socket path in bytes: the 108 bytes of `sun_path` minus the terminating NUL.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
 
-/// A directory that this user alone can enter.
+/// Directory that only the user of this process can access.
 #[derive(Clone, Debug)]
 pub struct HandoverDirectory {
     path: PathBuf,
 }
 
-/// A lock on the directory: no other process adds, renames or removes a socket file meanwhile. The system drops it when
-/// the process ends.
+/// Exclusive lock on the directory. While it is held, no other process adds, renames or removes a socket
+/// file. The kernel releases it when the process ends.
 pub(super) struct DirectoryLock {
     _directory: File,
 }
 
 impl HandoverDirectory {
-    /// Returns the directory of the server `server_name` below `temporary_directory`, and makes it if it is missing.
+    /// Returns the directory of the server `server_name` under `temporary_directory`, and creates it if it is
+    /// missing.
     ///
     /// # Errors
-    /// If the directory can't be made, is something else, belongs to another user or lets other users in, or if the
-    /// path of the socket would be too long.
+    /// - [`HandoverSocketError::ServerName`] if `server_name` can't be part of a directory name.
+    /// - [`HandoverSocketError::PathTooLong`] if the path of the socket exceeds the limit for Unix sockets.
+    /// - [`HandoverSocketError::Directory`] if the directory can't be created or inspected.
+    /// - [`HandoverSocketError::NotADirectory`] if the path exists and is not a directory.
+    /// - [`HandoverSocketError::OwnedByOther`] if the directory belongs to another user.
+    /// - [`HandoverSocketError::OpenToOthers`] if its permissions grant access to other users.
     pub fn open(temporary_directory: &Path, server_name: &str) -> Result<Self, HandoverSocketError> {
         if server_name.is_empty() || server_name.contains(['/', '\0']) {
             return Err(HandoverSocketError::ServerName(server_name.to_owned()));
@@ -61,17 +67,17 @@
         &self.path
     }
 
-    /// Returns the path under which the listening process is found.
+    /// Returns the path of the socket that successors connect to.
     pub fn socket_path(&self) -> PathBuf {
         self.path.join(SOCKET_NAME)
     }
 
-    /// Returns the path of a socket that does not listen yet.
+    /// Returns the temporary path of a socket until it is renamed to [`socket_path`](Self::socket_path).
     pub(super) fn unpublished_socket_path(&self) -> PathBuf {
         self.path.join(UNPUBLISHED_SOCKET_NAME)
     }
 
-    /// Waits for the lock, which is held for a few system calls at a time.
+    /// Locks the directory. Blocks until the lock is free; each holder keeps it for a few system calls only.
     pub(super) fn lock(&self) -> Result<DirectoryLock, HandoverSocketError> {
         let directory = File::open(&self.path).map_err(|error| self.error(error))?;
         retry_on_intr(|| flock(&directory, FlockOperation::LockExclusive))
@@ -87,17 +93,17 @@
     }
 
     fn check(&self) -> Result<(), HandoverSocketError> {
-        // Without following a link: a link of another user could lead anywhere.
-        let found: Metadata = self.path.symlink_metadata().map_err(|error| self.error(error))?;
+        // Doesn't follow symbolic links: another user's link could point anywhere.
+        let metadata: Metadata = self.path.symlink_metadata().map_err(|error| self.error(error))?;
         let path = self.path.clone();
-        if !found.is_dir() {
+        if !metadata.is_dir() {
             return Err(HandoverSocketError::NotADirectory(path));
         }
-        if found.uid() != geteuid().as_raw() {
-            return Err(HandoverSocketError::OwnedByOther { path, owner: found.uid() });
+        if metadata.uid() != geteuid().as_raw() {
+            return Err(HandoverSocketError::OwnedByOther { path, owner: metadata.uid() });
         }
-        if found.mode() & MODE_BITS_OF_OTHERS != 0 {
-            return Err(HandoverSocketError::OpenToOthers { path, mode: found.mode() & MODE_BITS });
+        if metadata.mode() & GROUP_AND_OTHER_MODE_BITS != 0 {
+            return Err(HandoverSocketError::OpenToOthers { path, mode: metadata.mode() & MODE_BITS });
         }
         Ok(())
     }
--- a/src/server/handover/error.rs
+++ b/src/server/handover/error.rs
@@ -1,79 +1,79 @@
-//! Errors of the socket between two processes of one server.
+//! Errors of the handover socket.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why two processes of one server can't be connected, or why their connection ended.
+/// Error of connecting two processes of one server, or of their connection.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverSocketError {
-    /// The server's name can't be part of the name of a directory.
-    #[error("handover directory: server name `{}` is empty or holds `/` or NUL", .0.escape_debug())]
+    /// The server's name can't be part of a directory name.
+    #[error("handover directory: server name `{}` is empty or contains `/` or NUL", .0.escape_debug())]
     ServerName(String),
-    /// Something with the name of the directory can't be made or inspected.
+    /// The directory can't be created, inspected or locked.
     #[error("handover directory {}: {error}", .path.display())]
     Directory {
         /// The path of the directory.
         path: PathBuf,
-        /// What the system said.
+        /// The operating system error.
         error: io::Error,
     },
-    /// Something else has the name of the directory, for example a symbolic link.
+    /// The path of the directory exists and is something else, for example a symbolic link.
     #[error("handover directory {}: not a directory", .0.display())]
     NotADirectory(PathBuf),
     /// The directory belongs to another user.
-    #[error("handover directory {}: belongs to user {owner}", .path.display())]
+    #[error("handover directory {}: owned by another user (uid {owner})", .path.display())]
     OwnedByOther {
         /// The path of the directory.
         path: PathBuf,
-        /// The user id of its owner.
+        /// The user id of the directory's owner.
         owner: u32,
     },
-    /// Other users may enter the directory.
-    #[error("handover directory {}: mode {mode:04o} in place of 0700", .path.display())]
+    /// The directory's permissions grant access to other users.
+    #[error("handover directory {}: mode is {mode:04o}, expected 0700", .path.display())]
     OpenToOthers {
         /// The path of the directory.
         path: PathBuf,
         /// The permission bits of the directory.
         mode: u32,
     },
-    /// A path that no Unix socket can have.
+    /// The path of the socket exceeds the limit for Unix sockets.
     #[error("handover socket {}: path too long for a Unix socket", .0.display())]
     PathTooLong(PathBuf),
-    /// The socket can't be made, connected or removed.
+    /// The socket can't be created, connected or removed.
     #[error("handover socket {}: {error}", .path.display())]
     Socket {
         /// The path of the socket.
         path: PathBuf,
-        /// What the system said.
+        /// The operating system error.
         error: io::Error,
     },
-    /// Accepting a connection failed, or a connection can't be used.
+    /// Accepting a connection or setting up a connected socket failed.
     #[error("handover connection: {0}")]
     Connection(io::Error),
-    /// The process on the other side belongs to another user.
-    #[error("handover connection: the other process belongs to user {0}")]
+    /// The peer process runs as another user, with this user id.
+    #[error("handover connection: the peer process runs as another user (uid {0})")]
     PeerOfOtherUser(u32),
-    /// Reading failed.
+    /// Reading from the connection failed.
     #[error("reading a handover frame: {0}")]
     Read(io::Error),
-    /// Writing failed.
+    /// Writing to the connection failed.
     #[error("writing a handover frame: {0}")]
     Write(io::Error),
-    /// The other side closed the connection within a frame.
-    #[error("reading a handover frame: the connection ended within it")]
-    CutFrame,
-    /// A frame past the limit on its length.
-    #[error("handover frame of {length} bytes: the longest has {limit}")]
+    /// The peer closed the connection in the middle of a frame.
+    #[error("reading a handover frame: the connection closed before the end of the frame")]
+    TruncatedFrame,
+    /// A frame exceeds the maximum length.
+    #[error("handover frame of {length} bytes exceeds the limit of {limit} bytes")]
     FrameTooLong {
-        /// Bytes of the frame.
+        /// Length of the frame in bytes, without its header.
         length: usize,
-        /// The most bytes of a frame.
+        /// Maximum length of a frame in bytes.
         limit: usize,
     },
-    /// A descriptor came that this process can't hold, for example because it has too many.
+    /// The kernel dropped the frame's file descriptor, for example because this process has too many open.
     #[error("reading a handover frame: its file descriptor could not be received")]
     DescriptorLost,
-    /// An earlier frame was not written to its end, so that no other can follow.
-    #[error("writing a handover frame: an earlier one was not written to its end")]
+    /// An earlier frame was written only in part, so no other frame can follow.
+    #[error("writing a handover frame: an earlier frame was written only in part")]
     UnfinishedFrame,
 }
--- a/src/server/handover/frame.rs
+++ b/src/server/handover/frame.rs
@@ -1,43 +1,46 @@
-//! Frames: a length of four bytes, the most significant first, and as many bytes.
+//! Frames: a length as four bytes in big-endian order, followed by that number of bytes.
 
 use super::error::HandoverSocketError;
 use std::os::fd::OwnedFd;
 
-/// The most bytes of a frame, without its length.
+/// Maximum length of a frame in bytes, without its header.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// Bytes of the length in front of a frame.
+/// Size in bytes of the header, which holds the length of the frame.
 pub(super) const HEADER_BYTES: usize = 4;
 
-/// A frame to write.
+/// Frame to be written.
 #[derive(Debug)]
 pub struct OutgoingFrame {
-    /// What the frame holds.
+    /// Content of the frame.
     pub bytes: Vec<u8>,
-    /// A descriptor that travels beside the frame.
+    /// File descriptor that is sent with the frame.
     pub descriptor: Option<OwnedFd>,
 }
 
-/// A frame that was read.
+/// Frame that was read.
 #[derive(Debug)]
 pub struct ReceivedFrame {
-    /// What the frame held.
+    /// Content of the frame.
     pub bytes: Vec<u8>,
-    /// The descriptor that came beside the frame.
+    /// File descriptor that was received with the frame.
     pub descriptor: Option<OwnedFd>,
 }
 
 /// Returns the header of a frame of `length` bytes.
+///
+/// # Errors
+/// Returns [`HandoverSocketError::FrameTooLong`] if `length` exceeds [`MAX_FRAME_BYTES`].
 pub(super) fn encode_header(length: usize) -> Result<[u8; HEADER_BYTES], HandoverSocketError> {
     match u32::try_from(length) {
         Ok(encoded) if length <= MAX_FRAME_BYTES => Ok(encoded.to_be_bytes()),
-        _ => Err(too_long(length)),
+        _ => Err(frame_too_long(length)),
     }
 }
 
-/// Puts frames together from the bytes that come.
+/// Assembles frames from received bytes.
 ///
 /// # Invariants
-/// - It holds no more than one frame, and no memory for bytes that have not come.
+/// - It holds at most one frame, and allocates no memory for bytes that were not received yet.
 #[derive(Debug, Default)]
 pub(super) struct FrameAssembler {
     header: Vec<u8>,
@@ -46,12 +49,12 @@
 }
 
 impl FrameAssembler {
-    /// Returns whether no frame is begun.
+    /// Returns whether the assembler is between two frames: no byte of the next one was received.
     pub(super) fn is_empty(&self) -> bool {
         self.header.is_empty()
     }
 
-    /// Returns how many bytes are missing to the end of the header or, behind it, to the end of the frame.
+    /// Returns the number of bytes missing from the header or, if the header is complete, from the frame.
     pub(super) fn missing_bytes(&self) -> usize {
         match self.frame_length() {
             Some(length) => length - self.bytes.len(),
@@ -59,11 +62,11 @@
         }
     }
 
-    /// Takes at most [`missing_bytes`](Self::missing_bytes) bytes and the descriptor that came with them, and returns
-    /// the frame once it is whole. The first descriptor of a frame counts.
+    /// Adds at most [`missing_bytes`](Self::missing_bytes) bytes and the descriptor that was received with
+    /// them. Returns the frame once it is complete. Only the first descriptor of a frame is kept.
     ///
     /// # Errors
-    /// If the frame's length is past the limit.
+    /// Returns [`HandoverSocketError::FrameTooLong`] if the frame's length exceeds [`MAX_FRAME_BYTES`].
     pub(super) fn feed(
         &mut self,
         bytes: &[u8],
@@ -76,13 +79,13 @@
             self.bytes.extend_from_slice(bytes);
         }
         match self.frame_length() {
-            Some(length) if length > MAX_FRAME_BYTES => Err(too_long(length)),
-            Some(length) if length == self.bytes.len() => Ok(Some(self.finish())),
+            Some(length) if length > MAX_FRAME_BYTES => Err(frame_too_long(length)),
+            Some(length) if length == self.bytes.len() => Ok(Some(self.take_frame())),
             _ => Ok(None),
         }
     }
 
-    fn finish(&mut self) -> ReceivedFrame {
+    fn take_frame(&mut self) -> ReceivedFrame {
         self.header.clear();
         ReceivedFrame { bytes: std::mem::take(&mut self.bytes), descriptor: self.descriptor.take() }
     }
@@ -93,6 +96,6 @@
     }
 }
 
-fn too_long(length: usize) -> HandoverSocketError {
+fn frame_too_long(length: usize) -> HandoverSocketError {
     HandoverSocketError::FrameTooLong { length, limit: MAX_FRAME_BYTES }
 }
--- a/src/server/handover/link.rs
+++ b/src/server/handover/link.rs
@@ -1,4 +1,4 @@
-//! The task that carries frames between two processes of one server.
+//! Task that sends and receives the frames of a handover connection.
 
 use super::error::HandoverSocketError;
 use super::frame::{OutgoingFrame, ReceivedFrame};
@@ -8,26 +8,28 @@
 use std::net::Shutdown;
 use std::os::fd::AsFd;
 
-/// What a link tells.
+/// Event of a link.
 #[derive(Debug)]
 pub enum LinkEvent {
     /// A frame was read.
     Frame(ReceivedFrame),
-    /// The link ended; nothing follows.
+    /// The link ended. This is its last event.
     Closed {
-        /// Why it ended; `None` if the other side closed it.
+        /// The error that ended the link; `None` if the peer closed it.
         error: Option<HandoverSocketError>,
     },
 }
 
-/// Writes the frames of `outgoing` and sends those that are read to `incoming`, both in order, until the other side
-/// closes the connection. [`LinkEvent::Closed`] is the last event, after all frames that could be read.
+/// Writes the frames from `outgoing` and sends the frames that it reads to `incoming`, both in order, until
+/// the peer closes the connection. [`LinkEvent::Closed`] is the last event and follows all frames that could
+/// be read.
 ///
-/// Closing `outgoing` lets what is queued be written and shuts down writing; reading goes on. A link that can't be
-/// written any more is still read to its end. `outgoing` is closed at the end.
+/// When the caller closes `outgoing`, the queued frames are written, writing is shut down, and reading
+/// continues. After a write error, frames are still read until the connection ends. `outgoing` is closed when
+/// the link ends.
 ///
-/// No more than one frame is held in each direction beside those in the channels: a receiver that takes no events lets
-/// the other side wait.
+/// The link holds at most one frame per direction in addition to those in the channels, so a receiver that
+/// does not read `incoming` applies backpressure to the peer.
 pub async fn run_link(
     stream: HandoverStream,
     outgoing: Receiver<OutgoingFrame>,
@@ -41,7 +43,7 @@
     };
     let read = async {
         let read = read_frames(&stream, &incoming).await;
-        // What is queued is still written: the other side may have closed one direction alone.
+        // Queued frames are still written: the peer may have closed only its sending direction.
         outgoing.close();
         if read.is_err() {
             stream.shut_down(Shutdown::Both);
@@ -50,11 +52,11 @@
     };
     let (written, read) = zip(write, read).await;
     let error = read.err().or(written.err());
-    // It fails if nobody wants to know.
+    // Fails if the receiver was dropped; the event is not needed then.
     let _ = incoming.send(LinkEvent::Closed { error }).await;
 }
 
-/// Writes until the queue is closed and empty.
+/// Writes the queued frames until the queue is closed and empty.
 async fn write_frames(
     stream: &HandoverStream,
     outgoing: &Receiver<OutgoingFrame>,
@@ -66,7 +68,7 @@
     Ok(())
 }
 
-/// Reads until the other side closes the connection, or nobody takes the events.
+/// Reads frames until the peer closes the connection or the receiver of events is dropped.
 async fn read_frames(
     stream: &HandoverStream,
     incoming: &Sender<LinkEvent>,
--- a/src/server/handover/mod.rs
+++ b/src/server/handover/mod.rs
@@ -1,12 +1,12 @@
-//! The socket between two processes of one server during an upgrade.
+//! Unix socket transport between two processes of one server during an upgrade.
 //!
-//! The predecessor listens in a [`HandoverDirectory`], the successor connects there, and both exchange frames of bytes,
-//! beside any of which a file descriptor may travel. What the frames mean is not known here.
+//! The predecessor listens in a [`HandoverDirectory`] and the successor connects there. Both exchange byte
+//! frames, each of which can carry a file descriptor. This module does not interpret the content of frames.
 //!
 //! # Invariants
 //! - Only processes of the same user are connected.
-//! - A file that a killed process left behind does no harm, and no file of a living listener is removed.
-//! - All frames that can still be read are delivered before the end of a link.
+//! - Stale files of a killed process are harmless, and the file of a live listener is never removed.
+//! - All frames that can still be read are delivered before [`LinkEvent::Closed`].
 
 mod directory;
 mod error;
--- a/src/server/handover/socket.rs
+++ b/src/server/handover/socket.rs
@@ -1,4 +1,4 @@
-//! Listening for and connecting to the other process of a server.
+//! Listener of the predecessor and connector of the successor.
 
 use super::directory::HandoverDirectory;
 use super::error::HandoverSocketError;
@@ -12,45 +12,48 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// The listening socket of a process.
+/// Listening socket of a process.
 ///
 /// # Invariants
-/// - The well-known name leads to the listener that was bound last. It is replaced by a rename, so that it leads to a
-///   listening socket at every moment.
-/// - Names are added, renamed and removed under the directory's lock.
+/// - The path [`HandoverDirectory::socket_path`] refers to the listener that was bound last. It is replaced
+///   by an atomic rename, so it refers to a listening socket at all times.
+/// - Socket files are added, renamed and removed only under the directory lock.
 #[derive(Debug)]
 pub struct HandoverListener {
     socket: Async<UnixListener>,
     directory: HandoverDirectory,
-    /// The socket's file. Its number is not given to another file while the socket is open.
+    /// Identity of the socket's file. Its inode number is not reused while the socket is open.
     file: FileIdentity,
 }
 
+/// Device and inode number, which identify a file independently of its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileIdentity {
     device: u64,
     inode: u64,
 }
 
-/// What connecting once came to.
-enum Attempt {
+/// Result of one attempt to connect.
+enum ConnectOutcome {
     Connected(UnixStream),
-    /// There is no file.
+    /// The socket file does not exist.
     NoFile,
-    /// There is a file, and nobody listens.
+    /// The socket file exists, but no process listens on it.
     Refused,
 }
 
 impl HandoverListener {
-    /// Listens under the directory's well-known name; a listener that was bound before is no longer found.
+    /// Listens on the directory's socket path. New connections no longer reach a listener that was bound
+    /// before.
     ///
     /// # Errors
-    /// If the socket can't be made or renamed.
+    /// - [`HandoverSocketError::Directory`] if the directory can't be locked.
+    /// - [`HandoverSocketError::Socket`] if the socket can't be created or renamed.
     pub fn bind(directory: &HandoverDirectory) -> Result<Self, HandoverSocketError> {
         let unpublished = directory.unpublished_socket_path();
         let published = directory.socket_path();
         let _lock = directory.lock()?;
-        // Under the lock, a file of this name is of a process that was killed.
+        // While the lock is held, an existing file of this name was left behind by a killed process.
         remove_file(&unpublished)?;
         let socket = UnixListener::bind(&unpublished).map_err(|error| socket_error(&unpublished, error))?;
         let file = file_identity(&unpublished).map_err(|error| socket_error(&unpublished, error))?;
@@ -62,7 +65,9 @@
     /// Accepts a connection.
     ///
     /// # Errors
-    /// If accepting fails, or the other process belongs to another user; the listener can still be used.
+    /// The listener remains usable after each of these errors.
+    /// - [`HandoverSocketError::Connection`] if accepting fails.
+    /// - [`HandoverSocketError::PeerOfOtherUser`] if the peer process runs as another user.
     pub async fn accept(&self) -> Result<HandoverStream, HandoverSocketError> {
         let accepted = self.socket.read_with(|socket| socket.accept()).await;
         let (stream, _) = accepted.map_err(HandoverSocketError::Connection)?;
@@ -72,50 +77,56 @@
 
 impl Drop for HandoverListener {
     fn drop(&mut self) {
-        // A file that stays behind does no harm.
+        // A stale file is harmless: the next process that connects or listens removes or replaces it.
         let Ok(_lock) = self.directory.lock() else { return };
         let path = self.directory.socket_path();
-        if file_identity(&path).is_ok_and(|found| found == self.file) {
+        if file_identity(&path).is_ok_and(|current| current == self.file) {
             let _ = fs::remove_file(path);
         }
     }
 }
 
-/// Connects to the process that listens in `directory`; `None` if there is none. A file that a killed process left
-/// behind is removed.
+/// Connects to the process that listens in `directory`. Returns `None` if no process listens there, and
+/// removes a stale socket file that a killed process left behind.
 ///
 /// # Errors
-/// If connecting fails otherwise, or the other process belongs to another user.
+/// - [`HandoverSocketError::Directory`] if the directory can't be locked.
+/// - [`HandoverSocketError::Socket`] if connecting fails for another reason, or a stale file can't be
+///   removed.
+/// - [`HandoverSocketError::Connection`] if the connected socket can't be set up.
+/// - [`HandoverSocketError::PeerOfOtherUser`] if the peer process runs as another user.
 pub fn connect(directory: &HandoverDirectory) -> Result<Option<HandoverStream>, HandoverSocketError> {
     let path = directory.socket_path();
-    let mut attempt = connect_once(&path).map_err(|error| socket_error(&path, error))?;
-    if matches!(attempt, Attempt::Refused) {
-        // Another process may have begun to listen meanwhile; under the lock, none can.
+    let mut outcome = connect_once(&path).map_err(|error| socket_error(&path, error))?;
+    if matches!(outcome, ConnectOutcome::Refused) {
+        // Another process may have started to listen since the first attempt. No process can while the lock
+        // is held.
         let _lock = directory.lock()?;
-        attempt = connect_once(&path).map_err(|error| socket_error(&path, error))?;
-        if matches!(attempt, Attempt::Refused) {
+        outcome = connect_once(&path).map_err(|error| socket_error(&path, error))?;
+        if matches!(outcome, ConnectOutcome::Refused) {
             remove_file(&path)?;
         }
     }
-    match attempt {
-        Attempt::Connected(stream) => HandoverStream::new(stream).map(Some),
-        Attempt::NoFile | Attempt::Refused => Ok(None),
+    match outcome {
+        ConnectOutcome::Connected(stream) => HandoverStream::new(stream).map(Some),
+        ConnectOutcome::NoFile | ConnectOutcome::Refused => Ok(None),
     }
 }
 
-/// Connects once, without waiting for room in the listener's queue.
-fn connect_once(path: &Path) -> io::Result<Attempt> {
+/// Makes one attempt to connect. Fails instead of blocking if the listener's backlog is full.
+fn connect_once(path: &Path) -> io::Result<ConnectOutcome> {
     let address = SocketAddrUnix::new(path)?;
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let socket = rustix::net::socket_with(AddressFamily::UNIX, SocketType::STREAM, flags, None)?;
     match rustix::net::connect(&socket, &address) {
-        Ok(()) => Ok(Attempt::Connected(UnixStream::from(socket))),
-        Err(Errno::NOENT) => Ok(Attempt::NoFile),
-        Err(Errno::CONNREFUSED) => Ok(Attempt::Refused),
+        Ok(()) => Ok(ConnectOutcome::Connected(UnixStream::from(socket))),
+        Err(Errno::NOENT) => Ok(ConnectOutcome::NoFile),
+        Err(Errno::CONNREFUSED) => Ok(ConnectOutcome::Refused),
         Err(error) => Err(error.into()),
     }
 }
 
+/// Removes a file if it exists.
 fn remove_file(path: &Path) -> Result<(), HandoverSocketError> {
     match fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(socket_error(path, error)),
@@ -124,8 +135,8 @@
 }
 
 fn file_identity(path: &Path) -> io::Result<FileIdentity> {
-    let found = fs::symlink_metadata(path)?;
-    Ok(FileIdentity { device: found.dev(), inode: found.ino() })
+    let metadata = fs::symlink_metadata(path)?;
+    Ok(FileIdentity { device: metadata.dev(), inode: metadata.ino() })
 }
 
 fn socket_error(path: &Path, error: io::Error) -> HandoverSocketError {
--- a/src/server/handover/stream.rs
+++ b/src/server/handover/stream.rs
@@ -1,4 +1,4 @@
-//! A connection between two processes of one server.
+//! Connection between two processes of one server, over which frames and file descriptors are sent.
 
 use super::error::HandoverSocketError;
 use super::frame::{FrameAssembler, ReceivedFrame, encode_header};
@@ -17,56 +17,62 @@
 use std::os::fd::{BorrowedFd, OwnedFd};
 use std::os::unix::net::UnixStream;
 
-/// Bytes read at once.
+/// Size in bytes of the read buffer, and with it the maximum length of one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A connection to another process of the same user. It can be read and written at the same time.
+/// Connection to another process of the same user. It can be read and written concurrently.
 #[derive(Debug)]
 pub struct HandoverStream {
     stream: Async<UnixStream>,
-    reading: RefCell<Reading>,
-    /// Whether a frame was begun and is not written to its end.
+    read_state: RefCell<ReadState>,
+    /// Whether a frame was started and is not completely written.
     is_frame_unfinished: Cell<bool>,
 }
 
 #[derive(Debug)]
-struct Reading {
+struct ReadState {
     assembler: FrameAssembler,
     buffer: Vec<u8>,
 }
 
-/// What one system call read.
+/// Result of one read from the socket.
 enum ReadStep {
-    /// A frame is whole.
+    /// A frame is complete.
     Frame(ReceivedFrame),
-    /// A frame is not whole yet.
+    /// The frame is not complete yet.
     Partial,
-    /// The other side closed the connection.
+    /// The peer closed the connection.
     Closed,
 }
 
 impl HandoverStream {
-    /// Uses a connected socket.
+    /// Returns a stream over a connected socket.
     ///
     /// # Errors
-    /// If the process on the other side belongs to another user, or the socket can't be used.
+    /// - [`HandoverSocketError::PeerOfOtherUser`] if the peer process runs as another user.
+    /// - [`HandoverSocketError::Connection`] if the peer's credentials can't be read or the socket can't be
+    ///   set up.
     pub fn new(stream: UnixStream) -> Result<Self, HandoverSocketError> {
         let peer = socket_peercred(&stream).map_err(|error| HandoverSocketError::Connection(error.into()))?;
         if peer.uid != geteuid() {
             return Err(HandoverSocketError::PeerOfOtherUser(peer.uid.as_raw()));
         }
-        let reading = Reading { assembler: FrameAssembler::default(), buffer: vec![0; READ_BUFFER_BYTES] };
+        let read_state =
+            ReadState { assembler: FrameAssembler::default(), buffer: vec![0; READ_BUFFER_BYTES] };
         Ok(HandoverStream {
             stream: Async::new(stream).map_err(HandoverSocketError::Connection)?,
-            reading: RefCell::new(reading),
+            read_state: RefCell::new(read_state),
             is_frame_unfinished: Cell::new(false),
         })
     }
 
-    /// Writes a frame and `descriptor` beside it. One frame is written at a time.
+    /// Writes a frame and sends `descriptor` with it. Only one call may be in progress at a time.
     ///
     /// # Errors
-    /// If the frame is too long, writing fails, or an earlier call was dropped before its frame was written.
+    /// - [`HandoverSocketError::FrameTooLong`] if the frame exceeds the maximum length.
+    /// - [`HandoverSocketError::UnfinishedFrame`] if an earlier frame was written only in part, because its
+    ///   call failed, was dropped or is still in progress.
+    /// - [`HandoverSocketError::Write`] if writing fails.
     pub async fn send(
         &self,
         frame: &[u8],
@@ -81,52 +87,57 @@
             let remaining_header = header.get(written..).unwrap_or_default();
             let remaining_frame = &frame[written.saturating_sub(header.len())..];
             let parts = [IoSlice::new(remaining_header), IoSlice::new(remaining_frame)];
-            // The descriptor travels with the first byte.
-            let sent_descriptor = descriptor.filter(|_| written == 0);
-            let sent = self.stream.write_with(|stream| write_once(stream, &parts, sent_descriptor)).await;
-            written += sent.map_err(HandoverSocketError::Write)?;
+            // The descriptor is sent with the first byte.
+            let attached_descriptor = descriptor.filter(|_| written == 0);
+            let result =
+                self.stream.write_with(|stream| write_once(stream, &parts, attached_descriptor)).await;
+            written += result.map_err(HandoverSocketError::Write)?;
         }
         self.is_frame_unfinished.set(false);
         Ok(())
     }
 
-    /// Reads the next frame; `None` if the other side closed the connection behind the last one. A call that is dropped
-    /// loses nothing: the next one goes on where it was.
+    /// Reads the next frame. Returns `None` if the peer closed the connection after the previous frame. The
+    /// call is cancel-safe: if it is dropped, the next call continues with the bytes read so far.
     ///
     /// # Errors
-    /// If reading fails, the connection ends within a frame, a frame is too long, or its descriptor can't be received.
+    /// - [`HandoverSocketError::Read`] if reading fails.
+    /// - [`HandoverSocketError::TruncatedFrame`] if the connection closes in the middle of a frame.
+    /// - [`HandoverSocketError::FrameTooLong`] if a frame exceeds the maximum length.
+    /// - [`HandoverSocketError::DescriptorLost`] if the frame's descriptor can't be received.
     pub async fn receive(&self) -> Result<Option<ReceivedFrame>, HandoverSocketError> {
         loop {
             let step = self.stream.read_with(|stream| self.read_step(stream)).await;
             match step.map_err(HandoverSocketError::Read)?? {
                 ReadStep::Frame(frame) => return Ok(Some(frame)),
                 ReadStep::Partial => {}
-                ReadStep::Closed if self.reading.borrow().assembler.is_empty() => return Ok(None),
-                ReadStep::Closed => return Err(HandoverSocketError::CutFrame),
+                ReadStep::Closed if self.read_state.borrow().assembler.is_empty() => return Ok(None),
+                ReadStep::Closed => return Err(HandoverSocketError::TruncatedFrame),
             }
         }
     }
 
-    /// Shuts down one or both directions. What was written before is still read by the other side.
+    /// Shuts down one or both directions. The peer can still read what was written before.
     pub fn shut_down(&self, direction: Shutdown) {
-        // It fails if the connection has ended, which is what is asked for.
+        // Fails if the connection is already closed, which has the same effect.
         let _ = self.stream.get_ref().shutdown(direction);
     }
 
+    /// Reads once and passes the bytes to the assembler. The outer result is that of the system call.
     fn read_step(&self, stream: &UnixStream) -> io::Result<Result<ReadStep, HandoverSocketError>> {
-        let Reading { assembler, buffer } = &mut *self.reading.borrow_mut();
+        let ReadState { assembler, buffer } = &mut *self.read_state.borrow_mut();
         let wanted = assembler.missing_bytes().min(buffer.len());
         let (length, descriptor) = match read_once(stream, &mut buffer[..wanted])? {
             Received::Bytes { length: 0, .. } => return Ok(Ok(ReadStep::Closed)),
             Received::Bytes { length, descriptor } => (length, descriptor),
-            Received::WithoutDescriptor => return Ok(Err(HandoverSocketError::DescriptorLost)),
+            Received::DescriptorLost => return Ok(Err(HandoverSocketError::DescriptorLost)),
         };
         let assembled = assembler.feed(&buffer[..length], descriptor);
         Ok(assembled.map(|frame| frame.map_or(ReadStep::Partial, ReadStep::Frame)))
     }
 }
 
-/// Writes once, and returns the number of bytes written.
+/// Calls `sendmsg` once and returns the number of bytes written.
 fn write_once(
     stream: &UnixStream,
     parts: &[IoSlice<'_>],
@@ -136,21 +147,21 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     if !descriptors.is_empty() {
-        // The space is made for one descriptor.
+        // Always fits: the ancillary buffer has space for one descriptor.
         control.push(SendAncillaryMessage::ScmRights(descriptors));
     }
     Ok(retry_on_intr(|| sendmsg(stream, parts, &mut control, SendFlags::NOSIGNAL))?)
 }
 
-/// What came.
+/// Result of one `recvmsg` call.
 enum Received {
-    /// Bytes, none at the end, and the descriptor beside them.
+    /// Number of bytes, 0 at the end of the stream, and the descriptor received with them.
     Bytes { length: usize, descriptor: Option<OwnedFd> },
-    /// Bytes without the descriptor that was sent beside them.
-    WithoutDescriptor,
+    /// Bytes were received, but the descriptor sent with them was lost.
+    DescriptorLost,
 }
 
-/// Reads once. The first descriptor that comes is kept, and others are closed.
+/// Calls `recvmsg` once. The first received descriptor is kept, and all others are closed.
 fn read_once(stream: &UnixStream, buffer: &mut [u8]) -> io::Result<Received> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -162,7 +173,7 @@
     });
     let descriptor = descriptors.next();
     if descriptor.is_none() && read.flags.contains(ReturnFlags::CTRUNC) {
-        return Ok(Received::WithoutDescriptor);
+        return Ok(Received::DescriptorLost);
     }
     Ok(Received::Bytes { length: read.bytes, descriptor })
 }
--- a/tests/handover_socket.rs
+++ b/tests/handover_socket.rs
@@ -239,7 +239,7 @@
     }
     let end = incoming.try_recv();
     assert!(
-        matches!(end, Ok(LinkEvent::Closed { error: Some(HandoverSocketError::CutFrame) })),
+        matches!(end, Ok(LinkEvent::Closed { error: Some(HandoverSocketError::TruncatedFrame) })),
         "seen {end:?}"
     );
     assert!(incoming.try_recv().is_err(), "something follows the end");
--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -193,7 +193,7 @@
 fn a_change_past_the_capacity_is_rejected_and_not_counted() {
     let validator = validator(5, 1);
     assert_eq!(validator.judge(&[put_tenant("t3", 1), put_tenant("t4", 1)]), Ok(()));
-    let full = Err(Rejection::new("6 tenants, this server takes 5"));
+    let full = Err(Rejection::new("6 tenants exceed this server's limit of 5"));
     assert_eq!(validator.judge(&[put_tenant("t5", 1)]), full);
     // The platform's and those that are there may change.
     assert_eq!(validator.judge(&[put_tenant("t0", 1), put_tenant("t4", 2)]), Ok(()));
@@ -205,6 +205,6 @@
     assert_eq!(validator.judge(&[put_route("r0", "write")]), Ok(()));
     assert_eq!(
         validator.judge(&[put_route("r1", "read")]),
-        Err(Rejection::new("2 routes, this server takes 1"))
+        Err(Rejection::new("2 routes exceed this server's limit of 1"))
     );
 }
