--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -102,7 +102,7 @@
             target: self.ledger_config.export.clone(),
             batch_lines: self.ledger_config.batch_lines,
             keep_ms: self.ledger_config.keep_ms,
-            cells: self.config.limits.ledger_aggregates,
+            max_totals: self.config.limits.ledger_aggregates,
             ledger_id,
             opened,
             digest_exchange,
--- a/src/server/distributed_config/change_validator.rs
+++ b/src/server/distributed_config/change_validator.rs
@@ -29,8 +29,7 @@
     platform_tenants: Arc<NameTable>,
     capacity: Capacity,
     hasher: RandomState,
-    /// A mutex only because [`Judge`] takes `&self` and requires `Sync`: only the subscriber's thread
-    /// validates.
+    /// Locked only because the trait's method takes `&self`: no other thread than the subscriber's validates.
     accepted: Mutex<AcceptedNames>,
     log: Logger,
 }
--- a/src/server/usage/batch_exporter.rs
+++ b/src/server/usage/batch_exporter.rs
@@ -1,8 +1,8 @@
-//! The export of closed periods, step by step.
+//! Export of closed periods, one step at a time.
 //!
-//! A batch is built from the ledger's lines, entered as prepared before it is sent, sent until it is acknowledged, and
-//! entered as acknowledged before the next one is built. The order is settled by
-//! [`export_protocol`](dunlinspread_ledger::export_protocol).
+//! A batch is built from the ledger's lines, recorded in the ledger as prepared before it is sent, sent until
+//! it is acknowledged, and recorded as acknowledged before the next batch is built.
+//! [`export_protocol`](dunlinspread_ledger::export_protocol) determines the order of these steps.
 
 use super::digest_exchange::DigestExchange;
 use super::dispatcher_link::DispatcherLink;
@@ -16,57 +16,57 @@
 use dunlinspread_store::{Disk, StoreError};
 use slog::{Logger, error, info};
 
-/// What a step of the export did.
+/// Result of one step of the export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExportStep {
-    /// Something; the next step can follow at once.
+    /// The step made progress; the next one can follow at once.
     Advanced,
-    /// Nothing is to be done until a period is closed.
+    /// There is nothing to export until a period is closed.
     Idle,
 }
 
-/// What a batch exporter is made of.
+/// Options of a [`BatchExporter`].
 pub(super) struct ExporterOptions {
-    /// The server.
+    /// Name of the server.
     pub(super) server: String,
-    /// The id of its ledger.
+    /// Id of the server's ledger.
     pub(super) ledger_id: u64,
-    /// Items of a batch at most.
+    /// Maximum number of items in a batch.
     pub(super) batch_lines: usize,
-    /// Totals held at a time.
-    pub(super) cells: usize,
-    /// The way to the collector.
+    /// Approximate maximum number of totals that are held in memory at a time.
+    pub(super) max_totals: usize,
+    /// Transport to the collector.
     pub(super) transport: ExportTransport,
-    /// The exchange with other servers, where they may talk.
+    /// Digest exchange with other servers, if peers are configured.
     pub(super) digest_exchange: Option<DigestExchange>,
-    /// The log.
+    /// Log of the exporter.
     pub(super) log: Logger,
 }
 
 /// Exports the closed periods of one ledger.
 ///
 /// # Invariants
-/// A batch is sent only after its line is durable, and is the same each time.
+/// A batch is sent only after its prepared line is durable, and has the same content each time it is sent.
 pub(super) struct BatchExporter {
     options: ExporterOptions,
     sender: ExportSender,
-    /// Whether the collector reported its watermark since the start.
+    /// Whether the collector has reported its watermark since the start of this process.
     watermark_known: bool,
-    /// The number of the last close line all batches of which are acknowledged.
+    /// Number of the last close line whose batches are all acknowledged.
     last_exported_close: u64,
-    /// Batches of the next close that are acknowledged.
+    /// Number of acknowledged batches of the next close line.
     exported_parts: u64,
-    /// The digest of the last batch that is acknowledged.
+    /// Digest of the last acknowledged batch.
     last_digest: Vec<u8>,
-    /// The line of the batch that is prepared.
+    /// Line of the prepared batch, until that is acknowledged.
     prepared: Option<Export>,
-    /// From this line on, lines may belong to periods that are not exported.
+    /// First line that may belong to a period that is not exported yet.
     first_needed: LinePosition,
     fault_logged: bool,
 }
 
 impl BatchExporter {
-    /// Returns an exporter that goes on from the state of a ledger that was opened.
+    /// Returns an exporter that resumes from the state of an opened ledger.
     pub(super) fn new(options: ExporterOptions, opened: &OpenedLedger) -> BatchExporter {
         let state = &opened.state;
         let acknowledged = state.last_batch - u64::from(state.prepared_batch.is_some());
@@ -84,15 +84,17 @@
         }
     }
 
-    /// Returns the first line that the export still needs; without an export that is the last close line.
+    /// Returns the number of the first line that the export still needs. If export is disabled, that is the
+    /// last close line.
     pub(super) fn first_needed(&self, latest_close: u64) -> u64 {
         if self.options.transport.is_enabled() { self.first_needed.number } else { latest_close }
     }
 
-    /// Does the next thing that is to be done.
+    /// Executes the next step of the export.
     ///
     /// # Errors
-    /// If it can't be done now, or the program ends.
+    /// - [`ExportError::Retryable`] if the step fails; it can be repeated.
+    /// - [`ExportError::ShuttingDown`] if the process is shutting down.
     pub(super) fn step(
         &mut self,
         disk: &dyn Disk,
@@ -102,7 +104,7 @@
             return Ok(ExportStep::Idle);
         }
         if !self.watermark_known {
-            self.ask_for_watermark()?;
+            self.fetch_watermark()?;
             self.watermark_known = true;
             return Ok(ExportStep::Advanced);
         }
@@ -115,13 +117,13 @@
         }
     }
 
-    fn ask_for_watermark(&mut self) -> Result<(), ExportError> {
+    fn fetch_watermark(&mut self) -> Result<(), ExportError> {
         let reply = self.options.transport.watermark(&self.options.server, self.options.ledger_id)?;
         self.sender.on_watermark(&reply);
         Ok(())
     }
 
-    /// Builds the next batch and has it entered as prepared.
+    /// Builds the next batch and records it in the ledger as prepared.
     fn prepare_batch(
         &mut self,
         disk: &dyn Disk,
@@ -149,7 +151,7 @@
         Ok(ExportStep::Advanced)
     }
 
-    /// Builds the prepared batch again and offers it to the collector.
+    /// Rebuilds the prepared batch and sends it to the collector.
     fn send_batch(
         &mut self,
         number: u64,
@@ -161,7 +163,8 @@
         let (bytes, digest) = batch.encode_with_digest();
         if digest[..] != prepared.digest {
             error!(self.options.log, "rebuilt batch differs from the prepared one, nothing is sent";
-                "batch" => number, "prepared_digest" => hex(&prepared.digest), "rebuilt_digest" => hex(&digest));
+                "batch" => number, "prepared_digest" => hex(&prepared.digest),
+                "rebuilt_digest" => hex(&digest));
             return Err(RetryableError::BatchDiffers.into());
         }
         let (server, ledger_id) = (&self.options.server, self.options.ledger_id);
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Has the prepared batch entered as acknowledged.
+    /// Records the prepared batch in the ledger as acknowledged.
     fn record_acknowledgement(
         &mut self,
         number: u64,
@@ -196,28 +199,29 @@
         Ok(ExportStep::Advanced)
     }
 
-    /// Logs a fault once. Nothing is exported until the next start.
+    /// Logs a fault once. Exports stop until the process is restarted.
     fn stop_at_fault(&mut self, fault: ExportFault) -> ExportStep {
         if !std::mem::replace(&mut self.fault_logged, true) {
-            error!(self.options.log, "exports stopped, an operator has to look"; "error" => fault.to_string());
+            error!(self.options.log, "exports stopped, an operator has to look";
+                "error" => fault.to_string());
         }
         ExportStep::Idle
     }
 
-    /// Shows the lines from the first that is needed to the last close.
-    fn show_lines(
+    /// Passes the lines from the first needed one to the last close line to `visit`, with their numbers.
+    fn visit_lines(
         &self,
         disk: &dyn Disk,
         latest_close: u64,
-        show: &mut dyn FnMut(u64, &Line),
+        visit: &mut dyn FnMut(u64, &Line),
     ) -> Result<(), StoreError> {
-        read_lines(disk, &self.options.server, self.first_needed.number..latest_close + 1, show)
+        read_lines(disk, &self.options.server, self.first_needed.number..latest_close + 1, visit)
     }
 
-    /// Returns the number of the first close line that is not exported.
+    /// Returns the number of the first close line that is not exported yet.
     fn next_close(&self, disk: &dyn Disk, latest_close: u64) -> Result<u64, ExportError> {
         let mut next = None;
-        self.show_lines(disk, latest_close, &mut |number, line| {
+        self.visit_lines(disk, latest_close, &mut |number, line| {
             if matches!(line.kind, Some(LineKind::Close(_))) && number > self.last_exported_close {
                 next.get_or_insert(number);
             }
@@ -225,6 +229,7 @@
         next.ok_or(RetryableError::CloseMissing.into())
     }
 
+    /// Builds the next batch of a close line.
     fn build_batch(
         &self,
         disk: &dyn Disk,
@@ -232,7 +237,7 @@
         close: u64,
         number: u64,
     ) -> Result<Batch, ExportError> {
-        // A batch that is prepared keeps its size whatever the settings say since.
+        // A prepared batch keeps its size even if the setting has changed since.
         let items = self.prepared.as_ref().map_or(self.options.batch_lines, |line| line.lines as usize);
         let plan = BatchPlan {
             server: &self.options.server,
@@ -241,29 +246,29 @@
             close,
             part: self.exported_parts,
             items,
-            cells: self.options.cells,
+            cells: self.options.max_totals,
             number,
             previous: &self.last_digest,
         };
-        let batch = batch::build(&plan, |show| self.show_lines(disk, latest_close, show))?;
+        let batch = batch::build(&plan, |visit| self.visit_lines(disk, latest_close, visit))?;
         batch.ok_or(RetryableError::PartMissing.into())
     }
 
-    /// Moves the first line that is needed on after a close is exported: lines from before its end can't belong to a
-    /// later one.
+    /// Advances the first needed line after a close line was exported: lines from before the end of its
+    /// periods can't belong to a later one.
     fn advance_first_needed(&mut self, disk: &dyn Disk, latest_close: u64) -> Result<(), ExportError> {
         let mut closed_to = None;
-        self.show_lines(disk, latest_close, &mut |number, line| {
+        self.visit_lines(disk, latest_close, &mut |number, line| {
             if let (Some(LineKind::Close(close)), true) = (&line.kind, number == self.last_exported_close) {
                 closed_to = Some(close.to);
             }
         })?;
         let Some(closed_to) = closed_to else { return Ok(()) };
         let mut position = self.first_needed.clone();
-        let (mut found, mut applied) = (false, Ok(()));
-        self.show_lines(disk, latest_close, &mut |number, line| {
-            found |= line.at_ms >= closed_to || applied.is_err();
-            if !found {
+        let (mut is_past_close, mut applied) = (false, Ok(()));
+        self.visit_lines(disk, latest_close, &mut |number, line| {
+            is_past_close |= line.at_ms >= closed_to || applied.is_err();
+            if !is_past_close {
                 applied = position.state.apply(number, line);
                 position.number = number + 1;
             }
--- a/src/server/usage/billing.rs
+++ b/src/server/usage/billing.rs
@@ -1,6 +1,7 @@
-//! Billing of final replies on the serving thread, in front of the store on a thread of its own.
+//! Billing of final replies on the serving thread. The store writes the resulting lines on a separate thread.
 //!
-//! Replies that may not be sent yet are held here. Billing decides nothing about a request and never waits for the disk.
+//! Billing holds replies that may not be sent yet. It makes no decision about requests and never waits for
+//! the disk.
 
 use super::error::UsageError;
 use super::usage_store::UsageStore;
@@ -17,72 +18,77 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// Records that may wait for the disk while replies are sent without it.
+/// Maximum number of records that may wait for the disk while replies are sent without waiting for it.
 const MAX_WAITING_RECORDS: usize = 1024;
-/// Records that the store's thread may be handed at a time. The accumulator hands over one at a time but for spills,
-/// which the requests that may be admitted bound.
+/// Maximum number of records in the queue to the store's thread. The accumulator hands over one record at a
+/// time except for spills, whose number is bounded by the number of requests that may be admitted.
 const WRITER_QUEUE_RECORDS: usize = 1 << 16;
-/// How late the deliberately broken build commits, so that what it acknowledged early can be lost.
+/// Commit delay of the fault-injection build that acknowledges records before they are durable, so that a
+/// crash can lose acknowledged records.
 const EARLY_ACKNOWLEDGEMENT_DELAY: Duration = Duration::from_millis(400);
 
-/// The usage of one request.
+/// Usage of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestUsage {
-    /// The class, by position.
+    /// Position of the request's class.
     pub class: usize,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Time in the worker pool, ms.
+    /// Time in the worker pool, in ms.
     pub pool_ms: f64,
-    /// Bytes of the request's body.
+    /// Size of the request body in bytes.
     pub bytes_in: usize,
-    /// Bytes of the result.
+    /// Size of the result in bytes.
     pub bytes_out: usize,
 }
 
-/// What billing starts with.
+/// Options of [`Billing`].
 pub struct BillingOptions<'a> {
     /// The block `ledger` of the operator file.
     pub config: &'a LedgerConfig,
-    /// The classes' names, by position.
+    /// Names of the classes, by position.
     pub classes: &'a [String],
-    /// Open aggregates at most.
+    /// Maximum number of open aggregates.
     pub max_aggregates: usize,
-    /// The present time, Unix ms.
+    /// Current time in Unix ms.
     pub now_ms: u64,
 }
 
-/// A reply that waits for its line.
+/// Reply that is held until its line is durable.
 struct HeldReply {
+    /// The reply may be sent once the accumulator releases this mark or a later one.
     release_mark: u64,
     reply: ReplyHandle,
     response: Response,
 }
 
-/// The usage ledger of one server, on the serving thread.
+/// Usage ledger of one server, on the serving thread.
 pub struct Billing {
     accumulator: UsageAccumulator,
     writer: Writer,
-    /// The last record that the writer reported durable or failed.
+    /// Ticket of the last record that the writer reported durable or failed.
     settled_through: u64,
-    /// The writer's generation after its last failure.
+    /// Generation of the writer after its last failure.
     generation: u64,
-    /// In the order of their marks.
-    held: VecDeque<HeldReply>,
-    ready: Vec<(ReplyHandle, Response)>,
+    /// Replies that wait for their lines, in the order of their marks.
+    held_replies: VecDeque<HeldReply>,
+    /// Replies that were held and may be sent now.
+    ready_replies: Vec<(ReplyHandle, Response)>,
+    /// Actions that the accumulator returned and that are not executed yet.
     actions: Vec<Action>,
     export_worker: Option<Sender<ExportWorkerMessage>>,
     log: Logger,
     permanent_failure_logged: bool,
+    /// Whether records are acknowledged before they are durable (fault injection).
     acknowledges_early: bool,
 }
 
 impl Billing {
-    /// Puts an open store to use. `on_progress` is called with the store's progress, on its thread, and `on_panic` with
-    /// a panic of that thread: what is held then is never released.
+    /// Starts billing with an open store. The store's thread calls `on_progress` with its progress, and
+    /// `on_panic` if it panics; replies that are held at that time are never released.
     ///
     /// # Errors
-    /// If the store's thread can't be started.
+    /// Returns [`UsageError::Thread`] if the store's thread can't be started.
     pub fn start(
         store: UsageStore,
         options: &BillingOptions<'_>,
@@ -103,8 +109,8 @@
             writer,
             settled_through: 0,
             generation: 0,
-            held: VecDeque::new(),
-            ready: Vec::new(),
+            held_replies: VecDeque::new(),
+            ready_replies: Vec::new(),
             actions,
             export_worker: None,
             log,
@@ -115,17 +121,18 @@
         Ok(billing)
     }
 
-    /// Returns the id of the ledger, which a new one has by now.
+    /// Returns the id of the ledger. A new ledger has its id once billing is started.
     pub fn ledger_id(&self) -> u64 {
         self.accumulator.state().ledger_id
     }
 
-    /// Sets where the export worker listens.
+    /// Sets the channel to the export worker.
     pub fn set_export_worker(&mut self, export_worker: Sender<ExportWorkerMessage>) {
         self.export_worker = Some(export_worker);
     }
 
-    /// Bills a reply. Returns it if it may be sent at once; else it is held until its line is durable.
+    /// Bills a reply. Returns the reply if it may be sent at once; otherwise holds it until its line is
+    /// durable.
     pub fn bill(
         &mut self,
         now_ms: f64,
@@ -137,13 +144,14 @@
         match self.record_usage(now_ms, account, usage, 1) {
             ReplyDecision::SendNow => Some((reply, response)),
             ReplyDecision::HoldUntil(release_mark) => {
-                self.held.push_back(HeldReply { release_mark, reply, response });
+                self.held_replies.push_back(HeldReply { release_mark, reply, response });
                 None
             }
         }
     }
 
-    /// Bills what has no reply: a request that was cancelled, or with 0 `requests` what a run used after its reply.
+    /// Bills usage without a reply: that of a cancelled request, or, if `requests` is 0, what a run used
+    /// after its reply.
     pub fn bill_without_reply(
         &mut self,
         now_ms: f64,
@@ -161,7 +169,7 @@
         usage: &RequestUsage,
         requests: u64,
     ) -> ReplyDecision {
-        // The frontend lets no other names through.
+        // The frontend rejects invalid account names, so parsing succeeds.
         let account = account.and_then(|name| AccountName::parse(name).ok());
         let record = UsageRecord {
             requests,
@@ -179,7 +187,7 @@
         decision
     }
 
-    /// Has the store write if it is idle, after the replies of one event were billed.
+    /// Writes the due aggregates if the store is idle. Called after billing the replies of one event.
     pub fn flush_if_due(&mut self, now_ms: f64) {
         self.accumulator.flush_if_due(now_ms as u64, &mut self.actions);
         self.execute_actions();
@@ -191,7 +199,7 @@
         self.execute_actions();
     }
 
-    /// Takes in the progress of the store.
+    /// Handles progress of the store.
     pub fn on_store_progress(&mut self, now_ms: f64, progress: Progress) {
         match progress {
             Progress::Durable { through, .. } => self.on_durable(now_ms, through),
@@ -211,7 +219,7 @@
     }
 
     fn on_durable(&mut self, now_ms: f64, through: u64) {
-        // The records before were acknowledged early, which only the deliberately broken build does.
+        // These records were acknowledged early, which happens only in the fault-injection build.
         if through <= self.settled_through {
             return;
         }
@@ -234,14 +242,14 @@
         self.accumulator.on_failed(&reason, count, &mut self.actions);
     }
 
-    /// Takes note that all records up to one are durable or failed; returns how many were not before.
+    /// Marks all records up to a ticket as durable or failed. Returns how many were neither before.
     fn settle(&mut self, through: u64) -> usize {
         let count = through - self.settled_through;
         self.settled_through = through;
         count as usize
     }
 
-    /// Appends a line for the export worker, which is notified once it is durable or rejected.
+    /// Appends a line for the export worker, which is notified once the line is durable or rejected.
     pub fn append_entry(&mut self, now_ms: f64, kind: LineKind, tag: u64) {
         let appended = self.accumulator.append_entry(now_ms as u64, kind, tag, &mut self.actions);
         if appended.is_err() {
@@ -250,14 +258,15 @@
         self.execute_actions();
     }
 
-    /// Has the store drop the lines before a number and keep the encoded state after them instead.
+    /// Requests that the store replace the lines before `before` by `state`, the encoded state after them.
     pub fn release_lines(&mut self, before: u64, state: Vec<u8>) {
         if !self.writer.snapshot(before, state) {
             warn!(self.log, "old lines not released yet"; "before" => before, "error" => "the store is busy");
         }
     }
 
-    /// Closes all periods up to now before their time, or tells the export worker that this was not done.
+    /// Closes all periods up to now ahead of schedule. If that is not possible, notifies the export worker
+    /// that the request with this tag is rejected.
     pub fn close_periods(&mut self, now_ms: f64, tag: u64) {
         if self.accumulator.close_early(now_ms as u64, &mut self.actions).is_err() {
             self.notify_export_worker(ExportWorkerMessage::EntryRejected { tag });
@@ -265,9 +274,9 @@
         self.execute_actions();
     }
 
-    /// Gives the replies that may be sent now.
+    /// Removes and returns the replies that were held and may be sent now.
     pub fn take_ready_replies(&mut self) -> std::vec::Drain<'_, (ReplyHandle, Response)> {
-        self.ready.drain(..)
+        self.ready_replies.drain(..)
     }
 
     /// Returns whether new requests may be admitted.
@@ -275,12 +284,12 @@
         self.accumulator.accepts_requests()
     }
 
-    /// Returns the present figures of the ledger and its writer.
+    /// Returns the current gauges of the ledger and its writer.
     pub fn gauges(&self) -> (LedgerGauges, WriterGauges) {
         (self.accumulator.gauges(), self.writer.gauges())
     }
 
-    /// Has all written that waits, and returns the writer, to be closed where waiting is allowed.
+    /// Hands over all pending usage to the writer and returns the writer. Closing it waits for the disk.
     pub fn shut_down(mut self, now_ms: f64) -> Writer {
         self.accumulator.finish(now_ms as u64, &mut self.actions);
         self.execute_actions();
@@ -290,17 +299,18 @@
 
     fn notify_export_worker(&self, message: ExportWorkerMessage) {
         if let Some(export_worker) = &self.export_worker {
-            // Its thread ends before the program does only if it failed, which it logs itself.
+            // Sending fails only if the worker's thread has ended because of an error, which the worker has
+            // logged.
             let _ = export_worker.send(message);
         }
     }
 
     fn execute_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
-        let mut early = None;
+        let mut early_ticket = None;
         for action in actions.drain(..) {
             match action {
-                Action::Append(record) => early = self.append_to_store(record).or(early),
+                Action::Append(record) => early_ticket = self.append_to_store(record).or(early_ticket),
                 Action::Resume => self.writer.resume(self.generation),
                 Action::Release(mark) => self.release_replies(mark),
                 Action::AcceptRequests(accepted) => {
@@ -318,22 +328,22 @@
             }
         }
         self.actions = actions;
-        if let Some(through) = early {
+        if let Some(through) = early_ticket {
             self.on_store_progress(0.0, Progress::Durable { through, next: 0 });
         }
     }
 
-    /// Hands the writer a record; returns its ticket in the deliberately broken build, which acknowledges it at once.
+    /// Hands over a record to the writer. Returns its ticket only in the fault-injection build.
     fn append_to_store(&mut self, record: Vec<u8>) -> Option<u64> {
         let ticket = self.writer.append(record);
-        assert!(ticket.is_ok(), "the writer's queue holds more than the accumulator ever hands over");
+        assert!(ticket.is_ok(), "the accumulator handed over more records than the writer's queue holds");
         ticket.ok().filter(|_| self.acknowledges_early)
     }
 
     fn release_replies(&mut self, mark: u64) {
-        while self.held.front().is_some_and(|held| held.release_mark <= mark) {
-            let held = self.held.pop_front();
-            self.ready.extend(held.map(|held| (held.reply, held.response)));
+        while self.held_replies.front().is_some_and(|held| held.release_mark <= mark) {
+            let held = self.held_replies.pop_front();
+            self.ready_replies.extend(held.map(|held| (held.reply, held.response)));
         }
     }
 
@@ -347,7 +357,8 @@
             }
             Notice::UncleanShutdown { at_most } => {
                 let at_most = at_most.map_or("unknown".to_owned(), |count| count.to_string());
-                warn!(self.log, "previous shutdown was unclean, replies may be unbilled"; "at_most" => at_most);
+                warn!(self.log, "previous shutdown was unclean, replies may be unbilled";
+                    "at_most" => at_most);
             }
             Notice::ClosedLate { from, to } => {
                 warn!(self.log, "closing periods that ended while the server was down";
@@ -381,8 +392,8 @@
     }
 }
 
-/// Returns whether this is the deliberately broken build that acknowledges before it commits: only tests have the
-/// feature, and only the one that shows that the crash drill notices sets the variable.
+/// Returns whether records are acknowledged before they are durable. Only test builds have the feature, and
+/// only the test that verifies that the crash drill detects lost records sets the variable.
 fn acknowledges_early() -> bool {
     cfg!(feature = "test-faults") && std::env::var_os("DUNLINSPREAD_ACKNOWLEDGE_EARLY").is_some()
 }
--- a/src/server/usage/digest_exchange.rs
+++ b/src/server/usage/digest_exchange.rs
@@ -1,8 +1,9 @@
-//! The exchange of digests of exported batches with other servers, where they may talk: one thread that asks and one that
-//! answers. Off unless the operator file names peers.
+//! Exchange of the digests of exported batches with other servers: one thread initiates exchanges with the
+//! configured peers, and one responds to exchanges that peers initiate. Disabled unless the operator file
+//! configures peers.
 //!
-//! A peer that is down, slow or sends garbage costs a line in the log and nothing else; what it tells is compared with
-//! what is known, and mismatches are reported to operators.
+//! A peer that is down, is slow or sends invalid data causes a log line and has no other effect. The digests
+//! that a peer reports are compared with the known ones, and mismatches are reported to operators.
 
 use super::digest_frame;
 use super::error::UsageError;
@@ -15,19 +16,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long a peer may take for each step of an exchange.
+/// Timeout for connecting to a peer, and for each read from and write to the connection.
 const STEP_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after an exchange that could not be answered.
+/// Pause after a failed exchange that a peer initiated.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(50);
 
-/// Which end of an exchange this is. The one that asks tells first.
+/// Role of this server in an exchange. The initiator sends its claims first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExchangeRole {
-    Asking,
-    Answering,
+    Initiator,
+    Responder,
 }
 
-/// What is known of digests, shared by the threads of the exchange and the export worker.
+/// Digest exchange of a server. Clones share the known digests, which the threads of the exchange and the
+/// export worker use.
 #[derive(Clone)]
 pub struct DigestExchange {
     comparison: Arc<Mutex<DigestComparison>>,
@@ -35,7 +37,7 @@
 }
 
 impl DigestExchange {
-    /// Returns the exchange of a server that knows its own ledger up to this batch.
+    /// Returns the exchange of a server whose own ledger ends with the batch `last_own_batch`.
     pub fn new(server: &str, ledger_id: u64, last_own_batch: u64, log: Logger) -> DigestExchange {
         let comparison = DigestComparison::new(server, ledger_id, last_own_batch);
         DigestExchange { comparison: Arc::new(Mutex::new(comparison)), log }
@@ -45,7 +47,8 @@
         self.comparison.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in a batch that this server made and whose line is durable; `span` is that of its periods, Unix ms.
+    /// Adds a batch that this server created and whose line is durable. `span` is the time range of the
+    /// batch's periods, in Unix ms.
     pub fn add_own_batch(&self, batch: u64, digest: &[u8], span: Range<u64>) {
         let mismatches = self.comparison().add_own_batch(batch, digest, span);
         self.report(&mismatches);
@@ -62,10 +65,11 @@
         }
     }
 
-    /// Starts the threads that the settings ask for, which end with the program.
+    /// Starts the threads that the settings require. They run until the process ends.
     ///
     /// # Errors
-    /// If the address can't be listened on, or a thread can't be started.
+    /// - [`UsageError::Listen`] if listening on the configured address fails.
+    /// - [`UsageError::Thread`] if a thread can't be started.
     pub fn start(&self, settings: &PeerSettings) -> Result<(), UsageError> {
         if let Some(address) = settings.listen {
             let listener = dunlinspread_sockets::listen(address)
@@ -73,53 +77,55 @@
             let local_address = listener.local_addr().unwrap_or(address);
             info!(self.log, "digest exchange listening"; "address" => local_address.to_string());
             let exchange = self.clone();
-            spawn("digest-answers", move || exchange.answer_peers(&listener))?;
+            spawn("digest-answers", move || exchange.serve_peers(&listener))?;
         }
         if !settings.ask.is_empty() {
             let (exchange, peers) = (self.clone(), settings.ask.clone());
             let interval = Duration::from_millis(settings.every_ms);
-            spawn("digest-requests", move || exchange.ask_peers(&peers, interval))?;
+            spawn("digest-requests", move || exchange.poll_peers(&peers, interval))?;
         }
         Ok(())
     }
 
-    /// Answers one peer at a time: each exchange is over within seconds, and they come seldom.
-    fn answer_peers(&self, listener: &TcpListener) {
+    /// Responds to one peer at a time: each exchange takes seconds at most, and exchanges are rare.
+    fn serve_peers(&self, listener: &TcpListener) {
         for stream in listener.incoming() {
-            let answered = stream.and_then(|stream| self.exchange(stream, ExchangeRole::Answering));
-            if let Err(error) = answered {
-                warn!(self.log, "digest request of a peer failed"; "error" => error.to_string());
+            let result = stream.and_then(|stream| self.exchange(stream, ExchangeRole::Responder));
+            if let Err(error) = result {
+                warn!(self.log, "digest exchange initiated by a peer failed"; "error" => error.to_string());
                 std::thread::sleep(PAUSE_AFTER_FAILURE);
             }
         }
     }
 
-    /// Asks all peers in turn, again after each interval; a failure is logged when a peer stops answering.
-    fn ask_peers(&self, peers: &[SocketAddr], interval: Duration) {
-        let mut answered_last = vec![true; peers.len()];
+    /// Initiates an exchange with each peer in turn, and repeats that after each interval. A failure is
+    /// logged only if the previous exchange with the peer succeeded.
+    fn poll_peers(&self, peers: &[SocketAddr], interval: Duration) {
+        let mut last_succeeded = vec![true; peers.len()];
         loop {
-            for (peer, answered_last) in peers.iter().zip(&mut answered_last) {
+            for (peer, last_succeeded) in peers.iter().zip(&mut last_succeeded) {
                 let result = TcpStream::connect_timeout(peer, STEP_TIMEOUT)
-                    .and_then(|stream| self.exchange(stream, ExchangeRole::Asking));
-                if let (true, Err(error)) = (*answered_last, &result) {
+                    .and_then(|stream| self.exchange(stream, ExchangeRole::Initiator));
+                if let (true, Err(error)) = (*last_succeeded, &result) {
                     warn!(self.log, "peer does not answer"; "peer" => peer.to_string(),
                         "error" => error.to_string());
                 }
-                *answered_last = result.is_ok();
+                *last_succeeded = result.is_ok();
             }
             std::thread::sleep(interval);
         }
     }
 
+    /// Sends this server's claims and adds those of the peer, in the order that the role determines.
     fn exchange(&self, mut stream: TcpStream, role: ExchangeRole) -> io::Result<()> {
         stream.set_read_timeout(Some(STEP_TIMEOUT))?;
         stream.set_write_timeout(Some(STEP_TIMEOUT))?;
-        if role == ExchangeRole::Asking {
+        if role == ExchangeRole::Initiator {
             self.send_claims(&mut stream)?;
         }
         let claims = digest_frame::read(&mut stream)?;
         self.add_claims(&claims);
-        if role == ExchangeRole::Answering {
+        if role == ExchangeRole::Responder {
             self.send_claims(&mut stream)?;
         }
         Ok(())
--- a/src/server/usage/dispatcher_link.rs
+++ b/src/server/usage/dispatcher_link.rs
@@ -1,4 +1,4 @@
-//! The export worker's link to the dispatcher, which alone writes to the ledger.
+//! Link of the export worker to the dispatcher. Only the dispatcher writes to the ledger.
 
 use super::export_error::{ExportError, RetryableError};
 use crate::server::messages::{EntryLine, ExportWorkerMessage, UsageMessage};
@@ -6,17 +6,19 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-/// The link to the dispatcher.
+/// Link of the export worker to the dispatcher.
 pub(super) struct DispatcherLink {
     messages: Receiver<ExportWorkerMessage>,
     dispatcher: async_channel::Sender<UsageMessage>,
+    /// Tag of the last request to the dispatcher.
     last_tag: u64,
+    /// Number of the last durable close line.
     latest_close: u64,
     is_shutting_down: bool,
 }
 
 impl DispatcherLink {
-    /// Returns a link over two channels; `latest_close` is the number of the last close line that is durable.
+    /// Returns a link over two channels. `latest_close` is the number of the last durable close line.
     pub(super) fn new(
         messages: Receiver<ExportWorkerMessage>,
         dispatcher: async_channel::Sender<UsageMessage>,
@@ -25,21 +27,21 @@
         DispatcherLink { messages, dispatcher, last_tag: 0, latest_close, is_shutting_down: false }
     }
 
-    /// Returns the number of the last close line that is durable.
+    /// Returns the number of the last durable close line.
     pub(super) fn latest_close(&self) -> u64 {
         self.latest_close
     }
 
-    /// Returns whether the program ends.
+    /// Returns whether the process is shutting down.
     pub(super) fn is_shutting_down(&self) -> bool {
         self.is_shutting_down
     }
 
-    /// Waits for that long, or until a period is closed or the program ends.
-    pub(super) fn wait(&mut self, time: Duration) {
-        let until = Instant::now() + time;
+    /// Waits for `timeout`, or until a period is closed or the process shuts down.
+    pub(super) fn wait(&mut self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
         loop {
-            match self.messages.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match self.messages.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
                 Ok(ExportWorkerMessage::PeriodsClosed(number)) => {
                     self.latest_close = number;
                     return;
@@ -54,10 +56,11 @@
         }
     }
 
-    /// Has a line appended, and returns it once it is durable.
+    /// Appends a line to the ledger and returns it once it is durable.
     ///
     /// # Errors
-    /// If the ledger does not take it now, or the program ends.
+    /// - [`RetryableError::EntryRejected`] if the ledger rejects the line.
+    /// - [`ExportError::ShuttingDown`] if the process is shutting down.
     pub(super) fn append_entry(&mut self, kind: LineKind) -> Result<EntryLine, ExportError> {
         let own_tag = self.next_tag();
         self.send(UsageMessage::AppendEntry { kind, tag: own_tag })?;
@@ -73,11 +76,11 @@
         }
     }
 
-    /// Has all periods up to now closed, and returns the close line's number once it is durable; none if nothing can be
-    /// closed now.
+    /// Closes all periods up to now and returns the number of the close line once it is durable. Returns
+    /// `None` if no period can be closed now.
     ///
     /// # Errors
-    /// If the program ends.
+    /// Returns [`ExportError::ShuttingDown`] if the process is shutting down.
     pub(super) fn close_periods(&mut self) -> Result<Option<u64>, ExportError> {
         let own_tag = self.next_tag();
         self.send(UsageMessage::ClosePeriods { tag: own_tag })?;
@@ -93,10 +96,10 @@
         }
     }
 
-    /// Has the lines before a number replaced by the encoded state after them.
+    /// Requests that the lines before the number `before` be replaced by the encoded state after them.
     ///
     /// # Errors
-    /// If the program ends.
+    /// Returns [`ExportError::ShuttingDown`] if the process is shutting down.
     pub(super) fn release_lines(&self, before: u64, state: Vec<u8>) -> Result<(), ExportError> {
         self.send(UsageMessage::ReleaseLines { before, state })
     }
@@ -110,7 +113,7 @@
         self.dispatcher.send_blocking(message).map_err(|_| ExportError::ShuttingDown)
     }
 
-    /// Waits for the next message but a shutdown, which is an error.
+    /// Waits for the next message. A shutdown is returned as an error.
     fn receive(&self) -> Result<ExportWorkerMessage, ExportError> {
         match self.messages.recv() {
             Ok(ExportWorkerMessage::Shutdown) | Err(_) => Err(ExportError::ShuttingDown),
--- a/src/server/usage/error.rs
+++ b/src/server/usage/error.rs
@@ -4,26 +4,26 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the usage ledger was not started.
+/// Error of starting the usage ledger.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// Its store was not opened.
+    /// The ledger's store could not be opened.
     #[error("ledger \"{ledger}\": {source}")]
     Open {
-        /// The ledger's name in the operator file.
+        /// Name of the ledger in the operator file.
         ledger: String,
-        /// What happened.
+        /// The error of the store.
         source: StoreError,
     },
-    /// A thread was not started.
-    #[error("ledger: {0}")]
+    /// A thread could not be started.
+    #[error("ledger: cannot start a thread: {0}")]
     Thread(#[source] io::Error),
-    /// The address for other servers can't be listened on.
+    /// Listening for digest requests of other servers failed.
     #[error("`peers.listen`: {address}: {source}")]
     Listen {
-        /// The address.
+        /// Configured listen address.
         address: SocketAddr,
-        /// What happened.
+        /// The operating system error.
         source: io::Error,
     },
 }
--- a/src/server/usage/export_error.rs
+++ b/src/server/usage/export_error.rs
@@ -7,18 +7,18 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the export worker stops what it does.
+/// Error that ends the current step of the export worker.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExportError {
-    /// The program ends.
-    #[error("the program is shutting down")]
+    /// The process is shutting down.
+    #[error("the process is shutting down")]
     ShuttingDown,
-    /// This can't be done now, and is tried again later.
+    /// The step failed and is retried later.
     #[error(transparent)]
     Retryable(#[from] RetryableError),
 }
 
-/// Why something can't be done now.
+/// Error after which the export worker retries the step.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RetryableError {
     /// The ledger's store can't be read.
@@ -27,32 +27,32 @@
     /// The exchange with the collector failed.
     #[error(transparent)]
     Transport(#[from] TransportError),
-    /// The folder of operators' requests can't be used.
+    /// The directory of operator requests can't be read, or an executed request can't be removed.
     #[error(transparent)]
     Requests(#[from] io::Error),
-    /// A line contradicts those before it.
+    /// A line contradicts the lines before it.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// A second batch was prepared.
+    /// A batch was prepared while another one is not acknowledged.
     #[error(transparent)]
     BatchPending(#[from] BatchPending),
-    /// The ledger did not append a line.
-    #[error("the ledger does not take this line now")]
+    /// The ledger rejected a line that was to be appended.
+    #[error("the ledger rejected the line")]
     EntryRejected,
-    /// The sender has a batch of which nothing is known here.
+    /// The protocol's sender has a batch to send, but the exporter has no prepared batch.
     #[error("no batch is prepared")]
     NoPreparedBatch,
-    /// The lines give another batch than when it was prepared.
-    #[error("a batch differs from what was prepared")]
+    /// The batch rebuilt from the ledger's lines differs from the prepared one.
+    #[error("the rebuilt batch differs from the prepared one")]
     BatchDiffers,
-    /// The collector replied, and did not accept the batch that was offered.
-    #[error("the collector is at batch {0}")]
+    /// The collector replied without accepting the offered batch. Holds the collector's watermark.
+    #[error("the collector did not accept the batch: its watermark is {0}")]
     CollectorBehind(u64),
-    /// The next close line is not among the lines.
-    #[error("the close line is not there")]
+    /// The next close line to be exported is not in the ledger.
+    #[error("the ledger has no close line after the last exported one")]
     CloseMissing,
-    /// The close has fewer batches than were exported of it.
-    #[error("the close has no such part")]
+    /// The next batch of a close line does not exist, although the last one was not exported yet.
+    #[error("the close line has no batch after the exported ones")]
     PartMissing,
 }
 
@@ -86,18 +86,18 @@
     }
 }
 
-/// Why the export worker was not started.
+/// Error of starting the export worker.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum WorkerStartError {
     /// The ledger's directory can't be opened.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The folder of operators' requests can't be made.
-    #[error("{}: {source}", path.display())]
+    /// The directory of operator requests can't be created.
+    #[error("cannot create directory {}: {source}", path.display())]
     RequestsFolder {
-        /// The folder.
+        /// Path of the directory.
         path: PathBuf,
-        /// What happened.
+        /// The operating system error.
         source: io::Error,
     },
 }
--- a/src/server/usage/export_transport.rs
+++ b/src/server/usage/export_transport.rs
@@ -1,4 +1,5 @@
-//! The way of batches to a collector: a folder, or an HTTP connection as `docs/formats/export.md` describes it.
+//! Transport of batches to a collector: a directory, or an HTTP connection as described in
+//! `docs/formats/export.md`.
 
 use crate::codec::http;
 use crate::operator::ExportTarget;
@@ -12,57 +13,57 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a collector may take to accept a connection, to take a piece of a request or to send one of a reply.
+/// Timeout for connecting to a collector, and for each read from and write to the connection.
 const STEP_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a collector may take for a whole reply.
+/// Timeout for a complete reply of a collector.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes read from a collector at a time.
+/// Size in bytes of the buffer for one read from a collector.
 const READ_BYTES: usize = 4096;
 
-/// Why an exchange with the collector failed.
+/// Error of an exchange with the collector.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum TransportError {
-    /// Nothing is exported.
-    #[error("nothing is exported")]
+    /// Export is disabled.
+    #[error("no export target is configured")]
     Disabled,
-    /// The folder can't be opened.
+    /// The target directory can't be opened.
     #[error(transparent)]
     Folder(#[from] StoreError),
-    /// The folder did not take the batch.
+    /// The target directory's receiver failed.
     #[error(transparent)]
     Receiver(#[from] BatchReceiverError),
     /// The connection failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
-    /// The collector's bytes are no HTTP reply.
+    /// The collector did not send a valid HTTP reply.
     #[error("{0}")]
     Http(http::Error),
-    /// The reply was not complete in time.
-    #[error("no whole reply in time")]
+    /// The reply was not complete within [`REPLY_TIMEOUT`].
+    #[error("timed out waiting for the collector's complete reply")]
     Timeout,
-    /// The connection ended before the reply did.
-    #[error("the collector closed the connection")]
+    /// The collector closed the connection before the reply was complete.
+    #[error("the collector closed the connection before its reply was complete")]
     Closed,
-    /// The reply has a status that the protocol does not have.
-    #[error("the collector replied with status {0}")]
+    /// The reply has a status code that the protocol does not use.
+    #[error("the collector replied with unexpected status {0}")]
     Status(u16),
-    /// The reply lacks one of its headers, or one can't be read.
-    #[error("the collector's reply names no watermark and digest")]
+    /// A header of the reply is missing or invalid.
+    #[error("the collector's reply has a missing or invalid `X-Watermark` or `X-Digest` header")]
     Headers,
 }
 
-/// The way to the collector.
+/// Transport to the collector.
 pub(super) enum ExportTransport {
-    /// Nothing is exported.
+    /// Export is disabled.
     Disabled,
-    /// A folder, which is opened for each exchange alone: others export into the same one.
+    /// Path of a directory. It is opened for each exchange, because other servers export into it as well.
     Folder(String),
-    /// A collector behind HTTP.
+    /// A collector that is reached by HTTP.
     Collector(CollectorConnection),
 }
 
 impl ExportTransport {
-    /// Returns the way to a target.
+    /// Returns the transport to a target; a disabled one if there is no target.
     pub(super) fn new(target: Option<&ExportTarget>) -> ExportTransport {
         match target {
             None => ExportTransport::Disabled,
@@ -73,15 +74,15 @@
         }
     }
 
-    /// Returns whether batches are exported.
+    /// Returns whether an export target is configured.
     pub(super) fn is_enabled(&self) -> bool {
         !matches!(self, ExportTransport::Disabled)
     }
 
-    /// Asks how far the collector is with a ledger.
+    /// Returns the collector's reply with its watermark for a ledger: the last batch that it accepted.
     ///
     /// # Errors
-    /// If the exchange failed.
+    /// Returns a [`TransportError`] if the exchange fails or export is disabled.
     pub(super) fn watermark(
         &mut self,
         server: &str,
@@ -97,10 +98,11 @@
         }
     }
 
-    /// Offers a batch's bytes.
+    /// Sends a batch to the collector and returns its reply.
     ///
     /// # Errors
-    /// If the exchange failed; the collector may have accepted the batch all the same.
+    /// Returns a [`TransportError`] if the exchange fails or export is disabled. The collector may have
+    /// accepted the batch despite a failed exchange.
     pub(super) fn offer(
         &mut self,
         server: &str,
@@ -128,15 +130,16 @@
     Ok(BatchReceiver::open(Arc::new(disk))?)
 }
 
-/// A collector behind HTTP, and the connection that is kept for the next exchange.
+/// Collector that is reached by HTTP.
 pub(super) struct CollectorConnection {
     address: SocketAddr,
+    /// Idle connection that is kept for the next exchange.
     idle: Option<TcpStream>,
 }
 
 impl CollectorConnection {
-    /// Sends a request and reads the reply. If anything goes wrong, the connection is not used again: a reply that comes
-    /// late on it would be taken for another's.
+    /// Sends a request and reads the reply. After any error, the connection is not reused: a late reply on it
+    /// would be mistaken for the reply to the next request.
     fn exchange(
         &mut self,
         method: &str,
@@ -155,7 +158,7 @@
         Ok(collector_reply)
     }
 
-    /// Returns the connection that was kept, or a new one.
+    /// Returns the idle connection, or a new one if there is none.
     fn connect(&mut self) -> io::Result<TcpStream> {
         if let Some(stream) = self.idle.take() {
             return Ok(stream);
@@ -168,13 +171,13 @@
 }
 
 fn read_reply(stream: &mut TcpStream, decoder: &mut http::Decoder) -> Result<http::Reply, TransportError> {
-    let (mut bytes, began) = ([0; READ_BYTES], Instant::now());
+    let (mut buffer, started_at) = ([0; READ_BYTES], Instant::now());
     loop {
-        if began.elapsed() > REPLY_TIMEOUT {
+        if started_at.elapsed() > REPLY_TIMEOUT {
             return Err(TransportError::Timeout);
         }
-        let count = stream.read(&mut bytes)?;
-        decoder.feed(&bytes[..count]);
+        let count = stream.read(&mut buffer)?;
+        decoder.feed(&buffer[..count]);
         let has_ended = count == 0;
         if let Some(reply) = decoder.next_reply(has_ended).map_err(TransportError::Http)? {
             return Ok(reply);
@@ -199,7 +202,7 @@
     }
 }
 
-/// Reads a digest from its hexadecimal text.
+/// Parses a digest from its hexadecimal representation.
 fn parse_digest(text: &str) -> Option<Digest> {
     let mut digest = Digest::default();
     if text.len() != 2 * digest.len() || !text.is_ascii() {
--- a/src/server/usage/export_worker.rs
+++ b/src/server/usage/export_worker.rs
@@ -1,5 +1,5 @@
-//! The export worker, on a thread of its own: exports closed periods, executes operators' requests, and releases old
-//! lines. It never holds up serving.
+//! Export worker, which runs on a separate thread: exports closed periods, executes operator requests and
+//! releases old lines. It never delays serving.
 
 use super::batch_exporter::{BatchExporter, ExportStep, ExporterOptions};
 use super::digest_exchange::DigestExchange;
@@ -18,41 +18,42 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 
-/// The backoff after the first attempt that failed; it doubles with each further one up to the last.
+/// Backoff after the first failed attempt. It doubles with each further failure, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum backoff after a failed attempt.
 const MAX_BACKOFF: Duration = Duration::from_secs(10);
-/// How often operators' requests are looked for.
+/// Interval at which the worker checks for operator requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What the export worker is made of.
+/// Options of an [`ExportWorker`].
 pub struct ExportWorkerOptions {
-    /// The server.
+    /// Name of the server.
     pub server: String,
-    /// The directory of the ledger's store.
+    /// Directory of the ledger's store.
     pub directory: String,
-    /// Where batches are exported to, if anywhere.
+    /// Target to which batches are exported; export is disabled without one.
     pub target: Option<ExportTarget>,
-    /// Items of a batch at most.
+    /// Maximum number of items in a batch.
     pub batch_lines: usize,
-    /// How long lines are kept, ms.
+    /// Time that lines are kept, in ms.
     pub keep_ms: u64,
-    /// Totals held at a time.
-    pub cells: usize,
-    /// The id of the ledger.
+    /// Approximate maximum number of totals that are held in memory at a time.
+    pub max_totals: usize,
+    /// Id of the ledger.
     pub ledger_id: u64,
-    /// What opening the ledger found.
+    /// State of the ledger when it was opened.
     pub opened: OpenedLedger,
-    /// The exchange with other servers, where they may talk.
+    /// Digest exchange with other servers, if peers are configured.
     pub digest_exchange: Option<DigestExchange>,
-    /// Messages to the worker.
+    /// Receiver of messages to the worker.
     pub messages: Receiver<ExportWorkerMessage>,
-    /// Where messages to the dispatcher go.
+    /// Sender of messages to the dispatcher.
     pub dispatcher: async_channel::Sender<UsageMessage>,
-    /// The log.
+    /// Log of the worker.
     pub log: Logger,
 }
 
-/// The export worker of one ledger.
+/// Export worker of one ledger.
 pub struct ExportWorker {
     disk: RealDisk,
     link: DispatcherLink,
@@ -63,7 +64,8 @@
 }
 
 impl ExportWorker {
-    /// Runs until the program ends. If the worker can't start, that is logged, and serving goes on without it.
+    /// Runs until the process shuts down. If the worker can't start, the error is logged, and serving
+    /// continues without it.
     pub fn run(options: ExportWorkerOptions) {
         let log = options.log.clone();
         match ExportWorker::start(options) {
@@ -83,7 +85,7 @@
             server: server.clone(),
             ledger_id: options.ledger_id,
             batch_lines: options.batch_lines,
-            cells: options.cells,
+            max_totals: options.max_totals,
             transport: ExportTransport::new(options.target.as_ref()),
             digest_exchange: options.digest_exchange,
             log: log.clone(),
--- a/src/server/usage/mod.rs
+++ b/src/server/usage/mod.rs
@@ -1,7 +1,7 @@
-//! The usage ledger in the server: billing of final replies, export of closed periods, comparison of digests.
+//! Usage ledger of the server: billing of final replies, export of closed periods and comparison of digests.
 //!
-//! Billing runs on the serving thread, the store and the export worker on threads of their own. They exchange the
-//! messages of [`messages`](crate::server::messages).
+//! Billing runs on the serving thread; the store and the export worker each run on a separate thread. They
+//! communicate by the messages in [`messages`](crate::server::messages).
 
 mod batch_exporter;
 pub mod billing;
--- a/src/server/usage/operator_requests.rs
+++ b/src/server/usage/operator_requests.rs
@@ -1,4 +1,5 @@
-//! Requests of operators: files in the ledger's folder, each executed once and answered by a file beside it.
+//! Operator requests: files in a directory of the ledger. Each request is executed once and answered by a
+//! file in the same directory.
 
 use super::dispatcher_link::DispatcherLink;
 use super::export_error::{ExportError, RetryableError};
@@ -11,42 +12,42 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The longest request, in bytes.
+/// Maximum length of a request file in bytes.
 const MAX_REQUEST_BYTES: usize = 64 << 10;
 
-/// The folder of operators' requests of one ledger.
+/// Directory of operator requests of one ledger.
 pub(super) struct OperatorRequests {
     server: String,
     folder: PathBuf,
     log: Logger,
 }
 
-/// Why a file is no request.
+/// Reason why a file is not a valid request.
 #[derive(Debug, thiserror::Error)]
 enum RequestFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Read(#[from] io::Error),
-    /// It is longer than [`MAX_REQUEST_BYTES`].
+    /// The file is longer than [`MAX_REQUEST_BYTES`].
     #[error("the request is too long")]
     TooLong,
-    /// It holds no request.
+    /// The file contains no valid request.
     #[error(transparent)]
     Invalid(#[from] LineError),
 }
 
-/// The answer to a request. Its text is what the operator's command reads.
+/// Answer to a request. The operator's command reads its text.
 enum Answer {
-    /// The correction is entered as this line.
+    /// The correction was entered as this line.
     Entered(LineId),
-    /// Periods are closed by the line with this number.
+    /// Periods were closed by the line with this number.
     Closed(u64),
     /// The correction was not entered.
     NotEntered(RetryableError),
-    /// There is nothing that can be closed now.
+    /// No period can be closed now.
     NothingToClose,
-    /// The file is no request.
-    NoRequest(RequestFileError),
+    /// The file is not a valid request.
+    InvalidRequest(RequestFileError),
 }
 
 impl fmt::Display for Answer {
@@ -55,40 +56,43 @@
             Answer::Entered(line) => write!(f, "done {}", LineIdText(line)),
             Answer::Closed(number) => write!(f, "done, closed by line {number}"),
             Answer::NotEntered(error) => write!(f, "error: {error}"),
-            Answer::NothingToClose => f.write_str("error: nothing can be closed now"),
-            Answer::NoRequest(error) => write!(f, "error: {error}"),
+            Answer::NothingToClose => f.write_str("error: no period can be closed now"),
+            Answer::InvalidRequest(error) => write!(f, "error: {error}"),
         }
     }
 }
 
 impl OperatorRequests {
-    /// Returns the requests in a folder.
+    /// Returns the operator requests of a server's ledger, read from `folder`.
     pub(super) fn new(server: &str, folder: PathBuf, log: Logger) -> OperatorRequests {
         OperatorRequests { server: server.to_owned(), folder, log }
     }
 
-    /// Executes and answers all requests that are there.
+    /// Executes and answers all pending requests.
     ///
     /// # Errors
-    /// If the folder or the ledger's lines can't be read, or the program ends.
+    /// - [`ExportError::Retryable`] if the directory or the ledger's lines can't be read, or an executed
+    ///   request can't be removed.
+    /// - [`ExportError::ShuttingDown`] if the process is shutting down.
     pub(super) fn execute_all(&self, disk: &dyn Disk, link: &mut DispatcherLink) -> Result<(), ExportError> {
-        for token in self.tokens()? {
+        for token in self.pending_tokens()? {
             fault_injection::pass(PanicPoint::ExportWorkerRequest);
             let (request_name, answer_name) = RequestFile::file_names(&token);
             let request_path = self.folder.join(request_name);
             let answer = match read_request(&request_path) {
                 Ok(request) => self.execute(request, &token, disk, link)?,
-                Err(error) => Answer::NoRequest(error),
+                Err(error) => Answer::InvalidRequest(error),
             };
-            // The answer is there before the request goes: asked again after a crash in between, it is found done.
-            self.answer(&token, &self.folder.join(answer_name), &answer.to_string());
+            // The answer is written before the request is removed: after a crash in between, the request is
+            // executed again, and a correction that is already entered is found by its token.
+            self.write_answer(&token, &self.folder.join(answer_name), &answer.to_string());
             std::fs::remove_file(&request_path)?;
         }
         Ok(())
     }
 
-    /// Returns the tokens of the requests that are there, in order.
-    fn tokens(&self) -> Result<Vec<String>, io::Error> {
+    /// Returns the tokens of the pending requests in sorted order.
+    fn pending_tokens(&self) -> Result<Vec<String>, io::Error> {
         let entries = std::fs::read_dir(&self.folder)?;
         let names = entries.flatten().filter_map(|entry| entry.file_name().into_string().ok());
         let mut tokens: Vec<String> =
@@ -97,7 +101,8 @@
         Ok(tokens)
     }
 
-    fn answer(&self, token: &str, path: &Path, text: &str) {
+    /// Logs an answer and writes it to its file atomically. A failed write is logged.
+    fn write_answer(&self, token: &str, path: &Path, text: &str) {
         info!(self.log, "operator request executed"; "token" => token, "answer" => text);
         let temporary = path.with_extension("tmp");
         let written = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, path));
@@ -128,7 +133,8 @@
         disk: &dyn Disk,
         link: &mut DispatcherLink,
     ) -> Result<Answer, ExportError> {
-        // Corrections are seldom: reading the ledger for each is what entering one only once costs.
+        // Reads the whole ledger, so that a correction is entered only once. Corrections are rare enough for
+        // this cost.
         if let Some(line) = self.find_correction(token, disk)? {
             return Ok(Answer::Entered(line));
         }
@@ -143,21 +149,21 @@
         }
     }
 
-    /// Returns the line of a correction that was entered before.
+    /// Returns the line of the correction with a token, or `None` if it was not entered yet.
     fn find_correction(&self, token: &str, disk: &dyn Disk) -> Result<Option<LineId>, ExportError> {
-        let (mut start, mut found) = (0, None);
+        let (mut start, mut correction_line) = (0, None);
         Log::read(disk, &self.server, |item| {
             let ReplayItem::Record(number, bytes) = item else { return Ok(()) };
             match Line::parse(bytes).map_err(ReplayRejection::new)?.kind {
                 Some(LineKind::Start(line)) => start = line.start,
                 Some(LineKind::Correction(correction)) if correction.token == token => {
-                    found = Some(LineId { server: self.server.clone(), start, number });
+                    correction_line = Some(LineId { server: self.server.clone(), start, number });
                 }
                 _ => {}
             }
             Ok(())
         })?;
-        Ok(found)
+        Ok(correction_line)
     }
 }
 
--- a/src/server/usage/usage_store.rs
+++ b/src/server/usage/usage_store.rs
@@ -1,4 +1,4 @@
-//! The store of the usage ledger, from its opening until billing takes it over.
+//! Store of the usage ledger, from opening it until billing takes ownership of it.
 
 use super::error::UsageError;
 use crate::operator::LedgerConfig;
@@ -9,44 +9,45 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The longest record, in bytes: the accumulator makes them of at most 4,096 entries.
+/// Maximum length of a record in bytes. The accumulator limits records to 4,096 entries.
 const MAX_RECORD_BYTES: usize = 2 << 20;
 
-/// What opening the ledger found, for the export worker.
+/// State of the ledger when it was opened, for the export worker.
 #[derive(Clone, Debug)]
 pub struct OpenedLedger {
-    /// The state after all lines.
+    /// State after all lines.
     pub state: LedgerState,
-    /// The number of the first line that is there.
+    /// Number of the first line that was not released.
     pub first_line: u64,
-    /// The state before that line.
+    /// State before the first line.
     pub first_state: LedgerState,
 }
 
-/// The open store of a ledger before it is put to use.
+/// Open store of a ledger, before billing uses it.
 pub struct UsageStore {
     log: Log,
     next_line: u64,
+    /// Whether the previous process closed the store cleanly.
     closed_cleanly: bool,
-    /// What opening it found.
+    /// State of the ledger when it was opened.
     pub opened: OpenedLedger,
 }
 
 impl UsageStore {
-    /// Opens the store in the configured directory and reads all lines in it. This waits for the disk.
+    /// Opens the store in the configured directory and reads all its lines. Blocks on disk I/O.
     ///
     /// # Errors
-    /// If the store can't be opened, or a line in it contradicts those before it.
+    /// Returns [`UsageError::Open`] if the store can't be opened, or a line contradicts the lines before it.
     pub fn open(
         config: &LedgerConfig,
         server: &str,
         now_ms: u64,
         logger: &Logger,
     ) -> Result<UsageStore, UsageError> {
-        let failed = |source| UsageError::Open { ledger: config.name.clone(), source };
-        let disk = RealDisk::new(Path::new(&config.directory)).map_err(failed)?;
+        let open_error = |source| UsageError::Open { ledger: config.name.clone(), source };
+        let disk = RealDisk::new(Path::new(&config.directory)).map_err(open_error)?;
         let options = Options { max_record: MAX_RECORD_BYTES, now_ms, ..Options::new(server) };
-        let (log, recovery, opened) = replay(disk, options).map_err(failed)?;
+        let (log, recovery, opened) = replay(disk, options).map_err(open_error)?;
         log_recovery(logger, &recovery, &opened.state);
         Ok(UsageStore {
             log,
@@ -56,7 +57,7 @@
         })
     }
 
-    /// Returns the log and what the accumulator goes on from.
+    /// Returns the log and the recovered state from which the accumulator continues.
     pub(super) fn into_parts(self) -> (Log, RecoveredLedger) {
         let recovered = RecoveredLedger {
             state: self.opened.state,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Opens the log and applies its lines.
+/// Opens the log and replays its snapshot and lines.
 fn replay(disk: RealDisk, options: Options) -> Result<(Log, Recovery, OpenedLedger), StoreError> {
     let mut opened =
         OpenedLedger { state: LedgerState::default(), first_line: 1, first_state: LedgerState::default() };
