--- a/src/server/control/answer.rs
+++ b/src/server/control/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to calls.
+//! Responses to the calls of the control endpoint.
 
 use super::call::Call;
 use super::error::CallError;
@@ -6,58 +6,59 @@
 use crate::server::serving_status::ServingStatus;
 use serde::Serialize;
 
-/// The body of an answer that says whether the process is ready.
+/// Response body with the readiness of the process.
 #[derive(Serialize)]
-struct Readiness {
+struct ReadinessBody {
     ready: bool,
 }
 
-/// The body of an answer that says whether clients are sent elsewhere.
+/// Response body with the evacuation flag.
 #[derive(Serialize)]
-struct Evacuation {
+struct EvacuationBody {
     evacuated: bool,
 }
 
-/// The body of an answer that says why a call was refused.
+/// Response body with the reason why a call was refused.
 #[derive(Serialize)]
-struct Refusal {
+struct ErrorBody {
     error: String,
 }
 
-/// An answer to a call.
+/// Response to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// Its status.
+pub struct Response {
+    /// HTTP status.
     pub status: Status,
-    /// The method that the path takes, where the call had another.
+    /// Value of the `Allow` header: the method of the path, if the call used another one.
     pub allow: Option<&'static str>,
-    /// Its body, JSON.
+    /// Body, as JSON.
     pub body: String,
 }
 
-impl Answer {
-    fn new(status: Status, body: &impl Serialize) -> Answer {
-        // Structs of numbers, texts and maps with text keys can always be written as JSON.
+impl Response {
+    fn new(status: Status, body: &impl Serialize) -> Response {
+        // Serialization does not fail: the bodies consist of numbers, strings, booleans and maps with string
+        // keys.
         let body = serde_json::to_string(body).unwrap_or_default();
-        Answer { status, allow: None, body }
+        Response { status, allow: None, body }
     }
 
-    /// Returns the answer to a call that was not read.
-    pub fn to_unread(error: CallError) -> Answer {
-        Answer::new(error.status(), &Refusal { error: error.to_string() })
+    /// Returns the response to a call that could not be read.
+    pub fn for_call_error(error: CallError) -> Response {
+        Response::new(error.status(), &ErrorBody { error: error.to_string() })
     }
 
-    fn to_unrouted(error: RouteError) -> Answer {
-        let refusal = Refusal { error: error.to_string() };
+    fn for_route_error(error: RouteError) -> Response {
+        let body = ErrorBody { error: error.to_string() };
         match error {
-            RouteError::UnknownPath => Answer::new(Status::NotFound, &refusal),
+            RouteError::UnknownPath => Response::new(Status::NotFound, &body),
             RouteError::WrongMethod { allowed } => {
-                Answer { allow: Some(allowed), ..Answer::new(Status::MethodNotAllowed, &refusal) }
+                Response { allow: Some(allowed), ..Response::new(Status::MethodNotAllowed, &body) }
             }
         }
     }
 
-    /// Returns the answer as bytes.
+    /// Returns the response as bytes on the wire.
     pub fn encode(&self) -> Vec<u8> {
         let allow = self.allow.map_or(String::new(), |method| format!("{}: {method}\r\n", protocol::ALLOW));
         let head = format!(
@@ -72,22 +73,22 @@
     }
 }
 
-/// Carries a call out and returns its answer.
-pub fn answer_call(call: &Call, status: &ServingStatus) -> Answer {
+/// Executes a call and returns its response.
+pub fn respond(call: &Call, status: &ServingStatus) -> Response {
     match protocol::find_operation(&call.method, &call.target) {
         Ok(Operation::Ready) => {
             let ready = status.is_ready();
-            let code = if ready { Status::Ok } else { Status::ServiceUnavailable };
-            Answer::new(code, &Readiness { ready })
+            let http_status = if ready { Status::Ok } else { Status::ServiceUnavailable };
+            Response::new(http_status, &ReadinessBody { ready })
         }
-        Ok(Operation::Telemetry) => Answer::new(Status::Ok, &status.figures()),
+        Ok(Operation::Telemetry) => Response::new(Status::Ok, &status.figures()),
         Ok(Operation::Evacuate) => set_evacuated(status, true),
         Ok(Operation::Rejoin) => set_evacuated(status, false),
-        Err(error) => Answer::to_unrouted(error),
+        Err(error) => Response::for_route_error(error),
     }
 }
 
-fn set_evacuated(status: &ServingStatus, evacuated: bool) -> Answer {
+fn set_evacuated(status: &ServingStatus, evacuated: bool) -> Response {
     status.set_evacuated(evacuated);
-    Answer::new(Status::Ok, &Evacuation { evacuated })
+    Response::new(Status::Ok, &EvacuationBody { evacuated })
 }
--- a/src/server/control/body.rs
+++ b/src/server/control/body.rs
@@ -1,34 +1,36 @@
-//! The body of a call, which is read to its end and not kept.
+//! Decoder of the body of a call, which is read to its end and discarded.
 
 use super::error::CallError;
 use super::protocol;
 use httparse::Header;
 
-/// The most bytes of a body, with the framing of its chunks.
+/// Largest size of a body, including the framing of its chunks, bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024;
 
-/// Finds the end of a body.
+/// Decoder that finds the end of a body.
 #[derive(Debug)]
 pub(super) enum BodyDecoder {
-    /// A body of a stated length.
+    /// A body whose length the head states.
     Sized {
-        /// Bytes to come.
+        /// Number of bytes that have not been read.
         remaining: usize,
     },
-    /// A body in chunks.
+    /// A body with chunked encoding.
     Chunked(ChunkDecoder),
 }
 
 impl BodyDecoder {
-    /// Returns the decoder of the body after a head with these fields.
+    /// Returns the decoder for the body that follows a head with these header fields.
     ///
     /// # Errors
-    /// If the length is not clear or too great, or the encoding is not read.
+    /// Returns [`CallError::UnclearLength`] if the length is not a number, several lengths differ or the head
+    /// has both a length and a transfer encoding, [`CallError::BodyTooLarge`] if the length exceeds the
+    /// limit, and [`CallError::UnsupportedEncoding`] if the encoding is not `chunked`.
     pub(super) fn for_headers(headers: &[Header<'_>]) -> Result<BodyDecoder, CallError> {
-        let mut encodings = values(headers, protocol::TRANSFER_ENCODING);
-        let mut lengths = values(headers, protocol::CONTENT_LENGTH);
-        if values(headers, protocol::EXPECT).next().is_some() {
-            // The final answer goes out in place of the interim one, and the body may stay away.
+        let mut encodings = header_values(headers, protocol::TRANSFER_ENCODING);
+        let mut lengths = header_values(headers, protocol::CONTENT_LENGTH);
+        if header_values(headers, protocol::EXPECT).next().is_some() {
+            // The final response is sent instead of `100 Continue`, so the caller may omit the body.
             return Ok(BodyDecoder::Sized { remaining: 0 });
         }
         match (encodings.next(), lengths.next()) {
@@ -44,10 +46,11 @@
         }
     }
 
-    /// Reads further bytes and returns whether the body is whole; bytes after its end are passed over.
+    /// Decodes further bytes and returns whether the body is complete. Bytes after its end are ignored.
     ///
     /// # Errors
-    /// If the body is malformed or too long.
+    /// Returns [`CallError::MalformedChunk`] if a chunk can't be read, and [`CallError::BodyTooLarge`] if the
+    /// body exceeds the limit.
     pub(super) fn feed(&mut self, bytes: &[u8]) -> Result<bool, CallError> {
         match self {
             BodyDecoder::Sized { remaining } => {
@@ -59,8 +62,8 @@
     }
 }
 
-/// Returns the values of all fields of this name.
-fn values<'a>(headers: &'a [Header<'_>], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+/// Returns the values of all header fields with this name.
+fn header_values<'a>(headers: &'a [Header<'_>], name: &'a str) -> impl Iterator<Item = &'a [u8]> {
     headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
@@ -74,32 +77,32 @@
         return Err(CallError::UnclearLength);
     }
     let text = std::str::from_utf8(digits).map_err(|_| CallError::UnclearLength)?;
-    // Digits alone fail only where the number is too great.
+    // Parsing digits fails only if the number overflows.
     let length: usize = text.parse().map_err(|_| CallError::BodyTooLarge)?;
     if length > MAX_BODY_BYTES { Err(CallError::BodyTooLarge) } else { Ok(length) }
 }
 
-/// What of a chunked body comes next.
+/// Part of a chunked body that comes next.
 #[derive(Clone, Copy, Debug, Default)]
 enum ChunkPart {
     /// The line with the size of a chunk.
     #[default]
     Size,
-    /// Bytes of a chunk.
+    /// Data of a chunk.
     Data { remaining: usize },
-    /// The end of the line after a chunk.
+    /// The line end after a chunk's data.
     DataEnd,
-    /// The lines after the last chunk, up to an empty one.
+    /// The trailer lines after the last chunk, up to an empty line.
     Trailers,
-    /// Nothing: the body is whole.
-    Nothing,
+    /// Nothing, as the body is complete.
+    Complete,
 }
 
-/// Finds the end of a body in chunks.
+/// Decoder that finds the end of a body with chunked encoding.
 #[derive(Debug, Default)]
 pub(super) struct ChunkDecoder {
     part: ChunkPart,
-    /// The line that is not whole.
+    /// Bytes of the current line, which is not complete.
     line: Vec<u8>,
     received_bytes: usize,
 }
@@ -107,7 +110,7 @@
 impl ChunkDecoder {
     fn feed(&mut self, bytes: &[u8]) -> Result<bool, CallError> {
         for byte in bytes {
-            if matches!(self.part, ChunkPart::Nothing) {
+            if matches!(self.part, ChunkPart::Complete) {
                 break;
             }
             self.received_bytes += 1;
@@ -116,10 +119,10 @@
             }
             self.part = self.next_part(*byte)?;
         }
-        Ok(matches!(self.part, ChunkPart::Nothing))
+        Ok(matches!(self.part, ChunkPart::Complete))
     }
 
-    /// Reads a byte and returns what comes next.
+    /// Decodes a byte and returns the part that comes next.
     fn next_part(&mut self, byte: u8) -> Result<ChunkPart, CallError> {
         if let ChunkPart::Data { remaining } = self.part {
             let remaining = remaining - 1;
@@ -134,16 +137,16 @@
         match self.part {
             ChunkPart::Size => parse_chunk_size(&line),
             ChunkPart::DataEnd if is_empty => Ok(ChunkPart::Size),
-            ChunkPart::Trailers if is_empty => Ok(ChunkPart::Nothing),
+            ChunkPart::Trailers if is_empty => Ok(ChunkPart::Complete),
             ChunkPart::Trailers => Ok(ChunkPart::Trailers),
-            ChunkPart::DataEnd | ChunkPart::Data { .. } | ChunkPart::Nothing => {
+            ChunkPart::DataEnd | ChunkPart::Data { .. } | ChunkPart::Complete => {
                 Err(CallError::MalformedChunk)
             }
         }
     }
 }
 
-/// Returns what follows the line with the size of a chunk.
+/// Parses the line with the size of a chunk, and returns the part that follows it.
 fn parse_chunk_size(line: &[u8]) -> Result<ChunkPart, CallError> {
     match httparse::parse_chunk_size(line) {
         Ok(httparse::Status::Complete((_, 0))) => Ok(ChunkPart::Trailers),
--- a/src/server/control/call.rs
+++ b/src/server/control/call.rs
@@ -1,46 +1,46 @@
-//! The parser of a call: a state machine over bytes, without I/O or clock.
+//! Incremental parser of a call, without I/O or clock.
 //!
 //! # Invariants
-//! What is read does not depend on how the bytes are split.
+//! The result does not depend on how the bytes are split into pieces.
 
 use super::body::BodyDecoder;
 use super::error::CallError;
 use httparse::{EMPTY_HEADER, Request, Status};
 
-/// The most bytes of a head.
+/// Largest size of a head, bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most fields of a head.
+/// Largest number of header fields of a head.
 const MAX_HEADERS: usize = 64;
 
-/// A call that is whole; its body is not kept.
+/// A complete call: an HTTP request to the control endpoint, without its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// The target, as it was sent.
+    /// Request target, as it was sent.
     pub target: String,
 }
 
-/// What of a call comes next.
+/// Part of a call that comes next.
 #[derive(Debug)]
 enum Part {
-    /// The head, with its bytes so far.
+    /// The head, with the bytes received so far.
     Head(Vec<u8>),
-    /// The body.
+    /// The body of a call whose head is complete.
     Body { call: Call, decoder: BodyDecoder },
-    /// Nothing: the call is whole or can't be read.
-    Nothing,
+    /// Nothing, as the call is complete or invalid.
+    End,
 }
 
-/// A head that is whole.
+/// A complete head.
 struct Head {
     call: Call,
     decoder: BodyDecoder,
-    /// Its length, bytes.
+    /// Length of the head, bytes.
     length: usize,
 }
 
-/// Reads one call from bytes in any pieces.
+/// Incremental parser of one call.
 #[derive(Debug)]
 pub struct CallParser {
     part: Part,
@@ -54,35 +54,37 @@
 }
 
 impl CallParser {
-    /// Returns whether any byte has come.
+    /// Returns whether any bytes were fed.
     pub fn is_started(&self) -> bool {
         self.is_started
     }
 
-    /// Reads further bytes, and returns the call once it is whole; bytes after its end are passed over.
+    /// Parses further bytes, and returns the call when it is complete. Bytes after its end are ignored.
     ///
     /// # Errors
-    /// If the bytes are no call or past a limit. What is fed after that is passed over.
+    /// Returns a [`CallError`] if the bytes are not a valid call or exceed a limit. Bytes fed after an error
+    /// are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Call>, CallError> {
         self.is_started |= !bytes.is_empty();
-        match std::mem::replace(&mut self.part, Part::Nothing) {
+        match std::mem::replace(&mut self.part, Part::End) {
             Part::Head(head) => self.feed_head(head, bytes),
             Part::Body { call, decoder } => self.feed_body(call, decoder, bytes),
-            Part::Nothing => Ok(None),
+            Part::End => Ok(None),
         }
     }
 
     fn feed_head(&mut self, mut head: Vec<u8>, bytes: &[u8]) -> Result<Option<Call>, CallError> {
-        let room = MAX_HEAD_BYTES - head.len();
-        let (taken, later) = bytes.split_at(room.min(bytes.len()));
-        head.extend_from_slice(taken);
-        // Only whole lines are parsed, and only once: each piece costs time for its lines, not for its bytes.
-        if taken.contains(&b'\n') {
+        let capacity = MAX_HEAD_BYTES - head.len();
+        let (head_bytes, rest) = bytes.split_at(capacity.min(bytes.len()));
+        head.extend_from_slice(head_bytes);
+        // The head is parsed only when a line is complete, so the cost of a piece depends on its lines and
+        // not on its bytes.
+        if head_bytes.contains(&b'\n') {
             if let Some(Head { call, mut decoder, length }) = parse_head(&head)? {
                 if decoder.feed(&head[length..])? {
                     return Ok(Some(call));
                 }
-                return self.feed_body(call, decoder, later);
+                return self.feed_body(call, decoder, rest);
             }
         }
         if head.len() == MAX_HEAD_BYTES {
@@ -106,12 +108,12 @@
     }
 }
 
-/// Returns the head if it is whole, by its whole lines.
+/// Parses the complete lines in `bytes`, and returns the head if all of its lines are complete.
 fn parse_head(bytes: &[u8]) -> Result<Option<Head>, CallError> {
-    let lines_end = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |at| at + 1);
+    let complete_length = bytes.iter().rposition(|byte| *byte == b'\n').map_or(0, |index| index + 1);
     let mut headers = [EMPTY_HEADER; MAX_HEADERS];
     let mut request = Request::new(&mut headers);
-    let length = match request.parse(&bytes[..lines_end]) {
+    let length = match request.parse(&bytes[..complete_length]) {
         Ok(Status::Complete(length)) => length,
         Ok(Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(CallError::HeadTooLarge),
--- a/src/server/control/connection.rs
+++ b/src/server/control/connection.rs
@@ -1,6 +1,7 @@
-//! A connection of the control endpoint: reads one call, writes its answer, and reads on until the caller closes.
+//! Connection of the control endpoint: reads one call, writes its response, and discards further bytes until
+//! the caller closes the connection.
 
-use super::answer::{Answer, answer_call};
+use super::answer::{Response, respond};
 use super::call::CallParser;
 use super::error::CallError;
 use crate::server::serving_status::ServingStatus;
@@ -9,45 +10,45 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Time from the accept to a whole call.
+/// Timeout from accepting the connection to a complete call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time in which the caller takes its answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after the answer in which the caller closes. Closing over unread bytes would reset the connection, and the
-/// caller could lose its answer.
+/// Timeout for writing the response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after the response in which the caller is expected to close the connection. Closing a socket with
+/// unread bytes would reset the connection, and the caller could lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes read after the call at most.
+/// Largest number of bytes that are read after the call.
 const MAX_LINGER_BYTES: usize = 64 * 1024;
-/// Bytes read at once.
+/// Size of the read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// What a connection waits for.
+/// Phase of a connection.
 #[derive(Debug)]
 enum Phase {
-    /// A whole call.
+    /// The call is being read.
     Receiving(CallParser),
-    /// Room for the rest of its answer.
-    Answering { answer: Vec<u8>, written: usize },
-    /// The caller's end of the connection.
+    /// The response is being written.
+    Responding { response: Vec<u8>, written: usize },
+    /// Further bytes are discarded until the caller closes the connection.
     Lingering { read_bytes: usize },
-    /// Nothing: it is over.
+    /// The connection has ended.
     Closed,
 }
 
-/// A connection of a caller.
+/// Connection of a caller.
 #[derive(Debug)]
 pub(super) struct Connection {
     stream: TcpStream,
     phase: Phase,
-    /// When the phase ends at the latest.
+    /// Deadline of the current phase.
     deadline: Instant,
 }
 
 impl Connection {
-    /// Returns the connection of a caller that was accepted now.
+    /// Returns a connection that was accepted at `now`.
     ///
     /// # Errors
-    /// If the socket can't be set up.
+    /// Returns the [`io::Error`] if the options of the socket can't be set.
     pub(super) fn new(stream: TcpStream, now: Instant) -> io::Result<Connection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
@@ -60,39 +61,39 @@
         &self.stream
     }
 
-    /// Returns when the connection has to be advanced at the latest.
+    /// Returns the time by which the connection has to be advanced.
     pub(super) fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Returns the events that the connection waits for.
+    /// Returns the poll events that the connection waits for.
     pub(super) fn interest(&self) -> PollFlags {
         match self.phase {
-            Phase::Answering { .. } => PollFlags::OUT,
+            Phase::Responding { .. } => PollFlags::OUT,
             Phase::Receiving(_) | Phase::Lingering { .. } | Phase::Closed => PollFlags::IN,
         }
     }
 
-    /// Returns whether an answer is on its way to the caller.
-    pub(super) fn owes_answer(&self) -> bool {
-        matches!(self.phase, Phase::Answering { .. })
+    /// Returns whether the response is being written.
+    pub(super) fn is_responding(&self) -> bool {
+        matches!(self.phase, Phase::Responding { .. })
     }
 
-    /// Returns whether the connection is over.
+    /// Returns whether the connection has ended.
     pub(super) fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
-    /// Does all that can be done without waiting.
+    /// Makes all progress that is possible without blocking.
     pub(super) fn advance(&mut self, now: Instant, status: &ServingStatus) {
         loop {
-            let step = match &self.phase {
+            let result = match &self.phase {
                 Phase::Receiving(_) => self.receive(now, status),
-                Phase::Answering { .. } => self.write_answer(now),
+                Phase::Responding { .. } => self.write_response(now),
                 Phase::Lingering { .. } => self.linger(),
                 Phase::Closed => return,
             };
-            match step {
+            match result {
                 Ok(()) => {}
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock && now < self.deadline => return,
@@ -102,17 +103,17 @@
         }
     }
 
-    /// Ends the phase, whose time is up.
+    /// Ends the current phase after its deadline.
     fn time_out(&mut self, now: Instant) {
         match self.phase {
-            Phase::Receiving(_) => self.answer(&Answer::to_unread(CallError::TimedOut), now),
-            Phase::Answering { .. } | Phase::Lingering { .. } | Phase::Closed => self.phase = Phase::Closed,
+            Phase::Receiving(_) => self.start_response(&Response::for_call_error(CallError::TimedOut), now),
+            Phase::Responding { .. } | Phase::Lingering { .. } | Phase::Closed => self.phase = Phase::Closed,
         }
     }
 
-    fn answer(&mut self, answer: &Answer, now: Instant) {
-        self.phase = Phase::Answering { answer: answer.encode(), written: 0 };
-        self.deadline = now + ANSWER_TIMEOUT;
+    fn start_response(&mut self, response: &Response, now: Instant) {
+        self.phase = Phase::Responding { response: response.encode(), written: 0 };
+        self.deadline = now + RESPONSE_TIMEOUT;
     }
 
     fn receive(&mut self, now: Instant, status: &ServingStatus) -> io::Result<()> {
@@ -123,19 +124,19 @@
             self.phase = Phase::Closed;
             return Ok(());
         }
-        let fed = if length == 0 { Err(CallError::Truncated) } else { parser.feed(&buffer[..length]) };
-        match fed {
-            Ok(Some(call)) => self.answer(&answer_call(&call, status), now),
+        let parsed = if length == 0 { Err(CallError::Truncated) } else { parser.feed(&buffer[..length]) };
+        match parsed {
+            Ok(Some(call)) => self.start_response(&respond(&call, status), now),
             Ok(None) => {}
-            Err(error) => self.answer(&Answer::to_unread(error), now),
+            Err(error) => self.start_response(&Response::for_call_error(error), now),
         }
         Ok(())
     }
 
-    fn write_answer(&mut self, now: Instant) -> io::Result<()> {
-        let Phase::Answering { answer, written } = &mut self.phase else { return Ok(()) };
-        *written += self.stream.write(&answer[*written..])?;
-        if *written == answer.len() {
+    fn write_response(&mut self, now: Instant) -> io::Result<()> {
+        let Phase::Responding { response, written } = &mut self.phase else { return Ok(()) };
+        *written += self.stream.write(&response[*written..])?;
+        if *written == response.len() {
             self.stream.shutdown(Shutdown::Write)?;
             self.phase = Phase::Lingering { read_bytes: 0 };
             self.deadline = now + LINGER_TIMEOUT;
--- a/src/server/control/connection_table.rs
+++ b/src/server/control/connection_table.rs
@@ -1,13 +1,14 @@
-//! The open connections of the control endpoint.
+//! Table of the open connections of the control endpoint.
 //!
 //! # Invariants
-//! There are never more than the limit. A connection with an answer on its way is not closed for a new one.
+//! The number of connections never exceeds the limit. A connection that is writing its response is not
+//! evicted in favour of a new one.
 
 use super::connection::Connection;
 use crate::server::serving_status::ServingStatus;
 use std::time::Instant;
 
-/// The open connections, the oldest first.
+/// The open connections, oldest first.
 #[derive(Debug)]
 pub(super) struct ConnectionTable {
     connections: Vec<Connection>,
@@ -15,23 +16,24 @@
 }
 
 impl ConnectionTable {
-    /// Returns an empty table for at most `max_connections`.
+    /// Returns an empty table for at most `max_connections` connections.
     pub(super) fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable { connections: Vec::new(), max_connections }
     }
 
-    /// Returns the connections, the oldest first.
+    /// Returns the connections, oldest first.
     pub(super) fn connections(&self) -> &[Connection] {
         &self.connections
     }
 
-    /// Returns whether a new connection can be taken.
-    pub(super) fn can_take(&self) -> bool {
+    /// Returns whether a new connection can be accepted: there is room, or a connection that can be evicted.
+    pub(super) fn can_accept(&self) -> bool {
         self.connections.len() < self.max_connections
-            || self.connections.iter().any(|connection| !connection.owes_answer())
+            || self.connections.iter().any(|connection| !connection.is_responding())
     }
 
-    /// Advances the connections whose events came, given in the order of the table, or whose time is up.
+    /// Advances the connections that have an event or whose deadline has passed. `has_event` is in the order
+    /// of the table.
     pub(super) fn advance(&mut self, has_event: &[bool], now: Instant, status: &ServingStatus) {
         for (connection, has_event) in self.connections.iter_mut().zip(has_event) {
             if *has_event || connection.deadline() <= now {
@@ -41,10 +43,10 @@
         self.connections.retain(|connection| !connection.is_closed());
     }
 
-    /// Takes a new connection, in place of the oldest one without an answer on its way if the table is full. The new
-    /// one is dropped if there is none.
-    pub(super) fn take(&mut self, mut connection: Connection, now: Instant, status: &ServingStatus) {
-        // Its call may have come with it.
+    /// Adds a new connection. If the table is full, the oldest connection that is not writing its response is
+    /// evicted; if there is none, the new connection is dropped.
+    pub(super) fn insert(&mut self, mut connection: Connection, now: Instant, status: &ServingStatus) {
+        // The call may have arrived already.
         connection.advance(now, status);
         if connection.is_closed() || !self.make_room(now, status) {
             return;
@@ -52,14 +54,14 @@
         self.connections.push(connection);
     }
 
-    /// Closes connections until there is room for one more, and returns whether there is.
+    /// Evicts connections until there is room for one more, and returns whether there is.
     fn make_room(&mut self, now: Instant, status: &ServingStatus) -> bool {
         while self.connections.len() >= self.max_connections {
-            let oldest = self.connections.iter().position(|connection| !connection.owes_answer());
+            let oldest = self.connections.iter().position(|connection| !connection.is_responding());
             let Some(oldest) = oldest else { return false };
-            // Its call may have come since it was last read.
+            // The call may have arrived since the connection was last read.
             self.connections[oldest].advance(now, status);
-            if !self.connections[oldest].owes_answer() {
+            if !self.connections[oldest].is_responding() {
                 self.connections.remove(oldest);
             }
         }
--- a/src/server/control/endpoint.rs
+++ b/src/server/control/endpoint.rs
@@ -1,4 +1,4 @@
-//! The control endpoint's thread.
+//! Thread of the control endpoint.
 
 use super::event_loop::EventLoop;
 use crate::server::serving_status::ServingStatus;
@@ -11,32 +11,33 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// The name of the thread, and of its failure.
+/// Name of the thread and of the task in its [`TaskFailure`].
 const THREAD_NAME: &str = "control";
 
-/// Where the endpoint listens and what it may hold.
+/// Settings of the control endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlOptions {
-    /// The address.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// The most open connections.
+    /// Largest number of open connections.
     pub max_connections: usize,
 }
 
-/// A control endpoint that runs, until it is dropped.
+/// A running control endpoint, which stops when it is dropped.
 #[derive(Debug)]
 pub struct ControlEndpoint {
     address: SocketAddr,
-    /// Closed to stop the thread.
+    /// Socket that is closed to stop the thread.
     stop: Option<UnixStream>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ControlEndpoint {
-    /// Listens on the address and starts the thread. `failures` hears of its end, unless the endpoint was dropped.
+    /// Listens on the address and starts the thread. Unless the endpoint is dropped, the end of the thread is
+    /// reported to `failures`.
     ///
     /// # Errors
-    /// If the address can't be listened on or the thread can't be started.
+    /// Returns the [`io::Error`] if listening on the address or starting the thread fails.
     pub fn start(
         options: ControlOptions,
         status: Arc<ServingStatus>,
@@ -47,8 +48,8 @@
         let listener = dunlinspread_sockets::listen(options.address)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (stop, stopped) = UnixStream::pair()?;
-        let event_loop = EventLoop::new(listener, stopped, options.max_connections, status, log.clone());
+        let (stop, stop_peer) = UnixStream::pair()?;
+        let event_loop = EventLoop::new(listener, stop_peer, options.max_connections, status, log.clone());
         info!(log, "control endpoint listening"; "control" => address.to_string());
         let work = move || run(event_loop, &failures, &log);
         let thread = std::thread::Builder::new().name(THREAD_NAME.to_owned()).spawn(work)?;
@@ -65,7 +66,7 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // A panic was reported by the thread itself.
+            // The thread has reported its own panic.
             let _ = thread.join();
         }
     }
--- a/src/server/control/error.rs
+++ b/src/server/control/error.rs
@@ -3,37 +3,37 @@
 use super::protocol::Status;
 use std::io;
 
-/// Why a call was not read.
+/// Reason why a call could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The head is no HTTP/1.x.
+    /// The head is not valid HTTP/1.x.
     #[error("head: {0}")]
     MalformedHead(httparse::Error),
-    /// The head is longer than the endpoint reads, or has more fields.
+    /// The head exceeds the limit on its size or on its number of header fields.
     #[error("head: too long")]
     HeadTooLarge,
-    /// The length of the body is no number, or is stated in more than one way.
+    /// The length of the body is not a number, or is stated in more than one way.
     #[error("body: the length is not clear")]
     UnclearLength,
-    /// The body has an encoding that is not read.
+    /// The body has a transfer encoding other than `chunked`.
     #[error("body: only `chunked` is read as an encoding")]
     UnsupportedEncoding,
-    /// A chunk of the body can't be read.
+    /// A chunk of the body is malformed.
     #[error("body: malformed chunk")]
     MalformedChunk,
-    /// The body is longer than the endpoint reads.
+    /// The body exceeds the size limit.
     #[error("body: too long")]
     BodyTooLarge,
-    /// The caller ended its side before the call was whole.
+    /// The caller closed its side of the connection before the call was complete.
     #[error("the call is not whole")]
     Truncated,
-    /// The call was not whole within the time limit.
+    /// The call was not complete within the timeout.
     #[error("the call was not whole within the time limit")]
     TimedOut,
 }
 
 impl CallError {
-    /// Returns the status of the answer.
+    /// Returns the HTTP status of the response.
     pub fn status(self) -> Status {
         match self {
             CallError::MalformedHead(_)
@@ -48,10 +48,10 @@
     }
 }
 
-/// Why the endpoint's event loop ended.
+/// Reason why the event loop of the endpoint ended.
 #[derive(Debug, thiserror::Error)]
 pub enum EventLoopError {
-    /// The system did not wait for events.
+    /// The system call that waits for events failed.
     #[error("waiting for events: {0}")]
     Wait(io::Error),
 }
--- a/src/server/control/event_loop.rs
+++ b/src/server/control/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of the control endpoint: waits for its sockets alone.
+//! Event loop of the control endpoint, which polls only the sockets of the endpoint.
 
 use super::connection::Connection;
 use super::connection_table::ConnectionTable;
@@ -13,23 +13,23 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Connections accepted in a row, before those that are open are looked at again.
+/// Largest number of connections accepted in a row before the open ones are polled again.
 const ACCEPT_BATCH: usize = 16;
-/// Time without accepting after the system refused it.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What the event loop waited for.
+/// Result of [`EventLoop::wait`].
 struct Events {
     stop_requested: bool,
-    has_caller: bool,
-    /// Whether an event came for each connection, in the order of the table.
+    has_new_connection: bool,
+    /// Whether each connection has an event, in the order of the table.
     connections: Vec<bool>,
 }
 
-/// Accepts callers and answers them until it is stopped.
+/// Event loop that accepts connections and serves their calls until it is stopped.
 pub(super) struct EventLoop {
     listener: TcpListener,
-    /// Reads an end once the loop has to stop.
+    /// Socket whose peer is closed to stop the loop.
     stop: UnixStream,
     connections: ConnectionTable,
     status: Arc<ServingStatus>,
@@ -40,7 +40,7 @@
 }
 
 impl EventLoop {
-    /// Returns the loop of a listener that does not block. It stops once the peer of `stop` is closed.
+    /// Returns the event loop of a non-blocking listener. It stops when the peer of `stop` is closed.
     pub(super) fn new(
         listener: TcpListener,
         stop: UnixStream,
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Runs until it is stopped.
+    /// Runs the loop until it is stopped.
     ///
     /// # Errors
-    /// If the system does not wait for events.
+    /// Returns [`EventLoopError::Wait`] if waiting for events fails.
     pub(super) fn run(mut self) -> Result<(), EventLoopError> {
         loop {
             let events = self.wait()?;
@@ -71,33 +71,33 @@
                 return Ok(());
             }
             self.connections.advance(&events.connections, Instant::now(), &self.status);
-            if events.has_caller {
+            if events.has_new_connection {
                 self.accept_batch();
             }
         }
     }
 
-    /// Waits for an event or a time limit.
+    /// Waits for an event or for the next deadline.
     fn wait(&mut self) -> Result<Events, EventLoopError> {
         let now = Instant::now();
         self.accept_paused_until = self.accept_paused_until.filter(|until| *until > now);
-        let listens = self.accept_paused_until.is_none() && self.connections.can_take();
+        let is_accepting = self.accept_paused_until.is_none() && self.connections.can_accept();
         let timeout =
             self.next_deadline().map(|deadline| to_timespec(deadline.saturating_duration_since(now)));
-        let listener_interest = if listens { PollFlags::IN } else { PollFlags::empty() };
+        let listener_interest = if is_accepting { PollFlags::IN } else { PollFlags::empty() };
         let mut descriptors =
             vec![PollFd::new(&self.stop, PollFlags::IN), PollFd::new(&self.listener, listener_interest)];
         let connections = self.connections.connections().iter();
         descriptors.extend(connections.map(|open| PollFd::new(open.stream(), open.interest())));
         match poll(&mut descriptors, timeout.as_ref()) {
-            // A signal came: without events, all that is due is done and the wait begins anew.
+            // After a signal there are no events: the loop handles expired deadlines and waits again.
             Ok(_) | Err(Errno::INTR) => {}
             Err(error) => return Err(EventLoopError::Wait(error.into())),
         }
         let mut has_event = descriptors.iter().map(|descriptor| !descriptor.revents().is_empty());
         let stop_requested = has_event.next().unwrap_or(false);
-        let has_caller = has_event.next().unwrap_or(false) && listens;
-        Ok(Events { stop_requested, has_caller, connections: has_event.collect() })
+        let has_new_connection = has_event.next().unwrap_or(false) && is_accepting;
+        Ok(Events { stop_requested, has_new_connection, connections: has_event.collect() })
     }
 
     fn next_deadline(&self) -> Option<Instant> {
@@ -107,19 +107,19 @@
 
     fn accept_batch(&mut self) {
         for _ in 0..ACCEPT_BATCH {
-            if !self.connections.can_take() {
+            if !self.connections.can_accept() {
                 return;
             }
             match self.listener.accept() {
                 Ok((stream, _)) => {
                     self.accept_failed = false;
                     let now = Instant::now();
-                    // A socket that can't be set up is lost already.
+                    // Setting the options of a socket fails only if its connection is already lost.
                     let Ok(connection) = Connection::new(stream, now) else { continue };
-                    self.connections.take(connection, now, &self.status);
+                    self.connections.insert(connection, now, &self.status);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(error) if is_of_one_caller(error.kind()) => {}
+                Err(error) if affects_one_connection(error.kind()) => {}
                 Err(error) => return self.pause_accepting(&error),
             }
         }
@@ -133,13 +133,13 @@
     }
 }
 
-/// Returns whether an error of accepting concerns that caller alone.
-fn is_of_one_caller(kind: ErrorKind) -> bool {
+/// Returns whether an accept error affects only the connection that was about to be accepted.
+fn affects_one_connection(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::ConnectionAborted | ErrorKind::ConnectionReset | ErrorKind::Interrupted)
 }
 
 fn to_timespec(duration: Duration) -> Timespec {
-    // Rounded up, so that what is due then is due when the wait ends.
+    // Rounded up, so that the deadline has passed when the wait ends.
     let duration = duration + Duration::from_millis(1);
     Timespec { tv_sec: duration.as_secs() as i64, tv_nsec: i64::from(duration.subsec_nanos()) }
 }
--- a/src/server/control/mod.rs
+++ b/src/server/control/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' control endpoint: an HTTP/1.1 server on a thread of its own, one call to a connection.
+//! Control endpoint for operators: an HTTP/1.1 server on its own thread, with one call per connection.
 //!
-//! It shares only [`ServingStatus`](super::serving_status::ServingStatus) with the serving thread and never waits for
-//! that one. Its event loop is its own as well: the serving thread's I/O does not pass through it.
+//! The endpoint shares only [`ServingStatus`](super::serving_status::ServingStatus) with the serving thread
+//! and never waits for that thread. It also has its own event loop, which handles none of the serving
+//! thread's I/O.
 
 pub mod answer;
 mod body;
--- a/src/server/control/protocol.rs
+++ b/src/server/control/protocol.rs
@@ -1,48 +1,48 @@
-//! Wire words of the control endpoint, HTTP/1.1 with JSON answers: calls, status codes and headers.
+//! Wire protocol of the control endpoint, HTTP/1.1 with JSON responses: routes, status codes and headers.
 
-/// Version of an answer.
+/// HTTP version of a response.
 pub(super) const VERSION: &str = "HTTP/1.1";
-/// Method of a call that reads.
+/// Method of the calls that read.
 const GET: &str = "GET";
-/// Method of a call that changes.
+/// Method of the calls that change the status.
 const PUT: &str = "PUT";
-/// What stands before the authority in a target that is a whole URL.
+/// Prefix of the authority in a target that is an absolute URL.
 const SCHEME: &str = "http://";
-/// Header of the length of a body.
+/// Header with the length of a body.
 pub(super) const CONTENT_LENGTH: &str = "Content-Length";
-/// Header of the encoding of a body.
+/// Header with the encoding of a body.
 pub(super) const TRANSFER_ENCODING: &str = "Transfer-Encoding";
-/// The one encoding of a body that is read.
+/// The only supported encoding of a body.
 pub(super) const CHUNKED: &str = "chunked";
-/// Header of a caller that sends its body only after an interim answer.
+/// Header of a caller that sends its body only after an interim response.
 pub(super) const EXPECT: &str = "Expect";
-/// Header of the methods that a path takes.
+/// Header with the method that a path supports.
 pub(super) const ALLOW: &str = "Allow";
-/// Headers of every answer.
+/// Headers of each response.
 pub(super) const COMMON_HEADERS: &str =
     "Content-Type: application/json\r\nCache-Control: no-store\r\nConnection: close\r\n";
 
-/// What a caller asks for.
+/// Operation that a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Whether the process is ready to serve.
+    /// Reads whether the process is ready to serve.
     Ready,
-    /// The figures.
+    /// Reads the telemetry counters.
     Telemetry,
-    /// Send clients elsewhere.
+    /// Starts the evacuation: clients are directed to other servers.
     Evacuate,
-    /// Take clients again.
+    /// Ends the evacuation.
     Rejoin,
 }
 
-/// A call that the endpoint takes.
+/// Path and method of an operation.
 struct Route {
     path: &'static str,
     method: &'static str,
     operation: Operation,
 }
 
-/// All calls, each path with its one method.
+/// All routes. Each path has exactly one method.
 const ROUTES: [Route; 4] = [
     Route { path: "/api/ready", method: GET, operation: Operation::Ready },
     Route { path: "/api/telemetry", method: GET, operation: Operation::Telemetry },
@@ -50,24 +50,25 @@
     Route { path: "/api/rejoin", method: PUT, operation: Operation::Rejoin },
 ];
 
-/// Why a call that could be read is not carried out.
+/// Reason why a valid call matches no operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No such path.
+    /// The endpoint has no such path.
     #[error("no such path")]
     UnknownPath,
-    /// The path takes another method.
+    /// The path supports another method.
     #[error("the method of this path is {allowed}")]
     WrongMethod {
-        /// The method that it takes.
+        /// Method that the path supports.
         allowed: &'static str,
     },
 }
 
-/// Returns what a call of this method and target asks for. A query is not read.
+/// Returns the operation of a method and a target. The query of the target is ignored.
 ///
 /// # Errors
-/// If there is no such path, or it takes another method.
+/// Returns [`RouteError::UnknownPath`] if no operation has this path, and [`RouteError::WrongMethod`] if the
+/// path supports another method.
 pub fn find_operation(method: &str, target: &str) -> Result<Operation, RouteError> {
     let path = path_of(target);
     let route = ROUTES.iter().find(|route| route.path == path).ok_or(RouteError::UnknownPath)?;
@@ -78,40 +79,40 @@
     }
 }
 
-/// Returns the path of a target, which may be a whole URL and have a query.
+/// Returns the path of a target, which may be an absolute URL and have a query.
 fn path_of(target: &str) -> &str {
     let path = match target.strip_prefix(SCHEME) {
-        Some(rest) => rest.find('/').map_or("/", |at| &rest[at..]),
+        Some(rest) => rest.find('/').map_or("/", |index| &rest[index..]),
         None => target,
     };
     path.split('?').next().unwrap_or(path)
 }
 
-/// The status of an answer.
+/// HTTP status of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Yes, or done.
+    /// The call succeeded. For [`Operation::Ready`], the process is ready.
     Ok,
-    /// The call can't be read.
+    /// The call is malformed.
     BadRequest,
-    /// No such path.
+    /// The endpoint has no such path.
     NotFound,
-    /// The path takes another method.
+    /// The path supports another method.
     MethodNotAllowed,
-    /// The call was not whole in time.
+    /// The call was not complete within the timeout.
     RequestTimeout,
-    /// The body is too long.
+    /// The body exceeds the size limit.
     ContentTooLarge,
-    /// The head is too long.
+    /// The head exceeds the limit on its size or on its number of header fields.
     HeadTooLarge,
-    /// The body has an encoding that is not read.
+    /// The body has an unsupported encoding.
     NotImplemented,
-    /// Not ready.
+    /// The process is not ready.
     ServiceUnavailable,
 }
 
 impl Status {
-    /// Returns the code and its reason phrase, as they stand in the first line of an answer.
+    /// Returns the status code and reason phrase for the status line of a response.
     pub fn line(self) -> &'static str {
         match self {
             Status::Ok => "200 OK",
