--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -64,7 +64,7 @@
         let on_progress = move |event| {
             // A new ledger's first line is its own; the next ones bill requests.
             if matches!(&event, Progress::Durable { through, .. } if *through > 1) {
-                fault_injection::pass(PanicPoint::StoreProgress);
+                fault_injection::maybe_panic(PanicPoint::StoreProgress);
             }
             drop(progress.send_blocking(UsageMessage::StoreProgress(event)));
         };
--- a/src/daemon/log_writer.rs
+++ b/src/daemon/log_writer.rs
@@ -67,9 +67,9 @@
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
-        fault_injection::pass(PanicPoint::LogThread);
+        fault_injection::maybe_panic(PanicPoint::LogThread);
         let written = catch_unwind(AssertUnwindSafe(|| {
-            fault_injection::pass(PanicPoint::LogLine);
+            fault_injection::maybe_panic(PanicPoint::LogLine);
             // Standard error may be closed or its disk full, now and not later.
             let _ = self.writer.borrow().log(record, values);
         }));
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -66,7 +66,7 @@
                 continue;
             }
         };
-        fault_injection::pass(PanicPoint::SignalReceived);
+        fault_injection::maybe_panic(PanicPoint::SignalReceived);
         if sender.send(signal).await.is_err() {
             return;
         }
--- a/src/server/control/answer.rs
+++ b/src/server/control/answer.rs
@@ -81,7 +81,7 @@
             let http_status = if ready { Status::Ok } else { Status::ServiceUnavailable };
             Response::new(http_status, &ReadinessBody { ready })
         }
-        Ok(Operation::Telemetry) => Response::new(Status::Ok, &status.figures()),
+        Ok(Operation::Telemetry) => Response::new(Status::Ok, &status.telemetry_snapshot()),
         Ok(Operation::Evacuate) => set_evacuated(status, true),
         Ok(Operation::Rejoin) => set_evacuated(status, false),
         Err(error) => Response::for_route_error(error),
--- a/src/server/dispatcher/arrivals.rs
+++ b/src/server/dispatcher/arrivals.rs
@@ -14,7 +14,7 @@
 impl Dispatcher {
     /// Takes a request in: it is decided here, or by the successor of this process.
     pub(super) fn on_arrival(&mut self, mut incoming: IncomingRequest) {
-        self.status.telemetry().record_taken();
+        self.status.telemetry().record_received();
         incoming.reply.class = Some(incoming.class);
         if let Some(incoming) = self.hold_or_forward(incoming) {
             self.decide_arrival(incoming);
--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -21,7 +21,7 @@
         }
         let mut handled = 0;
         while let Some(message) = inbox.next().await {
-            fault_injection::pass_slow(SlowPoint::DispatcherMessage);
+            fault_injection::maybe_slow_down(SlowPoint::DispatcherMessage);
             self.handle_message(message);
             self.answer_due_in_handover();
             self.flush_usage();
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -222,7 +222,7 @@
         if answer_by <= self.clock.now() {
             return self.answer_unforwarded(incoming);
         }
-        self.status.telemetry().record_client_gone();
+        self.status.telemetry().record_end_without_response();
         let (request, mut reply) = forwarded_request(incoming, answer_by);
         if let Some(progress) = &reply.progress {
             progress.set_forwarded(self.clock.now());
@@ -240,7 +240,7 @@
         }
         let was_held = self.handing_over.held.remove(id).is_some();
         if was_held {
-            self.status.telemetry().record_client_gone();
+            self.status.telemetry().record_end_without_response();
         }
         was_held
     }
--- a/src/server/dispatcher/responses.rs
+++ b/src/server/dispatcher/responses.rs
@@ -63,7 +63,7 @@
         if request.run_requested {
             self.withdrawn_runs.add(request.attempt);
         }
-        self.status.telemetry().record_client_gone();
+        self.status.telemetry().record_end_without_response();
         self.bill_cancelled(id);
         self.cancel_upstream_call(id);
         self.remove_if_idle(id);
--- a/src/server/evacuation.rs
+++ b/src/server/evacuation.rs
@@ -1,37 +1,40 @@
-//! Evacuation, and the health that the server answers and reports: a state machine without I/O or clock.
+//! State machine of evacuation and of the health that the server reports and returns to queries, without I/O
+//! or clock.
 //!
 //! # Invariants
-//! - The server is healthy only while it serves, and only if the admission controller and the usage ledger say so.
-//! - A report is due at each change of that, and at nothing else.
-//! - Nothing ends a shutdown.
+//! - The server is healthy only while it serves, the admission controller considers it healthy and responses
+//!   can be billed or need no billing.
+//! - A report is due at each change of the health, and at no other time.
+//! - A shutdown is final: no input leads to another state.
 
-/// Whether the server wants clients.
+/// State of the service with regard to new clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ServiceState {
-    /// It takes clients.
+    /// The server accepts clients.
     Serving,
-    /// An operator sends its clients elsewhere; it answers them as ever.
+    /// An operator directs clients to other servers; requests are still served as usual.
     Evacuated,
-    /// It shuts down.
+    /// The server is shutting down.
     ShuttingDown,
 }
 
-/// What health depends on.
+/// An event that can change the health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum HealthInput {
-    /// An operator sends clients elsewhere.
+    /// An operator directs clients to other servers.
     Evacuate,
-    /// An operator takes clients again.
+    /// An operator ends the evacuation.
     Rejoin,
-    /// The admission controller takes the server for healthy, or not.
+    /// Whether the admission controller considers the server healthy.
     ControllerHealth(bool),
-    /// Responses can be billed or need not be, or they can't be billed.
+    /// Whether responses can be billed or need no billing.
     BillingHealth(bool),
-    /// The end of the process was requested.
+    /// A shutdown of the process was requested.
     Shutdown,
 }
 
-/// The health of the server, and what it follows from. The registry takes a new server for healthy.
+/// Health of the server and the conditions that determine it. A new server is healthy, as the registry
+/// assumes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ServiceHealth {
     state: ServiceState,
@@ -46,23 +49,23 @@
 }
 
 impl ServiceHealth {
-    /// Returns whether the server wants clients.
+    /// Returns the state of the service.
     pub fn state(&self) -> ServiceState {
         self.state
     }
 
-    /// Returns whether the admission controller takes the server for healthy.
+    /// Returns whether the admission controller considers the server healthy.
     pub fn is_controller_healthy(&self) -> bool {
         self.is_controller_healthy
     }
 
-    /// Returns the health to answer and to report.
+    /// Returns the health for queries and for reports.
     pub fn is_healthy(&self) -> bool {
         self.state == ServiceState::Serving && self.is_controller_healthy && self.can_bill
     }
 
-    /// Takes inputs that came together, and returns the health to report if a report is due. None is due for what the
-    /// health would be between two of them.
+    /// Applies inputs that arrived together, and returns the health to report if it has changed. Intermediate
+    /// changes between two of the inputs are not reported.
     #[must_use = "a report may be due"]
     pub fn on_inputs(&mut self, inputs: &[HealthInput]) -> Option<bool> {
         let before = self.is_healthy();
--- a/src/server/event_loop_lag.rs
+++ b/src/server/event_loop_lag.rs
@@ -1,28 +1,29 @@
-//! The greatest lag of the event loop that was seen lately. It has no clock and no I/O: its caller tells how late the loop
-//! came to something that was due.
+//! Decaying maximum of the event loop's lag, without clock or I/O. The caller passes in each observed lag,
+//! the delay between the due time of some work and the time at which the loop ran it.
 
-/// Time in which half of a lag is forgotten, ms.
+/// Half-life of an observed lag, ms.
 const HALF_LIFE_MS: f64 = 30_000.0;
 
-/// The greatest lag, which decays. Times are in ms of the caller's clock.
+/// The greatest observed lag, decaying exponentially. Times are in ms of the caller's clock.
 ///
 /// # Invariants
-/// What is remembered is at least each lag that was observed, halved for each half-life since, and at most the greatest.
+/// The decayed value is at least each observed lag, halved for each half-life since its observation, and at
+/// most the greatest observed lag.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventLoopLag {
     greatest_ms: f64,
-    as_of: f64,
+    observed_at: f64,
 }
 
 impl EventLoopLag {
-    /// Records that the event loop came to its work at `now`, `late_ms` after it was due.
-    pub fn observe(&mut self, now: f64, late_ms: f64) {
-        *self = EventLoopLag { greatest_ms: self.greatest_ms(now).max(late_ms), as_of: now };
+    /// Records that at `now` the event loop ran work that was due `lag_ms` earlier.
+    pub fn observe(&mut self, now: f64, lag_ms: f64) {
+        *self = EventLoopLag { greatest_ms: self.greatest_ms(now).max(lag_ms), observed_at: now };
     }
 
-    /// Returns the greatest lag, as much of it as is remembered at `now`, ms.
+    /// Returns the greatest lag, decayed to the time `now`, ms.
     pub fn greatest_ms(&self, now: f64) -> f64 {
-        let half_lives = (now - self.as_of).max(0.0) / HALF_LIFE_MS;
+        let half_lives = (now - self.observed_at).max(0.0) / HALF_LIFE_MS;
         self.greatest_ms * 0.5_f64.powf(half_lives)
     }
 }
--- a/src/server/fault_injection.rs
+++ b/src/server/fault_injection.rs
@@ -1,23 +1,25 @@
-//! Deliberate panics, stops and slowness of the process at named points, for tests that show what follows there. Without
-//! the feature `test-faults` there are none.
+//! Fault injection for tests: panics, stops and delays of the process at named points. Without the feature
+//! `test-faults` no fault is injected.
 
 use rustix::process::{Signal, getpid, kill_process};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// The variable that names the point of the panic and which pass of it panics: `store:3` for the third pass.
+/// Environment variable with the panic point and the number of the hit that panics: `store:3` is the third
+/// hit.
 const PANIC_VARIABLE: &str = "DUNLINSPREAD_PANIC_AT";
-/// The variable that names the point of the stop and which pass of it stops, in the same form.
+/// Environment variable with the stop point and the number of the hit that stops, in the same format.
 const STOP_VARIABLE: &str = "DUNLINSPREAD_STOP_AT";
-/// The variable that names the points that are slow and what each pass of them costs: `message:1000us,decision:200us`.
+/// Environment variable with the slow points and the processor time that each hit costs:
+/// `message:1000us,decision:200us`.
 const SLOW_VARIABLE: &str = "DUNLINSPREAD_SLOW_AT";
-/// The unit of a cost in that variable.
+/// Unit suffix of the costs in [`SLOW_VARIABLE`].
 const COST_UNIT: &str = "us";
-/// Time within which a signal of the process to itself takes effect.
-const SIGNAL_TIME: Duration = Duration::from_millis(5);
+/// Time within which a signal that the process sends to itself takes effect.
+const SIGNAL_DELIVERY_TIME: Duration = Duration::from_millis(5);
 
-/// A place in the program that can be made to panic.
+/// A point in the program at which a panic can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PanicPoint {
     /// The task of a connection has read bytes.
@@ -26,15 +28,15 @@
     UpstreamConnect,
     /// The task of an upstream call has written its request.
     UpstreamRequestSent,
-    /// The export worker found a request of an operator.
+    /// The export worker found an operator's request.
     ExportWorkerRequest,
     /// The store's writer reports lines that bill requests.
     StoreProgress,
-    /// The signals' thread has received a signal.
+    /// The signal thread has received a signal.
     SignalReceived,
-    /// The log's thread writes a line.
+    /// The log thread writes a line.
     LogLine,
-    /// The log's thread hands a line to its writer, outside all that is caught there.
+    /// The log thread passes a line to its writer, outside the code whose panics it catches.
     LogThread,
 }
 
@@ -53,18 +55,18 @@
     }
 }
 
-/// A place in the program at which the process can be made to stop until it is continued.
+/// A point in the program at which the process can be stopped until it receives `SIGCONT`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopPoint {
-    /// A connection was accepted, and nothing is read from it yet.
+    /// A connection was accepted, and nothing has been read from it.
     ConnectionAccepted,
-    /// A connection to be evicted was found to have no unread bytes.
+    /// A connection that is about to be evicted was checked and has no unread bytes.
     EvictionChecked,
-    /// A connection to be closed was found to have no unread bytes.
+    /// A connection that is about to be closed was checked and has no unread bytes.
     CloseChecked,
-    /// A request was read, and the dispatcher does not have it yet.
+    /// A request was read and has not reached the dispatcher.
     RequestRead,
-    /// A response was decided, and nothing of it is written yet.
+    /// The outcome of a request was decided, and none of its response has been written.
     ResponseDecided,
 }
 
@@ -80,12 +82,12 @@
     }
 }
 
-/// A place in the program that can be made to cost processor time in each pass.
+/// A point in the program at which each hit can be made to cost processor time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlowPoint {
-    /// A connection handles a message of its client, known or unknown.
+    /// A connection handles a message of its client, of a known or an unknown type.
     ClientMessage,
-    /// The dispatcher handles a message of its mailbox.
+    /// The dispatcher handles a message from its mailbox.
     DispatcherMessage,
 }
 
@@ -98,19 +100,20 @@
     }
 }
 
-/// The fault that the environment asks for.
+/// Fault that an environment variable requests.
 struct RequestedFault {
     point: String,
-    /// Which pass of the point has the fault, from 1.
-    pass: usize,
-    passes: AtomicUsize,
+    /// Number of the hit of the point at which the fault occurs, counted from 1.
+    due_hit: usize,
+    /// Number of hits of the point so far.
+    hits: AtomicUsize,
 }
 
-/// Passes a point, which panics if the environment says so.
+/// Panics at a panic point if the environment requests it.
 ///
 /// # Panics
-/// In the pass that the environment names, with the feature `test-faults` alone.
-pub fn pass(point: PanicPoint) {
+/// Panics at the hit that `DUNLINSPREAD_PANIC_AT` names, only with the feature `test-faults`.
+pub fn maybe_panic(point: PanicPoint) {
     if !cfg!(feature = "test-faults") {
         return;
     }
@@ -120,35 +123,35 @@
     assert!(!is_due, "deliberate panic at {}", point.name());
 }
 
-/// Passes a point at which the process stops if the environment says so. It goes on with `SIGCONT`.
-pub fn pass_stop(point: StopPoint) {
+/// Stops the process at a stop point if the environment requests it. `SIGCONT` resumes the process.
+pub fn maybe_stop(point: StopPoint) {
     if !cfg!(feature = "test-faults") {
         return;
     }
     static REQUESTED: OnceLock<Option<RequestedFault>> = OnceLock::new();
     let requested = REQUESTED.get_or_init(|| RequestedFault::from_variable(STOP_VARIABLE));
     if requested.as_ref().is_some_and(|fault| fault.is_due_at(point.name())) {
-        // A process may always signal itself.
+        // The error is ignored: a process may always signal itself.
         let _ = kill_process(getpid(), Signal::STOP);
-        std::thread::sleep(SIGNAL_TIME);
+        std::thread::sleep(SIGNAL_DELIVERY_TIME);
     }
 }
 
-/// Passes a point that costs processor time if the environment says so: the thread is busy for that long.
-pub fn pass_slow(point: SlowPoint) {
+/// Keeps the thread busy for the configured time at a slow point if the environment requests it.
+pub fn maybe_slow_down(point: SlowPoint) {
     if !cfg!(feature = "test-faults") {
         return;
     }
     static REQUESTED: OnceLock<Vec<(String, Duration)>> = OnceLock::new();
     let requested = REQUESTED.get_or_init(|| requested_costs(SLOW_VARIABLE));
     let cost = requested.iter().find(|(name, _)| name == point.name()).map(|(_, cost)| *cost);
-    let since = Instant::now();
-    while cost.is_some_and(|cost| since.elapsed() < cost) {
+    let started_at = Instant::now();
+    while cost.is_some_and(|cost| started_at.elapsed() < cost) {
         std::hint::spin_loop();
     }
 }
 
-/// Returns the points that are slow, by their names, and what a pass of each costs.
+/// Returns the names of the requested slow points and the processor time that each hit of them costs.
 fn requested_costs(variable: &str) -> Vec<(String, Duration)> {
     let text = std::env::var(variable).unwrap_or_default();
     let parse = |item: &str| {
@@ -162,16 +165,16 @@
 impl RequestedFault {
     fn from_variable(variable: &str) -> Option<RequestedFault> {
         let text = std::env::var(variable).ok()?;
-        let (point, pass) = text.split_once(':')?;
+        let (point, due_hit) = text.split_once(':')?;
         Some(RequestedFault {
             point: point.to_owned(),
-            pass: pass.parse().ok()?,
-            passes: AtomicUsize::new(0),
+            due_hit: due_hit.parse().ok()?,
+            hits: AtomicUsize::new(0),
         })
     }
 
-    /// Counts a pass of this point, and returns whether the fault is due in it.
+    /// Counts a hit if `point` is the requested point, and returns whether the fault is due at this hit.
     fn is_due_at(&self, point: &str) -> bool {
-        self.point == point && self.passes.fetch_add(1, Ordering::Relaxed) + 1 == self.pass
+        self.point == point && self.hits.fetch_add(1, Ordering::Relaxed) + 1 == self.due_hit
     }
 }
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -114,7 +114,7 @@
             if self.is_held_open(now, CloseCause::TimeLimit) {
                 return;
             }
-            fault_injection::pass_stop(StopPoint::CloseChecked);
+            fault_injection::maybe_stop(StopPoint::CloseChecked);
         }
         let transition = self.state.borrow_mut().advance(now, self.response_owed(), policy);
         self.carry_out(transition);
@@ -126,7 +126,7 @@
         if self.is_held_open(now, CloseCause::Eviction) {
             return false;
         }
-        fault_injection::pass_stop(StopPoint::EvictionChecked);
+        fault_injection::maybe_stop(StopPoint::EvictionChecked);
         let transition = self.state.borrow_mut().evict(now);
         self.carry_out(transition);
         true
--- a/src/server/frontend/connection_table.rs
+++ b/src/server/frontend/connection_table.rs
@@ -93,7 +93,7 @@
             })
         };
         self.entries.insert(self.last_number, Entry { connection, _task: task });
-        fault_injection::pass_stop(StopPoint::ConnectionAccepted);
+        fault_injection::maybe_stop(StopPoint::ConnectionAccepted);
         if !self.is_tight() {
             return;
         }
--- a/src/server/frontend/reader.rs
+++ b/src/server/frontend/reader.rs
@@ -43,7 +43,7 @@
             }
             Ok(length) => reader.decoder.feed(&buffer[..length]),
         }
-        fault_injection::pass(PanicPoint::ConnectionRead);
+        fault_injection::maybe_panic(PanicPoint::ConnectionRead);
         reader.read_at = context.clock.now();
         connection.state.borrow_mut().record_bytes_read(reader.read_at);
         reader.handle_buffered().await?;
@@ -115,7 +115,7 @@
     }
 
     async fn handle_message(&mut self, message: &Value) -> Result<(), ConnectionError> {
-        fault_injection::pass_slow(SlowPoint::ClientMessage);
+        fault_injection::maybe_slow_down(SlowPoint::ClientMessage);
         // The dispatcher closes the queue of a client that reads no responses; the writer may be stuck.
         if self.connection.is_response_queue_closed() {
             return Err(ConnectionError::ResponseQueueFull);
@@ -167,7 +167,7 @@
         let progress = self.progress_of(&request);
         request.reply.progress = Some(progress.clone());
         self.connection.open_request(message_id, OpenRequest { id: request.id, progress });
-        fault_injection::pass_stop(StopPoint::RequestRead);
+        fault_injection::maybe_stop(StopPoint::RequestRead);
         self.send(DispatcherMessage::Request(Box::new(request))).await;
     }
 
--- a/src/server/frontend/writer.rs
+++ b/src/server/frontend/writer.rs
@@ -53,7 +53,7 @@
             context.wheel.sleep(WRITE_TIMEOUT_MS).await;
             Err(ErrorKind::TimedOut.into())
         };
-        fault_injection::pass_stop(StopPoint::ResponseDecided);
+        fault_injection::maybe_stop(StopPoint::ResponseDecided);
         connection.is_writing.set(true);
         let written = or(stream.write_all(&buffer), timed_out).await;
         connection.is_writing.set(false);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,6 +1,6 @@
-//! The server around the admission controller: one thread, a task with a mailbox for each peer, for the listener and
-//! for the dispatcher. The dispatcher alone owns what becomes of a request; the other tasks carry bytes and decide
-//! nothing about one.
+//! The server around the admission controller. It runs on one thread, with a task and a mailbox each for
+//! every peer, the listener and the dispatcher. Only the dispatcher decides how a request is handled; the
+//! other tasks transfer bytes and make no such decisions.
 
 pub mod control;
 pub mod dispatcher;
--- a/src/server/name_table.rs
+++ b/src/server/name_table.rs
@@ -1,15 +1,15 @@
-//! Lookup of the positions of classes and tenants by name, in constant time.
+//! Constant-time lookup of classes and tenants by name.
 
 use std::collections::HashMap;
 
-/// The positions of a list's names.
+/// Map from the names of a list to their positions.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable {
     positions: HashMap<Box<[u8]>, usize>,
 }
 
 impl NameTable {
-    /// Returns a table of `names` in their order. Of equal names the first one is found.
+    /// Returns a table of the positions of `names`. Of equal names, the first position counts.
     pub fn new(names: &[String]) -> NameTable {
         let mut positions = HashMap::with_capacity(names.len());
         for (position, name) in names.iter().enumerate() {
@@ -18,7 +18,7 @@
         NameTable { positions }
     }
 
-    /// Returns the position of `name` in the list.
+    /// Returns the position of `name` in the list, or `None` if the list does not contain it.
     pub fn position(&self, name: &[u8]) -> Option<usize> {
         self.positions.get(name).copied()
     }
--- a/src/server/read_turns.rs
+++ b/src/server/read_turns.rs
@@ -1,5 +1,6 @@
-//! The turns in which the bytes of clients are read: in each pass of the event loop one for each connection, so that nobody
-//! reads more by sending more, and decisions, timers and responses wait for no more than that.
+//! Read turns of client connections. A connection gets one turn in each pass of the event loop, so that a
+//! client that sends more gets no more reads, and decisions, timers and responses wait for at most one turn
+//! of each connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -8,13 +9,13 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// The readers that wait for their turn, in the order in which they came.
+/// FIFO queue of the readers that wait for their turn.
 #[derive(Default)]
 pub struct ReadTurns {
     waiting: RefCell<VecDeque<Rc<WaitingReader>>>,
 }
 
-/// A reader that waits.
+/// A reader in the queue.
 #[derive(Default)]
 struct WaitingReader {
     is_granted: Cell<bool>,
@@ -22,7 +23,7 @@
 }
 
 impl WaitingReader {
-    /// Returns whether the wait was dropped, so that the queue alone holds it.
+    /// Returns whether the [`ReadTurn`] was dropped, which leaves the queue as the only owner of the reader.
     fn is_abandoned(self: &Rc<Self>) -> bool {
         Rc::strong_count(self) == 1
     }
@@ -36,14 +37,14 @@
 }
 
 impl ReadTurns {
-    /// Returns a future that completes when it is the caller's turn.
+    /// Enqueues the caller and returns a future that completes when its turn is granted.
     pub fn next(&self) -> ReadTurn {
         let reader = Rc::new(WaitingReader::default());
         self.waiting.borrow_mut().push_back(reader.clone());
         ReadTurn { reader }
     }
 
-    /// Gives a turn to the readers that have waited longest, so many at most, and returns their number.
+    /// Grants up to `turns` turns, to the readers that have waited longest, and returns the number granted.
     pub fn grant(&self, turns: usize) -> usize {
         let mut granted = 0;
         while granted < turns {
@@ -56,13 +57,13 @@
         granted
     }
 
-    /// Returns whether no reader waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.waiting.borrow().is_empty()
     }
 }
 
-/// A future that completes when it is the reader's turn.
+/// A future that completes when the reader's turn is granted.
 pub struct ReadTurn {
     reader: Rc<WaitingReader>,
 }
--- a/src/server/registry.rs
+++ b/src/server/registry.rs
@@ -1,8 +1,8 @@
 //! Health reports to the registry.
 //!
-//! One report is made every half second, whatever became of those before it, and one at once when health changes.
-//! Each report has a time limit of its own, well under the time after which the registry's entry lapses; a report that
-//! hangs does not delay the next one.
+//! A report is sent every half second, independently of the results of earlier reports, and immediately when
+//! health changes. Each report has its own timeout, well below the time after which the registry's entry
+//! expires, so that a hanging report does not delay the next one.
 
 use crate::codec::http;
 use crate::server::messages::RegistryMessage;
@@ -20,37 +20,38 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// Time from the start of one report to that of the next, ms: of the six in the 3 s after which the entry lapses, five may
-/// fail.
+/// Interval between the starts of two reports, ms. The registry's entry expires after 3 s, so that five of
+/// six reports may fail.
 const REPORT_PERIOD_MS: f64 = 500.0;
-/// Delay before the next report after one that failed, ms, if that is sooner.
-const RETRY_MS: f64 = 100.0;
-/// Time limit of a report, ms: half the time to the lapse, for a slow registry. The next ones are made meanwhile.
+/// Delay of the next report after a failed one, ms, if the regular report is not due earlier.
+const RETRY_DELAY_MS: f64 = 100.0;
+/// Timeout of a report, ms: half the expiry time of the entry, to tolerate a slow registry. Further reports
+/// are sent meanwhile.
 const REPORT_TIMEOUT_MS: f64 = 1500.0;
-/// Age past which a connection is not used again, ms. The process at its other end may reply though it is the registry no
-/// longer; a new connection shows that before the entry lapses.
+/// Age from which a connection is not reused, ms. Its peer may still reply although it no longer is the
+/// registry; a new connection detects this before the entry expires.
 const MAX_CONNECTION_AGE_MS: f64 = 2000.0;
-/// Bytes read at once.
+/// Size of the read buffer, bytes.
 const READ_BUFFER_BYTES: usize = 2048;
 
-/// Wire words of a report, HTTP/1.1 with a JSON body.
+/// Wire format of a report, HTTP/1.1 with a JSON body.
 mod protocol {
     /// Method of a report.
     const METHOD: &str = "PUT";
-    /// Path of a report, before the server's name.
+    /// Path prefix of a report; the server's name follows.
     const PATH_PREFIX: &str = "/catalog/register/";
-    /// Header of the form of the body.
+    /// Header with the media type of the body.
     const CONTENT_TYPE: (&str, &str) = ("Content-Type", "application/json");
-    /// Key of the health in the body.
+    /// JSON key of the health.
     const KEY_STATUS: &str = "status";
-    /// Status of a healthy server.
+    /// JSON value of a healthy server.
     const HEALTHY: &str = "passing";
-    /// Status of an unhealthy server.
+    /// JSON value of an unhealthy server.
     const UNHEALTHY: &str = "critical";
-    /// Status code of the reply to a report that was accepted.
+    /// HTTP status code of the reply to an accepted report.
     pub(super) const ACCEPTED: u16 = 204;
 
-    /// Returns a report as bytes.
+    /// Returns the encoded report of a server.
     pub(super) fn encode_report(server: &str, host: &str, healthy: bool) -> Vec<u8> {
         let status = if healthy { HEALTHY } else { UNHEALTHY };
         let body = format!("{{\"{KEY_STATUS}\":\"{status}\"}}");
@@ -62,7 +63,7 @@
 /// Why a report failed.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
-    /// The registry can't be reached.
+    /// The connection to the registry can't be opened.
     #[error("connecting: {0}")]
     Connect(io::Error),
     /// The report could not be written.
@@ -71,60 +72,60 @@
     /// The reply could not be read.
     #[error("reading the reply: {0}")]
     Read(io::Error),
-    /// The reply is no HTTP or past its limits.
+    /// The reply is not valid HTTP or exceeds a limit.
     #[error("reading the reply: {0}")]
     Decode(http::Error),
     /// The registry closed the connection without a reply.
-    #[error("reading the reply: closed by the registry")]
+    #[error("reading the reply: connection closed by the registry")]
     Closed,
-    /// The registry did not accept the report.
+    /// The registry rejected the report.
     #[error("the registry replied with status {0}")]
     Status(u16),
-    /// There was no reply within the time limit.
+    /// The report was not completed within its timeout.
     #[error("no reply within the time limit")]
     TimedOut,
 }
 
-/// A connection that may be used again.
-struct KeptConnection {
-    /// When it was made, ms.
-    made_at: f64,
+/// A connection that may be reused.
+struct ReusableConnection {
+    /// When the connection was opened, ms.
+    opened_at: f64,
     stream: Async<TcpStream>,
 }
 
-/// What became of a report: on success the connection, if it may be used again.
-type ReportResult = Result<Option<KeptConnection>, ReportError>;
+/// Result of a report. On success it holds the connection if that may be reused.
+type ReportResult = Result<Option<ReusableConnection>, ReportError>;
 
-/// A report on its way.
+/// A report that has not completed.
 struct PendingReport<'a> {
     started_at: f64,
     result: Pin<Box<dyn Future<Output = ReportResult> + 'a>>,
 }
 
-/// The task that reports health to the registry.
+/// Task that reports health to the registry.
 pub struct RegistryReporter {
-    /// Where the registry listens.
+    /// Address of the registry.
     pub address: SocketAddr,
-    /// The name of this server.
+    /// Name of this server in the registry.
     pub name: String,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The timers.
+    /// Timer wheel for periods and timeouts.
     pub wheel: Rc<TimerWheel>,
-    /// Whether reports are made from the start on.
+    /// Whether reports are sent. [`RegistryMessage::SetActive`] changes it.
     pub active: bool,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
 impl RegistryReporter {
-    /// Reports until the queue of messages is closed. The server is healthy at first.
+    /// Reports health until the channel of messages is closed. The server is considered healthy at first.
     pub async fn run(mut self, messages: Receiver<RegistryMessage>) {
         let mut messages = pin!(messages);
         let mut healthy = true;
-        let last_accepted = Cell::new(None);
+        let was_last_accepted = Cell::new(None);
         loop {
-            // A change interrupts all reports on their way, also those that hang.
+            // A change cancels all pending reports, including those that hang.
             let change = async {
                 loop {
                     match messages.next().await {
@@ -138,7 +139,7 @@
                 if !self.active {
                     pending().await
                 }
-                self.report_repeatedly(healthy, &last_accepted).await
+                self.report_repeatedly(healthy, &was_last_accepted).await
             };
             match or(change, reports).await {
                 Some(RegistryMessage::SetHealth(value)) => healthy = value,
@@ -149,40 +150,41 @@
         }
     }
 
-    /// Makes reports; does not return. `last_accepted` is whether the last report counted, for the log.
-    async fn report_repeatedly<T>(&self, healthy: bool, last_accepted: &Cell<Option<bool>>) -> T {
+    /// Sends reports periodically and never returns. `was_last_accepted` is the outcome that was logged last,
+    /// if any.
+    async fn report_repeatedly<T>(&self, healthy: bool, was_last_accepted: &Cell<Option<bool>>) -> T {
         let mut pending: Vec<PendingReport<'_>> = Vec::new();
-        let mut kept = None;
+        let mut reusable = None;
         let mut next_at = self.clock.now();
         let mut last_success_at = f64::NEG_INFINITY;
         loop {
             let now = self.clock.now();
             if now >= next_at {
-                let result = Box::pin(self.report(kept.take(), healthy));
+                let result = Box::pin(self.report(reusable.take(), healthy));
                 pending.push(PendingReport { started_at: now, result });
                 next_at = now + REPORT_PERIOD_MS;
             }
-            let next_due = async {
+            let next_report_due = async {
                 self.wheel.sleep(next_at - self.clock.now()).await;
                 None
             };
-            let ended = or(async { Some(next_ended(&mut pending).await) }, next_due).await;
-            let Some((started_at, result)) = ended else { continue };
+            let completed = or(async { Some(next_completed(&mut pending).await) }, next_report_due).await;
+            let Some((started_at, result)) = completed else { continue };
             let now = self.clock.now();
-            // The failure of a report that hung while later ones were accepted is not logged.
+            // The failure of a report is not logged if another one was accepted since it started.
             if result.is_ok() || last_success_at < started_at {
-                self.log_change(&result, last_accepted);
+                self.log_change(&result, was_last_accepted);
             }
             match result {
-                Ok(connection) => (kept, last_success_at) = (connection, now),
-                Err(_) => next_at = next_at.min(now + RETRY_MS),
+                Ok(connection) => (reusable, last_success_at) = (connection, now),
+                Err(_) => next_at = next_at.min(now + RETRY_DELAY_MS),
             }
         }
     }
 
-    /// Logs a result that differs from the last one.
-    fn log_change(&self, result: &ReportResult, last_accepted: &Cell<Option<bool>>) {
-        if last_accepted.replace(Some(result.is_ok())) == Some(result.is_ok()) {
+    /// Logs a result if its outcome, accepted or failed, differs from the one that was logged last.
+    fn log_change(&self, result: &ReportResult, was_last_accepted: &Cell<Option<bool>>) {
+        if was_last_accepted.replace(Some(result.is_ok())) == Some(result.is_ok()) {
             return;
         }
         match result {
@@ -192,27 +194,29 @@
         }
     }
 
-    /// Makes one report within its time limit.
-    async fn report(&self, kept: Option<KeptConnection>, healthy: bool) -> ReportResult {
+    /// Sends one report and waits for its reply, within the timeout.
+    async fn report(&self, reusable: Option<ReusableConnection>, healthy: bool) -> ReportResult {
         let timed_out = async {
             self.wheel.sleep(REPORT_TIMEOUT_MS).await;
             Err(ReportError::TimedOut)
         };
-        let is_fresh = |kept: &KeptConnection| self.clock.now() - kept.made_at < MAX_CONNECTION_AGE_MS;
-        let kept = kept.filter(is_fresh);
-        let is_reused = kept.is_some();
+        let is_fresh =
+            |reusable: &ReusableConnection| self.clock.now() - reusable.opened_at < MAX_CONNECTION_AGE_MS;
+        let reusable = reusable.filter(is_fresh);
+        let is_reused = reusable.is_some();
         let report = async {
-            let result = self.report_over(kept, healthy).await;
-            // The registry may have closed a kept connection since; a report can safely be made twice.
-            if is_reused && result.is_err() { self.report_over(None, healthy).await } else { result }
+            let result = self.report_on(reusable, healthy).await;
+            // The registry may have closed a reused connection meanwhile. Reports are idempotent and can be
+            // repeated.
+            if is_reused && result.is_err() { self.report_on(None, healthy).await } else { result }
         };
         or(report, timed_out).await
     }
 
-    /// Makes one report over a kept connection, or over a new one.
-    async fn report_over(&self, kept: Option<KeptConnection>, healthy: bool) -> ReportResult {
-        let KeptConnection { made_at, stream } = match kept {
-            Some(kept) => kept,
+    /// Sends one report on the given connection, or on a new one if there is none, and waits for its reply.
+    async fn report_on(&self, reusable: Option<ReusableConnection>, healthy: bool) -> ReportResult {
+        let ReusableConnection { opened_at, stream } = match reusable {
+            Some(reusable) => reusable,
             None => self.connect().await?,
         };
         let _ = stream.get_ref().set_nodelay(true);
@@ -220,18 +224,18 @@
         let mut writer = &stream;
         writer.write_all(&request).await.map_err(ReportError::Write)?;
         let may_reuse = read_reply(&stream).await?;
-        Ok(may_reuse.then_some(KeptConnection { made_at, stream }))
+        Ok(may_reuse.then_some(ReusableConnection { opened_at, stream }))
     }
 
-    async fn connect(&self) -> Result<KeptConnection, ReportError> {
-        let made_at = self.clock.now();
+    async fn connect(&self) -> Result<ReusableConnection, ReportError> {
+        let opened_at = self.clock.now();
         let stream = Async::<TcpStream>::connect(self.address).await.map_err(ReportError::Connect)?;
-        Ok(KeptConnection { made_at, stream })
+        Ok(ReusableConnection { opened_at, stream })
     }
 }
 
-/// Waits for a report to end, and returns when it was started and what became of it.
-async fn next_ended(pending: &mut Vec<PendingReport<'_>>) -> (f64, ReportResult) {
+/// Waits until one of the reports completes, and returns its start time and result.
+async fn next_completed(pending: &mut Vec<PendingReport<'_>>) -> (f64, ReportResult) {
     poll_fn(|context| {
         for index in 0..pending.len() {
             if let Poll::Ready(result) = pending[index].result.as_mut().poll(context) {
@@ -243,7 +247,10 @@
     .await
 }
 
-/// Reads the reply to a report that was accepted, and returns whether the connection can be used again.
+/// Reads the reply to a report, and returns whether the connection can be reused.
+///
+/// # Errors
+/// Returns [`ReportError`] if the reply can't be read or its status is not [`protocol::ACCEPTED`].
 async fn read_reply(mut stream: &Async<TcpStream>) -> Result<bool, ReportError> {
     let mut decoder = http::Decoder::default();
     let mut buffer = vec![0; READ_BUFFER_BYTES];
--- a/src/server/repeated_lines.rs
+++ b/src/server/repeated_lines.rs
@@ -1,30 +1,31 @@
-//! Log lines that repeat: the first ones of a kind in a window are written, the further ones are counted, and their number is
-//! told when the window is over. Each kind has a window of its own, so that no kind keeps out the lines of another. A state
-//! machine without log and clock.
+//! Rate limiting of repeated log lines, as a state machine without log and clock. The first lines of a kind
+//! in a window are written, further ones are counted, and their count is logged at the end of the window.
+//! Each kind has its own window, so that no kind suppresses the lines of another.
 //!
 //! # Invariants
-//! - Every line is written or counted, and every count is told once by [`RepeatedLines::end_windows`] or
+//! - Each line is written or counted, and each count is returned once, by [`RepeatedLines::end_windows`] or
 //!   [`RepeatedLines::end_all`].
-//! - While windows are ended in time, one window of a kind has no more lines than [`LineKind::lines_per_window`], among them
-//!   the line that tells the count of the window before.
+//! - While windows are ended in time, a window of a kind has at most [`LineKind::lines_per_window`] lines,
+//!   including the line that logs the count of the previous window.
 
-/// The length of a window, ms.
+/// Length of a window, ms.
 pub const WINDOW_MS: f64 = 1000.0;
 
-/// What log lines have in common that are counted together. There are few values: none is made of what a peer sent.
+/// Kind of a log line: lines of equal kind are counted together. The values are few and never derived from
+/// what a peer sent, which bounds the number of windows.
 pub trait LineKind: Copy + PartialEq {
-    /// Returns the most lines of this kind in one window.
+    /// Returns the largest number of lines of this kind that are written in a window.
     fn lines_per_window(self) -> u32 {
         1
     }
 }
 
-/// The lines of one kind that were counted and not written.
+/// Number of suppressed lines of a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repeated<K> {
-    /// Their kind.
+    /// Kind of the lines.
     pub kind: K,
-    /// Their number, which is not 0.
+    /// Number of lines that were counted and not written; never 0.
     pub count: u64,
 }
 
@@ -32,16 +33,16 @@
 #[derive(Clone, Copy, Debug)]
 struct Window<K> {
     kind: K,
-    /// When it began, ms.
+    /// When the window began, ms.
     started_at: f64,
-    /// Lines that were written in it.
+    /// Number of lines that were written in the window.
     written: u32,
-    /// Lines that were counted and not written.
+    /// Number of lines that were counted and not written.
     repeated: u64,
 }
 
 impl<K: Copy> Window<K> {
-    /// Returns a window that begins with a line that is written.
+    /// Returns a window that begins at `now` with one written line.
     fn begin(now: f64, kind: K) -> Window<K> {
         Window { kind, started_at: now, written: 1, repeated: 0 }
     }
@@ -50,13 +51,13 @@
         self.started_at + WINDOW_MS
     }
 
-    /// Returns the lines that were not written, if there are any.
+    /// Returns the count of lines that were not written, if it is not 0.
     fn repeated(&self) -> Option<Repeated<K>> {
         (self.repeated > 0).then_some(Repeated { kind: self.kind, count: self.repeated })
     }
 }
 
-/// The windows of all kinds that had a line lately.
+/// Rate limiter of log lines, with a window for each kind that had a line recently.
 #[derive(Debug)]
 pub struct RepeatedLines<K> {
     windows: Vec<Window<K>>,
@@ -69,8 +70,8 @@
 }
 
 impl<K: LineKind> RepeatedLines<K> {
-    /// Takes a line, and returns whether it is written; if not, it is counted. The windows that are over have to be ended
-    /// before: a window takes lines until then.
+    /// Returns whether a line is to be written; if not, the line is counted. The caller has to end expired
+    /// windows first, with [`RepeatedLines::end_windows`]: a window counts lines until it is ended.
     pub fn admit(&mut self, now: f64, kind: K) -> bool {
         let Some(window) = self.windows.iter_mut().find(|window| window.kind == kind) else {
             self.windows.push(Window::begin(now, kind));
@@ -85,30 +86,31 @@
         is_written
     }
 
-    /// Ends the windows that are over, and returns what has to be told now. A kind of which something is told has its next
-    /// window at once, with the line that tells it.
+    /// Ends the expired windows, and returns the counts to be logged now. A kind with a count starts its next
+    /// window immediately, with the line that logs the count as the first one.
     pub fn end_windows(&mut self, now: f64) -> Vec<Repeated<K>> {
-        let mut told = Vec::new();
+        let mut counts = Vec::new();
         self.windows.retain_mut(|window| {
             if now < window.ends_at() {
                 return true;
             }
             let Some(repeated) = window.repeated() else { return false };
-            told.push(repeated);
+            counts.push(repeated);
             *window = Window::begin(now, window.kind);
             true
         });
-        told
+        counts
     }
 
-    /// Ends all windows, over or not, and returns what has to be told: no line follows.
+    /// Ends all windows, expired or not, and returns the counts to be logged. The caller writes no lines
+    /// after that.
     pub fn end_all(&mut self) -> Vec<Repeated<K>> {
         self.windows.drain(..).filter_map(|window| window.repeated()).collect()
     }
 
-    /// Returns when the next window ends that has something to tell, ms.
+    /// Returns the earliest end of a window with a count to be logged, ms.
     pub fn next_end(&self) -> Option<f64> {
-        let telling = self.windows.iter().filter(|window| window.repeated > 0);
-        telling.map(Window::ends_at).reduce(f64::min)
+        let with_count = self.windows.iter().filter(|window| window.repeated > 0);
+        with_count.map(Window::ends_at).reduce(f64::min)
     }
 }
--- a/src/server/request_ids.rs
+++ b/src/server/request_ids.rs
@@ -1,9 +1,9 @@
-//! The ids of requests, unique within the process and increasing over all its sources of requests.
+//! Request ids, unique within the process and increasing over all sources of requests.
 
 use crate::admission::RequestId;
 use std::cell::Cell;
 
-/// Gives out ids, the first of which is 1.
+/// Generator of consecutive ids that start at 1.
 #[derive(Debug, Default)]
 pub struct RequestIdSequence {
     last: Cell<RequestId>,
--- a/src/server/serving_status.rs
+++ b/src/server/serving_status.rs
@@ -1,42 +1,43 @@
-//! Whether the process serves, as operators see and set it.
+//! The serving status of the process that operators query and change.
 //!
-//! The flags are shared by the serving thread and the control endpoint's, each of which may read them at any time.
+//! The serving thread and the control endpoint's thread share the flags and may read them at any time.
 
 use super::telemetry::{Telemetry, TelemetrySnapshot};
 use async_channel::Sender;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The state of the process that operators ask for and change.
+/// The serving status of the process, with its telemetry.
 #[derive(Debug)]
 pub struct ServingStatus {
     telemetry: Telemetry,
     ready: AtomicBool,
     evacuated: AtomicBool,
     handed_over: AtomicBool,
-    /// Receives a message after each change of the evacuation; one that waits stands for all later ones.
-    changed: Sender<()>,
+    /// Notifies of changes of `evacuated`. A waiting message also covers later changes.
+    evacuation_changed: Sender<()>,
 }
 
 impl ServingStatus {
-    /// Returns the state of a process that is not ready. `changed` gets a message after each evacuation and its end.
-    pub fn new(class_names: &[String], changed: Sender<()>) -> Arc<ServingStatus> {
+    /// Returns the status of a process that is not ready. A message is sent to `evacuation_changed` after
+    /// each start and end of an evacuation, unless one is waiting.
+    pub fn new(class_names: &[String], evacuation_changed: Sender<()>) -> Arc<ServingStatus> {
         Arc::new(ServingStatus {
             telemetry: Telemetry::new(class_names),
             ready: AtomicBool::new(false),
             evacuated: AtomicBool::new(false),
             handed_over: AtomicBool::new(false),
-            changed,
+            evacuation_changed,
         })
     }
 
-    /// Returns the figures of the process.
+    /// Returns the counters of the process.
     pub fn telemetry(&self) -> &Telemetry {
         &self.telemetry
     }
 
-    /// Returns the figures as operators read them.
-    pub fn figures(&self) -> TelemetrySnapshot {
+    /// Returns a snapshot of the counters.
+    pub fn telemetry_snapshot(&self) -> TelemetrySnapshot {
         self.telemetry.snapshot()
     }
 
@@ -50,26 +51,26 @@
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Returns whether another process has taken over.
+    /// Returns whether another process has taken over serving.
     pub fn is_handed_over(&self) -> bool {
         self.handed_over.load(Ordering::Acquire)
     }
 
-    /// Sets whether another process has taken over.
+    /// Sets whether another process has taken over serving.
     pub fn set_handed_over(&self, handed_over: bool) {
         self.handed_over.store(handed_over, Ordering::Release);
     }
 
-    /// Returns whether clients are to be sent elsewhere.
+    /// Returns whether the server is evacuated: clients are directed to other servers.
     pub fn is_evacuated(&self) -> bool {
         self.evacuated.load(Ordering::Acquire)
     }
 
-    /// Sends clients elsewhere, or takes them again. Setting what is set has no effect.
+    /// Starts or ends the evacuation. Has no effect if the flag already has this value.
     pub fn set_evacuated(&self, evacuated: bool) {
         if self.evacuated.swap(evacuated, Ordering::AcqRel) != evacuated {
-            // A message that waits already has the flag read after this change.
-            let _ = self.changed.try_send(());
+            // If a message is waiting already, its receiver reads the flag after this change.
+            let _ = self.evacuation_changed.try_send(());
         }
     }
 }
--- a/src/server/supervisor.rs
+++ b/src/server/supervisor.rs
@@ -1,4 +1,5 @@
-//! Supervision of tasks: panics are caught and reported, and the end of a long-running task is a [`TaskFailure`].
+//! Supervision of tasks: panics are caught and reported, and the end of a long-running task is reported as a
+//! [`TaskFailure`].
 
 use async_channel::Sender;
 use futures_lite::FutureExt;
@@ -6,16 +7,16 @@
 use std::future::Future;
 use std::panic::AssertUnwindSafe;
 
-/// A panic that was caught.
+/// A caught panic.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct Panic {
-    /// The message of the panic, or a placeholder if it is not text.
+    /// Message of the panic, or a placeholder if the payload is not text.
     pub message: String,
 }
 
 impl Panic {
-    /// Returns the panic with this payload.
+    /// Returns the panic with the message of a panic payload.
     pub fn from_payload(payload: &(dyn Any + Send)) -> Self {
         let text = payload.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let message = text.or_else(|| payload.downcast_ref::<String>().cloned());
@@ -23,27 +24,27 @@
     }
 }
 
-/// The end of a task that should last as long as the process.
+/// Unexpected end of a task that should run as long as the process.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskFailure {
     /// The task panicked.
     #[error("task failed: {task} panicked: {panic}")]
     Panicked {
-        /// The name of the task.
+        /// Name of the task.
         task: &'static str,
-        /// Its panic.
+        /// Panic of the task.
         panic: Panic,
     },
-    /// The task returned.
+    /// The task returned without a panic.
     #[error("task failed: {task} ended unexpectedly")]
     Ended {
-        /// The name of the task.
+        /// Name of the task.
         task: &'static str,
     },
 }
 
 impl TaskFailure {
-    /// Returns the failure of a task that ended in this way.
+    /// Returns the failure of a task that returned or panicked.
     pub fn new(task: &'static str, end: Result<(), Panic>) -> Self {
         match end {
             Ok(()) => TaskFailure::Ended { task },
@@ -52,28 +53,30 @@
     }
 }
 
-/// Runs a future to its end. After a panic what it owned is dropped, so that nobody sees it half changed.
+/// Runs a future to completion. After a panic, the values that the future owned are dropped, so that no other
+/// code sees them in an inconsistent state.
 ///
 /// # Errors
-/// The panic, if the future panics.
+/// Returns [`Panic`] if the future panics.
 pub async fn catch_panic<T>(work: impl Future<Output = T>) -> Result<T, Panic> {
     AssertUnwindSafe(work).catch_unwind().await.map_err(|payload| Panic::from_payload(&*payload))
 }
 
-/// Runs a task that should last as long as the process, and reports its end.
+/// Runs a task that should run as long as the process, and sends a [`TaskFailure`] when it ends.
 pub async fn supervise(task: &'static str, work: impl Future<Output = ()>, failures: Sender<TaskFailure>) {
     let end = catch_panic(work).await;
-    // Without a receiver the process is at its end.
+    // Sending fails only while the process exits, when there is no receiver.
     let _ = failures.send(TaskFailure::new(task, end)).await;
 }
 
-/// Runs the work of a thread, which returns whether its end is expected; a panic or an unexpected end is reported.
+/// Runs the work of a thread, which returns whether its end is expected. Sends a [`TaskFailure`] after a
+/// panic or an unexpected end.
 pub fn supervise_thread(task: &'static str, work: impl FnOnce() -> bool, failures: &Sender<TaskFailure>) {
     let end = match std::panic::catch_unwind(AssertUnwindSafe(work)) {
         Ok(true) => return,
         Ok(false) => Ok(()),
         Err(payload) => Err(Panic::from_payload(&*payload)),
     };
-    // Without a receiver the process is at its end.
+    // Sending fails only while the process exits, when there is no receiver.
     let _ = failures.send_blocking(TaskFailure::new(task, end));
 }
--- a/src/server/task_times.rs
+++ b/src/server/task_times.rs
@@ -1,4 +1,5 @@
-//! How long the tasks of the event loop ran, by name, so that the log line of a stall says what took the time.
+//! Run times of the event loop's tasks by name, so that the log line of a stall shows which tasks took the
+//! time. A turn of a task is one poll of its future.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -6,83 +7,83 @@
 use std::pin::pin;
 use std::time::{Duration, Instant};
 
-/// The variable that has the turns of tasks timed.
+/// Environment variable that enables the timing of tasks.
 const VARIABLE: &str = "DUNLINSPREAD_TASK_TIMES";
-/// Names of tasks in the text of a report, those that took longest first.
+/// Largest number of task names in the text of a report, which lists those with the longest total time.
 const MAX_REPORTED_TASKS: usize = 5;
 
-/// The time that the tasks of one name took.
+/// Run time of all tasks with the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TaskTime {
     task: &'static str,
-    /// Turns of these tasks.
+    /// Number of turns of these tasks.
     turns: u32,
-    /// The time of all turns together.
+    /// Total time of all turns.
     total: Duration,
-    /// The time of the longest turn.
+    /// Time of the longest turn.
     longest: Duration,
 }
 
-/// The times of the tasks since the last report.
+/// Run times of the tasks since the last report or reset.
 #[derive(Debug)]
 pub struct TaskTimes {
-    /// Whether turns are timed; a reading of the clock before and after each turn has a price.
+    /// Whether turns are timed, which costs a clock reading before and after each turn.
     is_enabled: bool,
     times: RefCell<Vec<TaskTime>>,
 }
 
-/// What the tasks took from one report to the next.
+/// Run times of the tasks in one reporting interval, ordered by total time, longest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskTimeReport {
     times: Vec<TaskTime>,
 }
 
 impl TaskTimes {
-    /// Returns times that are counted if the environment asks for it.
+    /// Returns a recorder that is enabled if the environment variable `DUNLINSPREAD_TASK_TIMES` is set.
     pub fn from_environment() -> TaskTimes {
         TaskTimes::new(std::env::var_os(VARIABLE).is_some())
     }
 
-    /// Returns times that are counted if this is enabled.
+    /// Returns a recorder that times turns only if `is_enabled`.
     pub fn new(is_enabled: bool) -> TaskTimes {
         TaskTimes { is_enabled, times: RefCell::default() }
     }
 
-    /// Runs a task of this name to its end, and counts the time of each of its turns.
+    /// Runs a task to completion, and records the time of each of its turns under the name `task`.
     pub async fn measure<T>(&self, task: &'static str, work: impl Future<Output = T>) -> T {
         if !self.is_enabled {
             return work.await;
         }
         let mut work = pin!(work);
         poll_fn(|context| {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let polled = work.as_mut().poll(context);
-            self.record(task, began.elapsed());
+            self.record(task, started_at.elapsed());
             polled
         })
         .await
     }
 
-    /// Counts a turn of a task of this name.
-    pub fn record(&self, task: &'static str, took: Duration) {
+    /// Records a turn of the task named `task`.
+    pub fn record(&self, task: &'static str, elapsed: Duration) {
         let mut times = self.times.borrow_mut();
-        let known = times.iter_mut().find(|time| time.task == task);
-        match known {
+        let recorded = times.iter_mut().find(|time| time.task == task);
+        match recorded {
             Some(time) => {
                 time.turns = time.turns.saturating_add(1);
-                time.total += took;
-                time.longest = time.longest.max(took);
+                time.total += elapsed;
+                time.longest = time.longest.max(elapsed);
             }
-            None => times.push(TaskTime { task, turns: 1, total: took, longest: took }),
+            None => times.push(TaskTime { task, turns: 1, total: elapsed, longest: elapsed }),
         }
     }
 
-    /// Counts from zero again.
+    /// Clears all recorded times.
     pub fn reset(&self) {
         self.times.borrow_mut().clear();
     }
 
-    /// Returns what was counted, and counts from zero again.
+    /// Returns the recorded times, and clears them.
     pub fn take_report(&self) -> TaskTimeReport {
         let mut times = std::mem::take(&mut *self.times.borrow_mut());
         times.sort_by_key(|time| std::cmp::Reverse(time.total));
--- a/src/server/telemetry.rs
+++ b/src/server/telemetry.rs
@@ -1,29 +1,29 @@
-//! The figures of the process: counts of requests by class, runs, and requests in flight.
+//! Counters of the process: requests by class and outcome, runs, and requests in flight.
 //!
-//! The serving thread writes them and other threads read them at any time, so each figure is an atomic of its own. A
-//! snapshot is not taken at one instant: figures that change while it is taken may differ by the requests that ended
-//! meanwhile.
+//! The serving thread updates the counters and other threads read them at any time, so each counter is a
+//! separate atomic. A snapshot is not atomic: counters that change while it is taken may differ by the
+//! requests that ended meanwhile.
 //!
 //! # Invariants
-//! A request is counted once at most: as served, refused or failed where its final response leaves, and under no count if
-//! its client left before.
+//! A request is counted at most once: as served, refused or failed when its final response is sent, and not
+//! at all if it ends without a response.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// It got the result of a run.
+    /// The response is the result of a run.
     Served,
-    /// It was rejected and never ran.
+    /// The request was rejected and never ran.
     Refused,
-    /// It failed, or it was invalid.
+    /// The request failed, or it was invalid.
     Failed,
 }
 
-/// The counters of a class.
+/// Counters of a class.
 #[derive(Debug, Default)]
 struct ClassCounters {
     served: AtomicU64,
@@ -33,8 +33,8 @@
 }
 
 impl ClassCounters {
-    fn snapshot(&self) -> ClassFigures {
-        ClassFigures {
+    fn snapshot(&self) -> ClassCounts {
+        ClassCounts {
             served: self.served.load(Ordering::Relaxed),
             refused: self.refused.load(Ordering::Relaxed),
             failed: self.failed.load(Ordering::Relaxed),
@@ -43,32 +43,33 @@
     }
 }
 
-/// The figures of a process, from its start on.
+/// Counters of a process since its start.
 #[derive(Debug)]
 pub struct Telemetry {
     class_names: Vec<String>,
     classes: Vec<ClassCounters>,
-    taken: AtomicU64,
+    received: AtomicU64,
     ended: AtomicU64,
 }
 
 impl Telemetry {
-    /// Returns figures of zero for these classes.
+    /// Returns counters for these classes, all zero.
     pub fn new(class_names: &[String]) -> Telemetry {
         Telemetry {
             class_names: class_names.to_vec(),
             classes: class_names.iter().map(|_| ClassCounters::default()).collect(),
-            taken: AtomicU64::new(0),
+            received: AtomicU64::new(0),
             ended: AtomicU64::new(0),
         }
     }
 
-    /// Counts a request that was taken and has not ended.
-    pub fn record_taken(&self) {
-        self.taken.fetch_add(1, Ordering::Relaxed);
+    /// Counts a received request, which is in flight until its end is recorded.
+    pub fn record_received(&self) {
+        self.received.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts the end of a request that was taken. A class that is not listed is under no count.
+    /// Counts the end of a received request by its outcome. For an unknown class, only the request's end is
+    /// counted.
     pub fn record_end(&self, class: usize, end: RequestEnd) {
         self.ended.fetch_add(1, Ordering::Release);
         let Some(counters) = self.classes.get(class) else { return };
@@ -80,52 +81,53 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts the end of a request that was taken and whose client waits no longer.
-    pub fn record_client_gone(&self) {
+    /// Counts the end of a received request to which this process sends no response, because its client
+    /// cancelled it or disconnected or because it was forwarded to the successor.
+    pub fn record_end_without_response(&self) {
         self.ended.fetch_add(1, Ordering::Release);
     }
 
-    /// Counts a run that is handed to the worker pool.
+    /// Counts a run that is passed to the worker pool.
     pub fn record_attempt(&self, class: usize) {
         if let Some(counters) = self.classes.get(class) {
             counters.attempts.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Returns all figures.
+    /// Returns a snapshot of all counters.
     pub fn snapshot(&self) -> TelemetrySnapshot {
-        // Read before the requests taken: one that ends in between is still in flight here, and never below zero. Who
-        // reads an end sees that the request was taken, by the order of release and acquire.
+        // `ended` is read before `received`: a request that ends in between still counts as in flight, and
+        // the difference is never negative. Release and acquire ordering ensures that whoever reads an end
+        // also sees its reception.
         let ended = self.ended.load(Ordering::Acquire);
-        let taken = self.taken.load(Ordering::Acquire);
-        let figures = self.classes.iter().map(ClassCounters::snapshot);
-        let requests: BTreeMap<String, ClassFigures> =
-            self.class_names.iter().cloned().zip(figures).collect();
+        let received = self.received.load(Ordering::Acquire);
+        let counts = self.classes.iter().map(ClassCounters::snapshot);
+        let requests: BTreeMap<String, ClassCounts> = self.class_names.iter().cloned().zip(counts).collect();
         let attempts = requests.values().map(|class| class.attempts).sum();
-        TelemetrySnapshot { requests, in_flight: taken.saturating_sub(ended), attempts }
+        TelemetrySnapshot { requests, in_flight: received.saturating_sub(ended), attempts }
     }
 }
 
-/// The figures of a process at about one time, as operators read them.
+/// Snapshot of the counters of a process, as operators read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TelemetrySnapshot {
-    /// The figures of each class, by name.
-    pub requests: BTreeMap<String, ClassFigures>,
-    /// Requests that were taken and have not ended.
+    /// Counts of each class, by name.
+    pub requests: BTreeMap<String, ClassCounts>,
+    /// Number of requests that were received and have not ended.
     pub in_flight: u64,
-    /// Runs handed to the worker pool, of all classes.
+    /// Number of runs passed to the worker pool, of all classes.
     pub attempts: u64,
 }
 
-/// The figures of a class.
+/// Counts of a class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct ClassFigures {
-    /// Requests that got the result of a run.
+pub struct ClassCounts {
+    /// Number of requests whose response is the result of a run.
     pub served: u64,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub refused: u64,
-    /// Requests that failed.
+    /// Number of requests that failed or were invalid.
     pub failed: u64,
-    /// Runs handed to the worker pool.
+    /// Number of runs passed to the worker pool.
     pub attempts: u64,
 }
--- a/src/server/timer_wheel.rs
+++ b/src/server/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! The clock of the process, and the timer wheel on which all its timers lie.
+//! The clock of the process, and the timer wheel that holds all its timers.
 
 use super::event_loop_lag::EventLoopLag;
 use async_io::Timer;
@@ -9,19 +9,20 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Slots of the wheel. Timers further away than a turn share a slot with nearer ones.
+/// Number of slots of the wheel. Timers more than one revolution away share a slot with nearer ones.
 const SLOTS: u64 = 512;
-/// The shortest and the longest tick, ms.
+/// Shortest tick, ms.
 const MIN_TICK_MS: f64 = 1.0;
+/// Longest tick, ms.
 const MAX_TICK_MS: f64 = 20.0;
-/// The longest sleep, ms.
+/// Longest sleep, ms.
 const MAX_SLEEP_MS: f64 = 1e10;
 
 /// Unix time in milliseconds.
 ///
 /// # Invariants
-/// It is the system's time at the start, carried on by the monotonic clock: it never jumps, and timestamps from
-/// outside, ages and windows share one scale.
+/// The time is the system time at the start, advanced by the monotonic clock. It never jumps, and external
+/// timestamps, ages and windows share one scale.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
@@ -29,29 +30,30 @@
 }
 
 impl Clock {
-    /// Returns a clock that begins with the system's time.
+    /// Returns a clock that starts at the current system time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { started_at: Instant::now(), unix_ms_at_start: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// Returns the time, Unix milliseconds.
+    /// Returns the current time, Unix milliseconds.
     pub fn now(&self) -> f64 {
         self.unix_ms_at_start + self.started_at.elapsed().as_secs_f64() * 1000.0
     }
 }
 
-/// The waker of a sleep, shared by the sleep and the wheel; empty before the first poll and after the wake-up.
+/// Waker of a sleep, shared by the sleep and the wheel. It is empty before the first poll and after the
+/// wake-up.
 type WakerSlot = Rc<RefCell<Option<Waker>>>;
 
-/// A sleep on the wheel.
+/// Entry of the wheel for a pending sleep.
 struct Sleeper {
     tick: u64,
     waker: WakerSlot,
 }
 
 impl Sleeper {
-    /// Returns whether the sleep was dropped, so that the wheel alone holds its waker.
+    /// Returns whether the sleep was dropped, which leaves the wheel as the only owner of its waker.
     fn is_abandoned(&self) -> bool {
         Rc::strong_count(&self.waker) == 1
     }
@@ -66,20 +68,21 @@
 /// A hashed timer wheel with coarse ticks.
 ///
 /// # Invariants
-/// Nothing wakes before its tick.
+/// No sleep wakes before its tick.
 pub struct TimerWheel {
     clock: Clock,
     tick_ms: f64,
     started_at: f64,
-    /// Ticks that have passed.
+    /// Number of ticks that have passed.
     ticks: Cell<u64>,
-    /// How late the ticks came.
+    /// Delay of the ticks after their due times.
     lag: Cell<EventLoopLag>,
     slots: RefCell<Vec<Vec<Sleeper>>>,
 }
 
 impl TimerWheel {
-    /// Returns a wheel with ticks of `tick_ms`, 1 to 20 ms. Nothing wakes unless [`TimerWheel::advance`] runs.
+    /// Returns a wheel with ticks of `tick_ms`, clamped to 1 to 20 ms. Sleeps complete only while
+    /// [`TimerWheel::advance`] runs.
     pub fn new(clock: Clock, tick_ms: f64) -> Rc<Self> {
         Rc::new(TimerWheel {
             clock,
@@ -91,7 +94,8 @@
         })
     }
 
-    /// Returns a future that completes at the tick nearest to `delay_ms` from now, the next one at the earliest.
+    /// Returns a future that completes at the tick nearest to `delay_ms` from now, but not before the next
+    /// tick.
     pub fn sleep(self: &Rc<Self>, delay_ms: f64) -> Sleep {
         let elapsed_ms = self.clock.now() - self.started_at;
         let due_tick = (elapsed_ms + delay_ms.clamp(0.0, MAX_SLEEP_MS)) / self.tick_ms;
@@ -106,7 +110,7 @@
         self.clock
     }
 
-    /// Advances the wheel with the clock; it never returns.
+    /// Advances the wheel with the clock. The future never completes.
     pub async fn advance(self: Rc<Self>) {
         loop {
             let next_tick_at = self.next_tick_at();
@@ -114,14 +118,14 @@
             Timer::after(Duration::from_secs_f64(wait_ms / 1000.0)).await;
             let now = self.clock.now();
             self.observe_lag(now, now - next_tick_at);
-            let due = ((now - self.started_at) / self.tick_ms) as u64;
-            while self.ticks.get() < due {
+            let due_ticks = ((now - self.started_at) / self.tick_ms) as u64;
+            while self.ticks.get() < due_ticks {
                 self.advance_one_tick();
             }
         }
     }
 
-    /// Returns by how much a tick came late lately, at most, ms. A tick that is due and has not come counts too.
+    /// Returns the greatest recent lag of a tick, ms. An overdue tick that has not run yet is included.
     pub fn greatest_lag_ms(&self) -> f64 {
         let now = self.clock.now();
         self.lag.get().greatest_ms(now).max(now - self.next_tick_at())
@@ -131,13 +135,13 @@
         self.started_at + (self.ticks.get() + 1) as f64 * self.tick_ms
     }
 
-    fn observe_lag(&self, now: f64, late_ms: f64) {
+    fn observe_lag(&self, now: f64, lag_ms: f64) {
         let mut lag = self.lag.get();
-        lag.observe(now, late_ms);
+        lag.observe(now, lag_ms);
         self.lag.set(lag);
     }
 
-    /// Wakes what is due at the next tick, and removes abandoned sleeps from its slot.
+    /// Advances by one tick: wakes the sleeps that are due and removes abandoned ones from the tick's slot.
     fn advance_one_tick(&self) {
         let tick = self.ticks.get() + 1;
         self.ticks.set(tick);
@@ -151,7 +155,7 @@
     }
 }
 
-/// Returns the slot of a tick.
+/// Returns the index of the slot of a tick.
 fn slot(tick: u64) -> usize {
     (tick % SLOTS) as usize
 }
--- a/src/server/upstream/call.rs
+++ b/src/server/upstream/call.rs
@@ -85,7 +85,7 @@
         time_left_ms: f64,
         request_sent: &Cell<bool>,
     ) -> Result<CallResult, CallError> {
-        fault_injection::pass(PanicPoint::UpstreamConnect);
+        fault_injection::maybe_panic(PanicPoint::UpstreamConnect);
         let address = self.address.get();
         let kept = self.kept_connection(call);
         let is_reused = kept.is_some();
@@ -98,7 +98,7 @@
         request_sent.set(true);
         let mut writer = &stream;
         writer.write_all(&request).await.map_err(CallError::Write)?;
-        fault_injection::pass(PanicPoint::UpstreamRequestSent);
+        fault_injection::maybe_panic(PanicPoint::UpstreamRequestSent);
         let (reply, may_reuse) = match read_reply(&stream).await {
             Ok(reply) => reply,
             Err(error) => {
--- a/src/server/usage/operator_requests.rs
+++ b/src/server/usage/operator_requests.rs
@@ -73,7 +73,7 @@
     /// If the folder or the ledger's lines can't be read, or the program ends.
     pub(super) fn execute_all(&self, disk: &dyn Disk, link: &mut DispatcherLink) -> Result<(), ExportError> {
         for token in self.tokens()? {
-            fault_injection::pass(PanicPoint::ExportWorkerRequest);
+            fault_injection::maybe_panic(PanicPoint::ExportWorkerRequest);
             let (request_name, answer_name) = RequestFile::file_names(&token);
             let request_path = self.folder.join(request_name);
             let answer = match read_request(&request_path) {
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -34,10 +34,10 @@
     let endpoint = Endpoint::start();
     let telemetry = endpoint.status.telemetry();
     for end in [RequestEnd::Served, RequestEnd::Served, RequestEnd::Refused, RequestEnd::Failed] {
-        telemetry.record_taken();
+        telemetry.record_received();
         telemetry.record_end(0, end);
     }
-    telemetry.record_taken();
+    telemetry.record_received();
     telemetry.record_attempt(1);
     let reply = endpoint.request("GET", "/api/telemetry");
     assert_eq!(reply.status, 200);
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -1,6 +1,6 @@
 //! The figures of a process: random histories against a plain model, and reading while they are written.
 
-use dunlinspread::server::telemetry::{ClassFigures, RequestEnd, Telemetry, TelemetrySnapshot};
+use dunlinspread::server::telemetry::{ClassCounts, RequestEnd, Telemetry, TelemetrySnapshot};
 use proptest::prelude::{ProptestConfig, Strategy, prop_oneof, proptest};
 use proptest::strategy::Just;
 use std::collections::BTreeMap;
@@ -30,13 +30,13 @@
 #[derive(Default)]
 struct PlainFigures {
     in_flight: u64,
-    classes: [ClassFigures; CLASS_NAMES.len()],
+    classes: [ClassCounts; CLASS_NAMES.len()],
 }
 
 impl PlainFigures {
     fn snapshot(&self) -> TelemetrySnapshot {
         let names = CLASS_NAMES.map(str::to_owned);
-        let requests: BTreeMap<String, ClassFigures> = names.into_iter().zip(self.classes).collect();
+        let requests: BTreeMap<String, ClassCounts> = names.into_iter().zip(self.classes).collect();
         let attempts = self.classes.iter().map(|class| class.attempts).sum();
         TelemetrySnapshot { requests, in_flight: self.in_flight, attempts }
     }
@@ -73,9 +73,9 @@
 
 fn write(telemetry: &Telemetry, record: Record) {
     match record {
-        Record::Taken => telemetry.record_taken(),
+        Record::Taken => telemetry.record_received(),
         Record::End(class, end) => telemetry.record_end(class, end),
-        Record::ClientGone => telemetry.record_client_gone(),
+        Record::ClientGone => telemetry.record_end_without_response(),
         Record::Attempt(class) => telemetry.record_attempt(class),
     }
 }
@@ -111,11 +111,11 @@
     let ends = [RequestEnd::Served, RequestEnd::Refused, RequestEnd::Failed];
     for number in 0..REQUESTS_PER_WRITER as usize {
         let class = number % CLASS_NAMES.len();
-        telemetry.record_taken();
+        telemetry.record_received();
         telemetry.record_attempt(class);
         match ends.get(number % (ends.len() + 1)) {
             Some(end) => telemetry.record_end(class, *end),
-            None => telemetry.record_client_gone(),
+            None => telemetry.record_end_without_response(),
         }
     }
 }
@@ -138,7 +138,7 @@
     // While a snapshot is taken, requests may be taken that its count of ends does not know yet; never more than all.
     const MOST_IN_FLIGHT: u64 = HELD_REQUESTS + WRITERS * REQUESTS_PER_WRITER;
     let telemetry = Arc::new(telemetry());
-    (0..HELD_REQUESTS).for_each(|_| telemetry.record_taken());
+    (0..HELD_REQUESTS).for_each(|_| telemetry.record_received());
     let is_over = AtomicBool::new(false);
     let reads = std::thread::scope(|scope| {
         let reader = scope.spawn(|| {
