--- a/src/server/usage/operator_requests.rs
+++ b/src/server/usage/operator_requests.rs
@@ -76,7 +76,7 @@
     /// - [`ExportError::ShuttingDown`] if the process is shutting down.
     pub(super) fn execute_all(&self, disk: &dyn Disk, link: &mut DispatcherLink) -> Result<(), ExportError> {
         for token in self.pending_tokens()? {
-            fault_injection::pass(PanicPoint::ExportWorkerRequest);
+            fault_injection::maybe_panic(PanicPoint::ExportWorkerRequest);
             let (request_name, answer_name) = RequestFile::file_names(&token);
             let request_path = self.folder.join(request_name);
             let answer = match read_request(&request_path) {
