--- a/src/server/dispatcher/actions.rs
+++ b/src/server/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! The actions of the admission controller, carried out.
+//! Execution of the actions that the admission controller returns.
 
 use super::state::Dispatcher;
 use crate::admission::{Action, AdmissionController, RequestId};
@@ -7,7 +7,8 @@
 use slog::info;
 
 impl Dispatcher {
-    /// Carries out an action. An action for a request that is gone, or in a state that does not allow it, has no effect.
+    /// Carries out an action. It has no effect if its request was removed or is in a state that does not
+    /// allow it.
     pub(super) fn carry_out(&mut self, now: f64, action: Action) {
         match action {
             Action::Run(id) => self.run_request(id),
@@ -27,18 +28,19 @@
             Action::SetTimer { token, delay_ms } => {
                 self.schedule(delay_ms, DispatcherMessage::Timer(token));
             }
-            Action::Log(text) => self.repeating_log.controller_note(now, &text),
+            Action::Log(text) => self.repeating_log.log_controller_note(now, &text),
         }
     }
 
-    /// Reserves the key for a request until `window_end`, Unix ms, also in place of an earlier attempt.
+    /// Reserves the key of a request until `window_end`, Unix ms, replacing the reservation of an earlier
+    /// attempt.
     fn reserve_key(&mut self, id: RequestId, window_end: f64) {
         if let Some(request) = self.requests.get(id) {
             self.keys.reserve(id, request, window_end);
         }
     }
 
-    /// Releases the key that a request reserved. A run is not undone by it.
+    /// Releases the key that a request reserved. This does not affect a recorded run.
     fn release_key(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(id) {
             self.keys.release(id, request);
@@ -54,13 +56,14 @@
         self.update_health(&[HealthInput::ControllerHealth(healthy)]);
     }
 
-    /// An operator sends clients elsewhere, or takes them again: the registry hears of it at once.
+    /// Applies the start or end of an evacuation by an operator and reports the health to the registry
+    /// immediately.
     pub(super) fn on_evacuation_changed(&mut self) {
         info!(self.log, "evacuation changed"; "evacuated" => self.status.is_evacuated());
         self.refresh_health();
     }
 
     fn set_idle_timeout(&self, idle_ms: f64) {
-        self.tell_listener(ListenerMessage::SetIdleTimeout(idle_ms));
+        self.send_to_listener(ListenerMessage::SetIdleTimeout(idle_ms));
     }
 }
--- a/src/server/dispatcher/arrivals.rs
+++ b/src/server/dispatcher/arrivals.rs
@@ -1,4 +1,5 @@
-//! The arrival of requests: checks before admission, each with its early return, and the event for the controller.
+//! Arrival of requests: the checks before admission, each with an early return, and the event for the
+//! controller.
 
 use super::request::{Request, RequestKey};
 use super::state::Dispatcher;
@@ -6,13 +7,16 @@
 use crate::server::messages::{IncomingRequest, Response};
 use dunlinspread_idempotency::Lookup;
 
-/// The furthest that a received time may lie in the future, ms. One far ahead would keep its key for as long.
+/// Limit on how far in the future a receipt time may be, ms. A later one would retain its key until that
+/// time.
 const MAX_FUTURE_MS: f64 = 1000.0;
-/// Retry-After while responses can't be billed, ms: the disk is tried again several times in that time.
+/// Retry-After while responses can't be billed, ms. The ledger retries the disk several times within this
+/// delay.
 const UNBILLED_RETRY_AFTER_MS: f64 = 1000.0;
 
 impl Dispatcher {
-    /// Takes a request in: it is decided here, or by the successor of this process.
+    /// Handles a decoded request: decides on it here, or holds or forwards it for the successor of this
+    /// process.
     pub(super) fn on_arrival(&mut self, mut incoming: IncomingRequest) {
         self.status.telemetry().record_taken();
         incoming.reply.class = Some(incoming.class);
@@ -21,7 +25,7 @@
         }
     }
 
-    /// Decides on a request: it is answered at once, or enters the table and is left to the controller.
+    /// Decides on a request: answers it immediately, or adds it to the table and passes it to the controller.
     pub(super) fn decide_arrival(&mut self, mut incoming: IncomingRequest) {
         self.start_controller(None);
         let now = self.clock.now();
@@ -29,7 +33,8 @@
             progress.set_decided(now);
         }
         incoming.received_at = incoming.received_at.min(now + MAX_FUTURE_MS);
-        // Each attempt has a number of its own: a second request with it can't be told apart in the worker pool.
+        // The worker pool identifies runs by attempt number, so that a second request with the same number is
+        // invalid.
         if self.requests.id_of_attempt(incoming.attempt).is_some() {
             return self.send_response(incoming.reply, Response::Invalid);
         }
@@ -40,10 +45,11 @@
         let duplicate_of = match self.register_key(&incoming, key.as_ref()) {
             Lookup::New => None,
             Lookup::DuplicateOf(original) => Some(original),
-            // All attempts of a request have the same body. With another one it is not entitled to that run's result,
-            // and to run it would break the guarantee of the key.
+            // All attempts of a request have the same body. A request with a different body must not get the
+            // result of that run, and running it would break the guarantee of the key.
             Lookup::BodyMismatch => return self.send_response(incoming.reply, Response::Invalid),
-            // Received in the window of a run and read long after: it may not run, and the result is gone.
+            // The request was received within the window of a run but read so late that the key has expired:
+            // it must not run again, and the result is no longer stored.
             Lookup::Expired => return self.answer_unadmitted(incoming, Response::Failed),
         };
         let arrival = arrival_event(&incoming, now, duplicate_of);
@@ -51,12 +57,14 @@
         self.dispatch_event(Event::Arrival(arrival));
     }
 
-    /// Returns the end of the latest window that a run of another process may have, up to now, Unix ms.
+    /// Returns the latest time at which the window of a run that another process has started by now may end,
+    /// Unix ms.
     pub(super) fn latest_unknown_window_end(&self) -> f64 {
         self.keys.latest_window_end(self.clock.now() + MAX_FUTURE_MS)
     }
 
-    /// Returns the response to a request that finds no room or can't be billed.
+    /// Returns the response to a request for which there is no capacity or that can't be billed; `None` if
+    /// neither holds.
     fn capacity_response(&self, incoming: &IncomingRequest, key: Option<&RequestKey>) -> Option<Response> {
         let can_bill = self.can_bill();
         if can_bill && self.has_room() && key.is_none_or(|key| self.keys.has_room(key)) {
@@ -69,29 +77,29 @@
         Some(self.rejection_unless_run(incoming, key, rejection))
     }
 
-    /// Returns the rejection of a request outside the table, or a failure if this attempt or another of its key may have
-    /// run: a rejection promises that neither did.
+    /// Returns `rejection` for a request outside the table, or a failure if this attempt or another one of
+    /// its key may have run: a rejection promises that neither did.
     pub(super) fn rejection_unless_run(
         &self,
         incoming: &IncomingRequest,
         key: Option<&RequestKey>,
         rejection: Response,
     ) -> Response {
-        let ran_before = self.withdrawn_runs.contains(incoming.attempt);
+        let ran_before = self.undelivered_runs.contains(incoming.attempt);
         let may_have_run = key.is_some_and(|key| self.keys.is_in_use(key, incoming.received_at));
         if ran_before || may_have_run { Response::Failed } else { rejection }
     }
 
-    /// Registers the attempt with its key; a request without a key is new.
+    /// Registers the attempt with its key. A request without a key is always new.
     fn register_key(&mut self, incoming: &IncomingRequest, key: Option<&RequestKey>) -> Lookup {
         match key {
-            Some(key) => self.keys.arrive(key, incoming.class, incoming.id, incoming.received_at),
+            Some(key) => self.keys.register_attempt(key, incoming.class, incoming.id, incoming.received_at),
             None => Lookup::New,
         }
     }
 }
 
-/// Returns the event that reports the request to the controller.
+/// Returns the arrival event of the request for the controller.
 fn arrival_event(incoming: &IncomingRequest, now: f64, duplicate_of: Option<RequestId>) -> Arrival {
     Arrival {
         id: incoming.id,
--- a/src/server/dispatcher/billing.rs
+++ b/src/server/dispatcher/billing.rs
@@ -1,7 +1,7 @@
-//! Final responses by way of the usage ledger, if there is one.
+//! Billing of final responses in the usage ledger, if it is enabled.
 //!
 //! # Invariants
-//! No final response leaves before it is billed.
+//! No final response is sent before it is billed.
 
 use super::request::Request;
 use super::state::Dispatcher;
@@ -14,12 +14,12 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Returns whether new requests can be billed, or need not be.
+    /// Returns whether new requests can be billed, or no ledger is enabled.
     pub(super) fn can_bill(&self) -> bool {
         self.usage.as_ref().is_none_or(|usage| usage.accepts_requests())
     }
 
-    /// Sends the final response of a request, once it is billed; its run took `pool_ms`.
+    /// Sends the final response of a request once it is billed. `pool_ms` is the duration of its run.
     pub(super) fn finish(&mut self, id: RequestId, reply: ReplyHandle, response: Response, pool_ms: f64) {
         if self.usage.is_none() {
             return self.send_response(reply, response);
@@ -41,7 +41,7 @@
         self.bill(account.as_ref(), &request_usage, reply, response);
     }
 
-    /// Answers a request that does not enter the table, once it is billed.
+    /// Answers a request that was not added to the table, once the response is billed.
     pub(super) fn answer_unadmitted(&mut self, incoming: IncomingRequest, response: Response) {
         let rejected = matches!(response, Response::Rejected { .. });
         let request_usage = RequestUsage {
@@ -54,7 +54,7 @@
         self.bill(incoming.account.as_ref(), &request_usage, incoming.reply, response);
     }
 
-    /// Sends a response once it is billed, at once without a ledger.
+    /// Sends a response once it is billed, or immediately if no ledger is enabled.
     fn bill(
         &mut self,
         account: Option<&Rc<str>>,
@@ -83,7 +83,7 @@
         usage.bill_without_reply(self.clock.now(), request.account.as_ref(), &request_usage, 1);
     }
 
-    /// Bills what the run of a request used after the request itself was billed.
+    /// Bills the usage of a run that ended after its request was billed.
     pub(super) fn bill_run_after_response(&mut self, id: RequestId, pool_ms: f64) {
         let Some(usage) = &mut self.usage else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -94,7 +94,7 @@
         usage.bill_without_reply(self.clock.now(), request.account.as_ref(), &request_usage, 0);
     }
 
-    /// Handles a message of the ledger's threads.
+    /// Handles a message from the threads of the usage ledger.
     pub(super) fn on_usage_message(&mut self, message: UsageMessage) {
         let now = self.clock.now();
         self.with_usage(|usage| match message {
@@ -105,21 +105,23 @@
         });
     }
 
-    /// Advances the time of the ledger.
+    /// Advances the time of the usage ledger and schedules the next tick.
     pub(super) fn on_usage_tick(&mut self) {
         self.schedule(self.usage_tick_ms, DispatcherMessage::UsageTick);
         let now = self.clock.now();
         self.with_usage(|usage| usage.tick(now));
     }
 
-    /// Runs an operation on the ledger, and reports health if it changed whether requests can be billed.
+    /// Runs an operation on the usage ledger, and reports the health if it changed whether requests can be
+    /// billed.
     fn with_usage(&mut self, operation: impl FnOnce(&mut Billing)) {
         let Some(usage) = &mut self.usage else { return };
         operation(usage);
         self.refresh_health();
     }
 
-    /// After each message: passes new entries to the store if it is idle, and sends the responses that it released.
+    /// Passes new entries to the store if it is idle, and sends the responses that are billed. Called after
+    /// each message.
     pub(super) fn flush_usage(&mut self) {
         let Some(usage) = &mut self.usage else { return };
         usage.flush_if_due(self.clock.now());
@@ -129,16 +131,16 @@
         }
     }
 
-    /// Ends the ledger and hands over its writer.
+    /// Shuts the usage ledger down and sends its writer to `writer`.
     pub(super) fn close_usage(&mut self, writer: &Sender<Writer>) {
         if let Some(usage) = self.usage.take() {
-            // The channel has room for this one message; its receiver waits for it.
+            // The channel has capacity for this one message, and its receiver waits for it.
             let _ = writer.try_send(usage.shut_down(self.clock.now()));
         }
     }
 }
 
-/// Returns how a response to this request is billed.
+/// Returns the outcome under which a response to this request is billed.
 fn billed_outcome(response: &Response, request: &Request, is_late: bool) -> BilledOutcome {
     match response {
         Response::Completed(_) if request.degraded => BilledOutcome::Degraded,
@@ -149,7 +151,7 @@
     }
 }
 
-/// Returns the bytes of the result that a response carries.
+/// Returns the size of the result in a response, bytes.
 fn result_bytes(response: &Response) -> usize {
     match response {
         Response::Completed(result) => result.len(),
--- a/src/server/dispatcher/body_hasher.rs
+++ b/src/server/dispatcher/body_hasher.rs
@@ -1,28 +1,28 @@
-//! The hash of request bodies, by which two attempts of a key are told to be the same request.
+//! Hash of request bodies, by which two attempts with the same key are recognized as the same request.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use std::array;
 use std::hash::{BuildHasher, RandomState};
 
-/// The length of the key of a [`BodyHasher`].
+/// Length of the key of a [`BodyHasher`], bytes.
 pub const BODY_HASH_KEY_BYTES: usize = 32;
 
-/// The length of a block of SHA-256, to which HMAC pads its key with zeros.
+/// Block size of SHA-256, bytes. HMAC pads its key to this size with zeros.
 const SHA256_BLOCK_BYTES: usize = 64;
 
-/// Hashes bodies under a secret key, so that clients can't construct collisions.
+/// Hashes request bodies with a secret key, so that clients can't construct collisions.
 ///
-/// The hash is an HMAC-SHA256, cut to 64 bits. Two processes with the same key hash alike.
+/// The hash is an HMAC-SHA256, truncated to 64 bits. Two processes with the same key compute the same hashes.
 #[derive(Clone)]
 pub struct BodyHasher {
     key: [u8; BODY_HASH_KEY_BYTES],
-    /// The HMAC under the key, of no input yet.
+    /// HMAC state initialized with the key, without any input.
     mac: Hmac<Sha256>,
 }
 
 impl BodyHasher {
-    /// Returns a hasher with a key drawn at random.
+    /// Returns a hasher with a random key.
     pub fn new() -> Self {
         Self::with_key(random_key())
     }
@@ -34,12 +34,12 @@
         BodyHasher { key, mac: Hmac::new(&block.into()) }
     }
 
-    /// Returns the key.
+    /// Returns the secret key.
     pub fn key(&self) -> [u8; BODY_HASH_KEY_BYTES] {
         self.key
     }
 
-    /// Returns the hash of a body.
+    /// Returns the hash of a request body.
     pub fn hash(&self, body: &[u8]) -> u64 {
         let mut mac = self.mac.clone();
         mac.update(body);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns a key made from the random seeds that the standard library takes from the operating system.
+/// Returns a key derived from the random seeds that the standard library obtains from the operating system.
 fn random_key() -> [u8; BODY_HASH_KEY_BYTES] {
     const WORD_BYTES: usize = size_of::<u64>();
     let words: [[u8; WORD_BYTES]; BODY_HASH_KEY_BYTES / WORD_BYTES] =
--- a/src/server/dispatcher/event_loop.rs
+++ b/src/server/dispatcher/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop of the task: one message after the other.
+//! Event loop of the dispatcher task, which handles one message at a time.
 
 use super::state::Dispatcher;
 use super::timers::SWEEP_INTERVAL_MS;
@@ -9,11 +9,12 @@
 use dunlinspread_handover::PredecessorEvent;
 use futures_lite::future::yield_now;
 
-/// Messages handled before the other tasks have a turn, which write what was decided.
+/// Number of messages handled before the dispatcher yields to the other tasks, which write the resulting
+/// responses.
 const MESSAGES_PER_TURN: usize = 16;
 
 impl Dispatcher {
-    /// Handles messages until the mailbox closes.
+    /// Runs the dispatcher until its mailbox closes.
     pub async fn run(mut self, mut inbox: DispatcherInbox) {
         self.schedule(SWEEP_INTERVAL_MS, DispatcherMessage::SweepKeys);
         if self.usage.is_some() {
@@ -25,7 +26,7 @@
             self.handle_message(message);
             self.answer_due_in_handover();
             self.flush_usage();
-            self.tell_predecessor_health();
+            self.report_health_to_predecessor();
             self.notify_if_idle();
             handled += 1;
             if handled % MESSAGES_PER_TURN == 0 {
@@ -52,7 +53,7 @@
             DispatcherMessage::Drain { stop_at } => self.on_drain(stop_at),
             DispatcherMessage::Successor(message) => self.on_successor_message(message),
             DispatcherMessage::Predecessor(message) => self.on_predecessor_message(message),
-            DispatcherMessage::NotifyIdle(idle) => self.idle = Some(idle),
+            DispatcherMessage::NotifyIdle(idle) => self.idle_notifier = Some(idle),
             DispatcherMessage::Reconfigured(reconfigured) => self.on_reconfigured(*reconfigured),
             DispatcherMessage::EvacuationChanged => self.on_evacuation_changed(),
             DispatcherMessage::SweepKeys => self.on_sweep(),
@@ -62,13 +63,14 @@
         }
     }
 
-    /// Shutdown was requested. Requests that were forwarded fail at its end.
+    /// Starts the drain for a requested shutdown. Forwarded requests without a response fail when the process
+    /// stops.
     fn on_drain(&mut self, stop_at: f64) {
         self.update_health(&[HealthInput::Shutdown]);
         self.update_readiness();
         self.advance_handover(PredecessorEvent::ShutdownRequested);
-        // No successor is welcomed any more. The system accepts connections as long as any descriptor of the socket is open,
-        // and those that nobody accepts from it are lost.
+        // No successor is accepted from now on. The kernel completes connections as long as any descriptor of
+        // the listening socket is open, and connections that no process accepts are lost.
         self.handing_over.listening_socket = None;
         let fail_forwarded = DispatcherMessage::Successor(SuccessorMessage::FailForwarded);
         self.schedule(stop_at - self.clock.now(), fail_forwarded);
@@ -76,12 +78,12 @@
         self.dispatch_event(Event::Drain { stop_at });
     }
 
-    /// Tells whoever waits for it that no request is left.
+    /// Notifies the task that waits for the end of all requests, if there is one and no request is left.
     fn notify_if_idle(&mut self) {
-        if self.idle.is_some() && self.requests.len() + self.handing_over.len() == 0 {
-            if let Some(idle) = self.idle.take() {
-                self.repeating_log.tell_all_repeated();
-                // The channel has room for this one message.
+        if self.idle_notifier.is_some() && self.requests.len() + self.handing_over.waiting_count() == 0 {
+            if let Some(idle) = self.idle_notifier.take() {
+                self.repeating_log.log_all_repeated();
+                // The channel has capacity for this one message.
                 let _ = idle.try_send(());
             }
         }
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -1,10 +1,10 @@
-//! Handing over to a successor: this process is the predecessor.
+//! Handover to a successor, in which this process is the predecessor.
 //!
 //! # Invariants
-//! - While the keys are on their way, no run starts here, and what arrives is held.
-//! - After the commit this process decides on no request that arrives: all go to the successor.
+//! - While the keys are being transferred, no run starts here, and arriving requests are held.
+//! - After the commit this process does not decide on arriving requests: all are forwarded to the successor.
 
-use super::handover_records::{forwarded_request, response, sent_key, sent_run_end};
+use super::handover_records::{key_to_wire, request_to_wire, response_from_wire, run_end_to_wire};
 use super::handover_state::SuccessorHealth;
 use super::request::{ExecutionState, Request};
 use super::state::Dispatcher;
@@ -23,9 +23,9 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Lets a successor of this identity take over the listening socket.
+    /// Allows a successor with this identity to take over the listening socket.
     pub fn enable_handover(&mut self, identity: ServerIdentity, listening_socket: TcpListener) {
-        self.handing_over.machine = Predecessor::new(identity);
+        self.handing_over.state_machine = Predecessor::new(identity);
         self.handing_over.listening_socket = Some(listening_socket);
     }
 
@@ -38,13 +38,13 @@
             SuccessorMessage::Step(input) => self.advance_handover(PredecessorEvent::Received(input)),
             SuccessorMessage::Frame(frame) => self.on_successor_frame(frame),
             SuccessorMessage::Disconnected => {
-                // A link that this side closed ends without a further word to the protocol.
+                // If this side closed the link, the protocol has already handled its end.
                 if self.handing_over.successor.take().is_some() {
                     self.advance_handover(PredecessorEvent::Disconnected);
                 }
             }
-            SuccessorMessage::TimedOut(time_limit) => {
-                if time_limit == self.handing_over.time_limit {
+            SuccessorMessage::TimedOut(step_timer) => {
+                if step_timer == self.handing_over.step_timer {
                     self.advance_handover(PredecessorEvent::TimedOut);
                 }
             }
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Passes an event to the protocol and carries out what follows.
+    /// Passes an event to the handover protocol and carries out the resulting actions.
     pub(super) fn advance_handover(&mut self, event: PredecessorEvent) {
-        for action in self.handing_over.machine.on_event(event) {
+        for action in self.handing_over.state_machine.on_event(event) {
             self.carry_out_handover(action);
         }
     }
@@ -72,14 +72,14 @@
             PredecessorAction::Resume => self.resume(),
             PredecessorAction::TakeBack => self.take_back(),
             PredecessorAction::Disconnect => self.handing_over.successor = None,
-            PredecessorAction::StartTimer { ms } => self.start_time_limit(ms),
-            PredecessorAction::StopTimer => self.handing_over.time_limit += 1,
+            PredecessorAction::StartTimer { ms } => self.start_step_timer(ms),
+            PredecessorAction::StopTimer => self.handing_over.step_timer += 1,
         }
     }
 
-    fn start_time_limit(&mut self, ms: u64) {
-        self.handing_over.time_limit += 1;
-        let timed_out = SuccessorMessage::TimedOut(self.handing_over.time_limit);
+    fn start_step_timer(&mut self, ms: u64) {
+        self.handing_over.step_timer += 1;
+        let timed_out = SuccessorMessage::TimedOut(self.handing_over.step_timer);
         self.schedule(ms as f64, DispatcherMessage::Successor(timed_out));
     }
 
@@ -101,10 +101,11 @@
         self.handing_over.send_with(SuccessorFrame { message, descriptor });
     }
 
-    /// Takes all requests that have not run out of the controller's queue and holds them.
+    /// Removes all requests that have not run from the controller's queue and holds them until the transfer
+    /// ends.
     fn hold_queued_requests(&mut self) {
         info!(self.log, "handover: transfer begins"; "keys" => self.keys.len());
-        // Its timer has the requests that are held looked at.
+        // The controller's timer wakes the dispatcher, which then answers the held requests that are due.
         self.start_controller(None);
         self.dispatch_event(Event::SuspendStarts(true));
         let has_not_run = |request: &Request| {
@@ -129,19 +130,20 @@
             self.handing_over.send(ToSuccessor::KeysUnknown { until });
         }
         let mut keys = 0;
-        let records = self.keys.export(now).map(|record| sent_key(&record)).inspect(|_| keys += 1);
+        let records = self.keys.export(now).map(|record| key_to_wire(&record)).inspect(|_| keys += 1);
         for piece in snapshot_pieces(records) {
             self.handing_over.send(piece);
         }
         self.handing_over.send(ToSuccessor::SnapshotEnd { keys });
-        self.handing_over.machine.snapshot_sent(keys);
+        self.handing_over.state_machine.snapshot_sent(keys);
     }
 
-    /// The successor decides from now on.
+    /// Completes the handover: the successor decides on requests from now on, and the held requests are
+    /// forwarded.
     fn hand_over(&mut self) {
         let held_count = self.handing_over.held.len();
         let held = self.handing_over.held.take_all();
-        // What this process says itself, until the successor has told its own.
+        // Clients get the health of this process until the successor reports its own.
         let healthy = self.health.is_healthy();
         let advertised_share = self.advertised_share;
         self.handing_over.successor_health = SuccessorHealth { healthy, advertised_share };
@@ -149,15 +151,15 @@
             "running_requests" => self.requests.len());
         self.status.set_handed_over(true);
         self.update_readiness();
-        self.tell_listener(ListenerMessage::HandOver);
-        self.tell_registry(RegistryMessage::SetActive(false));
+        self.send_to_listener(ListenerMessage::HandOver);
+        self.send_to_registry(RegistryMessage::SetActive(false));
         for incoming in held {
             self.forward(incoming);
         }
         self.report_runs_in_progress();
     }
 
-    /// The transfer failed: what was held is decided here.
+    /// Continues serving after a failed transfer: the held requests are decided here.
     fn resume(&mut self) {
         warn!(self.log, "handover: given up, serving on"; "held_requests" => self.handing_over.held.len());
         let held = self.handing_over.held.take_all();
@@ -167,7 +169,8 @@
         }
     }
 
-    /// The successor ended after the commit. Which keys it ran is not known.
+    /// Resumes ownership after the successor ended after the commit. The keys that the successor ran are
+    /// unknown.
     fn take_back(&mut self) {
         warn!(self.log, "handover: successor ended, serving again";
             "forwarded_requests" => self.handing_over.forwarded.len());
@@ -176,13 +179,14 @@
         self.keys.begin_blackout(until);
         self.status.set_handed_over(false);
         self.update_readiness();
-        self.tell_listener(ListenerMessage::StartAccepting);
-        self.tell_registry(RegistryMessage::SetActive(true));
+        self.send_to_listener(ListenerMessage::StartAccepting);
+        self.send_to_registry(RegistryMessage::SetActive(true));
         self.report_health();
         self.dispatch_event(Event::SuspendStarts(false));
     }
 
-    /// Takes a request that was read. Returns it if it is to be decided here.
+    /// Holds, forwards or answers a decoded request if a handover is in progress. Returns it if it is to be
+    /// decided here.
     pub(super) fn hold_or_forward(&mut self, incoming: IncomingRequest) -> Option<IncomingRequest> {
         if !self.handing_over.is_under_way() {
             return Some(incoming);
@@ -191,7 +195,7 @@
             return Some(incoming);
         }
         if !self.has_room() && incoming.key.is_some() {
-            // A rejection would promise that no attempt of the key ran, which is not known here.
+            // A rejection would promise that no attempt of the key ran, which this process can't know.
             self.answer_unadmitted(incoming, Response::Failed);
             return None;
         }
@@ -215,7 +219,7 @@
         self.handing_over.held.insert(incoming.id, due_at, incoming);
     }
 
-    /// Passes a request on to the successor, which counts it from now on.
+    /// Forwards a request to the successor, which counts it in its own metrics from now on.
     fn forward(&mut self, incoming: IncomingRequest) {
         let due_at = self.due_at(&incoming);
         let answer_by = due_at - self.answer_lead_ms();
@@ -223,7 +227,7 @@
             return self.answer_unforwarded(incoming);
         }
         self.status.telemetry().record_client_gone();
-        let (request, mut reply) = forwarded_request(incoming, answer_by);
+        let (request, mut reply) = request_to_wire(incoming, answer_by);
         if let Some(progress) = &reply.progress {
             progress.set_forwarded(self.clock.now());
         }
@@ -232,7 +236,7 @@
         self.handing_over.send(ToSuccessor::Request(request));
     }
 
-    /// The client of a held or forwarded request is gone. Returns whether there was such a request.
+    /// Cancels a held or forwarded request whose client is gone. Returns whether there was one with this id.
     pub(super) fn cancel_held_or_forwarded(&mut self, id: RequestId) -> bool {
         if self.handing_over.forwarded.remove(id).is_some() {
             self.handing_over.send(ToSuccessor::Cancel { request: id });
@@ -249,37 +253,42 @@
         match frame {
             ToPredecessor::Response(ForwardedResponse { request, outcome, advertised_share }) => {
                 if let Some(reply) = self.handing_over.forwarded.remove(request) {
-                    pass_on(self.clock.now(), reply, response(outcome), advertised_share);
+                    send_forwarded_response(
+                        self.clock.now(),
+                        reply,
+                        response_from_wire(outcome),
+                        advertised_share,
+                    );
                 }
             }
             ToPredecessor::Health { healthy, advertised_share } => {
                 self.handing_over.successor_health = SuccessorHealth { healthy, advertised_share };
             }
-            // Steps of the protocol, which come as such.
+            // These are steps of the protocol, which arrive as `SuccessorMessage::Step`.
             ToPredecessor::Hello { .. } | ToPredecessor::RequestTransfer | ToPredecessor::Loaded { .. } => {}
         }
     }
 
-    /// Fails all forwarded requests: they may have run.
+    /// Fails all forwarded requests, because they may have run at the successor.
     fn fail_forwarded(&mut self) {
         let share = self.handing_over.successor_health.advertised_share;
         let now = self.clock.now();
         for reply in self.handing_over.forwarded.take_all() {
-            pass_on(now, reply, Response::Failed, share);
+            send_forwarded_response(now, reply, Response::Failed, share);
         }
     }
 
-    /// Tells the successor how the run of a request's key ended.
+    /// Reports to the successor how the run of a request's key ended.
     pub(super) fn report_run_end(&self, id: RequestId, run_result: &RunResult<Rc<[u8]>>) {
         if !self.handing_over.is_under_way() {
             return;
         }
         if let Some(key) = self.requests.get(id).and_then(|request| request.key.as_ref()) {
-            self.report_key_run_end(&key.key, id, sent_run_end(run_result));
+            self.report_key_run_end(&key.key, id, run_end_to_wire(run_result));
         }
     }
 
-    /// Tells the successor how the run of a key ended, which is known here under that id.
+    /// Reports to the successor how the run of a key ended. `id` is the id of that run in this process.
     pub(super) fn report_key_run_end(&self, key: &[u8], id: RequestId, run_end: RunEnd) {
         if self.handing_over.is_under_way() {
             let key = key.to_vec();
@@ -287,27 +296,34 @@
         }
     }
 
-    /// Tells the successor what still runs here, and in the process before this one.
+    /// Reports to the successor the load of the runs that continue in this process and in its own
+    /// predecessor.
     pub(super) fn report_runs_in_progress(&self) {
         if !self.handing_over.is_handed_over() {
             return;
         }
         let running = self.requests.running();
-        let before = self.taking_over.predecessor_load;
-        let memory_kb = running.request_kb * self.settings.run_memory_factor + before.memory_kb;
-        let runs = (running.count as u64).saturating_add(before.runs);
+        let predecessor_load = self.taking_over.predecessor_load;
+        let memory_kb = running.request_kb * self.settings.run_memory_factor + predecessor_load.memory_kb;
+        let runs = (running.count as u64).saturating_add(predecessor_load.runs);
         self.handing_over.send(ToSuccessor::RunsInProgress { runs, memory_kb });
     }
 }
 
-/// Passes a response to a forwarded request on to the client.
-pub(super) fn pass_on(now: f64, reply: ReplyHandle, response: Response, advertised_share: Option<f64>) {
+/// Sends the response to a forwarded request to its client.
+pub(super) fn send_forwarded_response(
+    now: f64,
+    reply: ReplyHandle,
+    response: Response,
+    advertised_share: Option<f64>,
+) {
     if let Some(progress) = &reply.progress {
         progress.set_answered(now);
     }
     let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
     if reply.mailbox.try_send(message).is_err() {
-        // A client that does not read takes no memory without bound: its connection ends.
+        // The connection is closed to bound the memory that a client that does not read its responses can
+        // take.
         reply.mailbox.close();
     }
 }
--- a/src/server/dispatcher/handover_records.rs
+++ b/src/server/dispatcher/handover_records.rs
@@ -1,4 +1,5 @@
-//! Requests, responses and keys as two processes of this server tell them to each other.
+//! Conversion of requests, responses and keys to and from the handover protocol between two processes of this
+//! server.
 
 use crate::admission::RequestId;
 use crate::server::messages::{IncomingRequest, ReplyHandle, Response};
@@ -6,18 +7,19 @@
 use dunlinspread_idempotency::{KeyRecord, RunRecord, RunRecordState, RunResult};
 use std::rc::Rc;
 
-/// A key with its cached result.
+/// An idempotency key with its cached result.
 pub(super) type ExportedKey = KeyRecord<Rc<[u8]>>;
 
-/// Returns a request as it is forwarded, to be answered by `answer_by`, Unix ms, and where its response goes.
-pub(super) fn forwarded_request(
+/// Converts a request to its forwarded form, which the successor is to answer by `answer_by`, Unix ms, and
+/// returns it with the handle for its response.
+pub(super) fn request_to_wire(
     incoming: IncomingRequest,
     answer_by: f64,
 ) -> (wire::ForwardedRequest, ReplyHandle) {
     let request = wire::ForwardedRequest {
         request: incoming.id,
         attempt: incoming.attempt,
-        // Lossless: the numbers of classes and tenants are bounded far below.
+        // The conversions are lossless: the numbers of classes and tenants are far below the limit of `u32`.
         class: u32::try_from(incoming.class).unwrap_or(u32::MAX),
         received_at: incoming.received_at,
         request_kb: incoming.request_kb,
@@ -32,8 +34,8 @@
     (request, incoming.reply)
 }
 
-/// Returns a forwarded request as one that arrives here under that id.
-pub(super) fn incoming_request(
+/// Converts a forwarded request to an incoming request with this id.
+pub(super) fn request_from_wire(
     request: wire::ForwardedRequest,
     id: RequestId,
     reply: ReplyHandle,
@@ -55,8 +57,8 @@
     }
 }
 
-/// Returns the response that the successor gave.
-pub(super) fn response(outcome: wire::ForwardedOutcome) -> Response {
+/// Converts the outcome that the successor sent to a response.
+pub(super) fn response_from_wire(outcome: wire::ForwardedOutcome) -> Response {
     match outcome {
         wire::ForwardedOutcome::Completed(result) => Response::Completed(result.into()),
         wire::ForwardedOutcome::Rejected { retry_after_ms, do_not_retry } => {
@@ -67,17 +69,17 @@
     }
 }
 
-/// Returns a key as it is sent to the successor.
-pub(super) fn sent_key(record: &ExportedKey) -> wire::KeyRecord {
+/// Converts a key to the record that is sent to the successor.
+pub(super) fn key_to_wire(record: &ExportedKey) -> wire::KeyRecord {
     wire::KeyRecord {
         key: record.key.to_vec(),
         class: u32::try_from(record.class).unwrap_or(u32::MAX),
-        run: record.run.as_ref().map(sent_run),
+        run: record.run.as_ref().map(run_to_wire),
         previous_window_end: record.previous_window_end,
     }
 }
 
-fn sent_run(run: &RunRecord<Rc<[u8]>>) -> wire::RunRecord {
+fn run_to_wire(run: &RunRecord<Rc<[u8]>>) -> wire::RunRecord {
     wire::RunRecord {
         attempt: run.attempt,
         body_hash: run.body_hash,
@@ -90,17 +92,17 @@
     }
 }
 
-/// Returns a key that the predecessor sent.
-pub(super) fn received_key(record: wire::KeyRecord) -> ExportedKey {
+/// Converts a record from the predecessor to a key.
+pub(super) fn key_from_wire(record: wire::KeyRecord) -> ExportedKey {
     KeyRecord {
         key: record.key.into(),
         class: record.class as usize,
-        run: record.run.map(received_run),
+        run: record.run.map(run_from_wire),
         previous_window_end: record.previous_window_end,
     }
 }
 
-fn received_run(run: wire::RunRecord) -> RunRecord<Rc<[u8]>> {
+fn run_from_wire(run: wire::RunRecord) -> RunRecord<Rc<[u8]>> {
     RunRecord {
         attempt: run.attempt,
         body_hash: run.body_hash,
@@ -113,8 +115,8 @@
     }
 }
 
-/// Returns how a run ended, as it is sent to the successor.
-pub(super) fn sent_run_end(result: &RunResult<Rc<[u8]>>) -> wire::RunEnd {
+/// Converts the result of a run to the form that is sent to the successor.
+pub(super) fn run_end_to_wire(result: &RunResult<Rc<[u8]>>) -> wire::RunEnd {
     match result {
         RunResult::Completed(result) => wire::RunEnd::Completed(result.to_vec()),
         RunResult::Failed => wire::RunEnd::Failed,
@@ -122,8 +124,8 @@
     }
 }
 
-/// Returns how a run of the predecessor ended.
-pub(super) fn received_run_end(end: wire::RunEnd) -> RunResult<Rc<[u8]>> {
+/// Converts the end of a run that the predecessor reported to a result.
+pub(super) fn run_end_from_wire(end: wire::RunEnd) -> RunResult<Rc<[u8]>> {
     match end {
         wire::RunEnd::Completed(result) => RunResult::Completed(result.into()),
         wire::RunEnd::Failed => RunResult::Failed,
--- a/src/server/dispatcher/handover_state.rs
+++ b/src/server/dispatcher/handover_state.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher keeps of a handover: to the process after this one, and from the one before.
+//! State of the dispatcher in a handover: to the successor of this process, and from its predecessor.
 
 use super::waiting_requests::WaitingRequests;
 use crate::admission::RequestId;
@@ -12,7 +12,7 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// What the successor tells clients through this process.
+/// Health and advertised share that the successor reports, which this process passes on to clients.
 #[derive(Clone, Copy)]
 pub(super) struct SuccessorHealth {
     pub(super) healthy: bool,
@@ -21,56 +21,56 @@
 
 /// The state of a handover to a successor.
 pub(super) struct HandingOver {
-    pub(super) machine: Predecessor,
-    /// The listening socket, of which the successor gets a descriptor.
+    pub(super) state_machine: Predecessor,
+    /// The listening socket; the successor receives a duplicate of its descriptor.
     pub(super) listening_socket: Option<TcpListener>,
-    /// Frames for the successor, while a link is up.
+    /// Queue of frames for the successor, while a link is up.
     pub(super) successor: Option<Sender<SuccessorFrame>>,
-    /// Requests that wait for the end of the transfer.
+    /// Requests that are held until the transfer ends.
     pub(super) held: WaitingRequests<IncomingRequest>,
-    /// Where the responses to forwarded requests go.
+    /// Reply handles of the forwarded requests.
     pub(super) forwarded: WaitingRequests<ReplyHandle>,
     pub(super) successor_health: SuccessorHealth,
-    /// The number of the time limit that is running.
-    pub(super) time_limit: u64,
+    /// Number of the latest step timer; a timeout with another number is ignored.
+    pub(super) step_timer: u64,
 }
 
 impl HandingOver {
-    /// Returns the state of a process that hands over to nobody.
+    /// Returns the state of a process without a successor.
     pub(super) fn new() -> HandingOver {
         HandingOver {
-            machine: Predecessor::new(ServerIdentity::default()),
+            state_machine: Predecessor::new(ServerIdentity::default()),
             listening_socket: None,
             successor: None,
             held: WaitingRequests::default(),
             forwarded: WaitingRequests::default(),
             successor_health: SuccessorHealth { healthy: true, advertised_share: None },
-            time_limit: 0,
+            step_timer: 0,
         }
     }
 
-    /// Returns whether the keys are on their way to the successor.
+    /// Returns whether the keys are being transferred to the successor.
     pub(super) fn is_transferring(&self) -> bool {
-        self.machine.phase() == PredecessorPhase::Transferring
+        self.state_machine.phase() == PredecessorPhase::Transferring
     }
 
-    /// Returns whether the keys are on their way to the successor, or there.
+    /// Returns whether the keys are being transferred to the successor, or the handover is committed.
     pub(super) fn is_under_way(&self) -> bool {
         self.is_transferring() || self.is_handed_over()
     }
 
-    /// Returns whether the successor decides.
+    /// Returns whether the handover is committed and the successor decides on requests.
     pub(super) fn is_handed_over(&self) -> bool {
-        self.machine.phase() == PredecessorPhase::HandedOver
+        self.state_machine.phase() == PredecessorPhase::HandedOver
     }
 
-    /// Returns what the successor tells clients, once it decides.
+    /// Returns the health that the successor reports; `None` before the handover is committed.
     pub(super) fn successor_health(&self) -> Option<SuccessorHealth> {
         self.is_handed_over().then_some(self.successor_health)
     }
 
     /// Returns the number of requests that are held or forwarded.
-    pub(super) fn len(&self) -> usize {
+    pub(super) fn waiting_count(&self) -> usize {
         self.held.len() + self.forwarded.len()
     }
 
@@ -80,7 +80,7 @@
 
     pub(super) fn send_with(&self, frame: SuccessorFrame) {
         if let Some(successor) = &self.successor {
-            // The queue is unbounded; it is closed once the link has ended, which is told by a message of its own.
+            // The queue is unbounded. It is closed once the link has ended, which a separate message reports.
             let _ = successor.try_send(frame);
         }
     }
@@ -88,42 +88,43 @@
 
 /// The state of a handover from a predecessor.
 pub(super) struct TakingOver {
-    /// Whether this process decides.
+    /// Whether this process owns the keys and decides on requests.
     pub(super) is_owner: bool,
-    /// Told once the link to the worker pool is up.
+    /// Notified once the link to the worker pool is up.
     pub(super) can_serve: Option<Sender<()>>,
-    /// Frames for the predecessor, from the commit to its end.
+    /// Queue of frames for the predecessor, from the commit until the predecessor ends.
     pub(super) predecessor: Option<Sender<ToPredecessor>>,
-    /// Takes the responses to forwarded requests.
+    /// Queue for the responses to forwarded requests.
     pub(super) responses: Option<Sender<ConnectionMessage>>,
-    /// Runs of the predecessor whose end is awaited, by key: their attempt's number there and the id here.
+    /// Runs of the predecessor whose end is awaited, by idempotency key.
     pub(super) pending_runs: HashMap<Vec<u8>, PendingRun>,
-    /// Forwarded requests by their number at the predecessor.
+    /// Ids of the forwarded requests, by their number at the predecessor.
     pub(super) forwarded: HashMap<u64, RequestId>,
     pub(super) predecessor_load: PredecessorLoad,
-    pub(super) told_health: Option<(bool, Option<f64>)>,
+    /// Health and advertised share last reported to the predecessor.
+    pub(super) reported_health: Option<(bool, Option<f64>)>,
     pub(super) request_ids: Rc<RequestIdSequence>,
 }
 
-/// What the predecessor still runs.
+/// Load of the runs that continue in the predecessor.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PredecessorLoad {
-    /// Runs.
+    /// Number of runs.
     pub(super) runs: u64,
-    /// The memory that they take, kB.
+    /// Memory that the runs take, kB.
     pub(super) memory_kb: f64,
 }
 
 /// A run of the predecessor whose end is awaited.
 pub(super) struct PendingRun {
-    /// The number of its attempt at the predecessor.
+    /// Number of the run's attempt at the predecessor.
     pub(super) attempt: u64,
-    /// The id under which its key is known here.
+    /// Id under which this process has recorded the run of the key.
     pub(super) id: RequestId,
 }
 
 impl TakingOver {
-    /// Returns the state of a process that decides from its start on.
+    /// Returns the state of a process that starts without a predecessor and decides from its start on.
     pub(super) fn new(request_ids: Rc<RequestIdSequence>) -> TakingOver {
         TakingOver {
             is_owner: true,
@@ -133,16 +134,16 @@
             pending_runs: HashMap::new(),
             forwarded: HashMap::new(),
             predecessor_load: PredecessorLoad::default(),
-            told_health: None,
+            reported_health: None,
             request_ids,
         }
     }
 }
 
-/// Returns which server a process with this configuration is.
+/// Returns the identity of the server that a process with this configuration belongs to.
 ///
-/// The tenants are stated by a digest: their names, of which there may be several hundred thousand, would not fit in a
-/// frame.
+/// The identity has a digest of the tenants: their names, of which there may be several hundred thousand,
+/// would not fit in a frame.
 pub fn server_identity(config: &Config) -> ServerIdentity {
     let mut digest = Sha256::new();
     for tenant in &config.tenants {
--- a/src/server/dispatcher/idempotency_keys.rs
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -1,4 +1,4 @@
-//! The idempotency keys of the requests: the table of keys, asked in terms of requests.
+//! Idempotency keys of requests: an adapter from requests to the table of keys.
 
 use super::body_hasher::{BODY_HASH_KEY_BYTES, BodyHasher};
 use super::request::{Request, RequestKey};
@@ -10,10 +10,10 @@
 };
 use std::rc::Rc;
 
-/// How long after the client's timeout an attempt may be read that was received before it, ms.
+/// How long after its client's timeout an attempt that was received before it may still be read, ms.
 const MAX_READ_DELAY_MS: f64 = 5000.0;
 
-/// The idempotency keys in use. A request without a key passes all checks and leaves no trace.
+/// The idempotency keys in use. A request without a key passes all checks and is not recorded.
 pub(super) struct IdempotencyKeys {
     table: IdempotencyTable<Rc<[u8]>>,
     body_hasher: BodyHasher,
@@ -27,7 +27,7 @@
         IdempotencyKeys { table: IdempotencyTable::new(bounds, windows), body_hasher: BodyHasher::new() }
     }
 
-    /// Returns the key of a request with this body.
+    /// Returns the key of a request together with the hash of the body.
     pub(super) fn request_key(&self, key: Vec<u8>, body: &[u8]) -> RequestKey {
         RequestKey { key: Rc::from(key), body_hash: self.body_hasher.hash(body) }
     }
@@ -37,18 +37,18 @@
         self.table.len()
     }
 
-    /// Returns whether an attempt of this key has room.
+    /// Returns whether the table has room for an attempt of this key.
     pub(super) fn has_room(&self, key: &RequestKey) -> bool {
         self.table.has_room(&key.key)
     }
 
-    /// Returns whether an attempt of this key was run or may still run.
+    /// Returns whether another attempt of this key has run or may still run.
     pub(super) fn is_in_use(&self, key: &RequestKey, received_at: f64) -> bool {
         self.table.lookup(&key.key, key.body_hash, received_at) != Lookup::New
     }
 
-    /// Registers an attempt and returns what it is.
-    pub(super) fn arrive(
+    /// Registers an attempt, and returns whether it is new, a duplicate, or one that may not run.
+    pub(super) fn register_attempt(
         &mut self,
         key: &RequestKey,
         class: usize,
@@ -58,15 +58,16 @@
         self.table.arrive(&key.key, class, key.body_hash, id, received_at)
     }
 
-    /// Returns whether the request falls in the window of a run of its key.
+    /// Returns whether the request was received within the window of a run of its key.
     pub(super) fn has_run(&self, request: &Request) -> bool {
         request.key.as_ref().is_some_and(|key| self.table.has_run(&key.key, request.received_at))
     }
 
-    /// Records the run of a request, if it may run, and returns the requests that waited for the superseded run.
+    /// Records the start of a request's run, and returns the requests that waited for the run that it
+    /// supersedes.
     ///
     /// # Errors
-    /// [`DuplicateRun`] if the request falls in the window of another run of its key.
+    /// Returns [`DuplicateRun`] if the request was received within the window of another run of its key.
     pub(super) fn begin_run(
         &mut self,
         id: RequestId,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Returns the result that a duplicate takes over, or has the request wait for it.
+    /// Returns the result that a duplicate reuses, or registers the request as waiting for it.
     pub(super) fn reuse_result(&mut self, id: RequestId, request: &Request) -> ReuseOutcome<Rc<[u8]>> {
         match &request.key {
             Some(key) => self.table.reuse_result(&key.key, id, request.received_at),
@@ -99,54 +100,59 @@
         }
     }
 
-    /// Reserves the key for a request until `window_end`, Unix ms, also in place of an earlier attempt.
+    /// Reserves the key for a request until `window_end`, Unix ms, replacing the reservation of an earlier
+    /// attempt.
     pub(super) fn reserve(&mut self, id: RequestId, request: &Request, window_end: f64) {
         if let Some(key) = &request.key {
             self.table.reserve(&key.key, key.body_hash, id, request.received_at, window_end);
         }
     }
 
-    /// Releases the reservation of a request. A run is not undone by it.
+    /// Releases the reservation of a request. This does not affect a recorded run.
     pub(super) fn release(&mut self, id: RequestId, request: &Request) {
         if let Some(key) = &request.key {
             self.table.release(&key.key, id);
         }
     }
 
-    /// Closes the attempt of a removed request; its reservation is released if it never ran.
+    /// Ends the attempt of a removed request, and releases its reservation if it never ran.
     pub(super) fn finish_attempt(&mut self, id: RequestId, request: &Request) {
         if let Some(key) = &request.key {
             self.table.finish_attempt(&key.key, id);
         }
     }
 
-    /// Removes the keys of whose windows no attempt can be read any more.
+    /// Removes expired keys: those for which no attempt within one of their windows can still be read.
     pub(super) fn sweep(&mut self, now: f64) {
         self.table.sweep(now);
     }
 }
 
-/// The move of the keys to another process.
+/// Transfer of the keys between two processes.
 impl IdempotencyKeys {
-    /// Returns the key of the hash of bodies.
+    /// Returns the secret key of the body hash.
     pub(super) fn body_hash_key(&self) -> [u8; BODY_HASH_KEY_BYTES] {
         self.body_hasher.key()
     }
 
-    /// Hashes bodies with this key from now on. Only while no key is in use: the hashes of bodies seen before differ.
+    /// Sets the secret key of the body hash.
+    ///
+    /// Allowed only while no idempotency key is in use, because hashes under the old key don't match.
     pub(super) fn set_body_hash_key(&mut self, key: [u8; BODY_HASH_KEY_BYTES]) {
         self.body_hasher = BodyHasher::with_key(key);
     }
 
-    /// Returns a record of each key that was run, those with a result first, oldest result first.
+    /// Returns the records of all keys with a run: first those with a result, oldest result first.
     pub(super) fn export(&self, now: f64) -> impl Iterator<Item = KeyRecord<Rc<[u8]>>> + '_ {
         self.table.export(now)
     }
 
-    /// Loads a key from another process. Its run is known as `attempt` from then on, which no request may be.
+    /// Imports a key from another process. Its run is recorded under the id `attempt`, which no request may
+    /// have.
     ///
     /// # Errors
-    /// [`ImportError`] if there is no room, or the key or its class doesn't fit. Nothing is loaded then.
+    /// Returns [`ImportError`] and imports nothing if there is no room, or if the key or its class is not
+    /// valid here.
     pub(super) fn import(
         &mut self,
         record: KeyRecord<Rc<[u8]>>,
@@ -155,7 +161,7 @@
         self.table.import(record, attempt)
     }
 
-    /// Records the end of a run that goes on in the other process, and returns the requests that waited for it.
+    /// Records the end of an imported run in the other process, and returns the requests that waited for it.
     pub(super) fn finish_imported_run(
         &mut self,
         key: &Rc<[u8]>,
@@ -165,36 +171,38 @@
         self.table.finish_run(key, attempt, result)
     }
 
-    /// Records that the process from which keys were loaded is gone, and returns its runs whose end is not known.
+    /// Records that the process from which keys were imported has ended, and returns its runs whose end is
+    /// unknown.
     ///
-    /// To be called once it is gone, also if none of its runs goes on: until then the loaded keys are not swept.
+    /// Must be called when that process ends even if none of its runs is in progress: until then the imported
+    /// keys are not swept.
     pub(super) fn end_import(&mut self) -> Vec<FailedRun> {
         self.table.end_import()
     }
 
-    /// Drops all keys, as if none had been loaded.
+    /// Removes all keys.
     pub(super) fn clear(&mut self) {
         self.table.clear();
     }
 
-    /// Allows no run of a request received up to `until`, Unix ms, except for runs that are known already: the other
-    /// process may have run any key.
+    /// Forbids runs of requests received up to `until`, Unix ms, except for runs that are already recorded,
+    /// because the other process may have run any key.
     pub(super) fn begin_blackout(&mut self, until: f64) {
         self.table.begin_blackout(until);
     }
 
-    /// Returns until when unknown keys are not run, Unix ms; `None` if they are.
+    /// Returns the time until which unknown keys may not run, Unix ms; `None` if they may.
     pub(super) fn blackout_until(&self) -> Option<f64> {
         self.table.blackout_until()
     }
 
-    /// Returns the end of the longest window that a request received at `received_at` can have, Unix ms.
+    /// Returns the latest window end that a request received at `received_at` can have, Unix ms.
     pub(super) fn latest_window_end(&self, received_at: f64) -> f64 {
         self.table.latest_window_end(received_at)
     }
 }
 
-/// Returns the times of the keys of a class.
+/// Returns the key window of a class.
 fn key_window(class: &Class) -> KeyWindow {
     KeyWindow {
         window_ms: class.key_window_ms,
--- a/src/server/dispatcher/mod.rs
+++ b/src/server/dispatcher/mod.rs
@@ -1,15 +1,16 @@
-//! The dispatcher: the task that owns all requests between the frontends, the admission controller and the worker pool.
+//! The dispatcher: the task that owns all requests, between the frontends, the admission controller and the
+//! worker pool.
 //!
-//! It passes each message on to the admission controller as an event, at once and in order, and carries out the actions
-//! that the controller answers with. It owns the table of requests, the idempotency keys with their results, and the
-//! commands that the worker pool has not confirmed.
+//! It passes each message to the admission controller as an event, immediately and in order, and carries out
+//! the actions that the controller returns. It owns the table of requests, the idempotency keys with their
+//! results, and the commands that the worker pool has not confirmed.
 //!
 //! # Invariants
-//! - Each request gets exactly one final response, whatever events cross.
-//! - A request with an idempotency key is not run again within the window of the key.
+//! - Each request gets exactly one final response, in whatever order events arrive.
+//! - A request with an idempotency key is not run again within the window of its key.
 //! - A request that may have run is never rejected: a rejection promises that it did not run.
-//! - With a usage ledger no final response leaves before it is billed.
-//! - The task waits for no other task, and knows no wire protocol.
+//! - If a usage ledger is enabled, no final response is sent before it is billed.
+//! - The task never blocks on another task, and does not depend on a wire protocol.
 
 mod actions;
 mod arrivals;
--- a/src/server/dispatcher/pool_events.rs
+++ b/src/server/dispatcher/pool_events.rs
@@ -1,4 +1,4 @@
-//! Events of the worker pool and of the link to it.
+//! Handling of events from the worker pool and the link to it.
 
 use super::request::{ExecutionState, PendingCall, Request};
 use super::state::{Dispatcher, PoolStart};
@@ -13,7 +13,7 @@
             PoolEvent::Started { cold, ago_ms } => self.start_controller(Some(PoolStart { cold, ago_ms })),
             PoolEvent::Restarted => self.on_pool_restarted(),
             PoolEvent::LinkUp(link) => self.on_link_up(link),
-            PoolEvent::LinkDown => self.pool.set_down(),
+            PoolEvent::LinkDown => self.pool.set_link_down(),
             PoolEvent::CommandsDelayed { waited_ms } => {
                 self.dispatch_event(Event::CommandsDelayed { waited_ms });
             }
@@ -26,7 +26,7 @@
                 self.on_upstream_call_needed(attempt, call);
             }
             PoolEvent::RunEnded { attempt, end, took_ms, body } => {
-                // A request that was given up while it was paused is no longer in the table.
+                // A request that ended while it was paused is no longer in the table.
                 if let Some(id) = self.requests.id_of_attempt(attempt) {
                     self.on_run_ended(id, end, took_ms, body);
                 }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the gauges with the values that the worker pool sent.
+    /// Assigns the values that the worker pool sent to the gauges by name, and returns the gauges.
     fn named_gauges(&self, values: &[f64]) -> Gauges {
         let mut gauges = Gauges::default();
         for (name, value) in self.gauge_names.iter().zip(values) {
@@ -44,7 +44,7 @@
         gauges
     }
 
-    /// A run waits for an upstream call.
+    /// Records that a run waits for an upstream call, and passes it to the controller.
     fn on_upstream_call_needed(&mut self, attempt: u64, call: PendingCall) {
         let Some(id) = self.requests.id_of_attempt(attempt) else { return };
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -53,8 +53,8 @@
         self.dispatch_event(Event::UpstreamCallNeeded(id));
     }
 
-    /// The worker pool restarted. What was sent to the one before may have run there: only a first run of an idempotent
-    /// class is requested again, and all other runs have failed.
+    /// Handles a restart of the worker pool. Requests sent before the restart may have run: runs of
+    /// idempotent classes whose start is unconfirmed are requested again, and all other runs are failed.
     fn on_pool_restarted(&mut self) {
         self.abandoned_runs.clear();
         let has_failed = |request: &Request| {
@@ -68,10 +68,10 @@
         }
     }
 
-    /// A new link is up: all commands that the old one may have lost are sent again.
+    /// Resends over a new link all commands that the old link may have lost.
     fn on_link_up(&mut self, link: u64) {
-        self.pool.set_up(link);
-        self.on_can_serve();
+        self.pool.set_link_up(link);
+        self.on_pool_linked();
         let commands = self.requests.unconfirmed_commands();
         info!(self.log, "worker pool accepts commands"; "resent_commands" => commands.len());
         for command in commands {
@@ -79,14 +79,17 @@
         }
     }
 
-    /// The worker pool rejected a command. A run that it does not know would never end by itself.
+    /// Ends or restarts the run of a rejected command: the worker pool will not report the end of a run that
+    /// it does not know.
     fn on_command_rejected(&mut self, command: &RejectedCommand, attempt: u64) {
-        self.repeating_log.rejected_command(self.clock.now(), command);
+        self.repeating_log.log_rejected_command(self.clock.now(), command);
         let Some(id) = self.requests.id_of_attempt(attempt) else { return };
         match command {
-            // It never ran: that is no sign of a sick machine, and its key stays free for other attempts.
+            // The request never ran: this does not indicate an unhealthy machine, and its key stays free for
+            // other attempts.
             RejectedCommand::Run => self.on_run_ended(id, RunOutcome::NotStarted, 0.0, Vec::new()),
-            // It ran until it was cut, perhaps at an upstream call whose request the worker pool took for over.
+            // The run was interrupted, perhaps at an upstream call whose request the worker pool considered
+            // finished.
             RejectedCommand::Resume => self.on_resume_rejected(id),
             _ => {}
         }
--- a/src/server/dispatcher/pool_link.rs
+++ b/src/server/dispatcher/pool_link.rs
@@ -5,10 +5,10 @@
 use async_channel::{Sender, TrySendError};
 use slog::{Logger, error};
 
-/// Sends commands over the link that is up, if there is one.
+/// Sends commands over the current link to the worker pool, if one is up.
 pub(super) struct PoolLink {
     mailbox: Sender<WorkerPoolMessage>,
-    /// The number of the link that is up.
+    /// Number of the link that is up; `None` if there is none.
     link: Option<u64>,
     clock: Clock,
     log: Logger,
@@ -19,17 +19,17 @@
         PoolLink { mailbox, link: None, clock, log }
     }
 
-    /// The link with this number accepts commands from now on.
-    pub(super) fn set_up(&mut self, link: u64) {
+    /// Records that the link with this number accepts commands.
+    pub(super) fn set_link_up(&mut self, link: u64) {
         self.link = Some(link);
     }
 
-    /// No link accepts commands from now on.
-    pub(super) fn set_down(&mut self) {
+    /// Records that no link accepts commands.
+    pub(super) fn set_link_down(&mut self) {
         self.link = None;
     }
 
-    /// Sends a command over the link, and returns whether one is up.
+    /// Sends a command over the current link, and returns whether a link is up.
     pub(super) fn send(&self, command: PoolCommand) -> bool {
         let Some(link) = self.link else { return false };
         let given_at = self.clock.now();
--- a/src/server/dispatcher/recent_attempts.rs
+++ b/src/server/dispatcher/recent_attempts.rs
@@ -1,20 +1,21 @@
-//! Attempts that are over here and may come again: a client whose connection ended sends its request again under the same number.
+//! Recently ended attempts that may arrive again: a client whose connection ended resends its request under
+//! the same attempt number.
 
 use std::collections::{HashSet, VecDeque};
 
-/// Attempts that are kept. A client sends an attempt again within a moment, or not at all.
+/// Maximum number of attempts in a set. A client resends an attempt after a short time or not at all.
 const MAX_ATTEMPTS: usize = 1024;
 
-/// The latest attempts of a kind.
+/// A bounded set of attempt numbers, from which the oldest is evicted.
 #[derive(Default)]
 pub(super) struct RecentAttempts {
     attempts: HashSet<u64>,
-    /// The same attempts, oldest first.
+    /// The attempts in insertion order, oldest first.
     order: VecDeque<u64>,
 }
 
 impl RecentAttempts {
-    /// Adds an attempt; the oldest one is forgotten if there are too many.
+    /// Adds an attempt, and evicts the oldest one if the set is full.
     pub(super) fn add(&mut self, attempt: u64) {
         if !self.attempts.insert(attempt) {
             return;
@@ -27,23 +28,23 @@
         }
     }
 
-    /// Forgets all attempts.
+    /// Removes all attempts.
     pub(super) fn clear(&mut self) {
         self.attempts.clear();
         self.order.clear();
     }
 
-    /// Returns whether the attempt is one of them.
+    /// Returns whether the set contains the attempt.
     pub(super) fn contains(&self, attempt: u64) -> bool {
         self.attempts.contains(&attempt)
     }
 
-    /// Removes an attempt that came again, and returns whether it was one of them.
+    /// Removes an attempt that arrived again, and returns whether the set contained it.
     pub(super) fn take(&mut self, attempt: u64) -> bool {
-        let was_kept = self.attempts.remove(&attempt);
-        if was_kept {
-            self.order.retain(|kept| *kept != attempt);
+        let was_contained = self.attempts.remove(&attempt);
+        if was_contained {
+            self.order.retain(|other| *other != attempt);
         }
-        was_kept
+        was_contained
     }
 }
--- a/src/server/dispatcher/repeating_log.rs
+++ b/src/server/dispatcher/repeating_log.rs
@@ -1,21 +1,22 @@
-//! The log lines of the dispatcher that may come with each request or command: those that repeat are counted.
+//! Rate-limited log lines of the dispatcher: lines that each request or command may cause are counted when
+//! they repeat.
 
 use crate::server::messages::RejectedCommand;
 use crate::server::repeated_lines::{LineKind, Repeated, RepeatedLines};
 use dunlinspread_idempotency::DuplicateRun;
 use slog::{Logger, info, warn};
 
-/// The most lines of one kind in a window.
+/// Maximum number of lines of one kind that are written in a window.
 const LINES_PER_WINDOW: u32 = 5;
 
-/// The kind of a line, which says what its repetitions have in common.
+/// Kind of a line; lines of the same kind count as repetitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DispatcherLine {
-    /// A note of the admission controller.
+    /// The admission controller logged a note.
     ControllerNote,
     /// The worker pool rejected a command of this kind.
     RejectedCommand(&'static str),
-    /// The last guard kept a key from running twice.
+    /// The check at the start of a run prevented a second run of a key.
     RunPrevented,
 }
 
@@ -35,59 +36,59 @@
     }
 }
 
-/// Writes those lines.
+/// Writes the rate-limited lines of the dispatcher.
 pub(super) struct RepeatingLog {
     log: Logger,
     lines: RepeatedLines<DispatcherLine>,
 }
 
 impl RepeatingLog {
-    /// Returns one that writes to `log`.
+    /// Returns a writer to `log`.
     pub(super) fn new(log: Logger) -> RepeatingLog {
         RepeatingLog { log, lines: RepeatedLines::default() }
     }
 
-    /// The admission controller has something to say.
-    pub(super) fn controller_note(&mut self, now: f64, text: &str) {
+    /// Logs a note of the admission controller.
+    pub(super) fn log_controller_note(&mut self, now: f64, text: &str) {
         let line = DispatcherLine::ControllerNote;
-        if self.admits(now, line) {
+        if self.count_line(now, line) {
             info!(self.log, "{}", line.message(); "text" => text);
         }
     }
 
-    /// The worker pool rejected a command.
-    pub(super) fn rejected_command(&mut self, now: f64, command: &RejectedCommand) {
+    /// Logs that the worker pool rejected a command.
+    pub(super) fn log_rejected_command(&mut self, now: f64, command: &RejectedCommand) {
         let line = DispatcherLine::RejectedCommand(command.kind());
-        if self.admits(now, line) {
+        if self.count_line(now, line) {
             warn!(self.log, "{}", line.message(); "command" => %command);
         }
     }
 
-    /// The run of a request was prevented.
-    pub(super) fn run_prevented(&mut self, now: f64, reason: &DuplicateRun) {
+    /// Logs that a second run of a key was prevented.
+    pub(super) fn log_run_prevented(&mut self, now: f64, reason: &DuplicateRun) {
         let line = DispatcherLine::RunPrevented;
-        if self.admits(now, line) {
+        if self.count_line(now, line) {
             warn!(self.log, "{}", line.message(); "reason" => %reason);
         }
     }
 
-    /// Tells the repetitions of the windows that are over.
-    pub(super) fn tell_repeated(&mut self, now: f64) {
+    /// Logs the number of repetitions for each window that has ended.
+    pub(super) fn log_repeated(&mut self, now: f64) {
         for repeated in self.lines.end_windows(now) {
             self.write_repeated(repeated);
         }
     }
 
-    /// Tells all repetitions: the process is about to end.
-    pub(super) fn tell_all_repeated(&mut self) {
+    /// Logs the number of repetitions for all windows. Called before the process ends.
+    pub(super) fn log_all_repeated(&mut self) {
         for repeated in self.lines.end_all() {
             self.write_repeated(repeated);
         }
     }
 
-    /// Counts a line, and returns whether it has to be written.
-    fn admits(&mut self, now: f64, line: DispatcherLine) -> bool {
-        self.tell_repeated(now);
+    /// Counts a line, and returns whether to write it.
+    fn count_line(&mut self, now: f64, line: DispatcherLine) -> bool {
+        self.log_repeated(now);
         self.lines.admit(now, line)
     }
 
--- a/src/server/dispatcher/request.rs
+++ b/src/server/dispatcher/request.rs
@@ -8,28 +8,28 @@
 /// An upstream call that a run waits for.
 #[derive(Clone, Debug)]
 pub(super) struct PendingCall {
-    /// The number of the worker pool's notice that requested the call.
+    /// Number of the worker pool's notice that requested the call.
     pub(super) notice_seq: u64,
-    /// The body of the call.
+    /// Body of the call.
     pub(super) body: Rc<[u8]>,
 }
 
-/// Where the execution of a request stands.
+/// State of the execution of a request.
 #[derive(Debug)]
 pub(super) enum ExecutionState {
-    /// Waits for a run.
+    /// Waits for the start of a run.
     Queued,
-    /// Runs in the worker pool.
+    /// Is running in the worker pool.
     Running,
-    /// Paused in the worker pool.
+    /// Is paused in the worker pool.
     Paused,
-    /// Its run waits for an upstream call that is not made yet.
+    /// Has a run that waits for an upstream call that is not made yet.
     AwaitingUpstreamCall(PendingCall),
-    /// Its run waits for an upstream call that is under way.
+    /// Has a run that waits for an upstream call in progress.
     CallingUpstream(PendingCall),
     /// Waits for the result of another attempt of its key.
     AwaitingResult {
-        /// Since when, Unix ms.
+        /// When the wait started, Unix ms.
         since: f64,
     },
 }
@@ -38,22 +38,22 @@
 pub(super) struct RequestKey {
     /// The key, shared by all attempts of the request.
     pub(super) key: Rc<[u8]>,
-    /// The hash of the body, which is the same for all attempts.
+    /// Hash of the body, which is the same for all attempts of the request.
     pub(super) body_hash: u64,
 }
 
-/// Fields of a request that only the controller reads.
+/// Fields of a request that only the admission controller and the successor of this process need.
 #[derive(Clone, Copy)]
 pub(super) struct ArrivalFields {
-    /// Memory while queued, kB.
+    /// Memory that the request takes while queued, kB.
     pub(super) request_kb: f64,
     /// The quantile of its priority, 0 to 1.
     pub(super) priority: f64,
-    /// How long the client waits, ms from its receipt, where that is sent.
+    /// How long the client waits, ms from the receipt of the request; `None` if the client did not send it.
     pub(super) timeout_ms: Option<f64>,
     /// The tenant, by position.
     pub(super) tenant: usize,
-    /// Whether the result may be shared.
+    /// Whether the result may be shared with other requests that read the same.
     pub(super) shareable: bool,
 }
 
@@ -62,29 +62,30 @@
     /// The number that the client gave this attempt.
     pub(super) attempt: u64,
     pub(super) class: usize,
-    /// What the controller was told of it at its arrival.
+    /// Fields of the arrival event that was passed to the controller.
     pub(super) arrival: ArrivalFields,
     pub(super) key: Option<RequestKey>,
-    /// When it reached the machine, Unix ms.
+    /// When the request reached the machine, Unix ms.
     pub(super) received_at: f64,
     pub(super) body: Rc<[u8]>,
     /// The account that is billed.
     pub(super) account: Option<Rc<str>>,
     /// Whether an upstream call was skipped.
     pub(super) degraded: bool,
-    /// How the request was billed, once it was.
+    /// Outcome under which the request was billed; `None` before it is billed.
     pub(super) billed: Option<BilledOutcome>,
-    /// Where the final response goes; none once it is given or no longer owed.
+    /// Handle for the final response; `None` once it is sent or the client has cancelled.
     pub(super) reply: Option<ReplyHandle>,
     pub(super) state: ExecutionState,
-    /// Whether a run was ever requested for it.
+    /// Whether a run was ever requested for the request.
     pub(super) run_requested: bool,
-    /// Commands since the last event of the worker pool for this request. They are sent again on a new link.
+    /// Commands sent since the last event of the worker pool for this request. They are resent over a new
+    /// link.
     pub(super) unconfirmed: Vec<PoolCommand>,
 }
 
 impl Request {
-    /// Returns a queued request.
+    /// Returns a queued request that has not run.
     pub(super) fn new(incoming: IncomingRequest, key: Option<RequestKey>) -> Self {
         Request {
             attempt: incoming.attempt,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Returns the request as it arrived.
+    /// Converts the request back to the form in which it arrived.
     pub(super) fn into_incoming(self, id: RequestId, reply: ReplyHandle) -> IncomingRequest {
         IncomingRequest {
             id,
@@ -128,12 +129,12 @@
         }
     }
 
-    /// Returns whether its run was requested and the worker pool has reported nothing of it since.
+    /// Returns whether a run was requested and the worker pool has reported nothing about it since.
     pub(super) fn is_start_unconfirmed(&self) -> bool {
         matches!(self.unconfirmed.first(), Some(PoolCommand::Run { .. }))
     }
 
-    /// Returns whether the request has neither a running run nor one at an upstream call.
+    /// Returns whether the request has no run in progress, neither running nor at an upstream call.
     pub(super) fn is_idle(&self) -> bool {
         match self.state {
             ExecutionState::Queued | ExecutionState::Paused | ExecutionState::AwaitingResult { .. } => true,
@@ -143,12 +144,13 @@
         }
     }
 
-    /// Returns whether its run waits for an upstream call.
-    pub(super) fn is_at_call(&self) -> bool {
+    /// Returns whether the request's run waits for an upstream call.
+    pub(super) fn is_at_upstream_call(&self) -> bool {
         matches!(self.state, ExecutionState::AwaitingUpstreamCall(_) | ExecutionState::CallingUpstream(_))
     }
 
-    /// Returns whether a run was requested for it: it runs, is paused or waits for an upstream call.
+    /// Returns whether the worker pool has a run of the request: it is running, paused or waits for an
+    /// upstream call.
     pub(super) fn has_run_in_pool(&self) -> bool {
         !matches!(self.state, ExecutionState::Queued | ExecutionState::AwaitingResult { .. })
     }
--- a/src/server/dispatcher/request_table.rs
+++ b/src/server/dispatcher/request_table.rs
@@ -1,23 +1,23 @@
-//! The table of requests, found by their own number or by the number of the attempt.
+//! Table of requests, indexed by request id and by attempt number.
 
 use super::request::Request;
 use crate::admission::RequestId;
 use crate::server::messages::PoolCommand;
 use std::collections::{BTreeMap, HashMap};
 
-/// The requests that run in the worker pool.
+/// Totals of the requests that have a run in the worker pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RunningRequests {
-    /// How many.
+    /// Number of requests.
     pub(super) count: usize,
-    /// The memory that they took while queued, kB.
+    /// Memory that the requests took while queued, kB.
     pub(super) request_kb: f64,
 }
 
 /// All requests that have not been removed.
 ///
 /// # Invariants
-/// Each request is found by its attempt's number, which no two requests share.
+/// Each request is indexed by its attempt number, which no two requests share.
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
@@ -37,7 +37,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// Returns the request with this attempt.
+    /// Returns the id of the request with this attempt number.
     pub(super) fn id_of_attempt(&self, attempt: u64) -> Option<RequestId> {
         self.ids_by_attempt.get(&attempt).copied()
     }
@@ -53,12 +53,12 @@
         Some(request)
     }
 
-    /// Returns the requests for which the condition holds, in the order of their arrival.
+    /// Returns the ids of the requests for which the condition holds, in the order of arrival.
     pub(super) fn ids_where(&self, condition: impl Fn(&Request) -> bool) -> Vec<RequestId> {
         self.requests.iter().filter(|(_, request)| condition(request)).map(|(id, _)| *id).collect()
     }
 
-    /// Returns what runs in the worker pool.
+    /// Returns the totals of the requests that have a run in the worker pool.
     pub(super) fn running(&self) -> RunningRequests {
         let running = self.requests.values().filter(|request| request.has_run_in_pool());
         running.fold(RunningRequests::default(), |sum, request| RunningRequests {
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Returns the unconfirmed commands of all requests, in the order of their arrival.
+    /// Returns the unconfirmed commands of all requests, in the order in which the requests arrived.
     pub(super) fn unconfirmed_commands(&self) -> Vec<PoolCommand> {
         self.requests.values().flat_map(|request| request.unconfirmed.iter().cloned()).collect()
     }
--- a/src/server/dispatcher/responses.rs
+++ b/src/server/dispatcher/responses.rs
@@ -1,4 +1,4 @@
-//! The final responses of requests in the table.
+//! Final responses of requests in the table.
 
 use super::request::{ExecutionState, Request};
 use super::state::Dispatcher;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Gives the final response, if it is still owed.
+    /// Sends the final response of a request, unless it was sent already or the client has cancelled.
     pub(super) fn respond(&mut self, id: RequestId, response: Response) {
         let Some(request) = self.requests.get_mut(id) else { return };
         if let Some(reply) = request.reply.take() {
@@ -16,27 +16,29 @@
         }
     }
 
-    /// Rejects a request, or fails it if it may have run.
+    /// Rejects a request, or fails it if it may have run, and removes it unless it has a run in progress.
     pub(super) fn reject(&mut self, id: RequestId, rejection: Response) {
         let may_have_run = self.requests.get(id).is_some_and(|request| self.may_have_run(request));
         self.respond(id, if may_have_run { Response::Failed } else { rejection });
         self.remove_if_idle(id);
     }
 
-    /// Fails a request.
+    /// Fails a request, and removes it unless it has a run in progress.
     pub(super) fn fail(&mut self, id: RequestId) {
         self.respond(id, Response::Failed);
         self.remove_if_idle(id);
     }
 
-    /// Returns whether the request may have run, or another attempt of its key: a rejection promises that neither did.
+    /// Returns whether the request or another attempt of its key may have run: a rejection promises that
+    /// neither did.
     fn may_have_run(&self, request: &Request) -> bool {
         let left_queue = !matches!(request.state, ExecutionState::Queued);
-        let ran_before = self.withdrawn_runs.contains(request.attempt);
+        let ran_before = self.undelivered_runs.contains(request.attempt);
         request.run_requested || left_queue || ran_before || self.keys.has_run(request)
     }
 
-    /// Gives a request that waited for the result of another attempt that result, or its failure.
+    /// Answers a request that waited for another attempt with the result of that attempt, or with its
+    /// failure.
     pub(super) fn finish_reuse(&mut self, id: RequestId, result: Option<Rc<[u8]>>) {
         let now = self.clock.now();
         let Some(ExecutionState::AwaitingResult { since }) =
@@ -51,7 +53,7 @@
         self.events.push_back(Event::RunEnded { id, outcome, took_ms });
     }
 
-    /// The client cancelled the request or closed its connection.
+    /// Handles a client that cancelled the request or closed its connection.
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
         if self.cancel_held_or_forwarded(id) {
             return;
@@ -61,7 +63,7 @@
             return;
         }
         if request.run_requested {
-            self.withdrawn_runs.add(request.attempt);
+            self.undelivered_runs.add(request.attempt);
         }
         self.status.telemetry().record_client_gone();
         self.bill_cancelled(id);
--- a/src/server/dispatcher/runs.rs
+++ b/src/server/dispatcher/runs.rs
@@ -1,4 +1,4 @@
-//! Runs: their start, their end, and the reuse of their results.
+//! Start and end of runs, and reuse of their results.
 
 use super::request::ExecutionState;
 use super::state::Dispatcher;
@@ -22,14 +22,16 @@
         }
     }
 
-    /// Starts the run of a queued request, unless its key was run in the same window.
+    /// Starts the run of a queued request, or fails the request if its key has already run in the same
+    /// window.
     fn start_run(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         match self.keys.begin_run(id, request) {
-            // The superseded run outlasted its own window, and its duplicates would no longer be found.
+            // The superseded run continued past its own window, and the end of that run would no longer find
+            // its duplicates.
             Ok(waiters) => waiters.into_iter().for_each(|waiter| self.finish_reuse(waiter, None)),
             Err(duplicate_run) => {
-                self.repeating_log.run_prevented(self.clock.now(), &duplicate_run);
+                self.repeating_log.log_run_prevented(self.clock.now(), &duplicate_run);
                 self.respond(id, Response::Failed);
                 self.remove(id);
                 let outcome = Outcome::Lost;
@@ -41,13 +43,14 @@
         request.run_requested = true;
         let attempt = request.attempt;
         if self.abandoned_runs.take(attempt) {
-            // The worker pool would start nothing for an attempt whose run it keeps, and report nothing either.
+            // The worker pool ignores a run command for an attempt whose paused run it still has, and reports
+            // nothing.
             return self.request_command(id, PoolCommand::Resume { attempt });
         }
         self.request_new_run(id);
     }
 
-    /// Asks the worker pool for a run from the beginning.
+    /// Requests a run from the beginning from the worker pool.
     fn request_new_run(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let (attempt, class, body) = (request.attempt, request.class, request.body.clone());
@@ -55,7 +58,8 @@
         self.request_command(id, PoolCommand::Run { attempt, class, body });
     }
 
-    /// The worker pool keeps no run to resume: a request that may run again and is still owed a response is run anew.
+    /// Handles a rejected resume command: the worker pool has no paused run. The request is run from the
+    /// beginning if its class is idempotent and it has no final response yet; otherwise its run is lost.
     pub(super) fn on_resume_rejected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let is_idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
@@ -66,7 +70,7 @@
         self.request_new_run(id);
     }
 
-    /// Stops or pauses a run.
+    /// Stops or pauses a running request.
     pub(super) fn preempt(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         if matches!(request.state, ExecutionState::Running) {
@@ -75,7 +79,7 @@
         }
     }
 
-    /// Answers a duplicate with the result of its key's run, at once or when that ends.
+    /// Answers a duplicate with the result of its key's run, immediately or when that run ends.
     pub(super) fn reuse_result(&mut self, now: f64, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.state = ExecutionState::AwaitingResult { since: now };
@@ -86,7 +90,8 @@
         }
     }
 
-    /// Ends a run: the request is answered, or waits for another run if it was preempted.
+    /// Handles the end of a run: answers the request, or queues or pauses it for another run if it was
+    /// preempted.
     pub(super) fn on_run_ended(
         &mut self,
         id: RequestId,
@@ -95,12 +100,12 @@
         result: Vec<u8>,
     ) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        // "Not started" is true of the run only while its start is the first unconfirmed command: a run that was stopped
-        // at an upstream call and told to continue has run, and its key must not become free.
+        // "Not started" is credible only while the start of the run is the first unconfirmed command: a run
+        // that was stopped at an upstream call and then resumed has run, and its key must not become free.
         let disproved = reported == RunOutcome::NotStarted && !request.is_start_unconfirmed();
         let run_outcome = if disproved { RunOutcome::Lost } else { reported };
         request.unconfirmed.clear();
-        let was_at_call = request.is_at_call();
+        let was_at_upstream_call = request.is_at_upstream_call();
         let preemption = self.settings.preemption;
         let was_preempted = run_outcome == RunOutcome::Stopped && preemption != Preemption::Off;
         if was_preempted && request.reply.is_some() {
@@ -108,8 +113,8 @@
             request.state = if restarts { ExecutionState::Queued } else { ExecutionState::Paused };
             return self.dispatch_event(Event::RunEnded { id, outcome: Outcome::Cancelled, took_ms });
         }
-        // What ends at its call is not kept by the worker pool.
-        if run_outcome == RunOutcome::Stopped && preemption == Preemption::Suspend && !was_at_call {
+        // The worker pool does not retain a run that was stopped at its upstream call.
+        if run_outcome == RunOutcome::Stopped && preemption == Preemption::Suspend && !was_at_upstream_call {
             self.abandoned_runs.add(request.attempt);
         }
         let result = (run_outcome == RunOutcome::Completed).then(|| Rc::from(result));
@@ -121,13 +126,15 @@
         self.dispatch_event(Event::RunEnded { id, outcome, took_ms });
     }
 
-    /// Answers a request with the result of its run, or bills the run if no response is owed.
+    /// Answers a request with the result of its run, or only bills the run if the request already has a final
+    /// outcome.
     fn answer_run(&mut self, id: RequestId, result: Option<Rc<[u8]>>, took_ms: f64) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let reply = request.reply.take();
         if reply.as_ref().is_some_and(|reply| reply.mailbox.is_closed()) {
-            // Its connection ended: the client sends it again, and has to be told that it ran.
-            self.withdrawn_runs.add(request.attempt);
+            // The connection ended: the client may resend the attempt, which must not be rejected because it
+            // has run.
+            self.undelivered_runs.add(request.attempt);
         }
         self.cancel_upstream_call(id);
         let response = result.map_or(Response::Failed, Response::Completed);
@@ -137,7 +144,7 @@
         }
     }
 
-    /// Records the end of a run with its key, and answers the duplicates that waited for it.
+    /// Records the end of the run for its key, and answers the duplicates that waited for it.
     fn finish_key_run(&mut self, id: RequestId, run_outcome: RunOutcome, result: Option<Rc<[u8]>>) {
         let Some(request) = self.requests.get(id) else { return };
         let run_result = match result {
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! The state of the dispatcher, and the two ways in which it acts: events for the admission controller, and messages to
+//! State of the dispatcher, and its two kinds of output: events for the admission controller, and messages to
 //! other tasks.
 
 use super::gauge_poll::GaugePoll;
@@ -28,90 +28,91 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The mailboxes of the tasks that the dispatcher writes to.
+/// Mailboxes of the tasks to which the dispatcher sends messages.
 pub struct Mailboxes {
-    /// The link to the worker pool.
+    /// Mailbox of the link to the worker pool.
     pub worker_pool: Sender<WorkerPoolMessage>,
-    /// The client of the upstream service; the last tier has none.
+    /// Mailbox of the client of the upstream service; `None` in the last tier, which has no upstream service.
     pub upstream: Option<Sender<UpstreamMessage>>,
-    /// The reporter of health to the registry.
+    /// Mailbox of the task that reports health to the registry.
     pub registry: Sender<RegistryMessage>,
-    /// The listener.
+    /// Mailbox of the listener.
     pub listener: Sender<ListenerMessage>,
 }
 
-/// What the dispatcher shares with the rest of the process.
+/// Resources that the dispatcher shares with the rest of the process.
 pub struct DispatcherEnvironment {
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The timers.
+    /// Timer wheel of the process.
     pub wheel: Rc<TimerWheel>,
-    /// Runs the dispatcher's timers.
+    /// Executor that runs the dispatcher's timers.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// What operators see and set.
+    /// Status that operators can read, and the settings that they can change.
     pub status: Arc<ServingStatus>,
-    /// The ids of requests.
+    /// Sequence of request ids.
     pub request_ids: Rc<RequestIdSequence>,
-    /// The log.
+    /// Logger.
     pub log: Logger,
 }
 
-/// How the worker pool started.
+/// Start of the worker pool.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PoolStart {
-    /// Whether it started cold.
+    /// Whether the worker pool started cold.
     pub(super) cold: bool,
-    /// How long ago, ms.
+    /// Time since the start, ms.
     pub(super) ago_ms: f64,
 }
 
 /// The task that owns all requests and gives their final responses.
 pub struct Dispatcher {
     pub(super) settings: Settings,
-    /// The most requests in the table.
+    /// Maximum number of requests in the table.
     max_requests: usize,
-    /// The names of the worker pool's gauges, in the order of their values.
+    /// Names of the worker pool's gauges, in the order of their values.
     pub(super) gauge_names: Vec<String>,
     pub(super) controller: Option<AdmissionController>,
-    /// Events that wait for the controller; carrying out actions adds some.
+    /// Events not yet passed to the controller. Carrying out actions may add events.
     pub(super) events: VecDeque<Event>,
     pub(super) requests: RequestTable,
     pub(super) keys: IdempotencyKeys,
-    /// The attempts whose runs the worker pool keeps paused for nobody. It starts none of the same attempt.
+    /// Attempts of ended requests whose runs are still paused in the worker pool, which ignores run commands
+    /// for them.
     pub(super) abandoned_runs: RecentAttempts,
-    /// The attempts whose clients went after a run was requested.
-    pub(super) withdrawn_runs: RecentAttempts,
+    /// Attempts that may have run and whose clients disconnected or cancelled before the final response.
+    pub(super) undelivered_runs: RecentAttempts,
     pub(super) pool: PoolLink,
     pub(super) upstream: Option<Sender<UpstreamMessage>>,
     registry: Sender<RegistryMessage>,
     pub(super) listener: Sender<ListenerMessage>,
     pub(super) gauge_poll: GaugePoll,
-    /// The health of this process.
+    /// Health of this process.
     pub(super) health: ServiceHealth,
-    /// The share that goes out with every response.
+    /// Advertised share, which is sent with every response.
     pub(super) advertised_share: Option<f64>,
-    /// The usage ledger, if responses are billed.
+    /// Usage ledger; `None` if responses are not billed.
     pub(super) usage: Option<Box<Billing>>,
-    /// How often the time of the usage ledger advances, ms.
+    /// Interval at which the time of the usage ledger advances, ms.
     pub(super) usage_tick_ms: f64,
     pub(super) status: Arc<ServingStatus>,
     pub(super) handing_over: HandingOver,
     pub(super) taking_over: TakingOver,
-    /// Whether a link to the worker pool was ever up.
+    /// Whether a link to the worker pool has ever been up.
     pub(super) was_linked: bool,
-    /// Told once no request is left.
-    pub(super) idle: Option<Sender<()>>,
+    /// Notified once no request is left.
+    pub(super) idle_notifier: Option<Sender<()>>,
     pub(super) clock: Clock,
     wheel: Rc<TimerWheel>,
     executor: Rc<LocalExecutor<'static>>,
     own_mailbox: DispatcherSender,
     pub(super) log: Logger,
-    /// The lines that may come with each request or command.
+    /// Rate-limited log for lines that each request or command may cause.
     pub(super) repeating_log: RepeatingLog,
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher without requests. `own_mailbox` is where its timers send to.
+    /// Returns a dispatcher without requests. `own_mailbox` receives the messages of its timers.
     pub fn new(
         config: &Config,
         environment: DispatcherEnvironment,
@@ -128,7 +129,7 @@
             requests: RequestTable::default(),
             keys: IdempotencyKeys::new(config),
             abandoned_runs: RecentAttempts::default(),
-            withdrawn_runs: RecentAttempts::default(),
+            undelivered_runs: RecentAttempts::default(),
             pool: PoolLink::new(mailboxes.worker_pool, clock, log.clone()),
             upstream: mailboxes.upstream,
             registry: mailboxes.registry,
@@ -142,7 +143,7 @@
             handing_over: HandingOver::new(),
             taking_over: TakingOver::new(request_ids),
             was_linked: false,
-            idle: None,
+            idle_notifier: None,
             clock,
             wheel,
             executor,
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Bills every final response from now on; the time of the ledger advances every `tick_ms`.
+    /// Enables billing of every final response. The time of the ledger advances every `tick_ms`.
     pub fn enable_billing(&mut self, billing: Billing, tick_ms: f64) {
         self.usage = Some(Box::new(billing));
         self.usage_tick_ms = tick_ms;
@@ -160,8 +161,8 @@
 
     /// Starts the admission controller if it has not started.
     ///
-    /// How the worker pool started, known before the first request, tells better than the settings how warm the machine
-    /// is.
+    /// If the start of the worker pool is known before the first request, it overrides the settings, because
+    /// it is a better indication of how warm the machine is.
     pub(super) fn start_controller(&mut self, pool: Option<PoolStart>) {
         if self.controller.is_some() {
             return;
@@ -175,13 +176,14 @@
         self.dispatch_event(Event::Start);
     }
 
-    /// Passes an event to the controller and carries out its actions, with all events that these cause.
+    /// Passes an event to the controller and carries out the resulting actions, and processes all events that
+    /// these cause.
     pub(super) fn dispatch_event(&mut self, event: Event) {
         self.events.push_back(event);
         self.dispatch_pending_events();
     }
 
-    /// Passes the events that wait to the controller, and carries out its actions.
+    /// Passes the pending events to the controller, and carries out the resulting actions.
     pub(super) fn dispatch_pending_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -220,12 +222,12 @@
         };
         let message = ConnectionMessage::Response { tag: reply.tag, response, advertised_share };
         if let Err(TrySendError::Full(_)) = reply.mailbox.try_send(message) {
-            // So slow a reader would take memory without bound: its connection ends.
+            // The connection is closed to bound the memory that a client which reads too slowly can take.
             reply.mailbox.close();
         }
     }
 
-    /// Returns whether the server is healthy.
+    /// Returns whether the server is healthy, as the successor reports it after a handover.
     pub(super) fn is_healthy(&self) -> bool {
         if let Some(successor) = self.handing_over.successor_health() {
             return successor.healthy;
@@ -233,14 +235,15 @@
         self.health.is_healthy()
     }
 
-    /// Passes inputs to the health of this process, and reports a change to the registry.
+    /// Updates the health of this process with these inputs, and reports a change to the registry.
     pub(super) fn update_health(&mut self, inputs: &[HealthInput]) {
         if self.health.on_inputs(inputs).is_some() {
             self.report_health();
         }
     }
 
-    /// Takes the state of ledger and evacuation as it is now, without waiting for the messages that tell of changes.
+    /// Updates the health with the current state of ledger and evacuation, without waiting for messages about
+    /// changes.
     pub(super) fn refresh_health(&mut self) {
         let billing = HealthInput::BillingHealth(self.can_bill());
         let is_evacuated = self.status.is_evacuated();
@@ -248,50 +251,51 @@
         self.update_health(&[billing, evacuation]);
     }
 
-    /// Reports health to the registry.
+    /// Reports the current health to the registry.
     pub(super) fn report_health(&self) {
-        self.tell_registry(RegistryMessage::SetHealth(self.is_healthy()));
+        self.send_to_registry(RegistryMessage::SetHealth(self.is_healthy()));
     }
 
-    /// Sets whether this process is ready to serve: it decides, its worker pool was reached, and it goes on.
+    /// Sets whether this process is ready to serve: it decides on requests, has had a link to its worker
+    /// pool, and is not shutting down.
     pub(super) fn update_readiness(&self) {
         let decides = self.taking_over.is_owner && !self.handing_over.is_handed_over();
-        let goes_on = self.health.state() != ServiceState::ShuttingDown;
-        self.status.set_ready(decides && self.was_linked && goes_on);
+        let keeps_serving = self.health.state() != ServiceState::ShuttingDown;
+        self.status.set_ready(decides && self.was_linked && keeps_serving);
     }
 
-    /// Sends a message to the reporter of health.
-    pub(super) fn tell_registry(&self, message: RegistryMessage) {
+    /// Sends a message to the task that reports health to the registry.
+    pub(super) fn send_to_registry(&self, message: RegistryMessage) {
         // The mailbox is unbounded and closes only at the end of the process.
         let _ = self.registry.try_send(message);
     }
 
     /// Sends a message to the listener.
-    pub(super) fn tell_listener(&self, message: ListenerMessage) {
+    pub(super) fn send_to_listener(&self, message: ListenerMessage) {
         // The mailbox is unbounded and closes only at the end of the process.
         let _ = self.listener.try_send(message);
     }
 
     /// Returns whether the table has room for one more request.
     pub(super) fn has_room(&self) -> bool {
-        self.requests.len() + self.handing_over.len() < self.max_requests
+        self.requests.len() + self.handing_over.waiting_count() < self.max_requests
     }
 
-    /// Sends a command for a request to the worker pool, at once or when a link is up again.
+    /// Sends a command for a request to the worker pool, immediately or when the next link is up.
     pub(super) fn request_command(&mut self, id: RequestId, command: PoolCommand) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.unconfirmed.push(command.clone());
         self.pool.send(command);
     }
 
-    /// Removes a request; the reservation of its key is released if it never ran.
+    /// Removes a request, and releases the reservation of its key if it never ran.
     pub(super) fn remove(&mut self, id: RequestId) {
         if let Some(request) = self.requests.remove(id) {
             self.keys.finish_attempt(id, &request);
         }
     }
 
-    /// Removes a request that is over, unless the worker pool has still to report its run.
+    /// Removes a finished request, unless the worker pool is yet to report the end of its run.
     pub(super) fn remove_if_idle(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id).filter(|request| request.is_idle()) else { return };
         if matches!(request.state, ExecutionState::Paused) {
@@ -301,7 +305,8 @@
     }
 }
 
-/// Returns how a request ended that gets this response; `None` for the response to a health check.
+/// Returns the end of a request that gets this response, for telemetry; `None` for the response to a health
+/// check.
 fn request_end(response: &Response) -> Option<RequestEnd> {
     match response {
         Response::Completed(_) => Some(RequestEnd::Served),
--- a/src/server/dispatcher/taking_over.rs
+++ b/src/server/dispatcher/taking_over.rs
@@ -1,10 +1,11 @@
-//! Taking over from a predecessor: this process is the successor.
+//! Handover from a predecessor, in which this process is the successor.
 //!
 //! # Invariants
-//! - Before the commit no request is decided here.
-//! - A key that runs at the predecessor is not run here; its duplicates get the result once it is told.
+//! - Before the commit this process decides on no request.
+//! - A key whose run is in progress at the predecessor is not run here. Its duplicates get the result once
+//!   the predecessor reports it.
 
-use super::handover_records::{incoming_request, received_key, received_run_end};
+use super::handover_records::{key_from_wire, request_from_wire, run_end_from_wire};
 use super::handover_state::{PendingRun, PredecessorLoad};
 use super::state::Dispatcher;
 use crate::admission::Event;
@@ -20,8 +21,8 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Waits for a predecessor to hand over: `can_serve` is told once the link to the worker pool is up, and
-    /// `responses` takes the responses to forwarded requests.
+    /// Prepares for a handover from a predecessor: `can_serve` is notified once the link to the worker pool
+    /// is up, and `responses` receives the responses to forwarded requests.
     pub fn await_handover(&mut self, can_serve: Sender<()>, responses: Sender<ConnectionMessage>) {
         self.taking_over.is_owner = false;
         self.taking_over.can_serve = Some(can_serve);
@@ -36,7 +37,7 @@
             }
             PredecessorMessage::LoadKeys { records, loaded } => {
                 let all_loaded = records.into_iter().all(|record| self.load_key(record));
-                // The channel has room for this one message.
+                // The channel has capacity for this one message.
                 let _ = loaded.try_send(all_loaded);
             }
             PredecessorMessage::DiscardKeys => {
@@ -53,12 +54,12 @@
         }
     }
 
-    /// The link to the worker pool is up.
-    pub(super) fn on_can_serve(&mut self) {
+    /// Updates the readiness and notifies the takeover task that the link to the worker pool is up.
+    pub(super) fn on_pool_linked(&mut self) {
         self.was_linked = true;
         self.update_readiness();
         if let Some(can_serve) = &self.taking_over.can_serve {
-            // One message that waits is enough.
+            // If the channel is full, the notification is already pending.
             let _ = can_serve.try_send(());
         }
     }
@@ -70,7 +71,7 @@
             let pending = PendingRun { attempt: run.attempt, id };
             self.taking_over.pending_runs.insert(record.key.clone(), pending);
         }
-        let imported = self.keys.import(received_key(record), id);
+        let imported = self.keys.import(key_from_wire(record), id);
         if let Err(error) = &imported {
             warn!(self.log, "handover: key not loaded"; "error" => %error);
         }
@@ -82,10 +83,10 @@
             "running_keys" => self.taking_over.pending_runs.len());
         self.taking_over.is_owner = true;
         self.taking_over.predecessor = predecessor;
-        self.tell_listener(ListenerMessage::StartAccepting);
-        self.tell_registry(RegistryMessage::SetActive(true));
+        self.send_to_listener(ListenerMessage::StartAccepting);
+        self.send_to_registry(RegistryMessage::SetActive(true));
         self.update_readiness();
-        self.tell_predecessor_health();
+        self.report_health_to_predecessor();
     }
 
     fn on_predecessor_frame(&mut self, frame: ToSuccessor) {
@@ -101,7 +102,7 @@
                 self.set_predecessor_load(PredecessorLoad { runs, memory_kb });
             }
             ToSuccessor::KeysUnknown { until } => self.keys.begin_blackout(until),
-            // Steps of the protocol, which come as such.
+            // These are steps of the protocol, which the takeover task handles.
             ToSuccessor::Welcome { .. }
             | ToSuccessor::Refuse { .. }
             | ToSuccessor::Keys(_)
@@ -114,12 +115,12 @@
         let Some(responses) = self.taking_over.responses.clone() else { return };
         let (number, id) = (request.request, self.taking_over.request_ids.next_id());
         let reply = ReplyHandle { mailbox: responses, tag: number, class: None, progress: None };
-        let known = (request.class as usize) < self.settings.classes.len();
-        if !known {
+        let class_is_known = (request.class as usize) < self.settings.classes.len();
+        if !class_is_known {
             return self.send_response(reply, crate::server::messages::Response::Invalid);
         }
         self.taking_over.forwarded.insert(number, id);
-        self.on_arrival(incoming_request(request, id, reply));
+        self.on_arrival(request_from_wire(request, id, reply));
     }
 
     fn on_predecessor_run_ended(&mut self, key: &[u8], attempt: u64, end: RunEnd) {
@@ -127,7 +128,7 @@
         let Some(id) = pending.map(|pending| pending.id) else { return };
         self.taking_over.pending_runs.remove(key);
         self.report_key_run_end(key, id, end.clone());
-        let finished = self.keys.finish_imported_run(&Rc::from(key), id, received_run_end(end));
+        let finished = self.keys.finish_imported_run(&Rc::from(key), id, run_end_from_wire(end));
         self.answer_waiters(finished);
         self.dispatch_pending_events();
     }
@@ -138,7 +139,8 @@
         }
     }
 
-    /// The predecessor ended: how its runs ended is not known, and its clients are gone.
+    /// Handles the end of the predecessor: the outcome of its remaining runs is unknown, and its clients are
+    /// gone.
     fn on_predecessor_gone(&mut self) {
         info!(self.log, "handover: predecessor ended"; "unknown_runs" => self.taking_over.pending_runs.len());
         self.taking_over.predecessor = None;
@@ -156,7 +158,7 @@
         self.set_predecessor_load(PredecessorLoad::default());
     }
 
-    /// Has the controller count what the predecessor still runs.
+    /// Records the load of the runs that continue in the predecessor, and passes it to the controller.
     fn set_predecessor_load(&mut self, load: PredecessorLoad) {
         self.taking_over.predecessor_load = load;
         let runs = usize::try_from(load.runs).unwrap_or(usize::MAX);
@@ -165,20 +167,20 @@
         self.report_runs_in_progress();
     }
 
-    /// Tells the predecessor what to tell its clients, if that has changed.
-    pub(super) fn tell_predecessor_health(&mut self) {
+    /// Reports health and advertised share to the predecessor, for its clients, if either has changed.
+    pub(super) fn report_health_to_predecessor(&mut self) {
         let Some(predecessor) = &self.taking_over.predecessor else { return };
         let health = (self.is_healthy(), self.advertised_share);
-        if self.taking_over.told_health == Some(health) {
+        if self.taking_over.reported_health == Some(health) {
             return;
         }
         let (healthy, advertised_share) = health;
-        // The queue is unbounded; it is closed once the link has ended, which is told by a message of its own.
+        // The queue is unbounded. It is closed once the link has ended, which a separate message reports.
         let _ = predecessor.try_send(ToPredecessor::Health { healthy, advertised_share });
-        self.taking_over.told_health = Some(health);
+        self.taking_over.reported_health = Some(health);
     }
 
-    /// Forgets forwarded requests that are over.
+    /// Removes the entries of forwarded requests that have ended.
     pub(super) fn sweep_forwarded(&mut self) {
         let requests = &self.requests;
         self.taking_over.forwarded.retain(|_, id| requests.get(*id).is_some());
--- a/src/server/dispatcher/timers.rs
+++ b/src/server/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the admission controller with the gauges that they wait for, the sweep of keys, and changes of settings.
+//! Timers of the admission controller, which wait for gauges, the sweep of keys, and changes of settings.
 
 use super::state::Dispatcher;
 use crate::admission::{Event, Gauges};
@@ -10,10 +10,10 @@
 pub(super) const SWEEP_INTERVAL_MS: f64 = 1000.0;
 
 impl Dispatcher {
-    /// A timer is due: it fires with the gauges, or without them if they are late or no link is up.
+    /// Handles a due timer: it fires with the gauges, or without them if they are late or no link is up.
     pub(super) fn on_timer(&mut self, token: u64) {
-        if let Some(earlier) = self.gauge_poll.abandon() {
-            self.fire_timer(earlier, Gauges::default());
+        if let Some(earlier_token) = self.gauge_poll.abandon() {
+            self.fire_timer(earlier_token, Gauges::default());
         }
         let tag = self.gauge_poll.begin(token);
         self.dispatch_event(Event::GaugesRequested);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The gauges of the reading with this tag are there, or late.
+    /// Fires the timer that waits for the reading with this tag, after the gauges arrived or timed out.
     pub(super) fn on_gauges(&mut self, tag: u64, gauges: Gauges) {
         if let Some(token) = self.gauge_poll.complete(tag) {
             self.fire_timer(token, gauges);
@@ -35,22 +35,22 @@
         self.dispatch_event(Event::Timer { token, gauges });
     }
 
-    /// Settings change: in the controller, or for its start if that is yet to come.
+    /// Applies changed settings to the controller, or to the settings for its start if it has not started.
     pub(super) fn on_reconfigured(&mut self, reconfigured: Reconfigured) {
         let Reconfigured { changes, done } = reconfigured;
         match self.controller {
             Some(_) => self.dispatch_event(Event::Reconfigured(Box::new(changes))),
             None => self.settings.reconfigure(&changes),
         }
-        // The channel has room for this one message; the sender of the changes waits for it.
+        // The channel has capacity for this one message, for which the sender of the changes waits.
         let _ = done.try_send(());
     }
 
-    /// Removes expired keys, and tells which log lines were repeated.
+    /// Removes expired keys and ended forwarded requests, and logs how often log lines were repeated.
     pub(super) fn on_sweep(&mut self) {
         self.schedule(SWEEP_INTERVAL_MS, DispatcherMessage::SweepKeys);
         let now = self.clock.now();
-        self.repeating_log.tell_repeated(now);
+        self.repeating_log.log_repeated(now);
         self.keys.sweep(now);
         self.sweep_forwarded();
     }
--- a/src/server/dispatcher/upstream_calls.rs
+++ b/src/server/dispatcher/upstream_calls.rs
@@ -1,4 +1,4 @@
-//! Upstream calls of runs: made, skipped, cancelled and ended.
+//! Upstream calls of runs: their start, end, omission and cancellation.
 
 use super::request::{ExecutionState, Request};
 use super::state::Dispatcher;
@@ -8,7 +8,8 @@
 use slog::error;
 
 impl Dispatcher {
-    /// Makes the upstream call that a run waits for; without a limit of its own it may take the client's timeout.
+    /// Makes the upstream call that a run waits for. If `timeout_ms` is 0, the client timeout of the class
+    /// applies.
     pub(super) fn call_upstream(&mut self, id: RequestId, timeout_ms: f64) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let ExecutionState::AwaitingUpstreamCall(pending) = &request.state else { return };
@@ -26,7 +27,7 @@
             request.state = ExecutionState::CallingUpstream(pending);
             return;
         }
-        // There is no upstream service, or its task takes no calls: the call never ran.
+        // There is no upstream service, or its task accepts no calls: the call never ran.
         let outcome = Outcome::Unreachable;
         self.events.push_back(Event::UpstreamCallEnded { id, outcome, took_ms: 0.0 });
     }
@@ -41,7 +42,8 @@
         self.request_command(id, command);
     }
 
-    /// An upstream call ended: the run continues with the reply, or waits for the controller's decision.
+    /// Handles the end of an upstream call: the run continues with the reply, or waits for the controller's
+    /// decision.
     pub(super) fn on_upstream_call_ended(
         &mut self,
         id: RequestId,
@@ -61,7 +63,7 @@
         self.dispatch_event(Event::UpstreamCallEnded { id, outcome, took_ms });
     }
 
-    /// Cancels the upstream call of a request that is over, if one is under way.
+    /// Cancels the upstream call of a finished request, if one is in progress.
     pub(super) fn cancel_upstream_call(&self, id: RequestId) {
         let Some(Request { state: ExecutionState::CallingUpstream(_), .. }) = self.requests.get(id) else {
             return;
