--- a/src/server/dispatcher/request.rs
+++ b/src/server/dispatcher/request.rs
@@ -149,8 +149,8 @@
         matches!(self.state, ExecutionState::AwaitingUpstreamCall(_) | ExecutionState::CallingUpstream(_))
     }
 
-    /// Returns whether the worker pool has a run of the request: it is running, paused or waits for an
-    /// upstream call.
+    /// Returns whether a run was requested and has not ended: it is running, paused or waits for an upstream
+    /// call.
     pub(super) fn has_run_in_pool(&self) -> bool {
         !matches!(self.state, ExecutionState::Queued | ExecutionState::AwaitingResult { .. })
     }
--- a/src/server/dispatcher/runs.rs
+++ b/src/server/dispatcher/runs.rs
@@ -59,7 +59,8 @@
     }
 
     /// Handles a rejected resume command: the worker pool has no paused run. The request is run from the
-    /// beginning if its class is idempotent and it has no final response yet; otherwise its run is lost.
+    /// beginning if its class is idempotent and its client still waits for the response; otherwise its run is
+    /// lost.
     pub(super) fn on_resume_rejected(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let is_idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -259,9 +259,9 @@
     /// Sets whether this process is ready to serve: it decides on requests, has had a link to its worker
     /// pool, and is not shutting down.
     pub(super) fn update_readiness(&self) {
-        let decides = self.taking_over.is_owner && !self.handing_over.is_handed_over();
+        let is_owner = self.taking_over.is_owner && !self.handing_over.is_handed_over();
         let keeps_serving = self.health.state() != ServiceState::ShuttingDown;
-        self.status.set_ready(decides && self.was_linked && keeps_serving);
+        self.status.set_ready(is_owner && self.was_linked && keeps_serving);
     }
 
     /// Sends a message to the task that reports health to the registry.
--- a/src/server/messages/connection.rs
+++ b/src/server/messages/connection.rs
@@ -1,4 +1,4 @@
-//! Messages to the task of a client connection, and the responses that they carry.
+//! Messages to the task of a client connection, and the responses in them.
 
 use super::request_progress::RequestProgress;
 use async_channel::Sender;
@@ -7,20 +7,20 @@
 /// A final response, or the response to a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// The result of a run.
+    /// The request completed with this result of its run.
     Completed(Rc<[u8]>),
     /// The request was rejected; this attempt never ran.
     Rejected {
-        /// Retry-After, ms; 0 for none.
+        /// Delay after which the client may retry, ms; 0 if none is sent.
         retry_after_ms: f64,
-        /// Whether the client is asked not to retry on another server.
+        /// Whether the client should not retry on another server.
         do_not_retry: bool,
     },
-    /// The request failed; it may have had its effect.
+    /// The request failed; it may have had an effect.
     Failed,
-    /// The request can't be decoded or contradicts another one; nothing was done for it.
+    /// The request can't be decoded or contradicts another request; it was not run.
     Invalid,
-    /// Whether the server is healthy.
+    /// The response to a health check: whether the server is healthy.
     Health(bool),
 }
 
@@ -33,23 +33,25 @@
         tag: u64,
         /// The response.
         response: Response,
-        /// The share of its requests that a client should send here, 0 to 1, where it is advertised.
+        /// The share of its requests that a client should send to this server, 0 to 1; `None` if none is
+        /// advertised.
         advertised_share: Option<f64>,
     },
-    /// Graceful shutdown: take no new requests, notify the client, and close after the last response.
+    /// Shut down gracefully: accept no new requests, notify the client, and close after the last response.
     Shutdown,
 }
 
-/// Where the response to a request goes. A response to a closed connection is dropped.
+/// Destination of the response to a request. A response to a closed connection is dropped.
 #[derive(Clone, Debug)]
 pub struct ReplyHandle {
-    /// The connection's mailbox.
+    /// Mailbox of the connection's task.
     pub mailbox: Sender<ConnectionMessage>,
     /// The connection's tag for the request.
     pub tag: u64,
-    /// The class of the request, by position; `None` where the response is to something else, or the class is not known.
+    /// Class of the request, by position; `None` if the response is not to a request, the class is unknown,
+    /// or the successor records the end of the request.
     pub class: Option<usize>,
-    /// How far the request has come; `None` where the response is to something else, or the request came from another
-    /// process.
+    /// Progress of the request; `None` if the response is not to a request, or the request was forwarded by
+    /// another process.
     pub progress: Option<Rc<RequestProgress>>,
 }
--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -9,49 +9,50 @@
 use dunlinspread_store::Writer;
 use std::rc::Rc;
 
-/// A request as a frontend decoded it.
+/// A request that a frontend has decoded.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The number of the request, unique and increasing over all frontends.
+    /// Id of the request, unique and increasing across all frontends.
     pub id: RequestId,
-    /// The number that the client gave this attempt.
+    /// Number that the client assigned to this attempt.
     pub attempt: u64,
-    /// The class, by position.
+    /// Class of the request, by position.
     pub class: usize,
     /// When the request reached the machine, Unix ms.
     pub received_at: f64,
     /// Memory that the request takes while queued, kB.
     pub request_kb: f64,
-    /// The quantile of its priority, 0 to 1, lowest first.
+    /// Quantile of the request's priority, 0 (lowest) to 1.
     pub priority: f64,
-    /// The idempotency key, shared by all attempts of one request.
+    /// Idempotency key, shared by all attempts of one request.
     pub key: Option<Vec<u8>>,
-    /// How long the client waits for this attempt, ms from `received_at`, where that is sent.
+    /// How long the client waits for this attempt, ms from `received_at`; `None` if the client did not send
+    /// it.
     pub timeout_ms: Option<f64>,
-    /// The tenant, by position.
+    /// Tenant of the request, by position.
     pub tenant: usize,
-    /// The account that is billed, a valid account name.
+    /// Account that is billed, a valid account name.
     pub account: Option<Rc<str>>,
-    /// Whether the result may be shared with other requests that read the same.
+    /// Whether the result may be shared with other requests that read the same data.
     pub shareable: bool,
-    /// The body, as received.
+    /// Body of the request, as received.
     pub body: Vec<u8>,
-    /// Where the response goes.
+    /// Handle for the response.
     pub reply: ReplyHandle,
 }
 
 /// A message to the dispatcher.
 #[derive(Debug)]
 pub enum DispatcherMessage {
-    /// A request was decoded.
+    /// A frontend decoded a request.
     Request(Box<IncomingRequest>),
-    /// An invalid request that can be answered.
+    /// A frontend received an invalid request that can be answered.
     InvalidRequest(ReplyHandle),
-    /// A health check was received.
+    /// A frontend received a health check.
     HealthCheck(ReplyHandle),
     /// The client cancelled the request or closed its connection.
     ClientGone(RequestId),
-    /// An event of the worker pool.
+    /// An event of the worker pool or of the link to it.
     Pool(PoolEvent),
     /// An upstream call ended.
     UpstreamCallEnded {
@@ -64,40 +65,42 @@
         /// How long the call took, ms.
         took_ms: f64,
     },
-    /// A timer of the admission controller is due; its token.
+    /// The timer of the admission controller with this token is due.
     Timer(u64),
-    /// The gauges requested with this tag are late.
+    /// The gauges requested with this tag did not arrive in time.
     GaugesTimedOut(u64),
     /// Shutdown was requested: drain.
     Drain {
         /// When the process stops, Unix ms.
         stop_at: f64,
     },
-    /// Settings change. Requests that were decoded with the old settings are earlier in the mailbox.
+    /// Settings changed. Requests that were decoded with the old settings precede this message in the
+    /// mailbox.
     Reconfigured(Box<Reconfigured>),
-    /// A message about the process that takes over from this one.
+    /// A message about the successor, the process that takes over from this one.
     Successor(SuccessorMessage),
-    /// A message about the process that this one takes over from.
+    /// A message about the predecessor, the process from which this one takes over.
     Predecessor(PredecessorMessage),
-    /// Tell once no request is left.
+    /// Notify through this channel once no request is left.
     NotifyIdle(Sender<()>),
-    /// Clients are to be sent elsewhere, or taken again, by an operator.
+    /// An operator started or ended the evacuation, which sends clients to other servers.
     EvacuationChanged,
     /// Remove expired idempotency keys.
     SweepKeys,
-    /// A message of the usage ledger's threads.
+    /// A message from the threads of the usage ledger.
     Usage(Box<UsageMessage>),
     /// Advance the time of the usage ledger.
     UsageTick,
-    /// The process ends: hand over the writer of the usage ledger, if there is one.
+    /// The process ends: shut the usage ledger down, if it is enabled, and send its writer through this
+    /// channel.
     CloseUsage(Sender<Writer>),
 }
 
-/// Changes of settings, and whom to notify once they are in force.
+/// Changes of settings, with a channel for the notification that they are in force.
 #[derive(Debug)]
 pub struct Reconfigured {
-    /// The changes.
+    /// Changed settings.
     pub changes: Reconfiguration,
-    /// Receives one message once the changes are in force; it has room for it.
+    /// Receives one message once the changes are in force, for which it must have capacity.
     pub done: Sender<()>,
 }
--- a/src/server/messages/dispatcher_mailbox.rs
+++ b/src/server/messages/dispatcher_mailbox.rs
@@ -1,22 +1,25 @@
-//! The mailbox of the dispatcher. It has two queues: requests and all that follows from them wait in one, and what other
-//! processes of this server, operators and a shutdown ask does not wait behind it.
+//! Mailbox of the dispatcher, which has two queues.
+//!
+//! The request queue has requests and all messages that result from them. The control queue has messages from
+//! other processes of this server, from operators and about a shutdown, which must not wait behind requests.
 //!
 //! # Invariants
-//! - Messages of one queue are taken in the order in which they were sent.
-//! - A message of the requests' queue waits for a bounded number of the others.
+//! - Messages of one queue are received in the order in which they were sent.
+//! - A message in the request queue waits for a bounded number of control messages.
 
 use super::dispatcher::DispatcherMessage;
 use async_channel::{Receiver, Sender, TrySendError, bounded};
 use futures_lite::future::or;
 use thiserror::Error;
 
-/// Control messages that are taken before one that waits in the requests' queue.
-const MAX_CONTROL_IN_A_ROW: usize = 4;
+/// Maximum number of consecutive control messages that are received while a message waits in the request
+/// queue.
+const MAX_CONSECUTIVE_CONTROL: usize = 4;
 
-/// Why a message was not sent to the dispatcher.
+/// Reason why a message was not sent to the dispatcher.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum MailboxError {
-    /// There is no room for it.
+    /// The message's queue is full.
     #[error("the dispatcher's mailbox is full")]
     Full,
     /// The dispatcher has ended.
@@ -27,13 +30,15 @@
 /// A queue of the mailbox.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Queue {
-    /// Requests, and what comes of them or has to come behind them.
+    /// Requests, and messages that result from them or must follow them.
     Requests,
-    /// What controls the process; the other side of a handover waits for it with a time limit.
+    /// Messages that control the process. The other side of a handover waits for their effect with a time
+    /// limit.
     Control,
 }
 
 impl Queue {
+    /// Returns the queue for a message.
     fn of(message: &DispatcherMessage) -> Queue {
         match message {
             DispatcherMessage::Drain { .. }
@@ -58,15 +63,16 @@
     }
 }
 
-/// Returns a mailbox with room for so many messages in each of its queues.
+/// Returns a mailbox with room for `capacity` messages in each of its queues.
 pub fn dispatcher_mailbox(capacity: usize) -> (DispatcherSender, DispatcherInbox) {
-    let (requests, from_requests) = bounded(capacity);
-    let (control, from_control) = bounded(capacity);
-    let inbox = DispatcherInbox { requests: from_requests, control: from_control, control_in_a_row: 0 };
+    let (requests, requests_receiver) = bounded(capacity);
+    let (control, control_receiver) = bounded(capacity);
+    let inbox =
+        DispatcherInbox { requests: requests_receiver, control: control_receiver, consecutive_control: 0 };
     (DispatcherSender { requests, control }, inbox)
 }
 
-/// Sends to the dispatcher.
+/// The sending end of the dispatcher's mailbox.
 #[derive(Clone, Debug)]
 pub struct DispatcherSender {
     requests: Sender<DispatcherMessage>,
@@ -74,18 +80,19 @@
 }
 
 impl DispatcherSender {
-    /// Sends a message, once there is room for it.
+    /// Sends a message, and waits for room in its queue if necessary.
     ///
     /// # Errors
-    /// [`MailboxError::Closed`].
+    /// Returns [`MailboxError::Closed`] if the dispatcher has ended.
     pub async fn send(&self, message: DispatcherMessage) -> Result<(), MailboxError> {
         self.queue_of(&message).send(message).await.map_err(|_| MailboxError::Closed)
     }
 
-    /// Sends a message if there is room for it.
+    /// Sends a message if its queue has room.
     ///
     /// # Errors
-    /// [`MailboxError`].
+    /// Returns [`MailboxError::Full`] if the queue is full, and [`MailboxError::Closed`] if the dispatcher
+    /// has ended.
     pub fn try_send(&self, message: DispatcherMessage) -> Result<(), MailboxError> {
         self.queue_of(&message).try_send(message).map_err(|error| match error {
             TrySendError::Full(_) => MailboxError::Full,
@@ -93,7 +100,7 @@
         })
     }
 
-    /// Returns whether there is no room for requests.
+    /// Returns whether the request queue is full.
     pub fn is_full_for_requests(&self) -> bool {
         self.requests.is_full()
     }
@@ -106,16 +113,16 @@
     }
 }
 
-/// The dispatcher's end of its mailbox.
+/// The receiving end of the dispatcher's mailbox.
 #[derive(Debug)]
 pub struct DispatcherInbox {
     requests: Receiver<DispatcherMessage>,
     control: Receiver<DispatcherMessage>,
-    control_in_a_row: usize,
+    consecutive_control: usize,
 }
 
 impl DispatcherInbox {
-    /// Returns the next message, once there is one; `None` if all senders are gone.
+    /// Waits for the next message and returns it; `None` if all senders are dropped.
     pub async fn next(&mut self) -> Option<DispatcherMessage> {
         if let Some(message) = self.take_waiting() {
             return Some(message);
@@ -123,20 +130,20 @@
         or(receive(&self.control, &self.requests), receive(&self.requests, &self.control)).await
     }
 
-    /// Returns the next message of those that wait.
+    /// Returns the next message if one is waiting.
     pub fn take_waiting(&mut self) -> Option<DispatcherMessage> {
-        if self.control_in_a_row < MAX_CONTROL_IN_A_ROW {
+        if self.consecutive_control < MAX_CONSECUTIVE_CONTROL {
             if let Ok(message) = self.control.try_recv() {
-                self.control_in_a_row += 1;
+                self.consecutive_control += 1;
                 return Some(message);
             }
         }
-        self.control_in_a_row = 0;
+        self.consecutive_control = 0;
         self.requests.try_recv().or_else(|_| self.control.try_recv()).ok()
     }
 }
 
-/// Returns the next message of a queue, and once that is closed of the other one.
+/// Waits for the next message of `queue`, or of `other` once `queue` is closed, and returns it.
 async fn receive(
     queue: &Receiver<DispatcherMessage>,
     other: &Receiver<DispatcherMessage>,
--- a/src/server/messages/export_worker.rs
+++ b/src/server/messages/export_worker.rs
@@ -5,27 +5,27 @@
 pub enum ExportWorkerMessage {
     /// The close line with this number is durable.
     PeriodsClosed(u64),
-    /// The line that was to be appended under this tag is durable.
+    /// The line whose append was requested with this tag is durable.
     EntryDurable {
-        /// The tag.
+        /// Tag of the request.
         tag: u64,
-        /// The line.
+        /// Start and number of the line.
         line: EntryLine,
     },
-    /// What was asked for under this tag was not done.
+    /// The operation requested with this tag was not performed.
     EntryRejected {
-        /// The tag.
+        /// Tag of the request.
         tag: u64,
     },
-    /// The program ends.
+    /// The process shuts down.
     Shutdown,
 }
 
-/// The start and the number of a line.
+/// Identification of a ledger line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryLine {
-    /// The start that wrote it.
+    /// Number of the server start that wrote the line.
     pub start: u64,
-    /// Its number in the store.
+    /// Number of the line in the store.
     pub number: u64,
 }
--- a/src/server/messages/handover.rs
+++ b/src/server/messages/handover.rs
@@ -7,54 +7,56 @@
 /// A frame for the successor.
 #[derive(Debug)]
 pub struct SuccessorFrame {
-    /// What it says.
+    /// Message in the frame.
     pub message: ToSuccessor,
-    /// The descriptor that travels beside it.
+    /// File descriptor that is sent with the frame, if any.
     pub descriptor: Option<OwnedFd>,
 }
 
-/// A message to the dispatcher of the process that hands over.
+/// A message about the successor, to the dispatcher of the process that hands over.
 #[derive(Debug)]
 pub enum SuccessorMessage {
-    /// A successor connected. Frames for it go into this queue; its end closes the link.
+    /// A successor connected. Frames for it are sent to this queue; dropping the sender closes the link.
     Connected(Sender<SuccessorFrame>),
-    /// A step of the handover by the successor.
+    /// The successor took a step of the handover.
     Step(PredecessorInput),
-    /// Any other frame of the successor.
+    /// The successor sent a frame that is not a step of the handover.
     Frame(ToPredecessor),
-    /// The link to the successor ended; all its frames have been passed on.
+    /// The link to the successor ended. All frames received over it have been delivered.
     Disconnected,
-    /// The time limit of the step with this number is over.
+    /// The step timer with this number expired.
     TimedOut(u64),
-    /// The process ends: no response of the successor can be passed on any more.
+    /// The process ends, and responses of the successor can no longer be sent to clients: fail all forwarded
+    /// requests.
     FailForwarded,
 }
 
-/// A message to the dispatcher of the process that takes over.
+/// A message about the predecessor, to the dispatcher of the process that takes over.
 #[derive(Debug)]
 pub enum PredecessorMessage {
-    /// The predecessor's key of the hash of bodies, and whether operators evacuated it.
+    /// The predecessor accepted this process as its successor, and sent the state that the two share.
     Welcome {
-        /// The key.
+        /// Secret key of the predecessor's body hash.
         body_hash_key: [u8; 32],
-        /// Whether the server is evacuated.
+        /// Whether an operator has evacuated the server.
         evacuated: bool,
     },
-    /// A piece of the snapshot of the keys.
+    /// A piece of the snapshot of the idempotency keys was received.
     LoadKeys {
-        /// The keys.
+        /// Records of the keys.
         records: Vec<KeyRecord>,
-        /// Receives whether all of them were loaded; it has room for it.
+        /// Receives whether all keys were loaded. It must have capacity for this one message.
         loaded: Sender<bool>,
     },
-    /// Whatever was loaded is dropped.
+    /// Discard all loaded keys.
     DiscardKeys,
-    /// This process decides from now on; frames for the predecessor, if there is one, go into this queue.
+    /// This process owns the keys and decides on requests from now on. Frames for the predecessor, if there
+    /// is one, are sent to this queue.
     BecomeOwner(Option<Sender<ToPredecessor>>),
-    /// A frame of the predecessor.
+    /// The predecessor sent a frame that is not a step of the handover.
     Frame(ToSuccessor),
-    /// The link to the predecessor ended; all its frames have been passed on.
+    /// The link to the predecessor ended. All frames received over it have been delivered.
     Gone,
-    /// The predecessor ended before the commit: its keys are unknown here.
+    /// The predecessor ended before the commit, and its keys are unknown to this process.
     KeysUnknown,
 }
--- a/src/server/messages/listener.rs
+++ b/src/server/messages/listener.rs
@@ -3,17 +3,18 @@
 /// A message to the listener.
 #[derive(Debug)]
 pub enum ListenerMessage {
-    /// Close connections that are idle for this long, ms.
+    /// Close connections that are idle for this time, ms.
     SetIdleTimeout(f64),
     /// The connection with this number ended.
     ConnectionClosed(u64),
     /// Accept connections from now on.
     StartAccepting,
-    /// Another process accepts from the same queue: accept no further connection, and notify the clients of the open
-    /// ones to send nothing new.
+    /// Another process accepts connections from the same listening socket: accept no further connections, and
+    /// notify the clients of the open ones to send no new requests.
     HandOver,
-    /// Graceful shutdown: accept no new connections and notify the open ones.
+    /// Shut down gracefully: accept no new connections, and notify the clients of the open ones.
     Shutdown,
-    /// The process ends: close the open connections. All requests are answered, and responses that wait are still written.
+    /// The process ends: write the pending responses, then close the open connections. All requests have been
+    /// answered.
     Finish,
 }
--- a/src/server/messages/mod.rs
+++ b/src/server/messages/mod.rs
@@ -1,7 +1,8 @@
-//! Typed messages between the tasks of the server, one file for each receiver.
+//! Typed messages between the tasks of the server, with one module for each receiver.
 //!
-//! No task is named here: each task depends on the messages and on no other task, so that one can be replaced, or a
-//! second frontend added, without changes to the rest. Nothing here depends on a protocol.
+//! This module depends on no task: each task depends on the messages and on no other task, so that a task can
+//! be replaced, or a second frontend added, without changes to the rest. This module depends on no wire
+//! protocol either.
 
 mod connection;
 mod dispatcher;
--- a/src/server/messages/registry.rs
+++ b/src/server/messages/registry.rs
@@ -1,13 +1,13 @@
-//! Messages to the reporter of health to the registry.
+//! Messages to the task that reports health to the registry.
 
 use std::net::SocketAddr;
 
-/// A message to the registry reporter.
+/// A message to the task that reports health to the registry.
 #[derive(Debug)]
 pub enum RegistryMessage {
-    /// Whether the server is healthy.
+    /// Report from now on whether the server is healthy.
     SetHealth(bool),
-    /// Whether reports are made at all.
+    /// Start or stop reporting.
     SetActive(bool),
     /// The address of the registry changed.
     SetAddress(SocketAddr),
--- a/src/server/messages/usage.rs
+++ b/src/server/messages/usage.rs
@@ -3,29 +3,30 @@
 use dunlinspread_ledger::LineKind;
 use dunlinspread_store::Progress;
 
-/// A message about the usage ledger.
+/// A message from a thread of the usage ledger.
 #[derive(Debug)]
 pub enum UsageMessage {
-    /// Progress of the store.
+    /// The store made progress.
     StoreProgress(Progress),
-    /// The export worker has a line to be appended.
+    /// The export worker requests that a line be appended.
     AppendEntry {
-        /// The line's content.
+        /// Content of the line.
         kind: LineKind,
-        /// Comes back once the line is durable.
+        /// Tag of the request, which is returned once the line is durable.
         tag: u64,
     },
-    /// The lines before a number are not needed any more; the state that they imply is kept in their place.
+    /// The lines before a number are no longer needed, and are replaced by the state that they imply.
     ReleaseLines {
-        /// The first line that is kept.
+        /// Number of the first line that is kept.
         before: u64,
-        /// The encoded state after all lines before it.
+        /// Encoded state after all lines before that line.
         state: Vec<u8>,
     },
-    /// All periods up to now are to be closed. Success is told as
-    /// [`ExportWorkerMessage::PeriodsClosed`](super::ExportWorkerMessage::PeriodsClosed), failure under the tag.
+    /// The export worker requests that all periods up to now be closed. Success is reported as
+    /// [`ExportWorkerMessage::PeriodsClosed`](super::ExportWorkerMessage::PeriodsClosed), failure as
+    /// [`ExportWorkerMessage::EntryRejected`](super::ExportWorkerMessage::EntryRejected) with the tag.
     ClosePeriods {
-        /// The tag.
+        /// Tag of the request.
         tag: u64,
     },
 }
--- a/src/server/messages/worker_pool.rs
+++ b/src/server/messages/worker_pool.rs
@@ -1,4 +1,4 @@
-//! Messages to the link to the worker pool, and the events that it reports.
+//! Messages to the link to the worker pool, and the events that the link reports.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
         /// The number of the attempt.
         attempt: u64,
     },
-    /// Pass on the reply to the upstream call that a run waits for.
+    /// Deliver the reply to the upstream call that a run waits for.
     UpstreamReply {
         /// The number of the attempt.
         attempt: u64,
@@ -51,7 +51,7 @@
 pub struct LinkCommand {
     /// The number of the link.
     pub link: u64,
-    /// When it was given, Unix ms.
+    /// When the dispatcher sent the command, Unix ms.
     pub given_at: f64,
     /// The command.
     pub command: PoolCommand,
@@ -62,26 +62,26 @@
 pub enum WorkerPoolMessage {
     /// Send a command.
     Command(LinkCommand),
-    /// The address of the pool changed; its runs and notices go on.
+    /// The address of the pool changed. Its runs and the sequence of its notices continue.
     SetAddress(SocketAddr),
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// With a result.
+    /// The run completed with a result.
     Completed,
-    /// It failed; it may have had its effect.
+    /// The run failed; it may have had an effect.
     Failed,
-    /// It was stopped or paused, or ended at an upstream call because its request is finished.
+    /// The run was stopped or paused, or ended at an upstream call because its request is finished.
     Stopped,
-    /// Nothing was started, because the request was finished.
+    /// The run was not started, because the request was finished.
     NotStarted,
-    /// The pool knows nothing of it any more; it may have had its effect.
+    /// The pool no longer has the run; it may have had an effect.
     Lost,
 }
 
-/// The kind of a command that the pool rejected.
+/// Kind of a command that the pool rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectedCommand {
     /// [`PoolCommand::Run`].
@@ -102,13 +102,13 @@
     /// [`PoolCommand::ReadGauges`].
     #[error("read gauges")]
     ReadGauges,
-    /// A word that names no command of this server.
+    /// A command name that this server does not know.
     #[error("{0}")]
     Unrecognized(String),
 }
 
 impl RejectedCommand {
-    /// Returns the kind of the command, one of a few words.
+    /// Returns the kind of the command as one of a fixed set of words.
     pub fn kind(&self) -> &'static str {
         match self {
             RejectedCommand::Run => "run",
@@ -125,40 +125,41 @@
 /// An event of the worker pool or of the link to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolEvent {
-    /// The pool accepted the link.
+    /// The pool accepted the link, and reported its own start.
     Started {
-        /// Whether it started cold.
+        /// Whether the pool started cold.
         cold: bool,
-        /// How long ago it started, ms.
+        /// Time since the pool started, ms.
         ago_ms: f64,
     },
-    /// The pool restarted: the runs of the one before ended with it.
+    /// The pool restarted, which ended all its earlier runs.
     Restarted,
     /// The link with this number accepts commands; all earlier notices have been read.
     LinkUp(u64),
     /// The link ended.
     LinkDown,
-    /// Commands that runs need to go on were written late.
+    /// Commands that runs need to continue were written late.
     CommandsDelayed {
-        /// How long the first of them had waited since it was given, or since such commands were last written, ms.
+        /// How long the oldest of the commands waited, ms: from the time when the dispatcher sent it, or from
+        /// the last write of such commands if that was later.
         waited_ms: f64,
     },
     /// A run ended or was paused.
     RunEnded {
         /// The number of the attempt.
         attempt: u64,
-        /// How it ended.
+        /// Outcome of the run.
         end: RunOutcome,
-        /// How long it took, ms.
+        /// Duration of the run, ms.
         took_ms: f64,
-        /// The result; empty unless the run completed.
+        /// Result of the run; empty unless the run completed.
         body: Vec<u8>,
     },
     /// A run waits for an upstream call.
     UpstreamCallNeeded {
         /// The number of the attempt.
         attempt: u64,
-        /// The number of the notice.
+        /// Number of the notice.
         seq: u64,
         /// The body of the call.
         body: Vec<u8>,
@@ -167,12 +168,12 @@
     Gauges {
         /// The tag of [`PoolCommand::ReadGauges`].
         tag: u64,
-        /// The values, in the order of the settings.
+        /// Values of the gauges, in the order of their names in the settings.
         values: Vec<f64>,
     },
     /// The pool rejected a command.
     CommandRejected {
-        /// The command.
+        /// Kind of the command.
         command: RejectedCommand,
         /// The number of the attempt, or 0 if the pool named none.
         attempt: u64,
