--- a/src/server/dispatcher/arrivals.rs
+++ b/src/server/dispatcher/arrivals.rs
@@ -46,7 +46,7 @@
             Lookup::New => None,
             Lookup::DuplicateOf(original) => Some(original),
             // All attempts of a request have the same body. A request with a different body must not get the
-            // result of that run, and running it would break the guarantee of the key.
+            // result of the key's run, and running it would break the guarantee of the key.
             Lookup::BodyMismatch => return self.send_response(incoming.reply, Response::Invalid),
             // The request was received within the window of a run but read so late that the key has expired:
             // it must not run again, and the result is no longer stored.
--- a/src/server/dispatcher/gauge_poll.rs
+++ b/src/server/dispatcher/gauge_poll.rs
@@ -1,4 +1,4 @@
-//! Reading of the worker pool's gauges that a timer waits for.
+//! Tracking of the reading of the worker pool's gauges that a timer waits for.
 
 /// A timer that waits for a reading of the gauges.
 struct PendingTimer {
--- a/src/server/dispatcher/handing_over.rs
+++ b/src/server/dispatcher/handing_over.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Resumes ownership after the successor ended after the commit. The keys that the successor ran are
+    /// Resumes ownership when the successor ends after the commit. The keys that the successor ran are
     /// unknown.
     fn take_back(&mut self) {
         warn!(self.log, "handover: successor ended, serving again";
--- a/src/server/dispatcher/idempotency_keys.rs
+++ b/src/server/dispatcher/idempotency_keys.rs
@@ -10,7 +10,8 @@
 };
 use std::rc::Rc;
 
-/// How long after its client's timeout an attempt that was received before it may still be read, ms.
+/// Maximum delay after the client timeout at which an attempt received before that timeout may still be read,
+/// ms.
 const MAX_READ_DELAY_MS: f64 = 5000.0;
 
 /// The idempotency keys in use. A request without a key passes all checks and is not recorded.
@@ -42,7 +43,7 @@
         self.table.has_room(&key.key)
     }
 
-    /// Returns whether another attempt of this key has run or may still run.
+    /// Returns whether an attempt of this key has run or may still run.
     pub(super) fn is_in_use(&self, key: &RequestKey, received_at: f64) -> bool {
         self.table.lookup(&key.key, key.body_hash, received_at) != Lookup::New
     }
@@ -142,7 +143,7 @@
         self.body_hasher = BodyHasher::with_key(key);
     }
 
-    /// Returns the records of all keys with a run: first those with a result, oldest result first.
+    /// Returns the records of all keys that have run: first those with a result, oldest result first.
     pub(super) fn export(&self, now: f64) -> impl Iterator<Item = KeyRecord<Rc<[u8]>>> + '_ {
         self.table.export(now)
     }
@@ -151,8 +152,8 @@
     /// have.
     ///
     /// # Errors
-    /// Returns [`ImportError`] and imports nothing if there is no room, or if the key or its class is not
-    /// valid here.
+    /// Returns [`ImportError`] and imports nothing if the table is full, the key is already known, or its
+    /// class does not exist.
     pub(super) fn import(
         &mut self,
         record: KeyRecord<Rc<[u8]>>,
@@ -202,7 +203,7 @@
     }
 }
 
-/// Returns the key window of a class.
+/// Returns the key window of a class and its maximum read delay.
 fn key_window(class: &Class) -> KeyWindow {
     KeyWindow {
         window_ms: class.key_window_ms,
--- a/src/server/dispatcher/request.rs
+++ b/src/server/dispatcher/request.rs
@@ -47,19 +47,19 @@
 pub(super) struct ArrivalFields {
     /// Memory that the request takes while queued, kB.
     pub(super) request_kb: f64,
-    /// The quantile of its priority, 0 to 1.
+    /// Quantile of the request's priority, 0 (lowest) to 1.
     pub(super) priority: f64,
     /// How long the client waits, ms from the receipt of the request; `None` if the client did not send it.
     pub(super) timeout_ms: Option<f64>,
-    /// The tenant, by position.
+    /// Tenant of the request, by position.
     pub(super) tenant: usize,
-    /// Whether the result may be shared with other requests that read the same.
+    /// Whether the result may be shared with other requests that read the same data.
     pub(super) shareable: bool,
 }
 
 /// A request between its arrival and its removal.
 pub(super) struct Request {
-    /// The number that the client gave this attempt.
+    /// Number that the client assigned to this attempt.
     pub(super) attempt: u64,
     pub(super) class: usize,
     /// Fields of the arrival event that was passed to the controller.
@@ -68,7 +68,7 @@
     /// When the request reached the machine, Unix ms.
     pub(super) received_at: f64,
     pub(super) body: Rc<[u8]>,
-    /// The account that is billed.
+    /// Account that is billed.
     pub(super) account: Option<Rc<str>>,
     /// Whether an upstream call was skipped.
     pub(super) degraded: bool,
--- a/src/server/dispatcher/runs.rs
+++ b/src/server/dispatcher/runs.rs
@@ -50,7 +50,7 @@
         self.request_new_run(id);
     }
 
-    /// Requests a run from the beginning from the worker pool.
+    /// Sends the worker pool a command to run the request from the beginning.
     fn request_new_run(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else { return };
         let (attempt, class, body) = (request.attempt, request.class, request.body.clone());
--- a/src/server/dispatcher/state.rs
+++ b/src/server/dispatcher/state.rs
@@ -65,7 +65,7 @@
     pub(super) ago_ms: f64,
 }
 
-/// The task that owns all requests and gives their final responses.
+/// The task that owns all requests and sends their final responses.
 pub struct Dispatcher {
     pub(super) settings: Settings,
     /// Maximum number of requests in the table.
@@ -176,8 +176,8 @@
         self.dispatch_event(Event::Start);
     }
 
-    /// Passes an event to the controller and carries out the resulting actions, and processes all events that
-    /// these cause.
+    /// Passes an event to the controller, carries out the resulting actions, and processes all events that
+    /// they cause.
     pub(super) fn dispatch_event(&mut self, event: Event) {
         self.events.push_back(event);
         self.dispatch_pending_events();
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Returns whether the server is healthy, as the successor reports it after a handover.
+    /// Returns whether the server is healthy: after a handover as reported by the successor, otherwise the
+    /// health of this process.
     pub(super) fn is_healthy(&self) -> bool {
         if let Some(successor) = self.handing_over.successor_health() {
             return successor.healthy;
--- a/src/server/dispatcher/timers.rs
+++ b/src/server/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the admission controller, which wait for gauges, the sweep of keys, and changes of settings.
+//! Timers of the admission controller with the gauges that they need, sweep of keys, and changes of settings.
 
 use super::state::Dispatcher;
 use crate::admission::{Event, Gauges};
@@ -6,7 +6,7 @@
 
 /// How long a timer waits for the gauges before it fires without them, ms.
 const GAUGES_TIMEOUT_MS: f64 = 20.0;
-/// How often expired keys are removed, ms.
+/// Interval at which expired keys are removed, ms.
 pub(super) const SWEEP_INTERVAL_MS: f64 = 1000.0;
 
 impl Dispatcher {
--- a/src/server/messages/connection.rs
+++ b/src/server/messages/connection.rs
@@ -11,7 +11,7 @@
     Completed(Rc<[u8]>),
     /// The request was rejected; this attempt never ran.
     Rejected {
-        /// Delay after which the client may retry, ms; 0 if none is sent.
+        /// Retry-After delay that is sent to the client, ms; 0 if none is sent.
         retry_after_ms: f64,
         /// Whether the client should not retry on another server.
         do_not_retry: bool,
@@ -31,7 +31,7 @@
     Response {
         /// The connection's tag for the request.
         tag: u64,
-        /// The response.
+        /// Response to the request.
         response: Response,
         /// The share of its requests that a client should send to this server, 0 to 1; `None` if none is
         /// advertised.
--- a/src/server/messages/dispatcher.rs
+++ b/src/server/messages/dispatcher.rs
@@ -56,13 +56,13 @@
     Pool(PoolEvent),
     /// An upstream call ended.
     UpstreamCallEnded {
-        /// The request that made the call.
+        /// Id of the request whose run needed the call.
         id: RequestId,
-        /// How the call ended.
+        /// Outcome of the call.
         outcome: Outcome,
         /// The body of the reply; empty unless the outcome is [`Outcome::Ok`].
         body: Vec<u8>,
-        /// How long the call took, ms.
+        /// Duration of the call, ms.
         took_ms: f64,
     },
     /// The timer of the admission controller with this token is due.
--- a/src/server/messages/dispatcher_mailbox.rs
+++ b/src/server/messages/dispatcher_mailbox.rs
@@ -1,7 +1,8 @@
 //! Mailbox of the dispatcher, which has two queues.
 //!
-//! The request queue has requests and all messages that result from them. The control queue has messages from
-//! other processes of this server, from operators and about a shutdown, which must not wait behind requests.
+//! The request queue contains requests and all messages that result from them. The control queue contains
+//! messages from other processes of this server, from operators and about a shutdown, which must not wait
+//! behind requests.
 //!
 //! # Invariants
 //! - Messages of one queue are received in the order in which they were sent.
