--- a/src/admission/action.rs
+++ b/src/admission/action.rs
@@ -1,4 +1,4 @@
-//! The actions that an instance asks for.
+//! The actions that the admission controller returns.
 
 use super::event::RequestId;
 
@@ -7,48 +7,48 @@
 pub enum Action {
     /// Start a queued request, or resume a suspended one.
     Run(RequestId),
-    /// Final response: rejected; this attempt never ran.
+    /// Send the final response: a rejection, which states that this attempt never ran.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
         /// Retry-After, ms; 0 for none.
         retry_after_ms: f64,
         /// Whether to ask the client not to retry at another instance.
         do_not_retry: bool,
     },
-    /// Final response: an error, which does not say whether the request ran.
+    /// Send the final response: an error, which does not state whether the request ran.
     Fail(RequestId),
     /// Respond with the result of the request that this one duplicates.
     ReuseResult(RequestId),
     /// Abort or suspend a run.
     Preempt(RequestId),
-    /// Reserve the idempotency key of a request, or its subject.
+    /// Reserve the idempotency key of a request, or the subject of a shareable read.
     ReserveKey {
-        /// The request.
+        /// The request whose key or subject is reserved.
         id: RequestId,
         /// How long the reservation lasts, ms.
         ttl_ms: f64,
     },
     /// Release the reservation of a request.
     ReleaseKey(RequestId),
-    /// Make the upstream call that a request waits for.
+    /// Make the upstream call for which a request waits.
     CallUpstream {
-        /// The request.
+        /// The request that needs the call.
         id: RequestId,
         /// Time after which the call is abandoned, ms.
         timeout_ms: f64,
     },
-    /// Let a request go on without its upstream call.
+    /// Let a request continue without its upstream call.
     SkipUpstreamCall(RequestId),
     /// Advertise this share, 0 to 1, on every response from now on.
     AdvertiseShare(f64),
-    /// Answer health checks with this from now on.
+    /// Set the health, true for healthy, that health checks report from now on.
     SetHealth(bool),
     /// Close connections that are idle for this long, ms.
     SetIdleTimeout(f64),
     /// Set a timer.
     SetTimer {
-        /// Token that comes back with the timer's event.
+        /// Token that the timer's event returns.
         token: u64,
         /// Time until the timer fires, ms.
         delay_ms: f64,
--- a/src/admission/arrival.rs
+++ b/src/admission/arrival.rs
@@ -1,4 +1,4 @@
-//! A request that arrives: the rules of admission, and how an admitted request enters the queue.
+//! The handler of arriving requests: decides on admission and puts admitted requests into the queue.
 
 use super::action::Action;
 use super::backpressure::Rejection;
@@ -8,47 +8,47 @@
 use super::request::{Request, RequestState};
 use super::settings::RetrySafety;
 
-/// Usual run times that arrivals may be old on average for the instance to count as idle.
+/// Average age of arrivals, in usual run times, below which the instance may count as idle.
 const IDLE_ARRIVAL_AGE_RUNS: f64 = 2.0;
-/// Factor of the priority and the weight of a retry.
+/// Factor by which the priority and the weight of a retry are multiplied.
 const RETRY_WEIGHT: f64 = 0.1;
-/// Largest stated cost of a request, ms.
+/// Upper bound of a request's stated cost, ms.
 const MAX_COST_MS: f64 = 1e9;
-/// Largest stated memory of a request, kB.
+/// Upper bound of a request's stated memory, kB.
 const MAX_REQUEST_KB: f64 = 1e12;
 
-/// A request that asks for admission.
+/// A request that is to be admitted or rejected.
 struct Candidate {
     id: RequestId,
     request: Request,
     is_retry: bool,
-    /// Whether its class has idempotency keys.
+    /// Whether the request's class has idempotency keys.
     keyed: bool,
-    /// Whether it is a read whose result may serve others.
+    /// Whether the request is a read whose result may be reused for others.
     shareable: bool,
 }
 
-/// The decision on a candidate.
+/// The admission decision on a candidate.
 enum Admission {
-    /// It takes the result of the request that it duplicates.
+    /// The candidate gets the result of the request that it duplicates.
     Duplicate,
-    /// It is rejected.
+    /// The candidate is rejected.
     Reject(Rejection),
-    /// It is queued.
+    /// The candidate is queued.
     Queue {
-        /// Whether its key or its subject is reserved.
+        /// Whether the candidate's key or subject is reserved.
         reserve: bool,
     },
 }
 
 impl AdmissionController {
-    /// Takes a request; one whose id is known already is ignored.
+    /// Handles the arrival of a request; one whose id is already known is ignored.
     pub(super) fn on_arrival(&mut self, now: f64, arrival: &Arrival, actions: &mut Vec<Action>) {
         if self.requests.contains(arrival.id) {
             return;
         }
         let Some(candidate) = self.candidate(now, arrival) else {
-            // Nothing says how often work of an unknown class may run.
+            // It is unknown how often work of an unknown class may run, so the client must not retry.
             let id = arrival.id;
             return actions.push(Action::Reject { id, retry_after_ms: 0.0, do_not_retry: true });
         };
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The rules of admission; the first that applies decides.
+    /// Returns the decision of the first admission rule that applies.
     fn admission(&self, now: f64, candidate: &Candidate) -> Admission {
         let request = &candidate.request;
         if request.duplicate_of.is_some() {
@@ -90,16 +90,16 @@
         Admission::Queue { reserve: candidate.keyed || candidate.shareable && reserved_run_kb <= free_kb }
     }
 
-    /// Returns whether the candidate is below the priority threshold in force.
+    /// Returns whether the candidate is shed because it is below the priority threshold.
     ///
-    /// The threshold holds for retries at every level; for first attempts above level 0, and not while the
-    /// instance is idle, since the gauges lag behind.
+    /// The threshold applies to retries at every overload level. It applies to first attempts above level 0
+    /// only, and not while the instance has idle capacity, since the gauges lag behind the load.
     fn is_shed(&self, now: f64, candidate: &Candidate) -> bool {
         candidate.request.priority < self.threshold.value()
             && (candidate.is_retry || self.overload.level() > 0 && !self.has_idle_capacity(now))
     }
 
-    /// Returns whether a run could start at once and would likely succeed.
+    /// Returns whether a run could start immediately and would likely succeed.
     fn has_idle_capacity(&self, now: f64) -> bool {
         let (counts, capacity) = (self.run_counts(), self.capacity(now));
         let usual_run_ms = self.estimates.usual_run(&self.settings.classes).run_ms;
@@ -110,19 +110,19 @@
             && !self.faults.has_frequent_failures()
     }
 
-    /// Takes a duplicate, which is neither run nor rejected once the request that it duplicates ran.
+    /// Admits a duplicate, which is neither run nor rejected once the request that it duplicates ran.
     ///
-    /// It waits beside an original that is still queued, and takes its result otherwise.
+    /// The duplicate waits while the original is still queued and reuses its result otherwise.
     fn admit_duplicate(&mut self, candidate: Candidate, actions: &mut Vec<Action>) {
         let Candidate { id, request, keyed, .. } = candidate;
-        let waits = self.requests.waits_for_original(&request);
+        let original_is_queued = self.requests.waits_for_original(&request);
         self.requests.insert(id, request);
         if self.free_memory_kb() < 0.0 {
             self.requests.remove(id);
             let retry_after_ms = self.overload.queue_drain_ms();
             let rejection = Rejection { retry_after_ms, do_not_retry: false };
             actions.push(if keyed { Action::Fail(id) } else { self.reject(id, rejection) });
-        } else if !waits {
+        } else if !original_is_queued {
             self.requests.set_state(id, RequestState::Reusing);
             actions.push(Action::ReuseResult(id));
         }
@@ -171,14 +171,14 @@
         Some(Candidate { id: arrival.id, request, is_retry: arrival.is_retry, keyed, shareable })
     }
 
-    /// Returns the deadline: the stated one or else the end of the client's timeout, and before a shutdown.
+    /// Returns the stated deadline or else the end of the client's timeout, capped at the stop of a shutdown.
     fn deadline(&self, now: f64, client_timeout_at: f64, stated: Option<f64>) -> f64 {
         let stated = stated.filter(|deadline| deadline.is_finite() && *deadline > 0.0);
         let deadline = stated.unwrap_or(client_timeout_at).max(now);
         self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.stop_at()))
     }
 
-    /// Returns whether the result of that read is cached or will come.
+    /// Returns whether the result of the read `original` is cached or still expected.
     fn has_shared_result(&self, original: RequestId) -> bool {
         let original_request = self.requests.get(original);
         original_request.map_or(self.reservations.contains(original), |request| !request.answered)
--- a/src/admission/backpressure.rs
+++ b/src/admission/backpressure.rs
@@ -1,27 +1,28 @@
-//! What clients are told so that they send less: the advertised share and the Retry-After of rejections.
+//! The signals that make clients send less: the advertised share and the Retry-After of rejections.
 
 use super::action::Action;
 use super::event::RequestId;
 use super::settings::{Settings, Signal};
 use super::traffic::RecentTraffic;
 
-/// Steps in which a warming instance advertises its speed, from 0 to 1; each step is news for all clients.
+/// Number of steps, from 0 to 1, in which an instance that warms up advertises its speed; each step has to
+/// reach all clients.
 const SLOW_START_STEPS: f64 = 20.0;
-/// Added before rounding down to a step, so that a speed that is exactly a step is not rounded below it.
+/// Offset before rounding down to a step, so that a speed of exactly one step is not rounded below it.
 const ROUNDING_SLACK: f64 = 1e-9;
-/// Part of the usual gap between a client's requests that a Retry-After lasts at most.
+/// Upper bound of a Retry-After, as a part of the mean time between two requests of a client.
 const MAX_RETRY_AFTER_GAPS: f64 = 0.5;
 
-/// A rejection, before its Retry-After is bounded.
+/// A rejection whose Retry-After is not yet bounded.
 #[derive(Clone, Copy)]
 pub(super) struct Rejection {
-    /// Time after which the instance expects to have capacity, ms; infinite if it cannot tell.
+    /// Time after which the instance expects to have capacity, ms; infinite if that is unknown.
     pub(super) retry_after_ms: f64,
     /// Whether to ask the client not to retry at another instance.
     pub(super) do_not_retry: bool,
 }
 
-/// The advertised share and the bounds of Retry-After.
+/// The advertised share and the bounds of the Retry-After.
 pub(super) struct Backpressure {
     signals_share: bool,
     max_retry_after_ms: f64,
@@ -30,7 +31,7 @@
 }
 
 impl Backpressure {
-    /// Returns the state of an instance that has advertised nothing yet, which clients read as a share of 1.
+    /// Creates the state of an instance that has not advertised a share yet, which clients treat as 1.
     pub(super) fn new(settings: &Settings) -> Backpressure {
         Backpressure {
             signals_share: settings.signal == Signal::Share,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Advertises the first share, also if it is 1.
+    /// Advertises a share even if it did not change, as is needed for the first one.
     pub(super) fn advertise_first_share(&mut self, share: f64, actions: &mut Vec<Action>) {
         if self.signals_share {
             self.advertised_share = share;
@@ -55,18 +56,18 @@
         }
     }
 
-    /// Returns the action of a rejection.
+    /// Returns the action that rejects a request.
     ///
-    /// The Retry-After stays within the settings and within a part of the usual time between two requests of
-    /// one client, since one of few clients sends much of the traffic.
+    /// The Retry-After is bounded by the settings and, if the expected time is known, by a part of the mean
+    /// time between two requests of a client: where there are few clients, each sends much of the traffic.
     pub(super) fn reject(&self, id: RequestId, rejection: Rejection, traffic: &RecentTraffic) -> Action {
         let Rejection { retry_after_ms, do_not_retry } = rejection;
-        let wanted_ms = if retry_after_ms.is_finite() {
+        let bounded_ms = if retry_after_ms.is_finite() {
             retry_after_ms.min(traffic.client_gap_ms(self.client_count) * MAX_RETRY_AFTER_GAPS)
         } else {
             retry_after_ms
         };
-        Action::Reject { id, retry_after_ms: wanted_ms.min(self.max_retry_after_ms).round(), do_not_retry }
+        Action::Reject { id, retry_after_ms: bounded_ms.min(self.max_retry_after_ms).round(), do_not_retry }
     }
 }
 
--- a/src/admission/call_end.rs
+++ b/src/admission/call_end.rs
@@ -1,4 +1,4 @@
-//! Upstream calls: a request that needs one, the calls that are made, and how they end.
+//! The handlers of upstream calls: requests that need a call, calls to make and calls that end.
 
 use super::action::Action;
 use super::controller::AdmissionController;
@@ -6,23 +6,23 @@
 use super::request::RequestState;
 use super::upstream_calls::{AfterFailure, CallDecision};
 
-/// A request that waits for its upstream call to be made.
+/// A request whose upstream call is still to be made.
 struct WaitingCall {
     id: RequestId,
-    /// Whether the request can go on without the call.
+    /// Whether the request can continue without the call.
     skippable: bool,
-    /// Value of the request.
+    /// Value of the request to the scheduler.
     value: f64,
 }
 
 impl AdmissionController {
-    /// Takes that a running request needs an upstream call.
+    /// Handles a running request that needs an upstream call.
     pub(super) fn on_call_needed(&mut self, now: f64, id: RequestId) {
         self.faults.record_progress(now);
         self.requests.set_state(id, RequestState::AwaitingCall(now));
     }
 
-    /// Takes the end of a call.
+    /// Handles the end of an upstream call.
     pub(super) fn on_call_end(
         &mut self,
         now: f64,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Makes or skips the calls that requests wait for: those that cannot be skipped first, then by value.
+    /// Makes or skips the calls that requests wait for: calls that cannot be skipped first, then by value.
     pub(super) fn make_calls(&mut self, now: f64, actions: &mut Vec<Action>) {
         for call in self.waiting_calls(now) {
             let Some(request) = self.requests.get(call.id) else { continue };
--- a/src/admission/clamp.rs
+++ b/src/admission/clamp.rs
@@ -1,6 +1,6 @@
-//! Bounds for numbers that come from outside.
+//! Bounds for numbers from external input.
 
-/// Returns `value` within the bounds, and the lower bound for NaN.
+/// Returns `value` clamped to the bounds, or the lower bound if `value` is NaN.
 pub(super) fn clamp_finite(value: f64, low: f64, high: f64) -> f64 {
     if value.is_nan() { low } else { value.clamp(low, high) }
 }
--- a/src/admission/controller.rs
+++ b/src/admission/controller.rs
@@ -1,4 +1,4 @@
-//! The controller: takes events, asks its parts and turns their results into actions.
+//! The admission controller: passes each event to its components and turns their results into actions.
 
 use super::action::Action;
 use super::backpressure::{Backpressure, Rejection, slow_start_share};
@@ -51,7 +51,7 @@
 }
 
 impl AdmissionController {
-    /// Returns the controller of an instance that starts at `now`; settings out of range are brought into it.
+    /// Creates the controller of an instance that starts at `now`; settings out of range are clamped.
     pub fn new(now: f64, settings: Settings) -> Self {
         let settings = settings.sanitized();
         AdmissionController {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes an event at the time `now`, ms, and appends the actions that follow.
+    /// Handles an event at the time `now`, ms, and appends the resulting actions to `actions`.
     pub fn on_event(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Start => self.on_start(actions),
@@ -96,7 +96,7 @@
             Event::Reconfigured(changes) => self.on_reconfigured(&changes),
             Event::GaugesRequested => self.faults.record_gauges_request(now),
             Event::CommandsDelayed { waited_ms } => self.faults.record_command_delay(now, waited_ms),
-            Event::Timer { token: TIMER_TOKEN, gauges } => self.on_tick(now, gauges, actions),
+            Event::Timer { token: TIMER_TOKEN, gauges } => self.on_timer(now, gauges, actions),
             Event::Timer { .. } => {}
         }
         self.answer_overdue(now, actions);
@@ -109,7 +109,7 @@
         self.overload.level()
     }
 
-    /// Returns the priority quantile, 0 to 1, under which arrivals are rejected.
+    /// Returns the priority quantile, 0 to 1, below which arrivals are rejected.
     pub fn priority_threshold(&self) -> f64 {
         self.threshold.value()
     }
@@ -119,7 +119,9 @@
         answer_lead_ms(&self.settings, self.timer_lag.ms())
     }
 
-    /// Returns what the health that [`Action::SetHealth`] states follows from, beside a shutdown.
+    /// Returns the measurements from which the health in [`Action::SetHealth`] is derived.
+    ///
+    /// A shutdown sets the health to bad independently of them.
     pub fn fault_reading(&self) -> FaultReading {
         self.faults.reading()
     }
@@ -136,34 +138,36 @@
         self.tenant_quota.reconfigure(&self.settings.tenant_quotas, &changes.quotas);
     }
 
-    /// Returns the action of a rejection.
+    /// Returns the action that rejects a request.
     pub(super) fn reject(&self, id: RequestId, rejection: Rejection) -> Action {
         self.backpressure.reject(id, rejection, &self.traffic)
     }
 
-    /// Reserves a request's key, or a shareable read.
+    /// Reserves the idempotency key of a request, or the subject of a shareable read.
     pub(super) fn reserve_key(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let class = &self.settings.classes[request.class];
         actions.push(self.reservations.reserve(now, id, request.arrived_at, class));
     }
 
-    /// Returns whether the request came too late after a shutdown request to be run.
+    /// Returns whether a request that arrived at `arrived_at` is past the grace time of a requested shutdown.
     pub(super) fn is_after_grace(&self, arrived_at: f64) -> bool {
         self.shutdown.is_some_and(|shutdown| shutdown.is_after_grace(arrived_at))
     }
 
-    /// Returns the memory that is left, kB.
+    /// Returns the free memory, kB.
     pub(super) fn free_memory_kb(&self) -> f64 {
         self.memory.free_kb(self.requests.totals(), self.reservations.len()) - self.external_load.memory_kb()
     }
 
-    /// Returns the numbers of requests that run or will soon, those of another process included.
+    /// Returns the counts of running requests and of those at an upstream call.
+    ///
+    /// The runs of another process on the machine are included.
     pub(super) fn run_counts(&self) -> RunCounts {
         self.external_load.added_to(self.requests.totals().runs())
     }
 
-    /// Returns the runs in progress and their usual time.
+    /// Returns the number of runs in progress and the usual time of a run at the present speed.
     pub(super) fn run_activity(&self, now: f64) -> RunActivity {
         let usual_run = self.estimates.usual_run(&self.settings.classes);
         RunActivity {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Returns what the limit of concurrent runs follows.
+    /// Returns the quantities that the limit of concurrent runs depends on.
     pub(super) fn capacity(&self, now: f64) -> Capacity {
         Capacity { speed: self.slow_start.speed(now), runs_off_core: self.overload.runs_off_core() }
     }
@@ -182,7 +186,7 @@
         self.requests.running() == 0
     }
 
-    /// Returns the order of requests at `now`.
+    /// Returns the scheduler, which orders requests by their value at `now`.
     pub(super) fn scheduler(&self, now: f64) -> Scheduler<'_> {
         Scheduler {
             now,
@@ -194,7 +198,7 @@
         }
     }
 
-    /// Returns the number of queued requests but for those that wait only for others of their class.
+    /// Returns the number of queued requests, without those of classes at their limit of concurrent runs.
     pub(super) fn queued(&self) -> usize {
         let requests = self.requests.totals();
         let saturated = SaturatedClasses::new(requests, &self.settings.class_limits);
--- a/src/admission/deadlines.rs
+++ b/src/admission/deadlines.rs
@@ -1,4 +1,5 @@
-//! Which requests have to be answered now, because they are due or will miss a latency objective that is all.
+//! Selection of requests to answer now because they are due or will miss a latency objective without which a
+//! response has no use.
 
 use super::due_index::{Phase, PhaseGroup};
 use super::event::RequestId;
@@ -8,25 +9,25 @@
 use super::shutdown::Shutdown;
 use super::timing::TIMER_PERIOD_MS;
 
-/// Ticks by which a request is answered before its deadline, beside a timer period.
+/// Number of ticks by which a request is answered before its deadline, in addition to a timer period.
 const MARGIN_TICKS: f64 = 2.0;
-/// Lags of the timer by which a request is answered before its deadline, where they are more than the ticks:
-/// the timer comes late, and the response is written late.
+/// Number of timer lags by which a request is answered before its deadline, if that is more than the ticks:
+/// one for the late timer and one for the late write of the response.
 const MARGIN_LAGS: f64 = 2.0;
 
-/// The deadlines at one moment.
+/// Selects the requests to answer at one point in time.
 pub(super) struct DeadlineCheck<'a> {
-    /// The moment.
+    /// The time at which deadlines and objectives are checked.
     pub(super) now: f64,
     /// Whether no request runs.
     pub(super) idle: bool,
     /// Whether the overload level is above 0.
     pub(super) overloaded: bool,
-    /// The settings.
+    /// The settings of the instance.
     pub(super) settings: &'a Settings,
-    /// How long runs take.
+    /// Estimates of run times.
     pub(super) estimates: &'a RunEstimates,
-    /// All requests.
+    /// All requests of the instance.
     pub(super) requests: &'a RequestTable,
     /// The shutdown, if one was requested.
     pub(super) shutdown: Option<Shutdown>,
@@ -35,14 +36,14 @@
 }
 
 impl DeadlineCheck<'_> {
-    /// Returns the requests that have to be answered now, in the order of their ids.
+    /// Returns the requests that have to be answered now, ordered by id.
     pub(super) fn overdue(&self) -> Vec<RequestId> {
         let due = self.requests.due();
         let mut overdue: Vec<RequestId> =
             due.with_deadline_by(self.now + answer_lead_ms(self.settings, self.timer_lag_ms)).collect();
         for group in due.groups() {
-            if let Some(time) = self.hopeless_before(group) {
-                overdue.extend(due.with_objective_before(group, time));
+            if let Some(cutoff) = self.objective_cutoff(group) {
+                overdue.extend(due.with_objective_before(group, cutoff));
             }
         }
         if let Some(shutdown) = self.shutdown {
@@ -53,43 +54,43 @@
         overdue
     }
 
-    /// Returns the latency objective below which a request of the group has no use of waiting longer; `None`
-    /// where it has some whatever its objective.
-    fn hopeless_before(&self, group: PhaseGroup) -> Option<f64> {
+    /// Returns the time such that requests of the group with an earlier latency objective are answered now;
+    /// `None` if the group's requests are not answered because of their objectives.
+    fn objective_cutoff(&self, group: PhaseGroup) -> Option<f64> {
         let class = &self.settings.classes[group.class];
-        let worthless_late = class.late_weight <= 0.0;
+        let no_late_weight = class.late_weight <= 0.0;
         match group.phase {
             Phase::Queued => {
                 let expected_end = self.estimates.expected_end(self.now, group.class, self.idle);
-                (worthless_late || self.overloaded).then_some(expected_end)
+                (no_late_weight || self.overloaded).then_some(expected_end)
             }
             Phase::Running if self.settings.preemption == Preemption::Off => None,
             Phase::Running | Phase::AwaitingCall => {
                 let answered_by = self.now + (TIMER_PERIOD_MS + margin_ms(self.settings));
-                (worthless_late && is_idempotent(class)).then_some(answered_by)
+                (no_late_weight && is_idempotent(class)).then_some(answered_by)
             }
         }
     }
 
-    /// Returns the queued requests that arrived after `time` and wait for no original.
+    /// Returns the unanswered queued requests that arrived after `time` and do not wait for an original.
     fn unanswered_arrivals_after(&self, time: f64) -> impl Iterator<Item = RequestId> {
         let is_unanswered = |id: &RequestId| self.requests.get(*id).is_some_and(|request| !request.answered);
         self.requests.ready().arrived_after(time).filter(is_unanswered)
     }
 }
 
-/// Returns how long before its deadline a request is answered, ms: a period of the timer, and a margin for
-/// the lag of the timer and of the response.
+/// Returns how long before its deadline a request is answered, ms: a timer period and a margin for the lag of
+/// the timer and of the response.
 pub(super) fn answer_lead_ms(settings: &Settings, timer_lag_ms: f64) -> f64 {
     TIMER_PERIOD_MS + margin_ms(settings).max(MARGIN_LAGS * timer_lag_ms)
 }
 
-/// Returns the margin for the lateness of a timer on a machine that has time, ms.
+/// Returns the margin for the lag of the timer on a machine with idle CPU time, ms.
 fn margin_ms(settings: &Settings) -> f64 {
     MARGIN_TICKS * settings.tick_ms
 }
 
-/// Returns whether a run of the class may be stopped.
+/// Returns whether runs of the class are idempotent and may therefore be stopped.
 fn is_idempotent(class: &Class) -> bool {
     class.retry_safety == RetrySafety::Idempotent
 }
--- a/src/admission/due_index.rs
+++ b/src/admission/due_index.rs
@@ -1,44 +1,44 @@
-//! The unanswered requests in the orders in which they fall due.
+//! The index of unanswered requests by deadline, latency objective and time of the upstream call.
 
 use super::event::RequestId;
 use super::request::{Request, RequestState};
 use super::sort_key::SortKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The states in which a request may be given up for its latency objective.
+/// The states in which a request may be answered early because of its latency objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
-    /// It waits for a run.
+    /// The request waits for a run.
     Queued,
-    /// It runs.
+    /// The request runs.
     Running,
-    /// It waits for its upstream call to be made.
+    /// The request waits for its upstream call to be made.
     AwaitingCall,
 }
 
-/// Requests of one class in one phase.
+/// The key of a group of requests: one class in one phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PhaseGroup {
     /// Index of the class.
     pub(super) class: usize,
-    /// The phase.
+    /// Phase of the requests.
     pub(super) phase: Phase,
 }
 
-/// Requests in the order of a time.
+/// Requests ordered by a time.
 type ByTime = BTreeSet<(SortKey, RequestId)>;
 
-/// The orders.
+/// The unanswered requests, ordered by the times at which they fall due.
 #[derive(Debug, Default)]
 pub(super) struct DueIndex {
     deadlines: ByTime,
     objectives: BTreeMap<PhaseGroup, ByTime>,
-    /// Requests that wait for their upstream call, in the order of the earliest time of the call.
+    /// Requests that wait for their upstream call, ordered by the earliest time of the call.
     calls: ByTime,
 }
 
 impl DueIndex {
-    /// Adds a request; an answered one is in no order.
+    /// Adds a request; an answered one is not indexed.
     pub(super) fn add(&mut self, id: RequestId, request: &Request) {
         if request.answered {
             return;
@@ -48,12 +48,12 @@
             let objective = SortKey::new(request.objective_at);
             self.objectives.entry(group).or_default().insert((objective, id));
         }
-        if let RequestState::AwaitingCall(from) = request.state {
-            self.calls.insert((SortKey::new(from), id));
+        if let RequestState::AwaitingCall(earliest) = request.state {
+            self.calls.insert((SortKey::new(earliest), id));
         }
     }
 
-    /// Removes a request that was added as it is.
+    /// Removes a request, which has to be unchanged since it was added.
     pub(super) fn remove(&mut self, id: RequestId, request: &Request) {
         if request.answered {
             return;
@@ -62,12 +62,12 @@
         if let Some(group) = phase_group(request) {
             self.remove_objective(group, (SortKey::new(request.objective_at), id));
         }
-        if let RequestState::AwaitingCall(from) = request.state {
-            self.calls.remove(&(SortKey::new(from), id));
+        if let RequestState::AwaitingCall(earliest) = request.state {
+            self.calls.remove(&(SortKey::new(earliest), id));
         }
     }
 
-    /// Returns the requests with a deadline up to `time`.
+    /// Returns the requests with a deadline at or before `time`.
     pub(super) fn with_deadline_by(&self, time: f64) -> impl Iterator<Item = RequestId> {
         up_to(&self.deadlines, time)
     }
--- a/src/admission/event.rs
+++ b/src/admission/event.rs
@@ -1,4 +1,4 @@
-//! The events that an instance is told.
+//! The events that the admission controller of an instance handles.
 //!
 //! Times are in milliseconds on the embedder's monotonic clock, memory is in kilobytes.
 
@@ -7,12 +7,12 @@
 /// The id of a request, unique for the lifetime of an instance.
 pub type RequestId = u64;
 
-/// The gauges of an instance; each may be missing.
+/// The load gauges of an instance; each may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// Recent utilization of the cores, 0 to 1.
     pub busy: Option<f64>,
-    /// Length of the run queue: all threads that run on a core or wait for one.
+    /// Length of the run queue: number of threads that run on a core or wait for one.
     pub run_queue: Option<f64>,
     /// Share of the memory in use, 0 to 1.
     pub memory: Option<f64>,
@@ -23,40 +23,40 @@
 /// A request that was read from its connection.
 #[derive(Clone, Debug, Default)]
 pub struct Arrival {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: usize,
-    /// Whether it names its subject, so that its result may serve other reads of that subject.
+    /// Whether the request names its subject, so that its result may be reused for other reads of it.
     pub shareable: bool,
-    /// Time at which its client gives up, where the request states it.
+    /// Time at which the client gives up, if the request states it.
     pub deadline: Option<f64>,
-    /// Expected work, ms, where the request states it.
+    /// Expected work, ms, if the request states it.
     pub cost_ms: Option<f64>,
-    /// Memory that it takes while it is queued, kB.
+    /// Memory that the request takes while it is queued, kB.
     pub request_kb: f64,
-    /// Its priority, 0 to 1; the lowest is shed first.
+    /// Priority of the request, 0 to 1; the lowest is shed first.
     pub priority: f64,
-    /// Whether it is marked as a retry or a hedged request.
+    /// Whether the request is marked as a retry or as hedged.
     pub is_retry: bool,
-    /// Time since it reached the machine, ms.
+    /// Time since the request reached the machine, ms.
     pub age_ms: f64,
-    /// The reserved request that it duplicates.
+    /// The reserved request that this request duplicates.
     ///
-    /// For a class with idempotency keys, the earlier attempt with the same key. For a shareable read, one of
-    /// the same class and subject that is in progress or completed within the time for which its result is
-    /// shared.
+    /// For a class with idempotency keys, this is the earlier attempt with the same key. For a shareable
+    /// read, it is a read of the same class and subject that is in progress, or that completed within the
+    /// time for which its result is shared.
     pub duplicate_of: Option<RequestId>,
 }
 
 /// How a run or an upstream call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     Ok,
-    /// It failed, perhaps after taking effect.
+    /// The run or call failed, possibly after taking effect.
     Error,
     /// The upstream service rejected the call; it never ran.
     Rejected,
@@ -70,19 +70,19 @@
     Cancelled,
     /// Nothing was started, because the request had ended already.
     NotStarted,
-    /// The run is unknown to whoever should run it, or was not asked for. It may have taken effect, and says
-    /// nothing of how runs fare.
+    /// The worker pool does not know the run, or the run was never requested from it. The run may have taken
+    /// effect, and is no evidence of whether runs succeed.
     Lost,
 }
 
-/// An event that an instance is told.
+/// An event that the embedder reports to the controller.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The instance starts.
     Start,
-    /// A request was read; it is queued until an action says otherwise.
+    /// A request was read; it stays queued until an action changes that.
     Arrival(Arrival),
-    /// A running request cannot go on without an upstream call.
+    /// A running request needs an upstream call before it can continue.
     UpstreamCallNeeded(RequestId),
     /// An upstream call ended.
     UpstreamCallEnded {
@@ -95,11 +95,11 @@
     },
     /// A run, or the reuse of another request's result, ended.
     RunEnded {
-        /// The request.
+        /// The request that was run or that reused the result.
         id: RequestId,
-        /// How it ended.
+        /// How the run or the reuse ended.
         outcome: Outcome,
-        /// Time since the action that started it, ms.
+        /// Time since the action that started the run or the reuse, ms.
         took_ms: f64,
     },
     /// The client no longer waits for the request.
@@ -109,30 +109,30 @@
         /// Time at which the process stops.
         stop_at: f64,
     },
-    /// Whether no queued request may start from now on; suspended runs go on.
+    /// Whether starts of queued requests are suspended from now on; suspended runs are still resumed.
     SuspendStarts(bool),
-    /// What another process runs on the same machine, from now on.
+    /// The load of another process on the same machine, from now on.
     ExternalLoad {
-        /// Its runs.
+        /// Number of runs of the other process.
         runs: usize,
-        /// The memory that they take, kB.
+        /// Memory that these runs take, kB.
         memory_kb: f64,
     },
-    /// Changes of settings take effect.
+    /// Changes of settings are applied.
     Reconfigured(Box<Reconfiguration>),
-    /// The gauges of the next timer are requested. They come behind all that the runs reported until now, and
-    /// before what they report from now on.
+    /// The gauges of the next timer were requested. They arrive after all reports that runs made before the
+    /// request, and before later reports.
     GaugesRequested,
-    /// Commands that runs need to go on reached the worker pool late.
+    /// Commands that runs need in order to continue reached the worker pool late.
     CommandsDelayed {
-        /// How long the first of them had waited, ms. No two such times overlap.
+        /// How long the first of these commands had waited, ms. The waits of two events never overlap.
         waited_ms: f64,
     },
     /// A timer fired.
     Timer {
-        /// The token given when the timer was set.
+        /// The token that was passed when the timer was set.
         token: u64,
-        /// The gauges as of their request; without a request, at this moment.
+        /// The gauges at the time of their request, or at the time of the timer without a request.
         gauges: Gauges,
     },
 }
--- a/src/admission/external_load.rs
+++ b/src/admission/external_load.rs
@@ -1,12 +1,12 @@
-//! What another process on the same machine runs, while it hands its work over to this one.
+//! The load of another process on the same machine during a handover to this one.
 
 use super::clamp::clamp_finite;
 use super::request_totals::RunCounts;
 
-/// Largest stated memory, kB.
+/// Upper bound of the reported memory, kB.
 const MAX_MEMORY_KB: f64 = 1e12;
 
-/// The runs of another process, which take cores and memory from the instance.
+/// The runs of another process, which reduce the cores and memory available to the instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ExternalLoad {
     runs: usize,
@@ -14,17 +14,17 @@
 }
 
 impl ExternalLoad {
-    /// Returns the load of so many runs, which take that much memory, kB.
+    /// Creates the load of a number of runs that take `memory_kb` in total.
     pub(super) fn new(runs: usize, memory_kb: f64) -> ExternalLoad {
         ExternalLoad { runs, memory_kb: clamp_finite(memory_kb, 0.0, MAX_MEMORY_KB) }
     }
 
-    /// Returns the memory that it takes, kB.
+    /// Returns the memory that the runs take, kB.
     pub(super) fn memory_kb(self) -> f64 {
         self.memory_kb
     }
 
-    /// Returns the counts with these runs among the running ones.
+    /// Returns `counts` with these runs added to the running requests.
     pub(super) fn added_to(self, counts: RunCounts) -> RunCounts {
         RunCounts { running: counts.running.saturating_add(self.runs), ..counts }
     }
--- a/src/admission/idempotency.rs
+++ b/src/admission/idempotency.rs
@@ -1,8 +1,8 @@
-//! Reservations of idempotency keys, and of reads whose result may serve others.
+//! Reservations of idempotency keys, and of reads whose result may be reused.
 //!
 //! # Invariants
-//! A request with an idempotency key is reserved before it runs, for the window of its key from its arrival
-//! on.
+//! The idempotency key of a request is reserved before the request runs, for the key window, which begins at
+//! the request's arrival.
 
 use super::action::Action;
 use super::event::RequestId;
@@ -10,22 +10,22 @@
 use super::sort_key::SortKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest reservation, ms.
+/// Shortest duration of a reservation, ms.
 const MIN_TTL_MS: f64 = 1.0;
-/// Time that a reservation outlasts its window by, beside two ticks, ms.
+/// Time by which a reservation outlasts its window in addition to two ticks, ms.
 const TTL_SLACK_MS: f64 = 1.0;
 
-/// The reservations by request, with the time at which each expires.
+/// The reservations, by request.
 pub(super) struct IdempotencyReservations {
     tick_ms: f64,
     shared_result_ttl_ms: f64,
     expires_at: BTreeMap<RequestId, f64>,
-    /// The reservations in the order in which they expire.
+    /// The reservations, ordered by the time at which they expire.
     expiries: BTreeSet<(SortKey, RequestId)>,
 }
 
 impl IdempotencyReservations {
-    /// Returns an empty table.
+    /// Creates an empty table.
     pub(super) fn new(settings: &Settings) -> IdempotencyReservations {
         IdempotencyReservations {
             tick_ms: settings.tick_ms,
@@ -40,18 +40,18 @@
         self.expires_at.len()
     }
 
-    /// Returns whether the request is reserved.
+    /// Returns whether the request has a reservation.
     pub(super) fn contains(&self, id: RequestId) -> bool {
         self.expires_at.contains_key(&id)
     }
 
-    /// Returns whether reads of one subject may share a result.
+    /// Returns whether reads of the same subject may share a result.
     pub(super) fn shares_results(&self) -> bool {
         self.shared_result_ttl_ms > 0.0
     }
 
-    /// Reserves the key of a request that arrived at `arrived_at`, or a shareable read for the time it may
-    /// take.
+    /// Reserves the key of a request that arrived at `arrived_at`, or a shareable read for the client timeout
+    /// of its class.
     pub(super) fn reserve(&mut self, now: f64, id: RequestId, arrived_at: f64, class: &Class) -> Action {
         let window_ms = if class.retry_safety == RetrySafety::IdempotencyKey {
             class.key_window_ms
@@ -70,16 +70,17 @@
         self.expiries.remove(&(SortKey::new(expires_at), id))
     }
 
-    /// Shortens a reservation to the time for which a result is shared.
+    /// Shortens a reservation to at most the time for which a result is shared.
     pub(super) fn cache_result(&mut self, now: f64, id: RequestId) {
         if let Some(expires_at) = self.expires_at.get(&id) {
             self.set_expiry(id, expires_at.min(now + self.shared_result_ttl_ms));
         }
     }
 
-    /// Drops the reservations that expired.
+    /// Drops the expired reservations.
     ///
-    /// Those of shared results may expire before the time given when they were reserved and are released.
+    /// If results are shared, each is also released by an action, as its reservation may have been shortened
+    /// after it was made.
     pub(super) fn drop_expired(&mut self, now: f64, actions: &mut Vec<Action>) {
         let expired = self.expiries.range(..=(SortKey::new(now), RequestId::MAX));
         let mut ids: Vec<RequestId> = expired.map(|(_, id)| *id).collect();
--- a/src/admission/idle_timeout.rs
+++ b/src/admission/idle_timeout.rs
@@ -1,32 +1,32 @@
 //! The idle timeout of client connections.
 //!
-//! Where each client comes seldom, idle connections fill the connection table and cost time on the cores:
-//! they are closed soon. Where clients come often, connections stay as long as the clients keep them. While
-//! new connections compete with runs for the cores, idle ones are kept for longer, and the timeout falls
-//! again only once cores idle.
+//! Where each client sends requests rarely, idle connections fill the connection table and cost CPU time, so
+//! that they are closed early. Where clients send requests often, connections are kept as long as the clients
+//! keep them. While new connections compete with runs for the cores, idle connections are kept longer; the
+//! timeout is lowered again only once cores are idle.
 
 use super::overload_level::SATURATED_UTILIZATION;
 use super::settings::{MIN_IDLE_TIMEOUT_MS, Settings};
 
-/// Uses of a connection within the clients' own idle timeout from which it is kept for that long.
+/// Requests of a client within the clients' own idle timeout from which connections are kept for that long.
 const USES_TO_KEEP: f64 = 1.0;
-/// Competing work for each core from which connections are kept as long as the clients keep them.
+/// Competing work per core from which connections are kept as long as the clients keep them.
 const COMPETING_WORK_TO_KEEP: f64 = 1.0;
-/// Largest change of the timeout with each timer, as a factor.
+/// Largest factor by which the timeout changes with each timer.
 const MAX_STEP_FACTOR: f64 = 1.25;
 
-/// What the timeout follows.
+/// The quantities that the idle timeout depends on.
 #[derive(Clone, Copy)]
 pub(super) struct ConnectionLoad {
     /// Utilization of the cores.
     pub(super) busy: f64,
-    /// Average run queue beyond runs and the usual other work.
+    /// Average run queue beyond the running requests and the usual other work.
     pub(super) competing_work: f64,
     /// Rate of arrivals, per ms.
     pub(super) arrivals_per_ms: f64,
 }
 
-/// The idle timeout in force.
+/// The current idle timeout.
 pub(super) struct IdleTimeout {
     cores: f64,
     client_count: f64,
@@ -35,7 +35,7 @@
 }
 
 impl IdleTimeout {
-    /// Returns the clients' own timeout, which is in force until the first change.
+    /// Creates the state with the clients' own idle timeout, which applies until the first change.
     pub(super) fn new(settings: &Settings) -> IdleTimeout {
         IdleTimeout {
             cores: settings.cores,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Takes the load of a timer and returns the new timeout in ms if it changed.
+    /// Updates the timeout with the load at a timer and returns it, ms, if it changed.
     pub(super) fn update(&mut self, load: ConnectionLoad) -> Option<f64> {
         let timeout_ms = self.next_timeout_ms(load);
         if timeout_ms == self.timeout_ms {
@@ -60,9 +60,9 @@
         if uses >= USES_TO_KEEP {
             return self.client_timeout_ms;
         }
-        let competing = (load.competing_work / self.cores / COMPETING_WORK_TO_KEEP).min(1.0);
+        let competing_ratio = (load.competing_work / self.cores / COMPETING_WORK_TO_KEEP).min(1.0);
         let range = self.client_timeout_ms / MIN_IDLE_TIMEOUT_MS;
-        let target_ms = (MIN_IDLE_TIMEOUT_MS * range.powf(competing)).round();
+        let target_ms = (MIN_IDLE_TIMEOUT_MS * range.powf(competing_ratio)).round();
         if target_ms > self.timeout_ms {
             target_ms.min(self.timeout_ms * MAX_STEP_FACTOR)
         } else if load.busy < SATURATED_UTILIZATION {
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -1,13 +1,13 @@
-//! The memory that requests and reserved keys take.
+//! The memory budget for requests and reserved keys.
 
 use super::request::Request;
 use super::request_totals::RequestTotals;
 use super::settings::Settings;
 
-/// Part of a stated capacity that is used; the rest absorbs what is not accounted for.
+/// Part of a configured capacity that is used; the rest is a margin for unaccounted use.
 pub(super) const USED_CAPACITY: f64 = 0.9;
 
-/// The memory of an instance.
+/// The memory budget of an instance.
 pub(super) struct MemoryBudget {
     /// Memory that may be used, kB.
     limit_kb: f64,
@@ -18,7 +18,7 @@
 }
 
 impl MemoryBudget {
-    /// Returns the budget that the settings state.
+    /// Creates the budget from the settings.
     pub(super) fn new(settings: &Settings) -> MemoryBudget {
         MemoryBudget {
             limit_kb: settings.memory_kb * USED_CAPACITY,
@@ -32,17 +32,17 @@
         self.key_kb
     }
 
-    /// Returns the memory that a request takes once it runs, kB.
+    /// Returns the memory that a request takes while it runs, kB.
     pub(super) fn run_kb(&self, request: &Request) -> f64 {
         request.request_kb * self.run_factor
     }
 
-    /// Returns the memory that a queued request of that size takes in addition when it starts to run, kB.
+    /// Returns the additional memory that a queued request of size `request_kb` takes when it starts, kB.
     pub(super) fn start_kb(&self, request_kb: f64) -> f64 {
         request_kb * (self.run_factor - 1.0)
     }
 
-    /// Returns the memory that is left, kB.
+    /// Returns the free memory, kB; negative if more than the limit is used.
     pub(super) fn free_kb(&self, requests: &RequestTotals, reserved_keys: usize) -> f64 {
         self.limit_kb - self.used_kb(requests, reserved_keys)
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,14 +1,16 @@
-//! The admission controller: which requests run, wait or are rejected, and what clients are told.
+//! The admission controller, which decides which requests run, wait or are rejected and which backpressure is
+//! signalled to clients.
 //!
 //! A periodic timer reads the instance's gauges and steps an overload level between 0 and 3 with hysteresis,
-//! after the overload control of telephone networks (call gapping). Each level has a fixed share of the usual
-//! traffic, which every response advertises, so that clients hold back the rest. Above level 0 a priority
-//! threshold rises by a step with each timer, at level 0 it falls again; arrivals below it are rejected. What
-//! is admitted waits in a queue that is ordered by value, up to a limit of concurrent runs.
+//! like the overload control of telephone networks (call gapping). Each level has a fixed share of the usual
+//! traffic, which every response advertises, so that clients hold back the rest. A priority threshold rises
+//! by one step with each timer while the level is above 0 and falls by one step otherwise; arrivals below the
+//! threshold are rejected. Admitted requests wait in a queue that is ordered by value and are started from it
+//! up to a limit of concurrent runs.
 //!
 //! [`AdmissionController`] turns each [`Event`] into [`Action`]s. It is composed of one struct for each
-//! concern, each in a file of its own with its own state; the files named after events hold what the
-//! controller does with them.
+//! concern, each in a file of its own with its own state; the files named after events hold the controller's
+//! handlers of these events.
 
 mod action;
 mod arrival;
--- a/src/admission/moving_average.rs
+++ b/src/admission/moving_average.rs
@@ -1,19 +1,19 @@
-//! Moving averages: by reading and by time.
+//! Moving averages with a weight per reading and with a decay over time.
 
 use super::timing::decay_per_timer;
 
-/// Weight of a new reading in an average by reading.
+/// Weight of a new reading in an exponential moving average.
 pub(super) const READING_WEIGHT: f64 = 0.1;
 
-/// Moves the average towards the reading by [`READING_WEIGHT`] of the difference.
+/// Updates an exponential moving average with a reading of weight [`READING_WEIGHT`].
 pub(super) fn blend(average: &mut f64, reading: f64) {
     *average += (reading - *average) * READING_WEIGHT;
 }
 
-/// A mean over a span of time that does not depend on the rate of readings.
+/// A mean that decays over a span of time, whatever the rate of readings.
 ///
-/// Sum and count decay alike. The mean counts one further reading of zero, so that it starts at zero and a
-/// few readings do not dominate it.
+/// The sum and the count decay by the same factor. The mean includes one additional reading of zero, so that
+/// it starts at zero and is not dominated by a few readings.
 #[derive(Default)]
 pub(super) struct DecayingMean {
     sum: f64,
@@ -27,7 +27,7 @@
         self.count += 1.0;
     }
 
-    /// Decays sum and count by one timer period.
+    /// Decays the sum and the count by one timer period.
     pub(super) fn decay(&mut self, span_ms: f64) {
         let factor = decay_per_timer(span_ms);
         self.sum *= factor;
@@ -39,7 +39,7 @@
         self.sum / (self.count + 1.0)
     }
 
-    /// Returns the mean with one further reading of `prior` in place of the one of zero.
+    /// Returns the mean with an additional reading of `prior` instead of zero.
     pub(super) fn value_with_prior(&self, prior: f64) -> f64 {
         (self.sum + prior) / (self.count + 1.0)
     }
--- a/src/admission/overload_level.rs
+++ b/src/admission/overload_level.rs
@@ -1,23 +1,24 @@
-//! The overload level, 0 to 3, from the gauges and the queue.
+//! The overload level, 0 to 3, which is derived from the gauges and the queue.
 
 use super::event::Gauges;
 use super::moving_average::{DecayingMean, blend};
 use super::timing::SYMPTOM_SPAN_MS;
 
-/// Utilization of the cores from which they count as saturated; below it the level does not rise.
+/// Utilization at or above which the cores count as saturated; below it the level does not rise.
 pub(super) const SATURATED_UTILIZATION: f64 = 0.9;
-/// Consecutive timers below a level's leave threshold after which it falls a step.
-const CALM_TIMERS: u32 = 3;
-/// Run queue for each core, beyond the requests that run, that is usual and not counted as competing work.
+/// Consecutive timers with low load, below a level's leave threshold or without saturation, after which the
+/// level falls by one.
+const LOW_LOAD_TIMERS: u32 = 3;
+/// Usual run queue per core beyond the running requests; it does not count as competing work.
 const USUAL_OTHER_WORK_PER_CORE: f64 = 2.0;
-/// Largest competing work for each core that a reading counts.
+/// Upper bound of the competing work per core in one reading.
 const MAX_COMPETING_WORK_PER_CORE: f64 = 10.0;
-/// Run queue from which the gauge is taken for faulty.
+/// Run queue at or above which the gauge is considered faulty and ignored.
 const MAX_RUN_QUEUE: f64 = 1e6;
-/// Utilization up to which the gauge is valid; a little over 1 by rounding.
+/// Largest valid utilization; a little over 1 because of rounding.
 const MAX_UTILIZATION: f64 = 1.01;
 
-/// An overload level.
+/// The thresholds and the share of an overload level.
 struct Level {
     /// Queue drain time at which the level is entered, as a part of the usual latency objective.
     enter: f64,
@@ -27,7 +28,7 @@
     share: f64,
 }
 
-/// The overload levels.
+/// The overload levels, by number.
 const LEVELS: [Level; 4] = [
     Level { enter: 0.0, leave: 0.0, share: 1.0 },
     Level { enter: 0.75, leave: 0.5, share: 0.3 },
@@ -35,15 +36,15 @@
     Level { enter: 1.15, leave: 0.95, share: 0.01 },
 ];
 
-/// What the detector reads with each timer.
+/// The input of the detector at each timer.
 pub(super) struct LoadSample {
-    /// The gauges.
+    /// The gauges of the instance.
     pub(super) gauges: Gauges,
-    /// Cores of the machine.
+    /// Number of cores of the machine.
     pub(super) cores: f64,
-    /// Requests on the cores.
+    /// Number of running requests.
     pub(super) running: f64,
-    /// Requests that wait for a core.
+    /// Number of queued requests.
     pub(super) queued: usize,
     /// Usual time of a run on a warm machine, ms.
     pub(super) usual_run_ms: f64,
@@ -51,7 +52,7 @@
     pub(super) latency_objective_ms: f64,
     /// Speed of the instance, as a share of its warm speed.
     pub(super) speed: f64,
-    /// Whether the runs fail or stall.
+    /// Whether too many runs fail or the runs are stalled.
     pub(super) faulty: bool,
 }
 
@@ -59,7 +60,7 @@
 #[derive(Default)]
 pub(super) struct OverloadDetector {
     level: usize,
-    calm_timers: u32,
+    low_load_timers: u32,
     queue_drain_ms: f64,
     runs_off_core: f64,
     competing_work: f64,
@@ -77,8 +78,9 @@
         LEVELS[self.level].share
     }
 
-    /// Returns the time that the queue takes to drain as of the last timer, ms; infinite while runs are
-    /// faulty.
+    /// Returns the estimated time that the queue takes to drain as of the last timer, ms.
+    ///
+    /// It is infinite while runs fail or stall.
     pub(super) fn queue_drain_ms(&self) -> f64 {
         self.queue_drain_ms
     }
@@ -98,12 +100,12 @@
         self.arrival_age.value()
     }
 
-    /// Takes the age of a request that was read, ms.
+    /// Records the age of a request that was read, ms.
     pub(super) fn record_arrival_age(&mut self, age_ms: f64) {
         self.arrival_age.add(age_ms);
     }
 
-    /// Takes a sample and steps the level.
+    /// Updates the averages and the level with the sample of a timer.
     pub(super) fn update(&mut self, sample: &LoadSample) {
         let run_queue = sample
             .gauges
@@ -123,16 +125,19 @@
         self.step(pressure, saturated);
     }
 
-    /// Returns the queue drain time as a part of the latency objective; 0 while no core has more than one
-    /// request.
+    /// Updates the queue drain time and returns it as a part of the latency objective.
+    ///
+    /// Returns 0 while there is at most one request per core.
     fn queue_pressure(&mut self, sample: &LoadSample, run_queue: Option<f64>) -> f64 {
         let queue_per_core = (run_queue.unwrap_or(sample.running) + sample.queued as f64) / sample.cores;
         self.queue_drain_ms = queue_per_core * sample.usual_run_ms / sample.speed + self.arrival_age.value();
         if queue_per_core > 1.0 { self.queue_drain_ms / sample.latency_objective_ms } else { 0.0 }
     }
 
-    /// Cores that idle beside queued requests show runs off the cores that other threads hide in the run
-    /// queue.
+    /// Updates the average number of runs that wait for something other than a core.
+    ///
+    /// Other threads in the run queue hide runs that are off the cores. Such runs are inferred from cores
+    /// that idle while requests are queued.
     fn update_runs_off_core(&mut self, sample: &LoadSample, run_queue: Option<f64>, busy: Option<f64>) {
         let off_core = run_queue.map_or(0.0, |length| (sample.running - length).max(0.0));
         let idle_share = if sample.queued > 0 { (1.0 - busy.unwrap_or(1.0)).max(0.0) } else { 0.0 };
@@ -145,25 +150,26 @@
     }
 
     fn update_competing_work(&mut self, sample: &LoadSample, run_queue: Option<f64>) {
-        let beyond_runs = run_queue.map_or(0.0, |length| length - sample.running);
-        let competing = beyond_runs - USUAL_OTHER_WORK_PER_CORE * sample.cores;
+        let other_threads = run_queue.map_or(0.0, |length| length - sample.running);
+        let competing = other_threads - USUAL_OTHER_WORK_PER_CORE * sample.cores;
         let reading = competing.clamp(0.0, MAX_COMPETING_WORK_PER_CORE * sample.cores);
         blend(&mut self.competing_work, reading);
     }
 
-    /// Rises one step at a time, and falls one step after [`CALM_TIMERS`] calm timers.
+    /// Raises the level by at most one per timer, and lowers it by one after [`LOW_LOAD_TIMERS`] timers with
+    /// low load.
     fn step(&mut self, pressure: f64, saturated: bool) {
         let rises = LEVELS.get(self.level + 1).is_some_and(|next| saturated && pressure >= next.enter);
         if rises {
             self.level += 1;
-            self.calm_timers = 0;
+            self.low_load_timers = 0;
             return;
         }
-        let calm = self.level > 0 && (pressure < LEVELS[self.level].leave || !saturated);
-        self.calm_timers = if calm { self.calm_timers + 1 } else { 0 };
-        if self.calm_timers >= CALM_TIMERS {
+        let low_load = self.level > 0 && (pressure < LEVELS[self.level].leave || !saturated);
+        self.low_load_timers = if low_load { self.low_load_timers + 1 } else { 0 };
+        if self.low_load_timers >= LOW_LOAD_TIMERS {
             self.level -= 1;
-            self.calm_timers = 0;
+            self.low_load_timers = 0;
         }
     }
 }
--- a/src/admission/ready_queue.rs
+++ b/src/admission/ready_queue.rs
@@ -1,7 +1,9 @@
-//! The requests that could be started, so ordered that the best of them is found without looking at all.
+//! The requests that could be started, ordered so that the most valuable one is found without iterating over
+//! all of them.
 //!
-//! Requests of one class and one weight differ in their latency objective alone. Among those that will miss
-//! it, and likewise among those that will not, an earlier objective is worth at least as much as a later one.
+//! The values of requests with the same class and weight differ only by their latency objectives. Among the
+//! requests that will miss their objective, and likewise among those that will meet it, an earlier objective
+//! is worth at least as much as a later one.
 
 use super::event::RequestId;
 use super::request::{Request, RequestState};
@@ -11,32 +13,32 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
 
-/// Requests whose values differ by their latency objectives alone.
+/// The key of a group of requests whose values differ only by their latency objectives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReadyGroup {
     /// Index of the class.
     pub(super) class: usize,
-    /// Weight against other requests.
+    /// Weight relative to other requests.
     weight: SortKey,
-    /// Whether their runs were suspended and go on; else they have not run.
+    /// Whether the requests are suspended runs to resume; otherwise they have not run.
     pub(super) suspended: bool,
 }
 
-/// A position in the order of a group: the earlier objective first, and among equals the later request.
+/// A position in a group: earlier objectives first and, for equal objectives, later requests first.
 type Position = (SortKey, Reverse<RequestId>);
 
 /// The requests of a group.
 #[derive(Debug, Default)]
 pub(super) struct ReadyRequests {
-    /// Those whose latency objective was not over when it was last looked.
+    /// Requests whose latency objective had not passed at the last call of [`ReadyQueue::advance`].
     pending: BTreeSet<Position>,
-    /// Those whose latency objective is over: all have the same value.
+    /// Requests whose latency objective has passed; all have the same value.
     late: BTreeSet<RequestId>,
 }
 
-/// Where a request stands in the queue.
+/// The group and the sort keys of a request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Place {
+struct ReadyEntry {
     group: ReadyGroup,
     objective_at: SortKey,
     arrived_at: SortKey,
@@ -44,48 +46,51 @@
     has_duplicates: bool,
 }
 
-/// The queue.
+/// The requests that could be started.
 #[derive(Debug, Default)]
 pub(super) struct ReadyQueue {
-    places: HashMap<RequestId, Place>,
+    entries: HashMap<RequestId, ReadyEntry>,
     groups: BTreeMap<ReadyGroup, ReadyRequests>,
-    /// Requests that others duplicate: their value is not their own alone.
+    /// Requests with duplicates, which are in no group: the duplicates add to their value.
     with_duplicates: BTreeSet<RequestId>,
-    /// Requests that have not run, by their arrival.
+    /// Requests that have not run, by arrival time.
     arrivals: BTreeSet<(SortKey, RequestId)>,
-    /// Requests that have not run, by their memory.
+    /// Requests that have not run, by memory.
     sizes: BTreeSet<(SortKey, RequestId)>,
-    /// The time up to which latency objectives are over.
+    /// Time of the last call of [`ReadyQueue::advance`]; earlier latency objectives have passed.
     advanced_to: f64,
 }
 
 impl ReadyQueue {
-    /// Puts a request where it belongs now; `None` takes it out.
-    pub(super) fn place(&mut self, id: RequestId, request: Option<&Request>, has_duplicates: bool) {
-        let place = request.map(|request| Place::new(request, has_duplicates));
-        let before = match place {
-            Some(place) => self.places.insert(id, place),
-            None => self.places.remove(&id),
+    /// Inserts a request or updates its position; `None` removes it.
+    pub(super) fn update(&mut self, id: RequestId, request: Option<&Request>, has_duplicates: bool) {
+        let entry = request.map(|request| ReadyEntry::new(request, has_duplicates));
+        let previous = match entry {
+            Some(entry) => self.entries.insert(id, entry),
+            None => self.entries.remove(&id),
         };
-        if place == before {
+        if entry == previous {
             return;
         }
-        if let Some(before) = before {
-            self.take_out(id, &before);
+        if let Some(previous) = previous {
+            self.remove_from_indexes(id, &previous);
         }
-        if let Some(place) = place {
-            self.put_in(id, &place);
+        if let Some(entry) = entry {
+            self.add_to_indexes(id, &entry);
         }
     }
 
-    /// Moves the requests whose latency objective is over by `now`; a clock that was set back moves all back.
+    /// Moves the requests whose latency objective has passed by `now` to the late ones.
+    ///
+    /// If `now` is before the previous call, all late requests are checked anew.
     pub(super) fn advance(&mut self, now: f64) {
         let is_set_back = now < self.advanced_to;
         self.advanced_to = now;
         for requests in self.groups.values_mut() {
             if is_set_back {
                 let late = std::mem::take(&mut requests.late).into_iter();
-                let positions = late.filter_map(|id| Some((self.places.get(&id)?.objective_at, Reverse(id))));
+                let positions =
+                    late.filter_map(|id| Some((self.entries.get(&id)?.objective_at, Reverse(id))));
                 requests.pending.extend(positions);
             }
             requests.advance(now);
@@ -102,9 +107,9 @@
         self.with_duplicates.iter().copied()
     }
 
-    /// Returns the group of a request by class and weight, if it could be started.
+    /// Returns the group key of a request, or `None` if the request could not be started.
     pub(super) fn group(&self, id: RequestId) -> Option<ReadyGroup> {
-        self.places.get(&id).map(|place| place.group)
+        self.entries.get(&id).map(|entry| entry.group)
     }
 
     /// Returns the requests that have not run and arrived after `time`.
@@ -113,55 +118,55 @@
         self.arrivals.range((start, Bound::Unbounded)).map(|(_, id)| *id)
     }
 
-    /// Returns the least memory of a request that has not run, kB.
-    pub(super) fn least_request_kb(&self) -> Option<f64> {
+    /// Returns the smallest memory of a request that has not run, kB.
+    pub(super) fn smallest_request_kb(&self) -> Option<f64> {
         self.sizes.first().map(|(request_kb, _)| request_kb.number())
     }
 
-    fn put_in(&mut self, id: RequestId, place: &Place) {
-        if place.has_duplicates {
+    fn add_to_indexes(&mut self, id: RequestId, entry: &ReadyEntry) {
+        if entry.has_duplicates {
             self.with_duplicates.insert(id);
         } else {
-            let requests = self.groups.entry(place.group).or_default();
-            requests.pending.insert((place.objective_at, Reverse(id)));
+            let requests = self.groups.entry(entry.group).or_default();
+            requests.pending.insert((entry.objective_at, Reverse(id)));
         }
-        if !place.group.suspended {
-            self.arrivals.insert((place.arrived_at, id));
-            self.sizes.insert((place.request_kb, id));
+        if !entry.group.suspended {
+            self.arrivals.insert((entry.arrived_at, id));
+            self.sizes.insert((entry.request_kb, id));
         }
     }
 
-    fn take_out(&mut self, id: RequestId, place: &Place) {
-        if place.has_duplicates {
+    fn remove_from_indexes(&mut self, id: RequestId, entry: &ReadyEntry) {
+        if entry.has_duplicates {
             self.with_duplicates.remove(&id);
-        } else if let Some(requests) = self.groups.get_mut(&place.group) {
-            if !requests.pending.remove(&(place.objective_at, Reverse(id))) {
+        } else if let Some(requests) = self.groups.get_mut(&entry.group) {
+            if !requests.pending.remove(&(entry.objective_at, Reverse(id))) {
                 requests.late.remove(&id);
             }
             if requests.is_empty() {
-                self.groups.remove(&place.group);
+                self.groups.remove(&entry.group);
             }
         }
-        if !place.group.suspended {
-            self.arrivals.remove(&(place.arrived_at, id));
-            self.sizes.remove(&(place.request_kb, id));
+        if !entry.group.suspended {
+            self.arrivals.remove(&(entry.arrived_at, id));
+            self.sizes.remove(&(entry.request_kb, id));
         }
     }
 }
 
 impl ReadyRequests {
-    /// Returns those whose latency objective is over, the latest first.
+    /// Returns the requests whose latency objective has passed, the most recent request first.
     pub(super) fn late(&self) -> impl Iterator<Item = RequestId> {
         self.late.iter().rev().copied()
     }
 
-    /// Returns the others with an objective before `time`.
-    pub(super) fn missing(&self, time: f64) -> ByObjective<'_> {
+    /// Returns the requests that are not late and have an objective before `time`.
+    pub(super) fn with_objective_before(&self, time: f64) -> ByObjective<'_> {
         ByObjective { pending: &self.pending, after: None, end: Some(SortKey::new(time)) }
     }
 
-    /// Returns the others with an objective from `time` on.
-    pub(super) fn meeting(&self, time: f64) -> ByObjective<'_> {
+    /// Returns the requests that are not late and have an objective at or after `time`.
+    pub(super) fn with_objective_from(&self, time: f64) -> ByObjective<'_> {
         let first = (SortKey::new(time), Reverse(RequestId::MAX));
         ByObjective { pending: &self.pending, after: Some(Bound::Included(first)), end: None }
     }
@@ -181,7 +186,7 @@
     }
 }
 
-/// A part of a group in the order of objectives, in which all of one objective can be passed over at once.
+/// An iteration over a part of a group by objective, which visits one request per objective.
 pub(super) struct ByObjective<'a> {
     pending: &'a BTreeSet<Position>,
     after: Option<Bound<Position>>,
@@ -189,7 +194,7 @@
 }
 
 impl ByObjective<'_> {
-    /// Returns the first request that `is_ready` accepts, and goes on behind the requests with its objective.
+    /// Returns the next request that `is_ready` accepts and skips the others with the same objective.
     pub(super) fn next_ready(&mut self, is_ready: impl Fn(RequestId) -> bool) -> Option<RequestId> {
         let (objective_at, Reverse(id)) = self.range().copied().find(|(_, Reverse(id))| is_ready(*id))?;
         self.after = Some(Bound::Excluded((objective_at, Reverse(RequestId::MIN))));
@@ -203,14 +208,14 @@
     }
 }
 
-impl Place {
-    fn new(request: &Request, has_duplicates: bool) -> Place {
+impl ReadyEntry {
+    fn new(request: &Request, has_duplicates: bool) -> ReadyEntry {
         let group = ReadyGroup {
             class: request.class,
             weight: SortKey::new(request.priority_weight),
             suspended: request.state == RequestState::Suspended,
         };
-        Place {
+        ReadyEntry {
             group,
             objective_at: SortKey::new(request.objective_at),
             arrived_at: SortKey::new(request.arrived_at),
--- a/src/admission/request_table.rs
+++ b/src/admission/request_table.rs
@@ -1,8 +1,8 @@
 //! The requests of an instance, from arrival to the end of their work.
 //!
-//! Every change of a request goes through the table, which keeps what is asked of all requests at hand: sums,
-//! and orders by time and by value. An event walks over no request that it does not concern, so that it costs
-//! about the same however many are held.
+//! Every change of a request goes through the table, which maintains sums over all requests and indexes by
+//! time and by value. No event iterates over requests that it does not concern, so that its cost hardly
+//! depends on the number of requests in the table.
 
 use super::due_index::DueIndex;
 use super::event::RequestId;
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<RequestId, Request>,
-    /// The requests that duplicate another one, by that one, which may be over.
+    /// The duplicates of each original, by the original's id; the original may have ended.
     duplicates: BTreeMap<RequestId, BTreeSet<RequestId>>,
     totals: RequestTotals,
     due: DueIndex,
@@ -28,7 +28,7 @@
         self.requests.contains_key(&id)
     }
 
-    /// Returns the request.
+    /// Returns the request with this id.
     pub(super) fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(&id)
     }
@@ -38,29 +38,29 @@
         self.replace(id, Some(request));
     }
 
-    /// Removes a request, if it is there.
+    /// Removes a request, if it is in the table.
     pub(super) fn remove(&mut self, id: RequestId) {
         self.replace(id, None);
     }
 
-    /// Changes a request, if it is there.
+    /// Changes a request, if it is in the table.
     pub(super) fn update(&mut self, id: RequestId, change: impl FnOnce(&mut Request)) {
         let Some(mut request) = self.get(id).copied() else { return };
         change(&mut request);
         self.replace(id, Some(request));
     }
 
-    /// Sets the state of a request, if it is there.
+    /// Sets the state of a request, if it is in the table.
     pub(super) fn set_state(&mut self, id: RequestId, state: RequestState) {
         self.update(id, |request| request.state = state);
     }
 
-    /// Takes that a request got its final response or that its client is gone.
+    /// Marks a request as answered: it got its final response or its client is gone.
     pub(super) fn set_answered(&mut self, id: RequestId) {
         self.update(id, |request| request.answered = true);
     }
 
-    /// Brings all deadlines and latency objectives to `stop_at` at the latest.
+    /// Caps all deadlines and latency objectives at `stop_at`.
     pub(super) fn cap_deadlines(&mut self, stop_at: f64) {
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes that time went on, before it is asked which request is the best to start.
+    /// Advances the ready queue to `now`; has to precede each selection of a request to start.
     pub(super) fn advance(&mut self, now: f64) {
         self.ready.advance(now);
     }
@@ -86,14 +86,14 @@
         &self.totals
     }
 
-    /// Returns the unanswered requests in the orders in which they fall due.
+    /// Returns the index of unanswered requests by the times at which they fall due.
     pub(super) fn due(&self) -> &DueIndex {
         &self.due
     }
 
     /// Returns the requests that could be started.
     ///
-    /// Those are the suspended ones, and the queued ones that wait for no original.
+    /// These are the suspended requests, and the queued requests that do not wait for an original.
     pub(super) fn ready(&self) -> &ReadyQueue {
         &self.ready
     }
@@ -118,20 +118,19 @@
         self.duplicates_of(id).filter(|duplicate| self.is_queued(*duplicate)).collect()
     }
 
-    /// Makes the first queued duplicate of a request an original, which its other queued duplicates then
-    /// duplicate.
+    /// Makes the first queued duplicate of a request the original of the other queued duplicates.
     ///
-    /// Returns that duplicate, if there is one.
+    /// Returns the promoted duplicate, if there is one.
     pub(super) fn promote_duplicate(&mut self, id: RequestId) -> Option<RequestId> {
         let duplicates = self.queued_duplicates(id);
-        let heir = *duplicates.first()?;
+        let first = *duplicates.first()?;
         for duplicate in duplicates {
-            self.update(duplicate, |request| request.duplicate_of = (duplicate != heir).then_some(heir));
+            self.update(duplicate, |request| request.duplicate_of = (duplicate != first).then_some(first));
         }
-        Some(heir)
+        Some(first)
     }
 
-    /// Returns the duplicates of a request that are not answered.
+    /// Returns the unanswered duplicates of a request.
     pub(super) fn unanswered_duplicates(&self, id: RequestId) -> impl Iterator<Item = &Request> {
         let duplicates = self.duplicates_of(id).filter_map(|duplicate| self.get(duplicate));
         duplicates.filter(|duplicate| !duplicate.answered)
@@ -141,7 +140,7 @@
         self.duplicates.get(&id).into_iter().flatten().copied()
     }
 
-    /// Sets or removes a request, and brings all that is kept of it up to date.
+    /// Sets or removes a request and updates all sums and indexes.
     fn replace(&mut self, id: RequestId, new: Option<Request>) {
         let old = match new {
             Some(request) => self.requests.insert(id, request),
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Takes that a request duplicates another one than before.
+    /// Updates the duplicates of both originals after a request's original changed.
     fn move_duplicate(&mut self, id: RequestId, [old, new]: [Option<RequestId>; 2]) {
         if let Some(original) = old {
             self.remove_duplicate(original, id);
@@ -187,10 +186,10 @@
         }
     }
 
-    /// Puts a request where it belongs among those that could be started.
+    /// Updates the position of a request in the ready queue, or removes it if it could not be started.
     fn refresh_ready(&mut self, id: RequestId) {
         let request = self.requests.get(&id).filter(|request| self.could_start(request));
-        self.ready.place(id, request, self.duplicates.contains_key(&id));
+        self.ready.update(id, request, self.duplicates.contains_key(&id));
     }
 
     fn could_start(&self, request: &Request) -> bool {
--- a/src/admission/request_totals.rs
+++ b/src/admission/request_totals.rs
@@ -1,49 +1,49 @@
-//! Sums over the requests of the table: numbers by state and by class, and memory.
+//! Sums over the requests of the table: counts by state and by class, and memory.
 //!
 //! # Invariants
-//! Memory is kept in whole units, so that what was added and taken off again leaves nothing behind.
+//! Memory is summed in integer units, so that adding and then subtracting a request leaves no rounding error.
 
 use super::request::{Request, RequestState};
 use std::collections::BTreeMap;
 
-/// Units of memory in a kB; sizes down to a few bytes are whole numbers of it.
+/// Memory units per kB; sizes down to a few bytes are whole numbers of units.
 const MEMORY_UNITS_PER_KB: f64 = (1_u64 << 60) as f64;
 
-/// Requests that run or will soon, by state.
+/// Counts of requests that run or are at an upstream call, by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct RunCounts {
-    /// Requests on the cores.
+    /// Number of running requests.
     pub(super) running: usize,
-    /// Requests that wait for an upstream call to be made.
+    /// Number of requests whose upstream call is still to be made.
     pub(super) awaiting_call: usize,
-    /// Requests whose upstream call is in progress.
+    /// Number of requests whose upstream call is in progress.
     pub(super) calling: usize,
 }
 
-/// The requests of a class.
+/// Counts of the requests of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ClassCounts {
-    /// Requests that wait for a run.
+    /// Number of requests that wait for a run.
     pub(super) queued: usize,
-    /// Requests that run or are at an upstream call.
+    /// Number of requests that run or are at an upstream call.
     pub(super) in_progress: usize,
 }
 
-/// The sums.
+/// Sums over all requests of the table.
 #[derive(Debug, Default)]
 pub(super) struct RequestTotals {
     queued: usize,
     runs: RunCounts,
-    /// The classes that have requests in the table which are queued or in progress.
+    /// Counts by class index, for classes with requests that are queued or in progress.
     classes: BTreeMap<usize, ClassCounts>,
-    /// Memory, while queued, of the requests that take just that.
+    /// Memory of the requests that were not started or only reuse a result, memory units.
     queued_memory: u128,
-    /// Memory, while queued, of the requests that take more since they were started.
+    /// Memory that the other requests took while queued, memory units; they take a multiple of it now.
     started_memory: u128,
 }
 
 impl RequestTotals {
-    /// Counts a request.
+    /// Adds a request to the sums.
     pub(super) fn add(&mut self, request: &Request) {
         if let Some(count) = self.count_of(request.state) {
             *count += 1;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes off a request that was counted as it is.
+    /// Subtracts a request, which has to be unchanged since it was added.
     pub(super) fn subtract(&mut self, request: &Request) {
         if let Some(count) = self.count_of(request.state) {
             *count -= 1;
@@ -76,22 +76,22 @@
         self.queued
     }
 
-    /// Returns the numbers of requests that run or will soon.
+    /// Returns the counts of requests that run or are at an upstream call.
     pub(super) fn runs(&self) -> RunCounts {
         self.runs
     }
 
-    /// Returns the requests of a class.
+    /// Returns the counts of a class.
     pub(super) fn class(&self, class: usize) -> ClassCounts {
         self.classes.get(&class).copied().unwrap_or_default()
     }
 
-    /// Returns the memory of the requests that were not started or only take another's result, kB.
+    /// Returns the memory of the requests that were not started or only reuse another's result, kB.
     pub(super) fn queued_kb(&self) -> f64 {
         self.queued_memory as f64 / MEMORY_UNITS_PER_KB
     }
 
-    /// Returns the memory that the other requests took while they were queued, kB.
+    /// Returns the memory that the started requests took while they were queued, kB.
     pub(super) fn started_kb(&self) -> f64 {
         self.started_memory as f64 / MEMORY_UNITS_PER_KB
     }
--- a/src/admission/run_end.rs
+++ b/src/admission/run_end.rs
@@ -1,4 +1,4 @@
-//! The end of a run, and the start of the next ones.
+//! The handler of runs that end, and the start of queued and suspended requests.
 
 use super::action::Action;
 use super::clamp::clamp_finite;
@@ -9,11 +9,11 @@
 use super::request::{Request, RequestState};
 use super::settings::{Preemption, RetrySafety};
 
-/// Longest time that a run is taken to have lasted, ms.
+/// Upper bound of a reported run time, ms.
 const MAX_RUN_MS: f64 = 1e9;
 
 impl AdmissionController {
-    /// Takes the end of a run or of the reuse of a result.
+    /// Handles the end of a run or of the reuse of a result.
     pub(super) fn on_run_end(
         &mut self,
         now: f64,
@@ -23,8 +23,8 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get(id) else { return };
-        let stopped_unasked = outcome == Outcome::Cancelled && !request.answered;
-        if stopped_unasked && self.settings.preemption == Preemption::Suspend {
+        let stopped_without_answer = outcome == Outcome::Cancelled && !request.answered;
+        if stopped_without_answer && self.settings.preemption == Preemption::Suspend {
             return self.requests.set_state(id, RequestState::Suspended);
         }
         let (class, state) = (request.class, request.state);
@@ -34,8 +34,8 @@
         if state == RequestState::Calling {
             self.upstream_calls.record_abandoned(now, id);
         }
-        if stopped_unasked {
-            // It may have taken effect, so it is not run again.
+        if stopped_without_answer {
+            // The run may have taken effect, so the request is not run again.
             actions.push(Action::Fail(id));
         }
         if outcome == Outcome::NotStarted {
@@ -51,14 +51,14 @@
             self.faults.record_run(outcome == Outcome::Error);
         }
         self.faults.record_progress(now);
-        // The time of a run that stalled says nothing of the next one.
+        // The time of a run that stalled does not predict the time of later runs.
         if outcome == Outcome::Ok && self.faults.began_after_stall(now - took_ms) {
             let speed = self.slow_start.speed(now);
             self.estimates.record_run(class, clamp_finite(took_ms, 0.0, MAX_RUN_MS), speed);
         }
     }
 
-    /// Keeps the result of a read for as long as it may be shared; a read that did not succeed is released.
+    /// Keeps the reservation of a successful read while its result may be shared, and releases a failed one.
     fn cache_result(&mut self, now: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) {
         if outcome == Outcome::Ok {
             self.reservations.cache_result(now, id);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the request that is to start next, if one may.
+    /// Returns the request to start next, or `None` if none may start.
     fn next_run(&self, now: f64) -> Option<RequestId> {
         let (counts, capacity) = (self.run_counts(), self.capacity(now));
         if !self.concurrency.has_capacity(counts, capacity) {
@@ -93,16 +93,17 @@
         let saturated = SaturatedClasses::new(self.requests.totals(), &self.settings.class_limits);
         let free_kb = self.free_memory_kb();
         let fits = |request_kb: f64| self.memory.start_kb(request_kb) <= free_kb;
-        let starts_new = !self.starts_suspended && self.requests.ready().least_request_kb().is_some_and(fits);
-        let is_open = |group: ReadyGroup| {
+        let starts_new =
+            !self.starts_suspended && self.requests.ready().smallest_request_kb().is_some_and(fits);
+        let is_eligible = |group: ReadyGroup| {
             let blocked = !starts_new || calls_blocked && self.requires_upstream_call(group.class);
             (group.suspended || !blocked) && !saturated.contains(group.class)
         };
         let is_ready = |request: &Request| !request.is_queued() || self.may_start(request, fits);
-        self.scheduler(now).best(is_open, is_ready)
+        self.scheduler(now).best(is_eligible, is_ready)
     }
 
-    /// Returns whether a queued request is to be run at all, in the memory that is left.
+    /// Returns whether a queued request is still to be run and fits into the free memory.
     fn may_start(&self, request: &Request, fits: impl Fn(f64) -> bool) -> bool {
         !request.answered && !self.is_after_grace(request.arrived_at) && fits(request.request_kb)
     }
--- a/src/admission/scheduling.rs
+++ b/src/admission/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which request runs next, and in which order upstream calls are made.
+//! The value of requests, which decides which one runs next and in which order upstream calls are made.
 
 use super::event::RequestId;
 use super::idempotency::IdempotencyReservations;
@@ -8,67 +8,71 @@
 use super::run_estimates::RunEstimates;
 use super::settings::Class;
 
-/// Value of an ms until the latency objective: so small that it only orders requests of equal value.
+/// Value lost per ms until the latency objective, small enough to order only requests of equal value.
 const URGENCY_PER_MS: f64 = 1e-12;
 
-/// The order of requests at one moment.
+/// Orders requests by their value at one point in time.
 pub(super) struct Scheduler<'a> {
-    /// The moment.
+    /// The time for which values are computed.
     pub(super) now: f64,
     /// Whether no request runs.
     pub(super) idle: bool,
-    /// The classes.
+    /// The classes, by index.
     pub(super) classes: &'a [Class],
-    /// How long runs take.
+    /// Estimates of run times.
     pub(super) estimates: &'a RunEstimates,
-    /// All requests.
+    /// All requests of the instance.
     pub(super) requests: &'a RequestTable,
-    /// The reserved requests.
+    /// Reservations of idempotency keys and shareable reads.
     pub(super) reservations: &'a IdempotencyReservations,
 }
 
 /// A request with its value.
 #[derive(Clone, Copy)]
-struct Valued {
+struct ValuedRequest {
     id: RequestId,
     value: f64,
 }
 
-impl Valued {
-    /// Returns the more valuable one, among equals the later request.
-    fn better(self, other: Valued) -> Valued {
+impl ValuedRequest {
+    /// Returns the more valuable request or, for equal values, the later one.
+    fn more_valuable(self, other: ValuedRequest) -> ValuedRequest {
         let order = self.value.total_cmp(&other.value).then(self.id.cmp(&other.id));
         if order.is_lt() { other } else { self }
     }
 }
 
 impl Scheduler<'_> {
-    /// Returns the most valuable of the requests that could be started, are in an open group and are ready;
-    /// among equals the latest.
+    /// Returns the most valuable of the requests that could be started, are in an eligible group and are
+    /// ready.
+    ///
+    /// Of requests with equal values, the latest is returned.
     pub(super) fn best(
         &self,
-        is_open: impl Fn(ReadyGroup) -> bool,
+        is_eligible: impl Fn(ReadyGroup) -> bool,
         is_ready: impl Fn(&Request) -> bool,
     ) -> Option<RequestId> {
         let ready = self.requests.ready();
         let is_ready = |id: RequestId| self.requests.get(id).is_some_and(&is_ready);
-        let in_groups = ready.groups().filter(|(group, _)| is_open(*group)).flat_map(|(group, requests)| {
-            let expected_end = self.estimates.expected_end(self.now, group.class, self.idle);
-            let late = requests.late().find(|id| is_ready(*id)).and_then(|id| self.valued(id));
-            let missing = self.best_by_objective(requests.missing(expected_end), is_ready);
-            let meeting = self.best_by_objective(requests.meeting(expected_end), is_ready);
-            [late, missing, meeting].into_iter().flatten()
-        });
+        let in_groups =
+            ready.groups().filter(|(group, _)| is_eligible(*group)).flat_map(|(group, requests)| {
+                let expected_end = self.estimates.expected_end(self.now, group.class, self.idle);
+                let late = requests.late().find(|id| is_ready(*id)).and_then(|id| self.with_total_value(id));
+                let missing = self.best_by_objective(requests.with_objective_before(expected_end), is_ready);
+                let meeting = self.best_by_objective(requests.with_objective_from(expected_end), is_ready);
+                [late, missing, meeting].into_iter().flatten()
+            });
         let with_duplicates = ready
             .with_duplicates()
-            .filter(|id| ready.group(*id).is_some_and(&is_open) && is_ready(*id))
-            .filter_map(|id| self.valued(id));
-        in_groups.chain(with_duplicates).reduce(Valued::better).map(|best| best.id)
+            .filter(|id| ready.group(*id).is_some_and(&is_eligible) && is_ready(*id))
+            .filter_map(|id| self.with_total_value(id));
+        in_groups.chain(with_duplicates).reduce(ValuedRequest::more_valuable).map(|best| best.id)
     }
 
-    /// Returns the weight for each ms of work, which is less where the latency objective can't be met.
+    /// Returns the value of a request: its weight per ms of work, reduced if it will miss its latency
+    /// objective.
     ///
-    /// Among equals the earlier objective is worth more.
+    /// Of requests with equal weight per ms, the one with the earlier objective has the higher value.
     pub(super) fn value(&self, request: &Request) -> f64 {
         let weight = if self.estimates.misses_objective(self.now, request, self.idle) {
             request.priority_weight * self.classes[request.class].late_weight
@@ -79,29 +83,29 @@
         weight / self.estimates.usual_run_ms(request.class) - remaining_ms * URGENCY_PER_MS
     }
 
-    /// Returns the best of requests whose values do not rise with their objectives.
+    /// Returns the most valuable of requests whose values do not increase with their objectives.
     ///
-    /// Objectives so close together that their values are equal are compared one by one.
+    /// Requests whose objectives are so close that their values are equal are compared one by one.
     fn best_by_objective(
         &self,
         mut requests: ByObjective<'_>,
         is_ready: impl Fn(RequestId) -> bool,
-    ) -> Option<Valued> {
-        let mut best = self.valued(requests.next_ready(&is_ready)?)?;
-        while let Some(next) = requests.next_ready(&is_ready).and_then(|id| self.valued(id)) {
+    ) -> Option<ValuedRequest> {
+        let mut best = self.with_total_value(requests.next_ready(&is_ready)?)?;
+        while let Some(next) = requests.next_ready(&is_ready).and_then(|id| self.with_total_value(id)) {
             if next.value < best.value {
                 break;
             }
-            best = best.better(next);
+            best = best.more_valuable(next);
         }
         Some(best)
     }
 
-    /// Returns a request with its value and that of the duplicates that its run serves too.
-    fn valued(&self, id: RequestId) -> Option<Valued> {
+    /// Returns a request with its value, which includes that of the duplicates that its run serves.
+    fn with_total_value(&self, id: RequestId) -> Option<ValuedRequest> {
         let request = self.requests.get(id)?;
         let duplicates = self.requests.unanswered_duplicates(id).filter(|_| self.reservations.contains(id));
         let value = self.value(request) + duplicates.map(|duplicate| self.value(duplicate)).sum::<f64>();
-        Some(Valued { id, value })
+        Some(ValuedRequest { id, value })
     }
 }
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -1,17 +1,17 @@
-//! The settings of one instance and the changes to them that take effect while requests run.
+//! The settings of one instance and the changes that can be applied to them while requests run.
 //!
 //! Times are in milliseconds on the embedder's monotonic clock, memory is in kilobytes.
 
 use super::clamp::clamp_finite;
 use std::collections::BTreeMap;
 
-/// The shortest idle timeout of client connections, ms.
+/// Shortest idle timeout of client connections, ms.
 ///
-/// A client that sends its next request promptly still finds its connection open.
+/// The connection of a client that sends its next request promptly stays open at least that long.
 pub(super) const MIN_IDLE_TIMEOUT_MS: f64 = 200.0;
-/// The largest tenant quota that is told apart from no limit, requests a second over the whole fleet.
+/// Largest tenant quota, requests per second over the whole fleet; a larger one is the same as no limit.
 const MAX_QUOTA_PER_S: f64 = 1e9;
-/// The longest duration that a setting may state, ms: about a year.
+/// Longest duration of a setting, ms: about a year.
 const MAX_DURATION_MS: f64 = 3.2e10;
 
 /// Whether the work of a class may run more than once.
@@ -19,24 +19,24 @@
 pub enum RetrySafety {
     /// The work is idempotent and may be retried, run twice or stopped.
     Idempotent,
-    /// The work runs once within the window of its idempotency key; a retry names the earlier attempt.
+    /// The work runs once within its key window; a retry names the earlier attempt.
     IdempotencyKey,
     /// The work runs at most once.
     AtMostOnce,
 }
 
-/// How clients read the share that every response advertises.
+/// How clients interpret the advertised share of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// Responses carry no share; advertising one is an error.
     Off,
-    /// The share is the probability with which a client picks this instance when its turn comes.
+    /// The share is the probability with which a client that considers this instance selects it.
     Share,
-    /// Clients read the value in a way that the controller does not support; none is advertised.
+    /// Clients interpret the value in a way that the controller does not support; none is advertised.
     Other,
 }
 
-/// What can be done to work that runs.
+/// Whether and how running work can be stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preemption {
     /// Running work cannot be stopped.
@@ -50,11 +50,11 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Whether its work may run more than once.
+    /// Whether the work of the class may run more than once.
     pub retry_safety: RetrySafety,
     /// Time since arrival within which a response has full weight, ms.
     pub latency_objective_ms: f64,
-    /// Factor by which a request's stated cost extends its latency objective.
+    /// Extension of the latency objective for each ms of a request's stated cost, ms.
     pub objective_per_cost: f64,
     /// Time since arrival after which a client gives up, ms.
     pub client_timeout_ms: f64,
@@ -62,26 +62,26 @@
     pub key_window_ms: f64,
     /// Weight of a request that completes within its latency objective.
     pub priority_weight: f64,
-    /// Part of the weight, 0 to 1, that is left between the latency objective and the deadline.
+    /// Part of the weight, 0 to 1, of a response between the latency objective and the deadline.
     pub late_weight: f64,
-    /// Whether its requests may call the upstream service.
+    /// Whether requests of the class may call the upstream service.
     pub makes_upstream_calls: bool,
     /// Part of the weight, 0 to 1, of a response without its upstream call; 0 if the call cannot be skipped.
     pub degraded_weight: f64,
 }
 
-/// The settings of an instance, as stated when it starts.
+/// The settings of an instance, as given when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Seed of the instance's random numbers.
     pub seed: u64,
     /// Number of instances in the fleet when this one starts.
     pub server_count: f64,
-    /// Cores of this machine.
+    /// Number of cores of this machine.
     pub cores: f64,
     /// Shortest time between two batches of events, ms.
     pub tick_ms: f64,
-    /// Whether the instance was just started and is warming up.
+    /// Whether the instance starts cold and has to warm up.
     pub cold_start: bool,
     /// Lower bound of a cold instance's speed, as a share of its warm speed, 0 to 1.
     pub cold_start_speed: f64,
@@ -89,11 +89,11 @@
     pub warm_up_ms: f64,
     /// Time after a request's deadline during which its response still counts, ms.
     pub response_slack_ms: f64,
-    /// Time after the shutdown request after which an arriving request is never run, ms.
+    /// Time after the shutdown request from which arriving requests are no longer run, ms.
     pub drain_grace_ms: f64,
-    /// Concurrent runs for each core that a warm instance survives.
+    /// Concurrent runs per core that a warm instance survives.
     pub survivable_runs_per_core: f64,
-    /// Time over which those concurrent runs are averaged, ms.
+    /// Time over which concurrent runs are averaged for [`Self::survivable_runs_per_core`], ms.
     pub overload_window_ms: f64,
     /// Memory of the instance, kB.
     pub memory_kb: f64,
@@ -101,25 +101,25 @@
     pub run_memory_factor: f64,
     /// Memory of one reserved idempotency key, kB.
     pub key_memory_kb: f64,
-    /// How clients read the advertised share.
+    /// How clients interpret the advertised share.
     pub signal: Signal,
-    /// What can be done to running work.
+    /// Whether and how running work can be stopped.
     pub preemption: Preemption,
     /// Whether there is an upstream service.
     pub has_upstream: bool,
-    /// Concurrent upstream calls that this instance may have on average; `None` without a stated limit.
+    /// Average number of concurrent upstream calls that this instance may have; `None` for no limit.
     pub upstream_call_share: Option<f64>,
     /// Time over which concurrent upstream calls are averaged, ms.
     pub upstream_window_ms: f64,
     /// Longest time that an abandoned call still occupies the upstream service, ms.
     pub call_linger_ms: f64,
-    /// Time during which the result of a read serves reads of the same subject, ms; 0 for never.
+    /// Time for which the result of a read may be reused for reads of the same subject, ms; 0 for never.
     pub shared_result_ttl_ms: f64,
     /// Whether a rejection may carry a Retry-After.
     pub retry_after: bool,
-    /// Longest Retry-After that clients heed, ms.
+    /// Longest Retry-After that clients honour, ms.
     pub max_retry_after_ms: f64,
-    /// Whether requests carry the time that their client waits.
+    /// Whether requests state how long their client waits.
     pub passes_deadline: bool,
     /// Number of clients when the instance starts.
     pub client_count: f64,
@@ -129,15 +129,15 @@
     pub over_quota_weight: f64,
     /// The classes, by index.
     pub classes: Vec<Class>,
-    /// The tenants' quotas over the whole fleet, by tenant index, requests a second.
+    /// The tenants' quotas over the whole fleet, by tenant index, requests per second.
     pub tenant_quotas: Vec<f64>,
-    /// Largest number of concurrent runs of a class, by class index; a class without an entry has no limit of
-    /// its own.
+    /// Largest number of concurrent runs of a class, by class index; a class without an entry has no such
+    /// limit.
     pub class_limits: BTreeMap<usize, usize>,
 }
 
 impl Default for Settings {
-    /// A single-core instance with no classes and nothing optional.
+    /// Returns the settings of a single-core instance without classes, with every optional feature off.
     fn default() -> Self {
         Settings {
             seed: 0,
@@ -175,15 +175,15 @@
 }
 
 impl Settings {
-    /// Applies changes of quotas and class limits.
+    /// Applies changes of tenant quotas and class limits.
     pub fn reconfigure(&mut self, changes: &Reconfiguration) {
-        let tenants = changes.quotas.iter().map(|change| change.tenant + 1).max().unwrap_or(0);
-        if tenants > self.tenant_quotas.len() {
-            self.tenant_quotas.resize(tenants, 0.0);
+        let tenant_count = changes.quotas.iter().map(|change| change.tenant + 1).max().unwrap_or(0);
+        if tenant_count > self.tenant_quotas.len() {
+            self.tenant_quotas.resize(tenant_count, 0.0);
         }
         for change in &changes.quotas {
-            let stated = change.per_second.filter(|rate| !rate.is_nan());
-            self.tenant_quotas[change.tenant] = stated.unwrap_or(0.0).clamp(0.0, MAX_QUOTA_PER_S);
+            let quota = change.per_second.filter(|rate| !rate.is_nan());
+            self.tenant_quotas[change.tenant] = quota.unwrap_or(0.0).clamp(0.0, MAX_QUOTA_PER_S);
         }
         for change in &changes.class_limits {
             match change.max_running {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Returns the settings with every number brought into the range that the controller computes with.
+    /// Returns the settings with every number clamped to the range that the controller supports.
     pub(super) fn sanitized(mut self) -> Settings {
         self.server_count = clamp_finite(self.server_count, 1.0, 1e6);
         self.cores = clamp_finite(self.cores, 1.0, 1e5);
@@ -239,7 +239,7 @@
 pub struct QuotaChange {
     /// The tenant's index; an index past the end extends the list of tenants.
     pub tenant: usize,
-    /// Requests a second over the whole fleet; `None` when the index belongs to no tenant any more.
+    /// Requests per second over the whole fleet; `None` if the index no longer belongs to a tenant.
     pub per_second: Option<f64>,
 }
 
@@ -252,7 +252,7 @@
     pub max_running: Option<usize>,
 }
 
-/// Changes of settings that take effect together, while requests run.
+/// Changes of settings that are applied together while requests run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reconfiguration {
     /// Changes of quotas, each tenant at most once.
--- a/src/admission/shutdown.rs
+++ b/src/admission/shutdown.rs
@@ -1,11 +1,11 @@
-//! A requested shutdown.
+//! The state of a requested shutdown.
 
 use super::settings::Settings;
 
-/// Margin by which an arrival has to be within the grace time, ms.
+/// Margin before the end of the grace time after which arrivals are no longer run, ms.
 const GRACE_MARGIN_MS: f64 = 1.0;
 
-/// A shutdown that was requested and has not happened.
+/// A shutdown that was requested and has not completed.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     requested_at: f64,
@@ -14,7 +14,7 @@
 }
 
 impl Shutdown {
-    /// Returns the shutdown requested at `now`.
+    /// Creates a shutdown that is requested at `now`.
     pub(super) fn new(now: f64, stop_at: f64, settings: &Settings) -> Shutdown {
         Shutdown { requested_at: now, stop_at, grace_ms: settings.drain_grace_ms }
     }
@@ -24,12 +24,12 @@
         self.stop_at
     }
 
-    /// Returns the latest arrival of a request that may still be run.
+    /// Returns the latest arrival time of a request that may still be run.
     pub(super) fn latest_arrival(&self) -> f64 {
         self.requested_at + self.grace_ms - GRACE_MARGIN_MS
     }
 
-    /// Returns whether a request that arrived at `arrived_at` came too late to be run.
+    /// Returns whether a request that arrived at `arrived_at` is too late to be run.
     pub(super) fn is_after_grace(&self, arrived_at: f64) -> bool {
         arrived_at > self.latest_arrival()
     }
--- a/src/admission/slow_start.rs
+++ b/src/admission/slow_start.rs
@@ -1,8 +1,8 @@
-//! The speed of an instance that warms up.
+//! The estimated speed of an instance while it warms up.
 
 use super::settings::Settings;
 
-/// The warm-up of an instance.
+/// The warm-up state of an instance.
 pub(super) struct SlowStart {
     started_at: f64,
     /// Whether the instance started cold.
@@ -12,7 +12,7 @@
 }
 
 impl SlowStart {
-    /// Returns the warm-up of an instance that starts at `now`.
+    /// Creates the warm-up state of an instance that starts at `now`.
     pub(super) fn new(now: f64, settings: &Settings) -> SlowStart {
         SlowStart {
             started_at: now,
@@ -27,12 +27,12 @@
         self.started_at
     }
 
-    /// Returns a lower bound of the speed, as a share of the warm speed, 0 to 1.
+    /// Returns a lower bound of the speed at `now`, as a share of the warm speed, 0 to 1.
     pub(super) fn speed(&self, now: f64) -> f64 {
         if !self.cold {
             return 1.0;
         }
-        let warmed = ((now - self.started_at) / self.warm_up_ms).clamp(0.0, 1.0);
-        self.initial_speed + (1.0 - self.initial_speed) * warmed
+        let elapsed_share = ((now - self.started_at) / self.warm_up_ms).clamp(0.0, 1.0);
+        self.initial_speed + (1.0 - self.initial_speed) * elapsed_share
     }
 }
--- a/src/admission/sort_key.rs
+++ b/src/admission/sort_key.rs
@@ -1,22 +1,22 @@
-//! A number in an order that all numbers have, as indexes need it.
+//! A floating-point number with a total order, for use as a key of indexes.
 
 use std::cmp::Ordering;
 
-/// A time or a size that indexes are ordered by.
+/// A time or a size by which an index is ordered.
 ///
 /// # Invariants
-/// No key is minus zero, so that keys are equal where their numbers are.
+/// No key is minus zero, so that keys of equal numbers are equal.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SortKey(f64);
 
 impl SortKey {
-    /// Returns the key of a number.
+    /// Creates the key of a number.
     pub(super) fn new(number: f64) -> SortKey {
-        // The sum of the two zeros is plus zero; every other number stays as it is.
+        // Adding 0.0 turns minus zero into plus zero and leaves every other number unchanged.
         SortKey(number + 0.0)
     }
 
-    /// Returns the number.
+    /// Returns the number of the key.
     pub(super) fn number(self) -> f64 {
         self.0
     }
--- a/src/admission/tenant_quota.rs
+++ b/src/admission/tenant_quota.rs
@@ -1,25 +1,25 @@
-//! Which arrivals are beyond their tenant's quota.
+//! Detection of arrivals beyond their tenant's quota.
 //!
-//! Quotas are stated for the whole fleet. A tenant may send here the even part of its quota or, if that is
-//! more, as much for its quota as the other tenants send for theirs: the first admits a tenant that sends
-//! while others do not, the second follows retries and an instance that clients prefer. Cost and memory of an
-//! arrival do not depend on the number of tenants.
+//! Quotas apply to the whole fleet. A tenant may send to this instance the greater of two rates: its quota
+//! divided by the number of instances, and its quota times the rate per quota of the other tenants here. The
+//! first admits a tenant that sends while others do not; the second allows for retries and for clients that
+//! prefer this instance. Time and memory per arrival do not depend on the number of tenants.
 
 use super::settings::{QuotaChange, Settings};
 use crate::decaying_counts::DecayingCounts;
 
-/// Factor by which a tenant may exceed its part, since clients spread unevenly over the fleet.
+/// Factor by which a tenant may exceed its expected arrivals, as clients spread unevenly over the fleet.
 const QUOTA_SLACK: f64 = 1.1;
-/// Standard deviations of the number of arrivals by which a tenant may exceed its part.
+/// Standard deviations of the number of arrivals by which a tenant may exceed its expected arrivals.
 const QUOTA_DEVIATIONS: f64 = 1.0;
-/// Smallest sum of the other tenants' quotas that is divided by, requests a second.
+/// Lower bound of the other tenants' total quota as a divisor, requests per second.
 const MIN_OTHER_QUOTAS: f64 = 1e-9;
 
-/// What each tenant sent of late and may still send.
+/// The recent arrivals of each tenant and the state of its quota.
 pub(super) struct TenantQuota {
     server_count: f64,
     arrivals: DecayingCounts,
-    /// By tenant: the saved part of an arrival within quota, up to 1.
+    /// Unused part of an arrival within quota, up to 1, by tenant.
     credits: Vec<f64>,
     total_quota: f64,
 }
@@ -35,8 +35,9 @@
         }
     }
 
-    /// Takes changes that are in `quotas` already; an index without a tenant starts anew with its next
-    /// tenant.
+    /// Applies changes that `quotas` already contains.
+    ///
+    /// The state of an index that no longer belongs to a tenant is reset for the next tenant.
     pub(super) fn reconfigure(&mut self, quotas: &[f64], changes: &[QuotaChange]) {
         self.arrivals.grow(quotas.len());
         self.credits.resize(quotas.len(), 0.0);
@@ -47,15 +48,15 @@
         self.total_quota = quotas.iter().sum();
     }
 
-    /// Decays the counts to that part of themselves.
+    /// Multiplies the counts by `factor`.
     pub(super) fn decay(&mut self, factor: f64) {
         self.arrivals.decay(factor);
     }
 
     /// Counts an arrival and returns whether it is beyond its tenant's quota.
     ///
-    /// `observed_ms` is the time over which arrivals were counted. A tenant without a quota is never beyond
-    /// it.
+    /// `observed_ms` is the time over which arrivals were counted. Arrivals of a tenant without a quota are
+    /// never beyond it.
     pub(super) fn record_arrival(&mut self, tenant: usize, quotas: &[f64], observed_ms: f64) -> bool {
         let Some(quota) = quotas.get(tenant) else { return false };
         let Some(arrivals) = self.arrivals.add(tenant) else { return false };
--- a/src/admission/tick.rs
+++ b/src/admission/tick.rs
@@ -1,4 +1,4 @@
-//! The periodic timer: one step of everything that follows the gauges or time.
+//! The handler of the periodic timer: updates all state that depends on the gauges or on time.
 
 use super::action::Action;
 use super::backpressure::slow_start_share;
@@ -10,8 +10,8 @@
 use super::timing::{TIMER_PERIOD_MS, TIMER_TOKEN};
 
 impl AdmissionController {
-    /// Takes the timer with the gauges of the moment.
-    pub(super) fn on_tick(&mut self, now: f64, gauges: Gauges, actions: &mut Vec<Action>) {
+    /// Handles the timer and the gauges that were read for it.
+    pub(super) fn on_timer(&mut self, now: f64, gauges: Gauges, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer { token: TIMER_TOKEN, delay_ms: TIMER_PERIOD_MS });
         self.timer_lag.record_timer(now);
         self.reservations.drop_expired(now, actions);
@@ -42,7 +42,8 @@
         self.faults.decay_failures();
     }
 
-    /// While runs are stalled, queued requests are rejected, so that their clients go elsewhere.
+    /// Updates the health, and rejects queued requests while runs are stalled so that clients try other
+    /// instances.
     fn update_health(&mut self, now: f64, reading_at: f64, gauges: Gauges, actions: &mut Vec<Action>) {
         let gauges_missing = gauges == Gauges::default();
         let activity = self.run_activity(now);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Returns the queued requests that wait for no other one.
+    /// Returns the queued requests that do not wait for an original.
     fn queued_originals(&self) -> Vec<RequestId> {
         let queued = self.requests.iter().filter(|(_, request)| request.is_queued());
         let originals = queued.filter(|(_, request)| !self.requests.waits_for_original(request));
--- a/src/admission/timing.rs
+++ b/src/admission/timing.rs
@@ -1,8 +1,8 @@
-//! The periodic timer and the time spans that several parts of the controller share.
+//! The period of the timer and the averaging time spans that several components of the controller share.
 
-/// Period of the timer, ms.
+/// Period of the controller's timer, ms.
 pub(super) const TIMER_PERIOD_MS: f64 = 50.0;
-/// Token of the timer.
+/// Token of the controller's timer.
 pub(super) const TIMER_TOKEN: u64 = 1;
 /// Time over which the rate of arrivals and the gaps between signs of progress are averaged, ms.
 pub(super) const RATE_SPAN_MS: f64 = 10_000.0;
--- a/src/admission/unserved.rs
+++ b/src/admission/unserved.rs
@@ -1,4 +1,4 @@
-//! Requests that end without a result: their final response, and what becomes of their work.
+//! Requests that end without a result: their final response, and the end of their work.
 
 use super::action::Action;
 use super::backpressure::Rejection;
@@ -9,13 +9,13 @@
 use super::settings::{Preemption, RetrySafety};
 
 impl AdmissionController {
-    /// Takes that a client no longer waits.
+    /// Handles a client that no longer waits for its request.
     pub(super) fn on_client_gone(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         self.requests.set_answered(id);
         self.abandon(now, id, actions);
     }
 
-    /// Answers the requests that are due or can no longer complete in time.
+    /// Answers the requests that are due or are no longer expected to complete in time.
     pub(super) fn answer_overdue(&mut self, now: f64, actions: &mut Vec<Action>) {
         let check = DeadlineCheck {
             now,
@@ -32,9 +32,10 @@
         }
     }
 
-    /// Gives the final response to a request that gets no result, in whatever state it is.
+    /// Sends the final response to a request that gets no result, whatever its state.
     ///
-    /// It is rejected if it has not run or is idempotent; otherwise it fails, as it may have taken effect.
+    /// The request is rejected if it has not run or is idempotent; otherwise it fails, as it may have taken
+    /// effect.
     pub(super) fn answer_unserved(
         &mut self,
         now: f64,
@@ -57,7 +58,7 @@
         self.abandon(now, id, actions);
     }
 
-    /// Ends the work on a request that no client waits for.
+    /// Ends the work on a request whose client no longer waits.
     fn abandon(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         match self.requests.get(id).map(|request| request.state) {
             Some(RequestState::Queued) => {
@@ -65,26 +66,26 @@
                 self.requests.remove(id);
             }
             Some(RequestState::Suspended | RequestState::Reusing) => self.requests.remove(id),
-            Some(RequestState::Running) => self.stop_unwanted(id, actions),
+            Some(RequestState::Running) => self.stop_unneeded_run(id, actions),
             Some(RequestState::AwaitingCall(_) | RequestState::Calling) | None => {}
         }
     }
 
-    /// Stops a run whose result no client and no duplicate waits for, if it is idempotent.
-    fn stop_unwanted(&self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Stops an idempotent run if no unanswered duplicate waits for its result.
+    fn stop_unneeded_run(&self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let idempotent = self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent;
-        let wanted = self.requests.unanswered_duplicates(id).next().is_some();
-        if self.settings.preemption != Preemption::Off && idempotent && !wanted {
+        let has_waiting_duplicate = self.requests.unanswered_duplicates(id).next().is_some();
+        if self.settings.preemption != Preemption::Off && idempotent && !has_waiting_duplicate {
             actions.push(Action::Preempt(id));
         }
     }
 
-    /// Hands the reservation of a request that never ran to a queued duplicate, or releases it.
+    /// Transfers the reservation of a request that never ran to a queued duplicate, or releases it.
     pub(super) fn release_reservation(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
         let was_reserved = self.reservations.remove(id);
         match self.requests.promote_duplicate(id) {
-            Some(heir) => self.reserve_key(now, heir, actions),
+            Some(promoted) => self.reserve_key(now, promoted, actions),
             None if was_reserved => actions.push(Action::ReleaseKey(id)),
             None => {}
         }
--- a/src/admission/upstream_calls.rs
+++ b/src/admission/upstream_calls.rs
@@ -1,9 +1,9 @@
-//! The calls to the upstream service: which are made, for how long, and what follows a failed one.
+//! Decisions on calls to the upstream service: which are made, their timeouts, and the handling of failures.
 //!
-//! Where the settings state how many concurrent calls the instance may have, each call reserves the longest
-//! time for which it may occupy the upstream service; what it did not use is free again when it ends. Without
-//! such a limit nothing is reserved against, and time alone decides. A call that does not fit is skipped
-//! where its class allows it.
+//! If the settings limit the number of concurrent calls of the instance, each call reserves the longest time
+//! for which it may occupy the upstream service; the unused part of the reservation is released when the call
+//! ends. Without such a limit, only the time that remains for the request decides. A call that does not fit
+//! is skipped if its class allows it.
 
 use super::clamp::clamp_finite;
 use super::event::{Outcome, RequestId};
@@ -13,64 +13,65 @@
 use super::settings::{Class, RetrySafety, Settings};
 use super::timing::TIMER_PERIOD_MS;
 
-/// Usual call times that have to fit within a call's timeout.
+/// Number of usual call times that have to fit into the timeout of a call.
 const REQUIRED_CALL_TIMES: f64 = 2.0;
-/// Backoff before a call's first retry, ms; it doubles with each one.
+/// Base of the exponential backoff before a retry, ms; the backoff doubles with each retry.
 const BACKOFF_MS: f64 = 100.0;
-/// Retries after which the backoff stops growing.
+/// Number of retries after which the backoff stops growing.
 const MAX_BACKOFF_RETRIES: i32 = 6;
-/// Part of the time to the latency objective that a skippable call without a stated limit may take.
+/// Part of the time to the latency objective that a skippable call may take if concurrent calls are not
+/// limited.
 ///
-/// The rest lets a call that is never answered be made again.
+/// The rest leaves time to repeat a call that is never answered.
 const SKIPPABLE_CALL_SHARE: f64 = 0.6;
-/// Divisor of the capacity: a single skippable call may reserve that part of it.
+/// Divisor of the capacity; the quotient is the most that a single skippable call may reserve.
 const SKIPPABLE_CAPACITY_DIVISOR: f64 = 2.0;
-/// Immediate retries of an idempotent call that broke off or timed out.
+/// Number of immediate retries of an idempotent call that lost its connection or timed out.
 const IMMEDIATE_RETRIES: i32 = 2;
-/// Longest time that a call is taken to have lasted, ms.
+/// Upper bound of a reported call time, ms.
 const MAX_CALL_MS: f64 = 1e9;
 /// Shortest timeout of a call, ms.
 const MIN_TIMEOUT_MS: f64 = 1.0;
 
-/// The time for which a call may occupy the upstream service.
+/// The interval in which a call may occupy the upstream service.
 struct CallReservation {
     id: RequestId,
     from: f64,
     until: f64,
 }
 
-/// Whether a call that a request waits for is made now.
+/// The decision on a call that a request waits for.
 pub(super) enum CallDecision {
-    /// The call is made.
+    /// The call is made now.
     Call {
-        /// Time after which it is abandoned, ms.
+        /// Time after which the call is abandoned, ms.
         timeout_ms: f64,
     },
-    /// The request goes on without the call.
+    /// The request continues without the call.
     Skip,
-    /// The request waits on.
+    /// The request keeps waiting.
     Wait,
 }
 
-/// What follows a failed call.
+/// The decision on a request whose upstream call failed.
 pub(super) enum AfterFailure {
-    /// The call is made again.
+    /// The call is retried.
     Retry {
-        /// Number of retries with this one.
+        /// Number of retries including this one, capped where the backoff stops growing.
         retries: i32,
         /// Earliest time of the retry.
         at: f64,
     },
-    /// The request goes on without the call.
+    /// The request continues without the call.
     Skip,
     /// The request fails.
     Fail,
 }
 
-/// The calls of the averaging window and how long a call usually takes.
+/// The calls of the averaging window and the usual time of a call.
 pub(super) struct UpstreamCallBudget {
     has_limit: bool,
-    /// Time that calls may occupy the upstream service within the window, ms; infinite without a limit.
+    /// Total time for which calls may occupy the upstream service in a window, ms; infinite without a limit.
     capacity_ms: f64,
     window_ms: f64,
     linger_ms: f64,
@@ -79,7 +80,7 @@
 }
 
 impl UpstreamCallBudget {
-    /// Returns the budget before any call.
+    /// Creates the budget, before any call.
     pub(super) fn new(settings: &Settings) -> UpstreamCallBudget {
         let capacity_ms = |share: f64| share * USED_CAPACITY * settings.upstream_window_ms;
         UpstreamCallBudget {
@@ -92,12 +93,12 @@
         }
     }
 
-    /// Drops the calls that ended before the averaging window.
+    /// Drops the reservations of calls that ended before the averaging window.
     pub(super) fn drop_expired(&mut self, now: f64) {
         self.reservations.retain(|call| call.until > now - self.window_ms);
     }
 
-    /// Takes the end of a call.
+    /// Records the end of a call.
     pub(super) fn record_end(&mut self, now: f64, id: RequestId, outcome: Outcome, took_ms: f64) {
         let never_ran = never_ran(outcome);
         let linger_ms = if never_ran || outcome == Outcome::Ok { 0.0 } else { self.linger_ms };
@@ -107,12 +108,12 @@
         }
     }
 
-    /// Takes that the request of a call ended before the call did.
+    /// Records that the request of a call ended before the call did.
     pub(super) fn record_abandoned(&mut self, now: f64, id: RequestId) {
         self.release(id, now + self.linger_ms);
     }
 
-    /// Decides on the call that a request waits for, and reserves its time if it is made.
+    /// Decides on the call that a request waits for, and reserves its time if the call is made.
     pub(super) fn decide(
         &mut self,
         now: f64,
@@ -121,14 +122,14 @@
         skippable: bool,
     ) -> CallDecision {
         let free_ms = self.capacity_ms - self.reserved_ms();
-        let (time_ms, room_ms) = if skippable {
+        let (remaining_ms, available_ms) = if skippable {
             let share = if self.has_limit { 1.0 } else { SKIPPABLE_CALL_SHARE };
-            let room_ms = free_ms.min(self.capacity_ms / SKIPPABLE_CAPACITY_DIVISOR);
-            ((request.objective_at - now) * share, room_ms)
+            let available_ms = free_ms.min(self.capacity_ms / SKIPPABLE_CAPACITY_DIVISOR);
+            ((request.objective_at - now) * share, available_ms)
         } else {
             (request.deadline - now, free_ms)
         };
-        let timeout_ms = (time_ms - TIMER_PERIOD_MS).min(room_ms - self.linger_ms);
+        let timeout_ms = (remaining_ms - TIMER_PERIOD_MS).min(available_ms - self.linger_ms);
         let required_ms = self.required_ms();
         if timeout_ms >= required_ms {
             let until = now + timeout_ms + self.linger_ms;
@@ -138,14 +139,14 @@
         if !skippable {
             return CallDecision::Wait;
         }
-        if time_ms - TIMER_PERIOD_MS < required_ms {
-            // Skipped calls give no reading: the estimate falls, so that a call is tried again before long.
+        if remaining_ms - TIMER_PERIOD_MS < required_ms {
+            // A skipped call gives no reading; the estimate decays so that a call is eventually made again.
             self.usual_call_ms *= 1.0 - READING_WEIGHT;
         }
         CallDecision::Skip
     }
 
-    /// Returns what follows a call that failed with `outcome` after `retries` retries.
+    /// Returns the decision on a request whose call failed with `outcome` after `retries` retries.
     pub(super) fn after_failure(
         &self,
         now: f64,
@@ -169,7 +170,7 @@
         AfterFailure::Fail
     }
 
-    /// Returns the shortest time that a call is made for, ms.
+    /// Returns the shortest timeout with which a call is worth making, ms.
     fn required_ms(&self) -> f64 {
         let largest_ms = self.capacity_ms / SKIPPABLE_CAPACITY_DIVISOR - self.linger_ms;
         (REQUIRED_CALL_TIMES * self.usual_call_ms).min(largest_ms).max(MIN_TIMEOUT_MS)
@@ -179,7 +180,7 @@
         self.reservations.iter().map(|call| call.until - call.from).sum::<f64>()
     }
 
-    /// The request's last call occupies the upstream service until then at the latest.
+    /// Shortens the reservation of the request's last call to end at `until` at the latest.
     fn release(&mut self, id: RequestId, until: f64) {
         if let Some(call) = self.reservations.iter_mut().rev().find(|call| call.id == id) {
             call.until = call.until.min(until);
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,66 +1,66 @@
-//! Why the simulator's input can't be served.
+//! The errors of the simulator's protocol.
 
 use thiserror::Error;
 
-/// Why the host of the simulator's instances ended.
+/// An error that ends the host of the simulator's instances.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// The input can't be read or the output can't be written.
+    /// Reading the input or writing the output failed.
     #[error("input or output failed: {0}")]
     Io(#[from] std::io::Error),
     /// The input ended before the end of a batch.
     #[error("line {line}: the input ends inside a batch")]
     UnexpectedEnd {
-        /// Number of the line, from 1.
+        /// Number of the line, starting at 1.
         line: u64,
     },
-    /// A message is not one that the protocol allows at this point.
+    /// A message is invalid or not allowed at this point of the protocol.
     #[error("line {line}: {message}: {error}")]
     Message {
-        /// Number of the line, from 1.
+        /// Number of the line, starting at 1.
         line: u64,
         /// Name of the message.
         message: String,
-        /// What is wrong with it.
+        /// The error in the message.
         error: MessageError,
     },
 }
 
-/// What is wrong with a message.
+/// An error in a message.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// The message is not part of the protocol.
+    /// The protocol has no message of this name.
     #[error("unknown message")]
     Unknown,
-    /// The message came outside a batch.
-    #[error("outside a batch")]
+    /// The message is not allowed outside a batch.
+    #[error("message not allowed outside a batch")]
     OutsideBatch,
-    /// A batch began before the previous one ended.
-    #[error("inside a batch")]
+    /// The message begins a batch before the previous one ended.
+    #[error("message not allowed inside a batch")]
     InsideBatch,
-    /// The message names an instance that does not run.
-    #[error("field `i`: {0} was never started")]
+    /// The message refers to an instance that is not running.
+    #[error("field `i`: instance {0} is not running")]
     UnknownInstance(u64),
     /// A field is missing.
     #[error("field `{0}` is missing")]
     MissingField(&'static str),
-    /// The value of a field can't be parsed.
-    #[error("field `{field}` can't be read: {value}")]
+    /// The value of a field is invalid.
+    #[error("field `{field}` has an invalid value: {value}")]
     InvalidValue {
         /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: String,
     },
     /// A gauge has no value.
-    #[error("field `stats`: {0}")]
+    #[error("field `stats`: gauge `{0}` has no value")]
     InvalidGauge(String),
-    /// A setting of an instance is wrong.
+    /// A setting of an instance is invalid.
     #[error("field `{key}` {problem}")]
     InvalidSetting {
         /// Key of the setting.
         key: String,
-        /// What is wrong with it.
+        /// The problem with the setting.
         problem: String,
     },
 }
--- a/src/simulator/format.rs
+++ b/src/simulator/format.rs
@@ -1,14 +1,14 @@
-//! Writes the messages of actions.
+//! Formatting of the messages that represent actions.
 
 use super::request_ids::RequestIds;
 use super::words::action as word;
 use crate::admission::Action;
 use std::io::{self, Write};
 
-/// Writes the message of one instance's action.
+/// Writes the message that represents an action of one instance.
 ///
 /// # Errors
-/// If writing fails.
+/// Returns the error of `output` if writing fails.
 pub(super) fn write_action(
     output: &mut impl Write,
     instance: u64,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The field of a Retry-After, ms, which is left out for none.
+/// The Retry-After field, ms, which is omitted if it is 0.
 struct RetryAfter(f64);
 
 impl std::fmt::Display for RetryAfter {
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the simulator's instances and answers its batches.
+//! The host of the simulator's instances, which processes batches of messages and writes the replies.
 
 use super::error::{MessageError, ProtocolError};
 use super::format::write_action;
@@ -9,20 +9,22 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// Serves the protocol until the input ends.
+/// Serves the simulator's protocol until the input ends.
 ///
 /// # Errors
-/// On a message that the protocol does not allow, and when reading or writing fails.
+/// Returns [`ProtocolError::Message`] for a message that the protocol does not allow,
+/// [`ProtocolError::UnexpectedEnd`] if the input ends inside a batch, and [`ProtocolError::Io`] if reading or
+/// writing fails.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), ProtocolError> {
     let mut host = Host::default();
     let mut text = String::new();
     for line in 1.. {
         text.clear();
         if input.read_line(&mut text)? == 0 {
-            return host.end(line);
+            return host.finish(line);
         }
         let message = Message::new(text.trim_end_matches(['\n', '\r']), line);
-        if host.handle(&message)? == Progress::BatchEnded {
+        if host.handle(&message)? == BatchState::Ended {
             output.write_all(&host.reply)?;
             output.flush()?;
             host.reply.clear();
@@ -31,13 +33,13 @@
     Ok(())
 }
 
-/// Whether a message ended its batch.
+/// The state of the batch after a message.
 #[derive(PartialEq)]
-enum Progress {
-    /// The batch goes on.
-    Going,
+enum BatchState {
+    /// The batch continues.
+    InProgress,
     /// The batch ended and the reply is complete.
-    BatchEnded,
+    Ended,
 }
 
 /// One hosted instance.
@@ -57,55 +59,55 @@
 }
 
 impl Host {
-    fn end(&self, line: u64) -> Result<(), ProtocolError> {
+    fn finish(&self, line: u64) -> Result<(), ProtocolError> {
         match self.now {
             None => Ok(()),
             Some(_) => Err(ProtocolError::UnexpectedEnd { line }),
         }
     }
 
-    fn handle(&mut self, message: &Message<'_>) -> Result<Progress, ProtocolError> {
+    fn handle(&mut self, message: &Message<'_>) -> Result<BatchState, ProtocolError> {
         match (message.name, self.now) {
             ("", None) => {}
             (message::CLOCK, None) => self.now = Some(message.required(field::TIME_MS)?),
             (message::FLUSH, Some(_)) => {
                 self.now = None;
                 writeln!(self.reply, "{}", action::END)?;
-                return Ok(Progress::BatchEnded);
+                return Ok(BatchState::Ended);
             }
             (_, None) => return Err(message.error(MessageError::OutsideBatch)),
             (message::CLOCK, Some(_)) => return Err(message.error(MessageError::InsideBatch)),
             (_, Some(now)) => self.handle_instance(now, message)?,
         }
-        Ok(Progress::Going)
+        Ok(BatchState::InProgress)
     }
 
-    /// Handles a message to one instance.
+    /// Handles a message for one instance.
     fn handle_instance(&mut self, now: f64, message: &Message<'_>) -> Result<(), ProtocolError> {
-        let number: u64 = message.required(field::INSTANCE)?;
-        let unknown = || message.error(MessageError::UnknownInstance(number));
+        let instance_id: u64 = message.required(field::INSTANCE)?;
+        let unknown = || message.error(MessageError::UnknownInstance(instance_id));
         match message.name {
             message::START => {
                 let controller = AdmissionController::new(now, message.settings()?);
                 let instance = Instance { controller, ids: RequestIds::default() };
-                self.instances.insert(number, instance);
-                self.dispatch(now, number, Event::Start)
+                self.instances.insert(instance_id, instance);
+                self.dispatch(now, instance_id, Event::Start)
             }
-            message::STOPPED => self.instances.remove(&number).map(drop).ok_or_else(unknown),
+            message::STOPPED => self.instances.remove(&instance_id).map(drop).ok_or_else(unknown),
             _ => {
-                let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
+                let instance = self.instances.get_mut(&instance_id).ok_or_else(unknown)?;
                 let event = message.event(&mut instance.ids)?;
-                self.dispatch(now, number, event)
+                self.dispatch(now, instance_id, event)
             }
         }
     }
 
-    /// Tells an instance an event and adds the messages of its actions to the reply.
-    fn dispatch(&mut self, now: f64, number: u64, event: Event) -> Result<(), ProtocolError> {
-        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+    /// Passes an event to an instance and appends the messages of the resulting actions to the reply.
+    fn dispatch(&mut self, now: f64, instance_id: u64, event: Event) -> Result<(), ProtocolError> {
+        let Some(instance) = self.instances.get_mut(&instance_id) else { return Ok(()) };
         instance.controller.on_event(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            write_action(&mut self.reply, number, &instance.ids, &action)?;
+            write_action(&mut self.reply, instance_id, &instance.ids, &action)?;
         }
         Ok(())
     }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,9 @@
-//! The simulator's protocol: batches of text messages in, the actions that follow out.
+//! The adapter to the simulator's protocol: batches of text messages in, messages of actions out.
 //!
-//! A batch begins with the time and ends with a flush, which the reply answers. Each message between them is a line of
-//! a name and `key=value` fields and goes to one of the hosted instances; the messages of actions go out in turn.
-//! Nothing is decided here: [`AdmissionController`](crate::admission::AdmissionController) decides.
+//! A batch begins with a clock message, which states the time, and ends with a flush, to which the host
+//! replies. Each message in between is a line with a name and `key=value` fields and is addressed to one of
+//! the hosted instances; the reply contains the messages of the resulting actions in order. All decisions are
+//! made by [`AdmissionController`](crate::admission::AdmissionController).
 
 mod error;
 mod format;
--- a/src/simulator/parse.rs
+++ b/src/simulator/parse.rs
@@ -1,4 +1,4 @@
-//! Parses the simulator's messages.
+//! Parsing of the simulator's messages.
 
 use super::error::{MessageError, ProtocolError};
 use super::request_ids::RequestIds;
@@ -7,36 +7,36 @@
 use crate::config::{StatedSettings, set_gauge};
 use std::str::FromStr;
 
-/// Value of the field of a duplicated request that stands for none.
+/// Value of the field [`field::DUPLICATE_OF`] of a request that duplicates none.
 const NO_REQUEST: &str = "0";
 
-/// A message: a line of a name and its fields.
+/// A message: a line with a name and fields.
 #[derive(Clone, Copy)]
 pub(super) struct Message<'a> {
-    /// Its name; empty for an empty line.
+    /// Name of the message; empty for an empty line.
     pub(super) name: &'a str,
     fields: &'a str,
     line: u64,
 }
 
 impl<'a> Message<'a> {
-    /// Splits a line, without its end, into name and fields.
+    /// Splits a line, without its line ending, into name and fields.
     pub(super) fn new(text: &'a str, line: u64) -> Self {
         let (name, fields) = text.split_once(' ').unwrap_or((text, ""));
         Message { name, fields, line }
     }
 
-    /// Returns the error with the place of the message.
+    /// Returns `error` with the line and the name of the message.
     pub(super) fn error(&self, error: MessageError) -> ProtocolError {
         ProtocolError::Message { line: self.line, message: self.name.to_owned(), error }
     }
 
-    /// Returns the value of a field that has to be there.
+    /// Parses the value of a required field.
     pub(super) fn required<T: FromStr>(&self, field: &'static str) -> Result<T, ProtocolError> {
         self.parse(field, self.required_text(field)?)
     }
 
-    /// Returns the settings of an instance that starts.
+    /// Parses the settings of an instance that starts.
     pub(super) fn settings(&self) -> Result<Settings, ProtocolError> {
         let pairs: StatedSettings = self.pairs().collect();
         let seed = self.required(field::SEED)?;
@@ -45,7 +45,7 @@
         })
     }
 
-    /// Returns the event that the message tells a running instance.
+    /// Returns the event that the message represents for a running instance.
     pub(super) fn event(&self, ids: &mut RequestIds) -> Result<Event, ProtocolError> {
         Ok(match self.name {
             message::ARRIVAL => Event::Arrival(self.arrival(ids)?),
@@ -71,7 +71,7 @@
 
     fn arrival(&self, ids: &mut RequestIds) -> Result<Arrival, ProtocolError> {
         let original = self.text(field::DUPLICATE_OF).filter(|name| *name != NO_REQUEST);
-        // The original's id is the lower one if neither was named before.
+        // The original is looked up first, so that its id is the lower one if both requests are new.
         let duplicate_of = original.map(|name| ids.id(name));
         Ok(Arrival {
             id: ids.id(self.required_text(field::REQUEST)?),
--- a/src/simulator/request_ids.rs
+++ b/src/simulator/request_ids.rs
@@ -1,9 +1,9 @@
-//! The request ids of an instance: the simulator's texts and the controller's numbers.
+//! The mapping between the simulator's textual request ids and the controller's numeric ones.
 
 use crate::admission::RequestId;
 use std::collections::HashMap;
 
-/// The ids of one instance, numbered in the order in which they were first named.
+/// The request ids of one instance, numbered in the order in which they first occurred.
 #[derive(Default)]
 pub(super) struct RequestIds {
     ids: HashMap<String, RequestId>,
@@ -11,7 +11,7 @@
 }
 
 impl RequestIds {
-    /// Returns the number of a request, a new one for a new name.
+    /// Returns the numeric id of a request, and assigns the next one to a new name.
     pub(super) fn id(&mut self, name: &str) -> RequestId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -22,7 +22,7 @@
         id
     }
 
-    /// Returns the name of a request; empty if there is none.
+    /// Returns the textual id of a request, or an empty text if the request is unknown.
     pub(super) fn name(&self, id: RequestId) -> &str {
         self.names.get(id as usize).map_or("", String::as_str)
     }
--- a/src/simulator/words.rs
+++ b/src/simulator/words.rs
@@ -1,8 +1,8 @@
-//! The words of the simulator's protocol.
+//! The names of messages, fields and outcomes in the simulator's protocol.
 
-/// Names of messages that come in.
+/// Names of incoming messages.
 pub(super) mod message {
-    /// A batch begins at a time.
+    /// A batch begins; states its time.
     pub(in crate::simulator) const CLOCK: &str = "CLOCK";
     /// A batch ends.
     pub(in crate::simulator) const FLUSH: &str = "FLUSH";
@@ -18,15 +18,15 @@
     pub(in crate::simulator) const UPSTREAM_CALL_ENDED: &str = "DEP_REPLY";
     /// A run ended.
     pub(in crate::simulator) const RUN_ENDED: &str = "DONE";
-    /// A client no longer waits.
+    /// A client no longer waits for its request.
     pub(in crate::simulator) const CLIENT_GONE: &str = "GONE";
-    /// Shutdown is requested.
+    /// Shutdown was requested.
     pub(in crate::simulator) const DRAIN: &str = "WIND_DOWN";
     /// A timer fired.
     pub(in crate::simulator) const TIMER: &str = "RING";
 }
 
-/// Names of messages that go out.
+/// Names of outgoing messages.
 pub(super) mod action {
     /// Run a request.
     pub(in crate::simulator) const RUN: &str = "PROCESS";
@@ -34,13 +34,13 @@
     pub(in crate::simulator) const REJECT: &str = "TURN_AWAY";
     /// Fail a request.
     pub(in crate::simulator) const FAIL: &str = "GIVE_UP";
-    /// Reuse the result of a duplicated request.
+    /// Respond with the result of the duplicated request.
     pub(in crate::simulator) const REUSE_RESULT: &str = "ECHO";
     /// Abort or suspend a run.
     pub(in crate::simulator) const PREEMPT: &str = "PREEMPT";
-    /// Reserve a key.
+    /// Reserve an idempotency key or a shareable read.
     pub(in crate::simulator) const RESERVE_KEY: &str = "REMEMBER";
-    /// Release a key.
+    /// Release a reservation.
     pub(in crate::simulator) const RELEASE_KEY: &str = "RELEASE_KEY";
     /// Make an upstream call.
     pub(in crate::simulator) const CALL_UPSTREAM: &str = "CALL_DEP";
@@ -64,13 +64,13 @@
 pub(super) mod field {
     /// Time of a batch, ms.
     pub(in crate::simulator) const TIME_MS: &str = "time_ms";
-    /// The instance.
+    /// Number of an instance.
     pub(in crate::simulator) const INSTANCE: &str = "i";
-    /// Seed of an instance.
+    /// Seed of an instance's random numbers.
     pub(in crate::simulator) const SEED: &str = "nonce64";
     /// Id of a request.
     pub(in crate::simulator) const REQUEST: &str = "xid";
-    /// Id of the request that is duplicated; `0` for none.
+    /// Id of the duplicated request; `0` for none.
     pub(in crate::simulator) const DUPLICATE_OF: &str = "forerunner";
     /// Index of a class.
     pub(in crate::simulator) const CLASS: &str = "profile";
@@ -78,7 +78,7 @@
     pub(in crate::simulator) const TENANT: &str = "account";
     /// Subject of a shareable read.
     pub(in crate::simulator) const SUBJECT: &str = "affinity";
-    /// Deadline of a request or time of a stop, ms; 0 for none.
+    /// Deadline of a request, 0 for none, or time at which a draining instance stops, ms.
     pub(in crate::simulator) const DEADLINE_MS: &str = "deadline_ms";
     /// Expected work of a request, ms.
     pub(in crate::simulator) const COST_MS: &str = "cost_ms";
@@ -88,7 +88,7 @@
     pub(in crate::simulator) const PRIORITY: &str = "precedence";
     /// Whether a request is a retry.
     pub(in crate::simulator) const IS_RETRY: &str = "is_retry";
-    /// Age of a request when it is read, ms.
+    /// Age of a request when it was read, ms.
     pub(in crate::simulator) const AGE_MS: &str = "age_ms";
     /// How a run or a call ended.
     pub(in crate::simulator) const OUTCOME: &str = "reason";
@@ -96,15 +96,15 @@
     pub(in crate::simulator) const TOOK_MS: &str = "wait_time_ms";
     /// Token of a timer.
     pub(in crate::simulator) const TOKEN: &str = "mark";
-    /// Gauges, as `name:value` pairs that are separated by commas.
+    /// Gauges, as comma-separated `name:value` pairs.
     pub(in crate::simulator) const GAUGES: &str = "stats";
 }
 
 /// Values of the field [`field::OUTCOME`].
 pub(super) mod outcome {
-    /// It succeeded.
+    /// The run or call succeeded.
     pub(in crate::simulator) const OK: &str = "OK";
-    /// It failed.
+    /// The run or call failed.
     pub(in crate::simulator) const ERROR: &str = "INTERNAL";
     /// The upstream service rejected the call.
     pub(in crate::simulator) const REJECTED: &str = "RESOURCE_EXHAUSTED";
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -80,8 +80,8 @@
         ("WHATEVER i=3", vec!["line 3", "WHATEVER", "unknown"]),
         ("ARRIVAL i=3 profile=0", vec!["line 3", "ARRIVAL", "`xid`"]),
         ("ARRIVAL i=3 xid=c:a profile=many", vec!["line 3", "`profile`", "many"]),
-        ("ARRIVAL i=9 xid=c:a profile=0", vec!["line 3", "`i`", "never started"]),
-        ("RETIRE i=9", vec!["line 3", "never started"]),
+        ("ARRIVAL i=9 xid=c:a profile=0", vec!["line 3", "`i`", "instance 9 is not running"]),
+        ("RETIRE i=9", vec!["line 3", "instance 9 is not running"]),
         ("DONE i=3 xid=c:a reason=SORT_OF", vec!["line 3", "`reason`"]),
         ("WIND_DOWN i=3", vec!["line 3", "`deadline_ms`"]),
         ("CLOCK time_ms=2", vec!["line 3", "CLOCK"]),
@@ -105,14 +105,17 @@
     for (message, error) in [
         ("WHATEVER i=3", "WHATEVER: unknown message"),
         ("WHATEVER", "WHATEVER: field `i` is missing"),
-        ("GONE i=three", "GONE: field `i` can't be read: three"),
-        ("GONE i=9", "GONE: field `i`: 9 was never started"),
-        ("RETIRE i=9", "RETIRE: field `i`: 9 was never started"),
-        ("CLOCK time_ms=2", "CLOCK: inside a batch"),
-        ("ARRIVAL i=3 xid=c:a profile=0 is_retry=maybe", "ARRIVAL: field `is_retry` can't be read: maybe"),
-        ("DONE i=3 xid=c:a reason=SORT_OF", "DONE: field `reason` can't be read: SORT_OF"),
-        ("RING i=3 mark=1 stats=core_use", "RING: field `stats`: core_use"),
-        ("RING i=3 mark=1 stats=core_use:high", "RING: field `stats` can't be read: high"),
+        ("GONE i=three", "GONE: field `i` has an invalid value: three"),
+        ("GONE i=9", "GONE: field `i`: instance 9 is not running"),
+        ("RETIRE i=9", "RETIRE: field `i`: instance 9 is not running"),
+        ("CLOCK time_ms=2", "CLOCK: message not allowed inside a batch"),
+        (
+            "ARRIVAL i=3 xid=c:a profile=0 is_retry=maybe",
+            "ARRIVAL: field `is_retry` has an invalid value: maybe",
+        ),
+        ("DONE i=3 xid=c:a reason=SORT_OF", "DONE: field `reason` has an invalid value: SORT_OF"),
+        ("RING i=3 mark=1 stats=core_use", "RING: field `stats`: gauge `core_use` has no value"),
+        ("RING i=3 mark=1 stats=core_use:high", "RING: field `stats` has an invalid value: high"),
         ("BOOT i=4", "BOOT: field `nonce64` is missing"),
     ] {
         let output = drive(&format!("{start}{message}\nFLUSH\n"));
@@ -120,7 +123,7 @@
         assert_eq!(String::from_utf8_lossy(&output.stderr), expected);
     }
     for (input, error) in [
-        ("FLUSH\n", "line 1: FLUSH: outside a batch"),
+        ("FLUSH\n", "line 1: FLUSH: message not allowed outside a batch"),
         ("CLOCK time_ms=1\n", "line 2: the input ends inside a batch"),
         ("CLOCK\n", "line 1: CLOCK: field `time_ms` is missing"),
     ] {
