--- a/src/codec/http/decoder.rs
+++ b/src/codec/http/decoder.rs
@@ -1,42 +1,43 @@
-//! The decoder of HTTP replies.
+//! Decoder for HTTP replies.
 
 use super::error::Error;
 use super::reply::Reply;
 
-/// The longest head of a reply, in bytes.
-const MAX_HEAD: usize = 16 * 1024;
-/// The longest body of a reply, in bytes.
-const MAX_BODY: usize = 64 * 1024;
+/// Maximum length of the head of a reply, bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum length of the body of a reply, bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The end of a line.
+/// Line terminator.
 const END_OF_LINE: &[u8] = b"\r\n";
-/// The end of a head.
+/// Terminator of a head.
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
-/// Header field of the length of a body.
+/// Header field of the body length, in lower case.
 const CONTENT_LENGTH: &str = "content-length";
 
-/// Decodes whole replies from bytes in any pieces.
+/// Decodes complete replies from bytes that are fed in pieces of any size.
 #[derive(Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
 }
 
 impl Decoder {
-    /// Adds bytes of the stream.
+    /// Appends bytes of the stream to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns whether all bytes were decoded.
+    /// Returns whether all bytes have been decoded.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Returns the next reply if it is whole. `ended` says that no more bytes will come, which ends a body without a
-    /// stated length. Interim replies (1xx) are skipped.
+    /// Returns the next reply if it is complete. `ended` states that no more bytes follow, which ends a body
+    /// without a stated length. Interim replies (1xx) are skipped.
     ///
     /// # Errors
-    /// If the bytes are no reply or past a limit.
+    /// Returns [`Error::InvalidHead`] or [`Error::InvalidLength`] if the bytes are not a valid reply, and
+    /// [`Error::TooLong`] if the head or the body exceeds its limit.
     pub fn next_reply(&mut self, ended: bool) -> Result<Option<Reply>, Error> {
         loop {
             let Some(head_length) = self.head_length()? else { return Ok(None) };
@@ -54,17 +55,17 @@
         }
     }
 
-    /// Returns the length of the head without its end, once the end has come.
+    /// Returns the length of the head without its terminator, once the terminator has arrived.
     fn head_length(&self) -> Result<Option<usize>, Error> {
-        let found = self.buffer.windows(END_OF_HEAD.len()).position(|bytes| bytes == END_OF_HEAD);
-        if found.unwrap_or(self.buffer.len()) > MAX_HEAD {
+        let length = self.buffer.windows(END_OF_HEAD.len()).position(|bytes| bytes == END_OF_HEAD);
+        if length.unwrap_or(self.buffer.len()) > MAX_HEAD_BYTES {
             return Err(Error::TooLong);
         }
-        Ok(found)
+        Ok(length)
     }
 }
 
-/// Reads the body of a reply, and returns how many bytes it takes once it is whole.
+/// Reads the body of a reply, and returns its length in bytes on the wire once it is complete.
 fn read_body(rest: &[u8], reply: &mut Reply, ended: bool) -> Result<Option<usize>, Error> {
     let is_chunked = is_chunked(reply);
     check_lengths(reply, is_chunked)?;
@@ -79,7 +80,7 @@
         reply.body = rest[..length.min(rest.len())].to_vec();
         return Ok((rest.len() >= length).then_some(length));
     }
-    if rest.len() > MAX_BODY {
+    if rest.len() > MAX_BODY_BYTES {
         return Err(Error::TooLong);
     }
     reply.keep_alive = false;
@@ -92,13 +93,14 @@
     encoding.is_some_and(|encoding| encoding.to_ascii_lowercase().contains("chunked"))
 }
 
-/// Checks that the end of the body is known: two lengths that differ, or a length beside chunks, would make it a guess.
+/// Checks that the end of the body is unambiguous, which two different lengths or a length beside chunks
+/// would prevent.
 fn check_lengths(reply: &Reply, is_chunked: bool) -> Result<(), Error> {
     let mut lengths =
         reply.headers.iter().filter(|(name, _)| name == CONTENT_LENGTH).map(|(_, length)| length);
     let Some(first) = lengths.next() else { return Ok(()) };
     if is_chunked || lengths.any(|length| length != first) {
-        return Err(Error::BadLength);
+        return Err(Error::InvalidLength);
     }
     Ok(())
 }
@@ -106,24 +108,25 @@
 fn parse_length(text: &str, radix: u32) -> Result<usize, Error> {
     let text = text.trim();
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(Error::BadLength);
+        return Err(Error::InvalidLength);
     }
-    let n = usize::from_str_radix(text, radix).map_err(|_| Error::BadLength)?;
-    if n > MAX_BODY { Err(Error::TooLong) } else { Ok(n) }
+    let length = usize::from_str_radix(text, radix).map_err(|_| Error::InvalidLength)?;
+    if length > MAX_BODY_BYTES { Err(Error::TooLong) } else { Ok(length) }
 }
 
 fn read_head(head: &[u8]) -> Result<Reply, Error> {
-    let text = std::str::from_utf8(head).map_err(|_| Error::BadHead)?;
+    let text = std::str::from_utf8(head).map_err(|_| Error::InvalidHead)?;
     let mut lines = text.split("\r\n");
-    let mut first = lines.next().unwrap_or("").splitn(3, ' ');
-    let version = first.next().unwrap_or("");
+    let mut status_line = lines.next().unwrap_or("").splitn(3, ' ');
+    let version = status_line.next().unwrap_or("");
     if version != "HTTP/1.1" && version != "HTTP/1.0" {
-        return Err(Error::BadHead);
+        return Err(Error::InvalidHead);
     }
-    let status = first.next().filter(|s| s.len() == 3).and_then(|s| s.parse().ok()).ok_or(Error::BadHead)?;
+    let status =
+        status_line.next().filter(|s| s.len() == 3).and_then(|s| s.parse().ok()).ok_or(Error::InvalidHead)?;
     let mut headers = Vec::new();
     for line in lines {
-        let (name, value) = line.split_once(':').ok_or(Error::BadHead)?;
+        let (name, value) = line.split_once(':').ok_or(Error::InvalidHead)?;
         headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
     }
     let mut reply = Reply { status, headers, body: Vec::new(), keep_alive: true };
@@ -132,45 +135,45 @@
     Ok(reply)
 }
 
-/// Reads chunks into `body`, and returns how many bytes they take once the last has come.
+/// Reads chunks into `body`, and returns their length in bytes on the wire once the last one has arrived.
 fn read_chunks(bytes: &[u8], body: &mut Vec<u8>) -> Result<Option<usize>, Error> {
-    let mut at = 0;
+    let mut position = 0;
     loop {
-        let Some(end) = line_length(&bytes[at..])? else { return Ok(None) };
-        let line = std::str::from_utf8(&bytes[at..at + end]).map_err(|_| Error::BadLength)?;
+        let Some(end) = line_length(&bytes[position..])? else { return Ok(None) };
+        let line = std::str::from_utf8(&bytes[position..position + end]).map_err(|_| Error::InvalidLength)?;
         let size = parse_length(line.split(';').next().unwrap_or(""), 16)?;
-        at += end + END_OF_LINE.len();
+        position += end + END_OF_LINE.len();
         if size == 0 {
-            return trailers_end(bytes, at);
+            return trailers_end(bytes, position);
         }
-        if body.len() + size > MAX_BODY {
+        if body.len() + size > MAX_BODY_BYTES {
             return Err(Error::TooLong);
         }
-        let Some(chunk) = bytes.get(at..at + size + END_OF_LINE.len()) else { return Ok(None) };
+        let Some(chunk) = bytes.get(position..position + size + END_OF_LINE.len()) else { return Ok(None) };
         if !chunk.ends_with(END_OF_LINE) {
-            return Err(Error::BadLength);
+            return Err(Error::InvalidLength);
         }
         body.extend_from_slice(&chunk[..size]);
-        at += size + END_OF_LINE.len();
+        position += size + END_OF_LINE.len();
     }
 }
 
-/// Returns where the trailers that begin at `at` end, once their empty line has come.
-fn trailers_end(bytes: &[u8], mut at: usize) -> Result<Option<usize>, Error> {
+/// Returns the end of the trailers that start at `position`, once their empty line has arrived.
+fn trailers_end(bytes: &[u8], mut position: usize) -> Result<Option<usize>, Error> {
     loop {
-        let Some(length) = line_length(&bytes[at..])? else { return Ok(None) };
-        at += length + END_OF_LINE.len();
+        let Some(length) = line_length(&bytes[position..])? else { return Ok(None) };
+        position += length + END_OF_LINE.len();
         if length == 0 {
-            return Ok(Some(at));
+            return Ok(Some(position));
         }
     }
 }
 
-/// Returns the length of a line without its end, once the end has come.
+/// Returns the length of a line without its terminator, once the terminator has arrived.
 fn line_length(bytes: &[u8]) -> Result<Option<usize>, Error> {
-    let found = bytes.windows(END_OF_LINE.len()).position(|pair| pair == END_OF_LINE);
-    if found.is_none() && bytes.len() > MAX_HEAD {
+    let length = bytes.windows(END_OF_LINE.len()).position(|pair| pair == END_OF_LINE);
+    if length.is_none() && bytes.len() > MAX_HEAD_BYTES {
         return Err(Error::TooLong);
     }
-    Ok(found)
+    Ok(length)
 }
--- a/src/codec/http/error.rs
+++ b/src/codec/http/error.rs
@@ -1,15 +1,15 @@
-//! The error of bytes that are no reply.
+//! Error of the HTTP decoder.
 
-/// Why bytes are no reply.
+/// Reason why bytes can't be decoded as an HTTP reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The head is no head of HTTP/1.
-    #[error("no HTTP/1 reply")]
-    BadHead,
-    /// The head or body is past its limit.
+    /// The head is not a valid HTTP/1 reply head.
+    #[error("invalid HTTP/1 reply head")]
+    InvalidHead,
+    /// The head or body exceeds its length limit.
     #[error("reply too long")]
     TooLong,
-    /// A length or chunk size that can't be read.
-    #[error("bad length in a reply")]
-    BadLength,
+    /// A body length or chunk is malformed, or the stated lengths contradict each other.
+    #[error("invalid body length or chunk in reply")]
+    InvalidLength,
 }
--- a/src/codec/http/mod.rs
+++ b/src/codec/http/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 from the client's side: encodes a request, and decodes replies out of a growing buffer.
+//! HTTP/1.1 for clients: encodes requests, and decodes replies from a growing buffer.
 //!
 //! # Invariants
-//! - Head and body are bounded.
-//! - A reply is returned only once its last byte is there.
-//! - No input panics.
+//! - The lengths of head and body are bounded.
+//! - A reply is returned only once its last byte has arrived.
+//! - No input causes a panic.
 
 mod decoder;
 mod error;
--- a/src/codec/http/reply.rs
+++ b/src/codec/http/reply.rs
@@ -1,15 +1,15 @@
 //! An HTTP reply.
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The status code.
     pub status: u16,
-    /// Header fields, names in lower case.
+    /// Header fields, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the connection may carry a further request.
+    /// Whether the connection may be reused for another request.
     pub keep_alive: bool,
 }
 
--- a/src/codec/http/request.rs
+++ b/src/codec/http/request.rs
@@ -1,6 +1,6 @@
 //! Encoding of HTTP requests.
 
-/// Returns a request with its body as bytes.
+/// Encodes a request with its body.
 pub fn request(method: &str, path: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
--- a/src/codec/json/encode.rs
+++ b/src/codec/json/encode.rs
@@ -1,6 +1,6 @@
 //! Encoding of JSON strings.
 
-/// Appends a string in quotes, with escapes.
+/// Appends a string in quotes, escaped as needed.
 pub fn put_str(out: &mut String, text: &str) {
     out.push('"');
     for character in text.chars() {
--- a/src/codec/json/error.rs
+++ b/src/codec/json/error.rs
@@ -1,11 +1,11 @@
-//! The error of a text that is no JSON.
+//! Error of the JSON parser.
 
-/// Why a text is no JSON, and at which byte.
+/// Reason why a text is not valid JSON, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no JSON at byte {at}: {what}")]
+#[error("invalid JSON at byte {offset}: {reason}")]
 pub struct Error {
-    /// The byte, from 0.
-    pub at: usize,
-    /// What is wrong there.
-    pub what: &'static str,
+    /// Byte offset of the error, from 0.
+    pub offset: usize,
+    /// Description of the error.
+    pub reason: &'static str,
 }
--- a/src/codec/json/mod.rs
+++ b/src/codec/json/mod.rs
@@ -1,8 +1,8 @@
-//! JSON: parses one whole text into a value, and cuts a stream into lines.
+//! JSON: parses one complete text into a value, and splits a stream into lines.
 //!
 //! # Invariants
-//! - Nesting and the length of a line are bounded.
-//! - No input panics.
+//! - The depth of nesting and the length of a line are bounded.
+//! - No input causes a panic.
 
 mod encode;
 mod error;
--- a/src/codec/json/value.rs
+++ b/src/codec/json/value.rs
@@ -1,9 +1,10 @@
-//! A JSON value.
+//! Value of a JSON text.
 
-/// Upper end of the whole numbers that are read, below 2^53: each is exact as a double.
-const MAX_WHOLE: f64 = 9e15;
+/// Exclusive upper bound of the integers that are accepted. It is below 2^53, so that each is exact as a
+/// double.
+const MAX_INTEGER: f64 = 9e15;
 
-/// One value.
+/// A JSON value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// null
@@ -16,12 +17,13 @@
     Str(String),
     /// An array.
     Array(Vec<Value>),
-    /// An object, in the order of the text.
+    /// An object, with its members in the order of the text.
     Object(Vec<(String, Value)>),
 }
 
 impl Value {
-    /// Returns the first member of an object with this name.
+    /// Returns the value of the first member with this name; `None` if there is none or the value is no
+    /// object.
     pub fn get(&self, key: &str) -> Option<&Value> {
         match self {
             Value::Object(members) => members.iter().find(|(name, _)| name == key).map(|(_, value)| value),
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Returns the text of a string.
+    /// Returns the text if the value is a string.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             Value::Str(text) => Some(text),
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Returns the number.
+    /// Returns the number if the value is one.
     pub fn as_f64(&self) -> Option<f64> {
         match self {
             Value::Number(number) => Some(*number),
@@ -45,9 +47,9 @@
         }
     }
 
-    /// Returns the number if it is whole and not negative.
+    /// Returns the number if it is a non-negative integer below 9e15.
     pub fn as_u64(&self) -> Option<u64> {
-        let is_whole = |number: &f64| number.fract() == 0.0 && (0.0..MAX_WHOLE).contains(number);
-        self.as_f64().filter(is_whole).map(|number| number as u64)
+        let is_integer = |number: &f64| number.fract() == 0.0 && (0.0..MAX_INTEGER).contains(number);
+        self.as_f64().filter(is_integer).map(|number| number as u64)
     }
 }
--- a/src/codec/msgpack/decoder.rs
+++ b/src/codec/msgpack/decoder.rs
@@ -1,4 +1,4 @@
-//! The decoder of a stream of messages.
+//! Decoder for a stream of MessagePack messages.
 
 use super::error::Error;
 use super::reader::{ReadError, Reader};
@@ -9,30 +9,31 @@
 /// Message type of a request.
 const REQUEST_TYPE: Value = Value::Uint(0);
 
-/// Decodes whole messages from bytes in any pieces.
+/// Decodes complete messages from bytes that are fed in pieces of any size.
 #[derive(Default)]
 pub struct Decoder {
     buffer: Vec<u8>,
-    at: usize,
+    position: usize,
 }
 
 impl Decoder {
-    /// Adds bytes of the stream.
+    /// Appends bytes of the stream to the buffer.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.buffer.drain(..self.at);
-        self.at = 0;
+        self.buffer.drain(..self.position);
+        self.position = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next message if it is whole.
+    /// Returns the next message if it is complete.
     ///
     /// # Errors
-    /// If the bytes are no message or past a limit; nothing after them can be decoded.
+    /// Returns an [`Error`] if the bytes are not a valid message or exceed a limit. Nothing after them can be
+    /// decoded.
     pub fn next_message(&mut self) -> Result<Option<Value>, Error> {
-        let mut reader = Reader { bytes: &self.buffer[self.at..], at: 0, values: 0 };
+        let mut reader = Reader { bytes: &self.buffer[self.position..], position: 0, values_read: 0 };
         match reader.value(0) {
             Ok(value) => {
-                self.at += reader.at;
+                self.position += reader.position;
                 Ok(Some(value))
             }
             Err(ReadError::Incomplete) => Ok(None),
@@ -40,19 +41,19 @@
         }
     }
 
-    /// Returns whether all bytes were decoded.
+    /// Returns whether all bytes have been decoded.
     pub fn is_empty(&self) -> bool {
-        self.at == self.buffer.len()
+        self.position == self.buffer.len()
     }
 
-    /// Returns the message id of the request that the buffer begins with, whatever follows, to answer a request that
-    /// can't be decoded as a whole.
+    /// Returns the message id if the buffer starts with a request, regardless of what follows the id. It
+    /// serves to respond to a request that can't be decoded.
     pub fn request_id(&self) -> Option<u64> {
-        let mut reader = Reader { bytes: &self.buffer[self.at..], at: 0, values: 0 };
+        let mut reader = Reader { bytes: &self.buffer[self.position..], position: 0, values_read: 0 };
         let head = reader.take(1).ok()?[0];
-        let kind = reader.value(1).ok()?;
+        let message_type = reader.value(1).ok()?;
         match reader.value(1).ok()? {
-            Value::Uint(id) if head == REQUEST_ARRAY && kind == REQUEST_TYPE => Some(id),
+            Value::Uint(id) if head == REQUEST_ARRAY && message_type == REQUEST_TYPE => Some(id),
             _ => None,
         }
     }
--- a/src/codec/msgpack/encode.rs
+++ b/src/codec/msgpack/encode.rs
@@ -1,18 +1,18 @@
-//! Encoding of the few forms that responses need.
+//! Encoding of the few MessagePack types that responses need.
 
-/// Appends the head of an array of `n` elements.
-pub fn put_array(out: &mut Vec<u8>, n: u8) {
-    match n {
-        0..=15 => out.push(0x90 | n),
-        _ => out.extend([0xdc, 0, n]),
+/// Appends the header of an array of `length` elements.
+pub fn put_array(out: &mut Vec<u8>, length: u8) {
+    match length {
+        0..=15 => out.push(0x90 | length),
+        _ => out.extend([0xdc, 0, length]),
     }
 }
 
-/// Appends the head of a map of `n` pairs.
-pub fn put_map(out: &mut Vec<u8>, n: u8) {
-    match n {
-        0..=15 => out.push(0x80 | n),
-        _ => out.extend([0xde, 0, n]),
+/// Appends the header of a map of `length` pairs.
+pub fn put_map(out: &mut Vec<u8>, length: u8) {
+    match length {
+        0..=15 => out.push(0x80 | length),
+        _ => out.extend([0xde, 0, length]),
     }
 }
 
@@ -26,7 +26,7 @@
     out.push(if value { 0xc3 } else { 0xc2 });
 }
 
-/// Appends a whole number in its shortest form.
+/// Appends an unsigned integer in its shortest form.
 pub fn put_uint(out: &mut Vec<u8>, n: u64) {
     match n {
         0..=0x7f => out.push(n as u8),
@@ -59,7 +59,7 @@
     out.extend(text.as_bytes());
 }
 
-/// Appends bytes.
+/// Appends a byte string.
 pub fn put_bin(out: &mut Vec<u8>, bytes: &[u8]) {
     match bytes.len() {
         n @ 0..=255 => out.extend([0xc4, n as u8]),
--- a/src/codec/msgpack/error.rs
+++ b/src/codec/msgpack/error.rs
@@ -1,15 +1,15 @@
-//! The error of bytes that are no message.
+//! Error of the MessagePack decoder.
 
-/// Why bytes are no message.
+/// Reason why bytes can't be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Longer than [`MAX_MESSAGE`](super::MAX_MESSAGE), or too many values.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`](super::MAX_MESSAGE_BYTES) or has too many values.
     #[error("message too long")]
     TooLong,
-    /// Nested too deep.
-    #[error("message nested too deep")]
+    /// The message is nested too deeply.
+    #[error("message nested too deeply")]
     TooDeep,
-    /// A byte that begins no value.
-    #[error("no MessagePack")]
-    BadByte,
+    /// A byte in the place of a type marker is no valid marker.
+    #[error("invalid MessagePack")]
+    InvalidMarker,
 }
--- a/src/codec/msgpack/value.rs
+++ b/src/codec/msgpack/value.rs
@@ -1,16 +1,16 @@
-//! A MessagePack value.
+//! Value of a MessagePack message.
 
-/// One value. Strings are bytes: they are checked as UTF-8 where they are used, so that a message with an invalid one
-/// can still be tied to its id.
+/// A MessagePack value. Strings are bytes and are checked as UTF-8 only where they are used, so that a
+/// message with an invalid string can still be attributed to its message id.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// nil
     Nil,
     /// A boolean.
     Bool(bool),
-    /// A whole number from 0.
+    /// A non-negative integer.
     Uint(u64),
-    /// A whole number under 0.
+    /// A negative integer.
     Int(i64),
     /// A floating-point number.
     Float(f64),
@@ -20,8 +20,8 @@
     Bin(Vec<u8>),
     /// An array.
     Array(Vec<Value>),
-    /// A map, in the order of the wire.
+    /// A map, with its pairs in the order of the wire.
     Map(Vec<(Value, Value)>),
-    /// An extension, whose content is skipped.
+    /// An extension value, whose content is skipped.
     Ext,
 }
--- a/src/server/frontend/client_log.rs
+++ b/src/server/frontend/client_log.rs
@@ -1,4 +1,4 @@
-//! The log lines that clients can cause, as often as they like: those that repeat are counted.
+//! Log lines that clients can cause at any rate. Repeated lines are counted instead of written.
 
 use super::connection::Connection;
 use super::connection_state::{FinishReason, MIN_LINGER_MS};
@@ -11,26 +11,28 @@
 use std::cell::RefCell;
 use std::io;
 
-/// The most lines in a window that name the single client or panic: each is evidence of its own.
+/// Maximum number of lines per window for kinds whose lines name a single client or panic: each line is
+/// evidence of its own.
 const SINGLE_EVENTS_PER_WINDOW: u32 = 20;
 
-/// The kind of a line, which says what its repetitions have in common.
+/// Kind of a log line. Lines of the same kind count as repetitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientLine {
-    /// A connection was closed on this error.
+    /// A connection was closed because of this error.
     ConnectionError(ConnectionError),
-    /// Bytes came on a connection that had ended.
+    /// Bytes arrived on a connection that had ended.
     DiscardedBytes {
-        /// Why it had ended.
+        /// Reason why the connection had ended.
         reason: FinishReason,
-        /// Whether they came later than the protocol has a request sent again.
+        /// Whether the bytes arrived after the time within which the protocol has a crossing request sent
+        /// again.
         late: bool,
     },
     /// A request ended late.
     LateRequest(RequestEnd),
-    /// There are nearly as many connections as there may be.
+    /// The number of connections is close to its limit.
     NearLimit,
-    /// A connection could not be accepted; the system's number of the error.
+    /// A connection could not be accepted; holds the system's error number.
     AcceptingPaused(Option<i32>),
     /// The task of a connection panicked.
     TaskPanicked,
@@ -60,19 +62,19 @@
     }
 }
 
-/// Writes the lines that clients cause.
+/// Writes the log lines that clients can cause.
 pub struct ClientLog {
     log: Logger,
     lines: RefCell<RepeatedLines<ClientLine>>,
 }
 
 impl ClientLog {
-    /// Returns one that writes to `log`.
+    /// Returns a client log that writes to `log`.
     pub fn new(log: Logger) -> ClientLog {
         ClientLog { log, lines: RefCell::default() }
     }
 
-    /// A connection was closed on an error.
+    /// Logs that a connection was closed because of an error.
     pub(super) fn connection_error(&self, now: f64, error: ConnectionError) {
         let line = ClientLine::ConnectionError(error);
         if self.admits(now, line) {
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Bytes came on a connection that this server had ended; a request among them is not accepted.
+    /// Logs bytes that arrived on a connection that this server had ended. A request among them is not
+    /// accepted.
     pub(super) fn discarded_bytes(&self, now: f64, connection: &Connection, length: usize) {
         let Some((ended_at, reason)) = connection.state.borrow().finishing_since() else { return };
         if reason == FinishReason::ClosedByTask {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// A request ended, perhaps late.
+    /// Logs the end of a request if it is late.
     pub(super) fn request_ended(
         &self,
         now: f64,
@@ -118,7 +121,7 @@
             "attempt" => format!("{:016x}", request.attempt));
     }
 
-    /// A connection was added past the part that is kept free.
+    /// Logs that a connection was added past the reserve that is kept free.
     pub(super) fn near_limit(&self, now: f64, open: usize, limit: usize) {
         let line = ClientLine::NearLimit;
         if self.admits(now, line) {
@@ -126,7 +129,7 @@
         }
     }
 
-    /// A connection could not be accepted.
+    /// Logs that a connection could not be accepted.
     pub(super) fn accepting_paused(&self, now: f64, error: &io::Error, open: usize) {
         let line = ClientLine::AcceptingPaused(error.raw_os_error());
         if self.admits(now, line) {
@@ -135,7 +138,7 @@
         }
     }
 
-    /// The task of a connection panicked.
+    /// Logs that the task of a connection panicked.
     pub(super) fn task_panicked(&self, now: f64, panic: &Panic) {
         let line = ClientLine::TaskPanicked;
         if self.admits(now, line) {
@@ -143,21 +146,21 @@
         }
     }
 
-    /// Tells the repetitions of the windows that are over.
-    pub(super) fn tell_repeated(&self, now: f64) {
+    /// Logs the repetitions of the windows that have ended.
+    pub(super) fn log_repetitions(&self, now: f64) {
         let ended = self.lines.borrow_mut().end_windows(now);
         ended.into_iter().for_each(|repeated| self.write_repeated(repeated));
     }
 
-    /// Tells all repetitions: the listener ends.
-    pub(super) fn tell_all_repeated(&self) {
+    /// Logs all repetitions when the listener ends.
+    pub(super) fn log_all_repetitions(&self) {
         let ended = self.lines.borrow_mut().end_all();
         ended.into_iter().for_each(|repeated| self.write_repeated(repeated));
     }
 
-    /// Counts a line, and returns whether it has to be written.
+    /// Counts a line, and returns whether it is to be written.
     fn admits(&self, now: f64, line: ClientLine) -> bool {
-        self.tell_repeated(now);
+        self.log_repetitions(now);
         self.lines.borrow_mut().admit(now, line)
     }
 
--- a/src/server/frontend/connection.rs
+++ b/src/server/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one connection that its task and the connection table share.
+//! State of one connection, shared by its task and the connection table.
 
 use super::connection_state::{
     CloseCause, ConnectionPolicy, ConnectionState, EvictionRank, FinishReason, Transition,
@@ -13,45 +13,47 @@
 use std::net::{Shutdown, TcpStream};
 use std::rc::{Rc, Weak};
 
-/// Requests open on one connection, past which further ones are invalid: the protocol allows half as many.
+/// Maximum number of open requests on one connection; further ones are invalid. The protocol allows half as
+/// many.
 const MAX_OPEN_REQUESTS: usize = 64;
-/// Responses that wait for the writer of a connection, past which it is closed.
+/// Maximum number of responses queued for the writer of a connection. Past it the connection is closed.
 const RESPONSE_QUEUE_CAPACITY: usize = 2 * MAX_OPEN_REQUESTS;
 
-/// A request whose response is owed.
+/// A request whose response is pending.
 pub(super) struct OpenRequest {
-    /// The dispatcher's id.
+    /// Id of the request in the dispatcher.
     pub(super) id: RequestId,
-    /// How far it has come.
+    /// Progress of the request through its stages.
     pub(super) progress: Rc<RequestProgress>,
 }
 
-/// What became of what is owed to a message, when its response is there.
+/// What a response that is about to be written belongs to.
 pub(super) enum Settlement {
-    /// It is a request's, which was open.
+    /// The response belongs to this request, which was open.
     Request(OpenRequest),
-    /// It is that of a health check or of an invalid request.
+    /// The response belongs to a health check or an invalid request.
     Other,
-    /// No response is owed any more.
+    /// The response is no longer pending and must not be written.
     NotOwed,
 }
 
 /// One client connection.
 pub(super) struct Connection {
-    /// Its socket, while its task has it.
+    /// Socket of the connection, while the connection's task owns it.
     socket: Weak<Async<TcpStream>>,
-    /// When it was accepted, Unix ms.
+    /// Time at which the connection was accepted, Unix ms.
     pub(super) accepted_at: f64,
-    /// Its state machine.
+    /// State machine of the connection.
     pub(super) state: RefCell<ConnectionState>,
-    /// Whether all responses are written and only the client's close is awaited, so that it may be dropped.
+    /// Whether all responses are written and only the client's close is awaited, so that the connection may
+    /// be dropped.
     pub(super) is_lingering: Cell<bool>,
     responses: Sender<ConnectionMessage>,
-    /// Whether the writer has bytes in hand.
+    /// Whether the writer is writing bytes to the socket.
     pub(super) is_writing: Cell<bool>,
     /// Open requests by message id.
     open_requests: RefCell<HashMap<u64, OpenRequest>>,
-    /// Responses owed to health checks and to invalid requests.
+    /// Number of pending responses to health checks and invalid requests.
     other_responses_owed: Cell<usize>,
 }
 
@@ -72,7 +74,7 @@
         (connection, receiver)
     }
 
-    /// Returns whether a response is still owed.
+    /// Returns whether a response is still pending.
     pub(super) fn response_owed(&self) -> bool {
         !self.open_requests.borrow().is_empty() || self.other_responses_owed.get() > 0
     }
@@ -87,27 +89,28 @@
         self.state.borrow().eviction_rank(now, self.response_owed())
     }
 
-    /// Returns whether bytes of the client wait in the system's buffer: a request may be among them, which a close would
-    /// lose.
+    /// Returns whether unread bytes of the client are in the system's receive buffer. They may hold a
+    /// request, which a close would lose.
     fn has_unread_bytes(&self) -> bool {
         let Some(socket) = self.socket.upgrade() else { return false };
         matches!(socket.get_ref().peek(&mut [0]), Ok(length) if length > 0)
     }
 
-    /// Returns the client's address as text, for the log.
+    /// Returns the client's address as text, for the log; `gone` once the socket is closed.
     pub(super) fn client_address(&self) -> String {
         let address = self.socket.upgrade().and_then(|socket| socket.get_ref().peer_addr().ok());
         address.map_or_else(|| "gone".to_owned(), |address| address.to_string())
     }
 
-    /// Returns whether the connection stays open for bytes that are still unread.
+    /// Returns whether the connection stays open because of unread bytes.
     fn is_held_open(&self, now: f64, cause: CloseCause) -> bool {
         let has_unread_bytes = self.state.borrow().awaits_turn() || self.has_unread_bytes();
         has_unread_bytes && self.state.borrow_mut().hold_open_for_unread_bytes(now, cause)
     }
 
-    /// Advances the state machine to `now`: notifies an idle client, and closes the connection if it stays and has sent
-    /// nothing that is still unread.
+    /// Advances the state machine to `now`: notifies an idle client, and closes the connection if a time
+    /// limit has passed and no bytes are unread. At the end of the process it closes the connection in any
+    /// case.
     pub(super) fn advance(&self, now: f64, policy: ConnectionPolicy) {
         let would_finish = self.state.borrow().would_finish(now, self.response_owed(), policy);
         if would_finish && !policy.finish_all {
@@ -120,8 +123,9 @@
         self.carry_out(transition);
     }
 
-    /// Evicts the connection and returns true, unless bytes of the client are still unread. Its client is notified; what
-    /// crosses the notification is served, and a later [`Connection::advance`] closes the connection.
+    /// Evicts the connection and returns true, unless bytes of the client are still unread. The client is
+    /// notified; requests that cross the notification are served, and a later [`Connection::advance`] closes
+    /// the connection.
     pub(super) fn try_evict(&self, now: f64) -> bool {
         if self.is_held_open(now, CloseCause::Eviction) {
             return false;
@@ -140,8 +144,8 @@
         }
     }
 
-    /// Closes the queue of responses, and where nothing waits to be written shuts the socket's sending side at once: the
-    /// client then sees the end before anything can hold up the connection's task.
+    /// Closes the response queue. If no response waits to be written, the sending side of the socket is shut
+    /// down at once: the client then sees the end even if the connection's task is delayed.
     fn close_sending_side(&self) {
         let is_writer_idle = self.responses.is_empty() && !self.is_writing.get();
         if let Some(socket) = self.socket.upgrade().filter(|_| is_writer_idle) {
@@ -150,7 +154,7 @@
         self.close_response_queue();
     }
 
-    /// Accepts no request and no response from `now` on.
+    /// Stops accepting requests and responses from `now` on.
     pub(super) fn finish(&self, now: f64) {
         self.state.borrow_mut().finish(now, FinishReason::ClosedByTask);
         self.close_response_queue();
@@ -166,12 +170,12 @@
         self.responses.close();
     }
 
-    /// Returns whether the queue of responses is closed.
+    /// Returns whether the response queue is closed.
     pub(super) fn is_response_queue_closed(&self) -> bool {
         self.responses.is_closed()
     }
 
-    /// Returns where the response to a message goes.
+    /// Returns the handle to which the response to a message is sent.
     pub(super) fn reply_handle(&self, message_id: u64) -> ReplyHandle {
         ReplyHandle { mailbox: self.responses.clone(), tag: message_id, class: None, progress: None }
     }
@@ -181,33 +185,33 @@
         self.open_requests.borrow().contains_key(&message_id)
     }
 
-    /// Returns whether a further request may be opened.
+    /// Returns whether another request may be opened.
     pub(super) fn may_open_request(&self) -> bool {
         self.open_requests.borrow().len() < MAX_OPEN_REQUESTS
     }
 
-    /// Opens a request.
+    /// Adds an open request.
     pub(super) fn open_request(&self, message_id: u64, request: OpenRequest) {
         self.open_requests.borrow_mut().insert(message_id, request);
     }
 
-    /// Closes a request whose client no longer waits, and returns it.
+    /// Removes and returns an open request whose client no longer waits.
     pub(super) fn cancel_request(&self, message_id: u64) -> Option<OpenRequest> {
         self.open_requests.borrow_mut().remove(&message_id)
     }
 
-    /// Closes all requests and returns them.
+    /// Removes and returns all open requests.
     pub(super) fn cancel_all_requests(&self) -> Vec<OpenRequest> {
         self.open_requests.borrow_mut().drain().map(|(_, request)| request).collect()
     }
 
-    /// Records that a response is owed to a health check or an invalid request.
+    /// Records a pending response to a health check or an invalid request.
     pub(super) fn expect_other_response(&self) {
         self.other_responses_owed.set(self.other_responses_owed.get() + 1);
     }
 
-    /// Settles what is owed to a message, whose response has to be written if it is owed. A request that the client
-    /// cancelled is owed none.
+    /// Settles a message whose response has arrived, and returns what the response belongs to. A request that
+    /// the client cancelled is no longer owed a response.
     pub(super) fn settle(&self, message_id: u64, response: &Response) -> Settlement {
         if let Some(request) = self.open_requests.borrow_mut().remove(&message_id) {
             return Settlement::Request(request);
--- a/src/server/frontend/connection_state.rs
+++ b/src/server/frontend/connection_state.rs
@@ -1,53 +1,55 @@
-//! State machine of a client connection: when its client is notified to send nothing new, and when it is closed.
+//! State machine of a client connection: when its client is notified to send no new request, and when it is
+//! closed.
 //!
-//! A connection serves; its client is notified, because it was idle, the server drains, or it makes room for others; it
-//! finishes: the responses that are owed go out, the sending side is shut, and further bytes are read and discarded,
-//! because a close over unread bytes would reset the connection and lose responses. Between the notification and the
-//! finish, requests that crossed the notification are served. The state machine has no socket and no clock.
+//! A connection is first served. Its client is notified because the connection was idle, the server drains,
+//! or the connection makes room for others. Then the connection finishes: pending responses are written, the
+//! sending side is shut down, and further bytes are read and discarded, because closing a socket with unread
+//! bytes would reset the connection and lose responses. Between the notification and the finish, requests
+//! that crossed the notification are served. The state machine has no socket and no clock.
 //!
 //! # Invariants
-//! - While a response is owed, a connection finishes only at the end of the process or by an explicit
+//! - While a response is pending, a connection finishes only at the end of the process or by an explicit
 //!   [`ConnectionState::finish`].
-//! - A connection that finishes accepts no request.
+//! - A finishing connection accepts no request.
 
 use std::cmp::Ordering;
 use std::fmt;
 
-/// Time limit for the first whole request of a connection, and for a message from its first byte to its last, ms. The
-/// platform allows three seconds in all; a well-behaved client sends within a round trip.
+/// Time limit for the first complete request of a connection, and for a message from its first byte to its
+/// last, ms. The platform allows three seconds in total; a well-behaved client sends within a round trip.
 pub const MESSAGE_TIMEOUT_MS: f64 = 2000.0;
-/// Time that a client has to close a connection after the shutdown notification, ms.
+/// Time that a client has to close its connection after the shutdown notification, ms.
 pub const CLOSE_GRACE_MS: f64 = 1000.0;
-/// Time for which bytes are read and discarded after the sending side was shut, ms: a client that reads sees the end
-/// within a round trip.
+/// Time for which bytes are read and discarded after the sending side was shut down, ms. A client that reads
+/// sees the end within a round trip.
 pub const LINGER_TIMEOUT_MS: f64 = 1000.0;
-/// Shortest time for which bytes are discarded where descriptors are short, ms: within it the protocol has a request
-/// that crosses a close sent again.
+/// Minimum time for which bytes are discarded when descriptors are scarce, ms. Within it the protocol has a
+/// client resend a request that crosses a close.
 pub const MIN_LINGER_MS: f64 = 50.0;
-/// Longest time for which unread bytes keep a connection open that would be closed, ms: from when they are found until a
-/// request is read. It covers the longest stall that is not excluded from a client's times, and together with
-/// [`MESSAGE_TIMEOUT_MS`] stays within the three seconds that the platform allows.
+/// Maximum time for which unread bytes keep open a connection that would otherwise be closed, ms: from their
+/// detection until a request is read. It covers the longest stall that is not excluded from a client's times,
+/// and together with [`MESSAGE_TIMEOUT_MS`] stays within the three seconds that the platform allows.
 pub const UNREAD_GRACE_MS: f64 = 800.0;
-/// Age below which a connection without a request is not evicted, ms: its first request may be on its way.
+/// Age below which a connection without a request is not evicted, ms: its first request may be in transit.
 const NEW_CONNECTION_GRACE_MS: f64 = 50.0;
-/// Time for which an evicted connection is still served after its client was notified, ms: the protocol's limit for a
-/// request that crosses the notification.
+/// Time for which an evicted connection is still served after its client was notified, ms. It is the
+/// protocol's limit for a request that crosses the notification.
 pub const EVICTION_GRACE_MS: f64 = 50.0;
 
-/// Why a connection finishes.
+/// Reason why a connection finishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinishReason {
-    /// No whole request came in time.
+    /// The client sent no complete request in time.
     NoRequestInTime,
-    /// A message was not complete in time.
+    /// A message was not completed in time.
     MessageNotCompleted,
-    /// Its client was notified, and did not close it in time.
+    /// The client was notified and did not close the connection in time.
     CloseGraceOver,
-    /// Its client was notified, and it made room for others.
+    /// The client was notified and the connection evicted to make room for others.
     Evicted,
-    /// The process ends.
+    /// The process is ending.
     ProcessEnds,
-    /// Its client closed it or broke the protocol.
+    /// The client closed the connection or broke the protocol.
     ClosedByTask,
 }
 
@@ -64,49 +66,49 @@
     }
 }
 
-/// What has to be done with a connection.
+/// Action that the caller has to carry out on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// Nothing.
+    /// Do nothing.
     Stay,
-    /// Notify the client to send nothing new.
+    /// Notify the client to send no new request.
     NotifyShutdown,
-    /// Send the responses that are queued, and close.
+    /// Write the queued responses and close the connection.
     Finish,
 }
 
-/// What the listener asks of all connections.
+/// Policy of the listener for all connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionPolicy {
-    /// Clients of connections idle for this long are notified, ms.
+    /// Idle time after which a client is notified, ms.
     pub idle_timeout_ms: f64,
-    /// The server drains: all clients are notified.
+    /// Whether the server drains, so that all clients are notified.
     pub notify_all: bool,
-    /// The process ends: all connections finish, whatever is owed.
+    /// Whether the process is ending, so that all connections finish even with responses pending.
     pub finish_all: bool,
 }
 
-/// How far the bytes that have come were understood.
+/// Result of decoding all bytes received so far.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadProgress {
-    /// At least one message was read whole.
+    /// Whether at least one message was completed.
     pub completed_message: bool,
-    /// The bytes end within a message.
+    /// Whether the bytes end within a message.
     pub ends_in_partial_message: bool,
 }
 
-/// How much a connection would be missed if it were evicted. The lowest is evicted first: a connection that never sent
-/// a request, else the one idle longest.
+/// Rank of a connection for eviction. The lowest rank is evicted first: a connection that never sent a
+/// request, otherwise the one idle longest.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EvictionRank {
-    /// Whether a request was ever read.
+    /// Whether a request was ever read on the connection.
     pub sent_request: bool,
-    /// When bytes were last carried, ms.
+    /// Time at which bytes were last read or written, ms.
     pub last_activity: f64,
 }
 
 impl EvictionRank {
-    /// Compares two ranks, the first to be evicted first.
+    /// Compares two ranks; the lower one is evicted first.
     pub fn total_cmp(&self, other: &EvictionRank) -> Ordering {
         self.sent_request.cmp(&other.sent_request).then(self.last_activity.total_cmp(&other.last_activity))
     }
@@ -115,11 +117,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Serving,
-    /// The client was notified at that time.
+    /// The client was notified at this time.
     Notified(f64),
-    /// The client was notified at that time, and the connection makes room for others.
+    /// The client was notified at this time, and the connection is evicted to make room for others.
     Evicting(f64),
-    /// Nothing is accepted since that time.
+    /// No request has been accepted since this time, for this reason.
     Finishing(f64, FinishReason),
 }
 
@@ -131,25 +133,26 @@
     sent_request: bool,
     partial_message_since: Option<f64>,
     last_activity: f64,
-    /// When bytes were last read.
+    /// Time at which bytes were last read.
     last_read_at: f64,
-    /// Whether its reader waits for a turn of the event loop.
+    /// Whether the connection's reader waits for a turn of the event loop.
     awaits_turn: bool,
-    /// Since when unread bytes have kept the connection from each close, without a request.
+    /// Times since which unread bytes have prevented a close, reset by each request.
     held_open: HeldOpen,
 }
 
-/// What would close a connection that has unread bytes.
+/// Cause for closing a connection that has unread bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseCause {
-    /// A time limit.
+    /// A time limit has passed.
     TimeLimit,
-    /// Room for others.
+    /// The connection is to make room for others.
     Eviction,
 }
 
-/// Since when unread bytes have kept a connection from a close, by its cause. What was found long before a time limit,
-/// where the connection was to make room, takes nothing of the time that its client has at the limit.
+/// Times since which unread bytes have prevented a close, one for each cause. They are kept apart so that an
+/// attempt at eviction long before a time limit doesn't shorten the grace time that the client has at the
+/// limit.
 #[derive(Clone, Copy, Debug, Default)]
 struct HeldOpen {
     time_limit_since: Option<f64>,
@@ -186,8 +189,8 @@
         }
     }
 
-    /// Moves all times by `stalled_ms`, for which the event loop stood still: bytes that came meanwhile wait unread,
-    /// so the silence was not the client's.
+    /// Shifts all times by `stalled_ms`, for which the event loop stalled. Bytes that arrived meanwhile are
+    /// still unread, so the client must not be taken for silent.
     pub fn exclude_stall(&mut self, stalled_ms: f64) {
         self.accepted_at += stalled_ms;
         self.last_activity += stalled_ms;
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Records that bytes were carried, in either direction.
+    /// Records that bytes were read or written.
     pub fn record_activity(&mut self, now: f64) {
         self.last_activity = now;
     }
@@ -211,19 +214,20 @@
         self.record_activity(now);
     }
 
-    /// Records whether its reader waits for a turn of the event loop.
+    /// Records whether the connection's reader waits for a turn of the event loop.
     pub fn set_awaits_turn(&mut self, awaits_turn: bool) {
         self.awaits_turn = awaits_turn;
     }
 
-    /// Returns whether its reader waits for a turn of the event loop.
+    /// Returns whether the connection's reader waits for a turn of the event loop.
     pub fn awaits_turn(&self) -> bool {
         self.awaits_turn
     }
 
-    /// Records that bytes were found unread where the connection would be closed, and returns whether it stays open for
-    /// them: for [`UNREAD_GRACE_MS`], so that a client that sends no request can't stay by sending other bytes. Where its
-    /// reader waits for a turn, it stays in any case until it has been read once.
+    /// Records that the connection has unread bytes when it is about to be closed, and returns whether it
+    /// stays open for them. It does so for at most [`UNREAD_GRACE_MS`], so that a client can't keep it open
+    /// by sending bytes that contain no request. While its reader waits for a turn, it stays open in any case
+    /// until it has been read once.
     pub fn hold_open_for_unread_bytes(&mut self, now: f64, cause: CloseCause) -> bool {
         let since = *self.held_open.since_mut(cause).get_or_insert(now);
         let awaits_first_read = self.awaits_turn && self.last_read_at <= since;
@@ -240,7 +244,7 @@
         self.held_open = HeldOpen::default();
     }
 
-    /// Records that all bytes that have come were decoded.
+    /// Records that all bytes received so far were decoded.
     pub fn record_read(&mut self, progress: ReadProgress) {
         let previous = self.partial_message_since.filter(|_| !progress.completed_message);
         let since = previous.unwrap_or(self.last_activity);
@@ -252,23 +256,25 @@
         !matches!(self.phase, Phase::Finishing(..))
     }
 
-    /// Returns whether the connection is evicted or finishes, so that its descriptor becomes free soon.
+    /// Returns whether the connection is being evicted or is finishing, so that its descriptor becomes free
+    /// soon.
     pub fn is_leaving(&self) -> bool {
         matches!(self.phase, Phase::Evicting(_) | Phase::Finishing(..))
     }
 
-    /// Returns whether a connection whose responses are all written may be dropped where descriptors are short: for
-    /// [`MIN_LINGER_MS`] its client knows that it ends. An evicted client was notified before the connection finished.
+    /// Returns whether a connection whose responses are all written may be dropped when descriptors are
+    /// scarce: its client must have known of the end for [`MIN_LINGER_MS`]. The client of an evicted
+    /// connection was notified before the connection finished.
     pub fn may_stop_lingering(&self, now: f64) -> bool {
         let Phase::Finishing(finished_at, reason) = self.phase else { return false };
-        let client_knows_since = match reason {
+        let client_informed_at = match reason {
             FinishReason::Evicted => self.last_activity.max(finished_at - EVICTION_GRACE_MS),
             _ => finished_at,
         };
-        now - client_knows_since >= MIN_LINGER_MS
+        now - client_informed_at >= MIN_LINGER_MS
     }
 
-    /// Returns since when and why no request is accepted.
+    /// Returns since when and why the connection has accepted no request; `None` while it accepts requests.
     pub fn finishing_since(&self) -> Option<(f64, FinishReason)> {
         match self.phase {
             Phase::Finishing(at, reason) => Some((at, reason)),
@@ -276,15 +282,15 @@
         }
     }
 
-    /// Accepts no request from `now` on.
+    /// Stops accepting requests from `now` on.
     pub fn finish(&mut self, now: f64, reason: FinishReason) {
         if self.accepts_requests() {
             self.phase = Phase::Finishing(now, reason);
         }
     }
 
-    /// Evicts the connection and returns what has to be done. It is served for [`EVICTION_GRACE_MS`] from when its client
-    /// was notified, and while a response is owed.
+    /// Evicts the connection and returns the action to carry out. The connection is served for
+    /// [`EVICTION_GRACE_MS`] after its client was notified, and while a response is pending.
     pub fn evict(&mut self, now: f64) -> Transition {
         match self.phase {
             Phase::Serving => {
@@ -299,12 +305,13 @@
         }
     }
 
-    /// Returns whether [`ConnectionState::advance`] would let it finish.
+    /// Returns whether [`ConnectionState::advance`] would finish the connection.
     pub fn would_finish(&self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> bool {
         self.accepts_requests() && self.finish_reason(now, response_owed, policy).is_some()
     }
 
-    /// Advances to `now` and returns what has to be done; `response_owed` says whether a response is still owed.
+    /// Advances to `now` and returns the action to carry out; `response_owed` states whether a response is
+    /// pending.
     pub fn advance(&mut self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> Transition {
         if !self.accepts_requests() {
             return Transition::Stay;
@@ -329,7 +336,7 @@
         }
     }
 
-    /// Returns why a connection that is not finishing has to finish; `None` if it does not.
+    /// Returns why a connection that is not finishing has to finish; `None` if it doesn't have to.
     fn finish_reason(&self, now: f64, response_owed: bool, policy: ConnectionPolicy) -> Option<FinishReason> {
         if policy.finish_all {
             return Some(FinishReason::ProcessEnds);
@@ -337,7 +344,7 @@
         if response_owed {
             return None;
         }
-        // Silence and partial messages cost a descriptor and a buffer that other clients need.
+        // A silent connection and a partial message occupy a descriptor and a buffer that other clients need.
         if !self.sent_request && now - self.accepted_at >= MESSAGE_TIMEOUT_MS {
             return Some(FinishReason::NoRequestInTime);
         }
@@ -353,8 +360,8 @@
         }
     }
 
-    /// Returns the rank for eviction, or `None` while the connection can't be evicted: it is leaving, a response is owed,
-    /// or it is so new that its first request may be on its way.
+    /// Returns the rank for eviction, or `None` while the connection can't be evicted: it is leaving, a
+    /// response is pending, or it is so new that its first request may be in transit.
     pub fn eviction_rank(&self, now: f64, response_owed: bool) -> Option<EvictionRank> {
         let is_new = !self.sent_request && now - self.accepted_at < NEW_CONNECTION_GRACE_MS;
         let evictable = !self.is_leaving() && !response_owed && !is_new;
--- a/src/server/frontend/connection_table.rs
+++ b/src/server/frontend/connection_table.rs
@@ -1,4 +1,4 @@
-//! The connections that are open, each with its task, and their number against its limit.
+//! The table of open connections and their tasks, which enforces the limit on their number.
 
 use super::connection::Connection;
 use super::connection_state::ConnectionPolicy;
@@ -13,10 +13,10 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The part of the connections, as a divisor, that is kept free by closing idle ones.
-const FREE_DIVISOR: usize = 8;
+/// The connection limit divided by this is the reserve of connections that closing idle ones keeps free.
+const RESERVE_DIVISOR: usize = 8;
 
-/// Whether an idle connection is evicted when one is added past the part that is kept free.
+/// Whether an idle connection is evicted when one is added past the reserve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Eviction {
     /// An idle connection is evicted.
@@ -25,7 +25,7 @@
     Deferred,
 }
 
-/// A connection and its task; the task ends when this is dropped.
+/// A connection and its task. Dropping the entry ends the task.
 struct Entry {
     connection: Rc<Connection>,
     _task: Task<()>,
@@ -34,7 +34,7 @@
 /// The open connections.
 pub(super) struct ConnectionTable {
     context: Rc<FrontendContext>,
-    /// Takes the end of each connection's task.
+    /// Queue of the listener, to which the end of each connection's task is reported.
     closed: Sender<ListenerMessage>,
     executor: Rc<LocalExecutor<'static>>,
     max_connections: usize,
@@ -70,7 +70,7 @@
         self.entries.is_empty()
     }
 
-    /// Returns whether a further connection may be added.
+    /// Returns whether another connection may be added.
     pub(super) fn has_capacity(&self) -> bool {
         self.len() < self.max_connections
     }
@@ -94,7 +94,7 @@
         };
         self.entries.insert(self.last_number, Entry { connection, _task: task });
         fault_injection::pass_stop(StopPoint::ConnectionAccepted);
-        if !self.is_tight() {
+        if !self.exceeds_eviction_threshold() {
             return;
         }
         if eviction == Eviction::Allowed {
@@ -115,27 +115,27 @@
         }
     }
 
-    /// Advances all connections to `now`. Past the part that is kept free, lingering connections are dropped early and
-    /// idle ones are evicted.
+    /// Advances all connections to `now`. While there are too many to keep the reserve free, lingering
+    /// connections are dropped early and idle ones are evicted.
     pub(super) fn sweep(&mut self, now: f64, policy: ConnectionPolicy) {
-        if self.is_tight() {
+        if self.exceeds_eviction_threshold() {
             self.drop_lingering(now);
             let is_leaving = |entry: &&Entry| entry.connection.state.borrow().is_leaving();
             let staying = self.len() - self.entries.values().filter(is_leaving).count();
-            self.evict(now, staying.saturating_sub(self.comfortable_len()));
+            self.evict(now, staying.saturating_sub(self.eviction_threshold()));
         }
         for entry in self.entries.values() {
             entry.connection.advance(now, policy);
         }
     }
 
-    /// Returns the number of connections up to which none has to be evicted.
-    fn comfortable_len(&self) -> usize {
-        self.max_connections - self.max_connections / FREE_DIVISOR
+    /// Returns the number of connections up to which the reserve is free and none is evicted.
+    fn eviction_threshold(&self) -> usize {
+        self.max_connections - self.max_connections / RESERVE_DIVISOR
     }
 
-    fn is_tight(&self) -> bool {
-        self.len() > self.comfortable_len()
+    fn exceeds_eviction_threshold(&self) -> bool {
+        self.len() > self.eviction_threshold()
     }
 
     fn drop_lingering(&mut self, now: f64) {
@@ -145,8 +145,9 @@
         });
     }
 
-    /// Evicts up to `count` idle connections, those of the lowest rank first, so that clients that open connections by
-    /// the hundred, or send once and stay, do not keep others out. One that turns out to have unread bytes is passed over.
+    /// Evicts up to `count` idle connections, those of the lowest rank first, so that clients that open
+    /// hundreds of connections, or send one request and stay connected, don't keep others out. A connection
+    /// with unread bytes is skipped.
     fn evict(&self, now: f64, count: usize) {
         let rank = |entry: &Entry| Some((entry.connection.eviction_rank(now)?, entry.connection.clone()));
         let mut ranked: Vec<_> = self.entries.values().filter_map(rank).collect();
--- a/src/server/frontend/connection_task.rs
+++ b/src/server/frontend/connection_task.rs
@@ -19,18 +19,18 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 
-/// Time for the responses that are queued to be written when a connection is closed, ms.
+/// Time limit for writing the queued responses when a connection is closed, ms.
 const FLUSH_TIMEOUT_MS: f64 = 50.0;
-/// Bytes that are read and discarded at most after the sending side was shut.
+/// Maximum number of bytes that are read and discarded after the sending side was shut down.
 const MAX_DISCARDED_BYTES: usize = 64 * 1024;
 
-/// What put an end to a connection.
+/// Reason why a connection ended.
 enum ConnectionEnd {
-    /// The client closed it, or it broke.
+    /// The client closed the connection, or the connection was lost.
     ClosedByClient,
-    /// The client broke the protocol or a limit.
+    /// The client broke the protocol or exceeded a limit.
     Faulty(ConnectionError),
-    /// All responses are written, and there will be no more.
+    /// All responses are written, and no more will follow.
     ResponsesWritten,
 }
 
@@ -70,7 +70,7 @@
     cancel_open_requests(connection, context, ended_at).await;
     let responses_written = match end {
         Err(panic) => {
-            // A fault of the server in this task: it costs this client its connection and has no other effect.
+            // A server fault in this task closes this client's connection and has no other effect.
             return context.client_log.task_panicked(context.clock.now(), &panic);
         }
         Ok(ConnectionEnd::ResponsesWritten) => true,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Tells the dispatcher that the client waits for none of its requests any more.
+/// Notifies the dispatcher that the client no longer waits for any of its requests.
 async fn cancel_open_requests(connection: &Connection, context: &FrontendContext, now: f64) {
     for request in connection.cancel_all_requests() {
         context.client_log.request_ended(now, connection, &request.progress, RequestEnd::ConnectionEnded);
@@ -95,7 +95,7 @@
     }
 }
 
-/// Lets the writer write what is queued, and returns whether it did so in time.
+/// Lets the writer write the queued responses, and returns whether it finished in time.
 async fn flush(context: &FrontendContext, writer: Pin<&mut impl Future<Output = ConnectionEnd>>) -> bool {
     let written = async { matches!(writer.await, ConnectionEnd::ResponsesWritten) };
     let timed_out = async {
@@ -105,7 +105,8 @@
     or(written, timed_out).await
 }
 
-/// Shuts the sending side, and reads and discards what the client still sends, within limits.
+/// Shuts down the sending side, then reads and discards what the client still sends, limited in time and
+/// bytes.
 async fn linger(connection: &Connection, context: &FrontendContext, mut stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     connection.is_lingering.set(true);
@@ -121,7 +122,7 @@
                 }
             }
         }
-        // A client that never stops sending gets no more than the time to read its responses.
+        // A client that doesn't stop sending gets only this much time to read its responses.
         context.wheel.sleep(FLUSH_TIMEOUT_MS).await;
     };
     or(discard, context.wheel.sleep(LINGER_TIMEOUT_MS)).await;
--- a/src/server/frontend/context.rs
+++ b/src/server/frontend/context.rs
@@ -13,13 +13,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What all connections share.
+/// State and settings shared by all connections.
 pub struct FrontendContext {
-    /// The settings of the classes, in order.
+    /// Settings of the classes by position.
     pub classes: Vec<Class>,
-    /// The classes by name.
+    /// Positions of the classes by name.
     pub class_names: Arc<NameTable>,
-    /// The tenants by name; empty at a site that has none.
+    /// Positions of the tenants by name; empty at a site without tenants.
     pub tenants: Arc<NameTable>,
     /// The distributed settings, if there are any.
     pub distributed: Option<Rc<DistributedSettings>>,
@@ -29,28 +29,28 @@
     pub clock: Clock,
     /// The timers.
     pub wheel: Rc<TimerWheel>,
-    /// The turns in which connections are read.
+    /// Queue of connections that wait for their turn to be read.
     pub read_turns: Rc<ReadTurns>,
     /// Sender to the dispatcher.
     pub dispatcher: DispatcherSender,
-    /// How long the tasks of the event loop run.
+    /// Run times of the event loop's tasks.
     pub task_times: Rc<TaskTimes>,
     /// The log.
     pub log: Logger,
-    /// The log lines that clients can cause.
+    /// Log for lines that clients can cause.
     pub client_log: ClientLog,
-    /// Whether requests name the account that they are billed to.
+    /// Whether requests are billed to the account that they name.
     pub bills_accounts: bool,
-    /// The ids of requests.
+    /// Sequence of request ids.
     pub request_ids: Rc<RequestIdSequence>,
 }
 
-/// What the method of a request stands for.
+/// Target that the method of a request names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MethodTarget {
     /// A class, by position.
     Class(usize),
-    /// A route that leads to the class at that position.
+    /// A route to the class at this position.
     Route(usize),
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl FrontendContext {
-    /// Returns what a method stands for, or `None` for an unknown method.
+    /// Returns the target of a method, or `None` for an unknown method.
     pub(super) fn resolve_method(&self, name: &[u8]) -> Option<MethodTarget> {
         if let Some(class) = self.class_names.position(name) {
             return Some(MethodTarget::Class(class));
@@ -72,8 +72,8 @@
         self.distributed.as_ref()?.route(name).map(MethodTarget::Route)
     }
 
-    /// Returns the position of the tenant that a request names, or `None` if the request has to be turned down: a
-    /// tenant that is not listed has no share by which its traffic could be judged.
+    /// Returns the position of the tenant that a request names, or `None` if the request is invalid: an
+    /// unlisted tenant has no share by which its traffic could be limited.
     pub(super) fn resolve_tenant(&self, name: Option<&str>) -> Option<usize> {
         if let Some(distributed) = &self.distributed {
             return distributed.tenant(name);
--- a/src/server/frontend/late_requests.rs
+++ b/src/server/frontend/late_requests.rs
@@ -1,19 +1,20 @@
-//! Requests that end late: when they do, and how old they were at each stage, so that it is seen which one was late.
+//! Detection of requests that end late, and their age at each stage, which shows the stage that was late.
 
 use crate::server::messages::RequestProgress;
 use std::fmt;
 
-/// Time from a response's leaving the dispatcher to its writing past which it counts as late, ms.
+/// Time between the dispatcher's sending of a response and its writing past which the request counts as late,
+/// ms.
 const LATE_WRITE_MS: f64 = 500.0;
 
-/// How a request ended for its connection.
+/// How a request ended on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestEnd {
-    /// Its response is being written.
+    /// The response is being written.
     Written,
-    /// Its client withdrew it.
+    /// The client cancelled the request.
     Withdrawn,
-    /// Its connection ended without a response.
+    /// The connection ended before a response was written.
     ConnectionEnded,
 }
 
@@ -31,7 +32,8 @@
 pub(super) struct Age(Option<f64>);
 
 impl Age {
-    /// Returns the age of a request at that time, Unix ms; `None` if it never came to the stage.
+    /// Returns the age of a request at a stage that it reached at `at`, Unix ms; `None` if it never reached
+    /// the stage.
     pub(super) fn of(progress: &RequestProgress, at: Option<f64>) -> Age {
         Age(at.map(|at| at - progress.request.received_at))
     }
@@ -46,8 +48,9 @@
     }
 }
 
-/// Returns whether a request that ends at `now` is late: past its due time, or its response waited long for its writing.
+/// Returns whether a request that ends at `now` is late: it is past its due time, or its response waited
+/// longer than [`LATE_WRITE_MS`] to be written.
 pub(super) fn is_late(progress: &RequestProgress, now: f64) -> bool {
-    let waits_since = progress.answered_at().unwrap_or(now);
-    now > progress.request.due_at || now - waits_since > LATE_WRITE_MS
+    let waiting_since = progress.answered_at().unwrap_or(now);
+    now > progress.request.due_at || now - waiting_since > LATE_WRITE_MS
 }
--- a/src/server/frontend/listener.rs
+++ b/src/server/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! The task that accepts client connections, sweeps idle ones, and closes all of them on shutdown.
+//! The task that accepts client connections, closes idle ones, and closes all of them on shutdown.
 
 use super::connection_state::ConnectionPolicy;
 use super::connection_table::{ConnectionTable, Eviction};
@@ -16,28 +16,28 @@
 
 /// Interval between two sweeps over the connections, ms.
 const SWEEP_INTERVAL_MS: f64 = 25.0;
-/// Delay of a sweep past which the event loop counts as stalled, ms.
+/// Delay of a sweep from which the event loop counts as stalled, ms.
 const STALL_THRESHOLD_MS: f64 = 500.0;
-/// Events handled before the other tasks have a turn.
+/// Number of events handled before the listener yields to other tasks.
 const EVENTS_PER_TURN: u64 = 16;
-/// Pause in accepting when descriptors run out and after a stall, ms.
+/// Pause of accepting when descriptors run out and after a stall, ms.
 const ACCEPT_PAUSE_MS: f64 = 50.0;
 
-/// The listener and what its task needs.
+/// The listener with the settings and dependencies of its task.
 pub struct Listener {
-    /// What the connections share.
+    /// State and settings shared by all connections.
     pub context: Rc<FrontendContext>,
     /// The listening socket.
     pub socket: Async<TcpListener>,
-    /// Sender to the listener's own queue, for its connections.
+    /// Sender to the listener's own queue, for the connection tasks.
     pub sender: Sender<ListenerMessage>,
-    /// Runs the tasks of the connections.
+    /// Executor of the connection tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// The most connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// The idle timeout until the admission controller sets another one, ms.
+    /// Initial idle timeout, until the admission controller sets another one, ms.
     pub idle_timeout_ms: f64,
-    /// Whether connections are accepted from the start on.
+    /// Whether connections are accepted from the start.
     pub accepts: bool,
 }
 
@@ -52,22 +52,22 @@
     context: Rc<FrontendContext>,
     /// The listening socket; `None` once the server shuts down.
     socket: Option<Async<TcpListener>>,
-    /// Whether this process accepts from the socket, which another one may share.
+    /// Whether this process accepts connections from the socket, which another process may share.
     accepts: bool,
-    /// Whether another process took over, so that the clients of this one are notified.
+    /// Whether another process took over, so that all clients of this one are notified.
     handed_over: bool,
     connections: ConnectionTable,
     idle_timeout_ms: f64,
-    /// Whether the server shuts down, so that the task ends with its last connection.
-    shuts_down: bool,
-    /// Whether the process ends, so that all connections finish.
-    finishes: bool,
+    /// Whether the server shuts down, so that the task ends once its last connection is closed.
+    is_shutting_down: bool,
+    /// Whether the process is ending, so that all connections finish.
+    finish_all: bool,
     accept_paused_until: f64,
     last_sweep_at: f64,
 }
 
 impl Listener {
-    /// Serves until the server shuts down and every connection is closed.
+    /// Accepts and manages connections until the server shuts down and all of them are closed.
     pub async fn run(self, receiver: Receiver<ListenerMessage>) {
         let wheel = self.context.wheel.clone();
         let clock = self.context.clock;
@@ -94,7 +94,7 @@
                 }
             }
             if task.is_finished() {
-                return task.context.client_log.tell_all_repeated();
+                return task.context.client_log.log_all_repetitions();
             }
             handled += 1;
             if handled % EVENTS_PER_TURN == 0 {
@@ -114,8 +114,8 @@
             accepts,
             handed_over: false,
             idle_timeout_ms,
-            shuts_down: false,
-            finishes: false,
+            is_shutting_down: false,
+            finish_all: false,
             accept_paused_until: 0.0,
             last_sweep_at: context.clock.now(),
             context,
@@ -123,10 +123,10 @@
     }
 
     fn is_finished(&self) -> bool {
-        self.shuts_down && self.connections.is_empty()
+        self.is_shutting_down && self.connections.is_empty()
     }
 
-    /// Accepts a connection. Without capacity, clients wait in the system's queue.
+    /// Accepts a connection. Without capacity, new connections wait in the system's accept queue.
     async fn accept(&self) -> ListenerEvent {
         let may_accept =
             self.connections.has_capacity() && self.context.clock.now() >= self.accept_paused_until;
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Makes good a stall of the event loop before anything else is done: what clients sent meanwhile is read before
-    /// connections are closed and further ones accepted.
+    /// Excludes a stall of the event loop from the connections' times before the next event is handled. What
+    /// clients sent meanwhile is thus read before connections are closed and new ones accepted.
     fn exclude_stall(&mut self, now: f64) {
         let stalled_ms = now - self.last_sweep_at - SWEEP_INTERVAL_MS;
         if stalled_ms <= STALL_THRESHOLD_MS {
@@ -162,7 +162,7 @@
                 self.connections.add(now, stream, eviction);
             }
             Err(error) => {
-                // Out of descriptors, or the connection was reset before it was accepted.
+                // The descriptors ran out, or the connection was reset before it was accepted.
                 self.accept_paused_until = now + ACCEPT_PAUSE_MS;
                 self.context.client_log.accepting_paused(now, &error, self.connections.len());
             }
@@ -177,16 +177,17 @@
             ListenerMessage::HandOver => (self.accepts, self.handed_over) = (false, true),
             ListenerMessage::Shutdown => self.shut_down(now),
             ListenerMessage::Finish => {
-                self.finishes = true;
+                self.finish_all = true;
                 self.sweep(now);
             }
         }
     }
 
-    /// Closes the listening socket. What waits in the system's queue is accepted first: its clients see a connection
-    /// and may have sent a request, which a close would lose. After a handover the other process accepts it.
+    /// Closes the listening socket. Connections in the system's accept queue are accepted first: their
+    /// clients see them as open and may have sent a request, which a close would lose. After a handover the
+    /// other process accepts them.
     fn shut_down(&mut self, now: f64) {
-        self.shuts_down = true;
+        self.is_shutting_down = true;
         if let Some(socket) = self.socket.take().filter(|_| self.accepts) {
             while let Ok((stream, _)) = socket.get_ref().accept() {
                 self.connections.add(now, stream, Eviction::Deferred);
@@ -199,11 +200,11 @@
     fn sweep(&mut self, now: f64) {
         self.last_sweep_at = now;
         self.context.task_times.reset();
-        self.context.client_log.tell_repeated(now);
+        self.context.client_log.log_repetitions(now);
         let policy = ConnectionPolicy {
             idle_timeout_ms: self.idle_timeout_ms,
-            notify_all: self.handed_over || self.shuts_down,
-            finish_all: self.finishes,
+            notify_all: self.handed_over || self.is_shutting_down,
+            finish_all: self.finish_all,
         };
         self.connections.sweep(now, policy);
     }
--- a/src/server/frontend/mod.rs
+++ b/src/server/frontend/mod.rs
@@ -1,10 +1,12 @@
 //! The frontend for client proxies: MessagePack-RPC over TCP.
 //!
-//! The [`Listener`] accepts connections and keeps their number within its share of the descriptors. Each connection
-//! has a task that decodes requests into messages to the dispatcher and encodes its responses.
+//! The [`Listener`] accepts connections and keeps their number within the frontend's share of the
+//! descriptors. Each connection has a task that decodes requests into messages to the dispatcher and encodes
+//! the responses.
 //!
 //! # Invariants
-//! - The frontend makes no decision about a request and answers none by itself.
+//! - The frontend makes no admission decision and sends no response by itself: the dispatcher produces all of
+//!   them.
 //! - A faulty or slow connection has no effect on another.
 
 mod client_log;
--- a/src/server/frontend/reader.rs
+++ b/src/server/frontend/reader.rs
@@ -1,4 +1,4 @@
-//! The reading side of a connection: bytes to messages to the dispatcher.
+//! The reading side of a connection: decodes the client's bytes into messages to the dispatcher.
 
 use super::connection::{Connection, OpenRequest};
 use super::connection_state::ReadProgress;
@@ -14,17 +14,19 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 pub(super) const READ_BUFFER_BYTES: usize = 4 * 1024;
-/// Messages handled in one turn of a connection.
+/// Maximum number of messages handled in one turn of a connection.
 const MESSAGES_PER_TURN: u64 = 4;
-/// Time for the response to a message that can't be decoded to be written, ms.
+/// Time allowed for writing the response to a message that can't be decoded, ms.
 const ERROR_RESPONSE_MS: f64 = 50.0;
 
-/// Reads requests until the client closes the connection. Once the connection finishes, further bytes are discarded.
+/// Reads requests until the client closes the connection. Once the connection finishes, further bytes are
+/// discarded.
 ///
 /// # Errors
-/// If the client breaks the protocol or reads no responses.
+/// Returns [`ConnectionError::ResponseQueueFull`] if the client reads no responses, and another
+/// [`ConnectionError`] if it breaks the protocol.
 pub(super) async fn read_requests(
     connection: &Connection,
     context: &FrontendContext,
@@ -35,7 +37,7 @@
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         match read_in_turn(connection, context, stream, &mut buffer).await {
-            // A close and a reset are the client's own affair.
+            // A close or reset by the client is not an error of the protocol.
             Ok(0) | Err(_) => return Ok(()),
             Ok(length) if !connection.accepts_requests() => {
                 context.client_log.discarded_bytes(context.clock.now(), connection, length);
@@ -50,7 +52,7 @@
     }
 }
 
-/// Reads what has come, once it is the connection's turn.
+/// Reads the bytes that have arrived, once it is the connection's turn.
 async fn read_in_turn(
     connection: &Connection,
     context: &FrontendContext,
@@ -79,12 +81,12 @@
     context: &'a FrontendContext,
     decoder: Decoder,
     messages_read: u64,
-    /// When the bytes in the buffer were read, Unix ms.
+    /// Time at which the bytes in the buffer were read, Unix ms.
     read_at: f64,
 }
 
 impl RequestReader<'_> {
-    /// Handles all whole messages in the buffer.
+    /// Handles all complete messages in the buffer.
     async fn handle_buffered(&mut self) -> Result<(), ConnectionError> {
         let read_before = self.messages_read;
         loop {
@@ -93,7 +95,8 @@
                     if let Some(distributed) = &self.context.distributed {
                         distributed.wait_for_pending_change(&self.context.wheel).await;
                     }
-                    // The client was notified, or its time is up: what crosses the close is not accepted.
+                    // The connection is finishing, after a notification or a time limit: a message that
+                    // crosses the close is not handled.
                     if !self.connection.accepts_requests() {
                         return Ok(());
                     }
@@ -107,7 +110,7 @@
                     return Ok(());
                 }
                 Err(error) => {
-                    self.answer_undecodable().await;
+                    self.reject_undecodable().await;
                     return Err(ConnectionError::Decode(error));
                 }
             }
@@ -140,7 +143,8 @@
         }
         self.messages_read += 1;
         if self.messages_read % MESSAGES_PER_TURN == 0 {
-            // Others read, and what was read is decided, before more is handled.
+            // Other connections are read, and the requests read so far decided, before more messages are
+            // handled.
             await_turn(self.connection, self.context).await;
             // A client whose messages are still being handled is not idle.
             self.connection.state.borrow_mut().record_activity(self.context.clock.now());
@@ -193,7 +197,7 @@
         }
     }
 
-    async fn answer_undecodable(&self) {
+    async fn reject_undecodable(&self) {
         if let Some(message_id) = self.decoder.request_id() {
             self.reject_invalid(message_id).await;
             // The response has to be written before the connection is closed.
@@ -207,7 +211,7 @@
         let _ = self.context.dispatcher.send(DispatcherMessage::InvalidRequest(reply)).await;
     }
 
-    /// Sends a message whose names were looked up, so that no change of settings passes it on its way.
+    /// Sends a message whose names were resolved. The guard keeps a change of settings from overtaking it.
     async fn send(&self, message: DispatcherMessage) {
         let _guard = self.context.distributed.as_ref().map(|distributed| distributed.guard_lookup());
         // The dispatcher's queue closes only at the end of the process.
--- a/src/server/frontend/request_decoder.rs
+++ b/src/server/frontend/request_decoder.rs
@@ -1,4 +1,5 @@
-//! Decoding of client messages into requests. A field that can't be read makes a request invalid; none is guessed.
+//! Decodes client messages into requests. A field with an invalid value makes the request invalid; no value
+//! is guessed.
 
 use super::context::{FrontendContext, MethodTarget};
 use super::error::ConnectionError;
@@ -9,39 +10,41 @@
 use dunlinspread_ledger::AccountName;
 use std::rc::Rc;
 
-/// The longest body of a request, in bytes.
+/// Maximum length of a request body, bytes.
 const MAX_BODY_BYTES: usize = 2048;
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 128;
-/// The most memory that a request may state, kB; the protocol allows less.
+/// Upper limit, exclusive, of the memory that a request may state, kB. The protocol allows less.
 const MAX_REQUEST_KB: f64 = 2000.0;
-/// The longest timeout of an attempt, in multiples of the client timeout of its class, which the protocol makes the
-/// longest.
+/// Maximum timeout of an attempt, as a multiple of the client timeout of its class. The protocol's maximum is
+/// the client timeout itself.
 const MAX_TIMEOUT_FACTOR: f64 = 2.0;
-/// Digits of the identity of an attempt.
+/// Number of digits of an attempt id.
 const ATTEMPT_DIGITS: usize = 16;
-/// Prefix of a table key for a request whose method is a route; a class's position is below it.
+/// Prefix of the table key of a request whose method is a route. The position of a class, which is the prefix
+/// for other requests, is always lower.
 const ROUTE_KEY_PREFIX: u32 = u32::MAX;
 
 /// A message from a client.
 #[derive(Debug)]
 pub(super) enum ClientMessage<'a> {
-    /// A request to run.
+    /// A request.
     Request { id: u64, method: &'a [u8], args: &'a [Value] },
     /// A health check.
     HealthCheck { id: u64 },
     /// A request without a method or arguments.
     MalformedRequest { id: u64 },
-    /// The client no longer waits for these message ids.
+    /// A notification that the client no longer waits for these message ids.
     Cancel { ids: Vec<u64> },
-    /// A notification that the server does not know; it has no effect.
+    /// A notification that is unknown to the server and has no effect.
     UnknownNotification,
 }
 
-/// Reads the kind of a message.
+/// Parses a message by its kind.
 ///
 /// # Errors
-/// If the message is neither a request nor a notification.
+/// Returns [`ConnectionError::NotAnArray`] if the message is not an array, and
+/// [`ConnectionError::UnknownMessageType`] if it is neither a request nor a notification.
 pub(super) fn parse_message(message: &Value) -> Result<ClientMessage<'_>, ConnectionError> {
     let Value::Array(parts) = message else { return Err(ConnectionError::NotAnArray) };
     match &parts[..] {
@@ -74,7 +77,7 @@
     args.iter().filter_map(id).collect()
 }
 
-/// The fields of a request, by wire word.
+/// Fields of a request by their names on the wire.
 struct Fields<'a>(&'a [(Value, Value)]);
 
 impl<'a> Fields<'a> {
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Returns a finite number, which the wire carries as text.
+    /// Returns a field as a finite number. Numbers are text on the wire.
     fn number(&self, name: &str) -> Option<f64> {
         self.text(name)?.parse::<f64>().ok().filter(|number| number.is_finite())
     }
@@ -134,8 +137,8 @@
     }
 }
 
-/// Decodes a request, or returns `None` if it is invalid: an unknown class, a field that is missing or out of range, or
-/// a body that is too long.
+/// Decodes a request, or returns `None` if it is invalid: its method or tenant is unknown, a field is missing
+/// or out of range, or the body is too long.
 pub(super) fn decode_request(
     context: &FrontendContext,
     method: &[u8],
@@ -175,13 +178,13 @@
     })
 }
 
-/// Returns the key of the idempotency table. Attempts of two classes are never attempts of one request, so the class is
-/// part of it, in a fixed width. A route's name stands in its place, so that an attempt is recognised after the route
-/// was led to another class.
+/// Returns the key for the idempotency table. Attempts of two classes never belong to one request, so the key
+/// starts with the class in a fixed width. For a route, the route's name replaces the class, so that an
+/// attempt is recognised after the route was changed to another class.
 fn table_key(target: MethodTarget, method: &[u8], key: &str) -> Vec<u8> {
     match target {
         MethodTarget::Class(class) => {
-            // Lossless: the number of classes is bounded far below.
+            // The conversion can't fail: the number of classes is bounded far below `u32::MAX`.
             let class = u32::try_from(class).unwrap_or(ROUTE_KEY_PREFIX - 1);
             [&class.to_be_bytes(), key.as_bytes()].concat()
         }
--- a/src/server/frontend/response_encoder.rs
+++ b/src/server/frontend/response_encoder.rs
@@ -1,10 +1,10 @@
-//! Encoding of responses and notifications to clients.
+//! Encodes responses and notifications to clients.
 
 use super::protocol;
 use crate::codec::msgpack;
 use crate::server::messages::Response;
 
-/// Fields of a response, by wire word.
+/// Fields of a response by their names on the wire.
 type Fields = Vec<(&'static str, String)>;
 
 /// Appends the notification that no new request is accepted.
@@ -51,7 +51,7 @@
     fields
 }
 
-/// Appends nil for the error, and the result.
+/// Appends nil as the error, then the result.
 fn encode_result(out: &mut Vec<u8>, fields: &Fields, put_body: impl FnOnce(&mut Vec<u8>)) {
     msgpack::put_nil(out);
     msgpack::put_array(out, protocol::PAYLOAD_ELEMENTS);
@@ -59,7 +59,7 @@
     encode_fields(out, fields);
 }
 
-/// Appends the error, and nil for the result.
+/// Appends the error, then nil as the result.
 fn encode_error(out: &mut Vec<u8>, name: &str, fields: &Fields) {
     msgpack::put_array(out, protocol::PAYLOAD_ELEMENTS);
     msgpack::put_str(out, name);
--- a/src/server/frontend/writer.rs
+++ b/src/server/frontend/writer.rs
@@ -1,4 +1,4 @@
-//! The writing side of a connection: responses to bytes.
+//! The writing side of a connection: encodes and writes responses.
 
 use super::connection::{Connection, Settlement};
 use super::context::FrontendContext;
@@ -15,18 +15,20 @@
 use std::net::TcpStream;
 use std::pin::pin;
 
-/// A connection that takes no bytes for this long is closed, ms: longer than the longest network partition.
+/// Time limit of a write, ms, after which the connection is closed. It is longer than the longest network
+/// partition.
 const WRITE_TIMEOUT_MS: f64 = 30_000.0;
-/// Bytes encoded before they are written, and the most that the buffer keeps between writes.
+/// Number of encoded bytes from which a batch is written, and maximum capacity that the buffer keeps between
+/// writes.
 const WRITE_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Why the writer ended.
+/// Reason why the writer ended.
 pub(super) enum WriteEnd {
-    /// The queue of responses is closed and empty.
+    /// The response queue is closed and empty.
     ResponsesWritten,
-    /// The connection broke.
+    /// The connection was lost.
     ConnectionLost,
-    /// The client takes no bytes.
+    /// The connection is closed because of this error: the client accepts no bytes.
     Faulty(ConnectionError),
 }
 
--- a/src/server/upstream/call.rs
+++ b/src/server/upstream/call.rs
@@ -17,14 +17,14 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// What all calls share.
+/// State shared by all calls.
 pub(super) struct CallContext {
-    /// Where the service listens.
+    /// Address of the upstream service.
     pub(super) address: Cell<SocketAddr>,
-    /// Connections kept between calls.
+    /// Idle connections kept for reuse.
     pub(super) connections: RefCell<ConnectionPool>,
     /// The clock.
     pub(super) clock: Clock,
@@ -36,9 +36,9 @@
 
 /// The outcome of a call, with the body of its reply.
 pub(super) struct CallResult {
-    /// How the call ended.
+    /// Outcome of the call.
     pub(super) outcome: Outcome,
-    /// The body of the reply; empty without one.
+    /// Body of the reply; empty if there is no reply.
     pub(super) body: Vec<u8>,
 }
 
@@ -50,10 +50,10 @@
 }
 
 impl CallContext {
-    /// Makes a call that was asked for at `requested_at`, within its time limit.
+    /// Makes a call that was requested at `requested_at`, within its time limit.
     pub(super) async fn make_call(&self, call: &UpstreamCall, requested_at: f64) -> CallResult {
         let time_left_ms = call.timeout_ms - (self.clock.now() - requested_at);
-        // Until the first byte is written no call has run, whatever becomes of the connection.
+        // Before its first byte is written a call can't have run, whatever happens to the connection.
         let request_sent = Cell::new(false);
         let timed_out = async {
             self.wheel.sleep(time_left_ms).await;
@@ -87,9 +87,9 @@
     ) -> Result<CallResult, CallError> {
         fault_injection::pass(PanicPoint::UpstreamConnect);
         let address = self.address.get();
-        let kept = self.kept_connection(call);
-        let is_reused = kept.is_some();
-        let stream = match kept {
+        let pooled = self.pooled_connection(call);
+        let is_reused = pooled.is_some();
+        let stream = match pooled {
             Some(stream) => stream,
             None => Async::<TcpStream>::connect(address).await.map_err(CallError::Connect)?,
         };
@@ -103,7 +103,8 @@
             Ok(reply) => reply,
             Err(error) => {
                 if is_reused && matches!(error, CallError::Read(_)) {
-                    // The others were kept as long: the next call shall not fail the same way.
+                    // The other pooled connections have been idle at least as long. They are closed, so that
+                    // the next call doesn't fail in the same way.
                     self.connections.borrow_mut().clear();
                 }
                 return Err(error);
@@ -115,9 +116,10 @@
         Ok(CallResult { outcome: protocol::outcome(&reply), body: reply.body })
     }
 
-    /// Returns a kept connection for a call. The service may close one under the call, which proves nothing though the
-    /// call never ran, so a call that can't be made again gets a connection of its own.
-    fn kept_connection(&self, call: &UpstreamCall) -> Option<Async<TcpStream>> {
+    /// Returns an idle connection for a call. The service may close an idle connection just as the call is
+    /// sent: the call never ran, but the failure doesn't prove it. A call that can't be retried therefore
+    /// gets a new connection.
+    fn pooled_connection(&self, call: &UpstreamCall) -> Option<Async<TcpStream>> {
         if call.at_most_once {
             return None;
         }
@@ -125,7 +127,7 @@
     }
 }
 
-/// Reads a reply, and returns it with whether the connection can be used again.
+/// Reads a reply, and returns it with whether the connection can be reused.
 async fn read_reply(mut stream: &Async<TcpStream>) -> Result<(http::Reply, bool), CallError> {
     let mut decoder = http::Decoder::default();
     let mut buffer = vec![0; READ_BUFFER_BYTES];
--- a/src/server/upstream/call_log.rs
+++ b/src/server/upstream/call_log.rs
@@ -1,4 +1,4 @@
-//! The log lines of failed calls: those that repeat are counted.
+//! Log lines about failed calls. Repeated lines are counted instead of written.
 
 use super::error::{CallError, CallErrorKind};
 use crate::server::repeated_lines::{LineKind, Repeated, RepeatedLines};
@@ -6,7 +6,7 @@
 use slog::{Logger, error, warn};
 use std::cell::RefCell;
 
-/// The kind of a line, which says what its repetitions have in common.
+/// Kind of a log line. Lines of the same kind count as repetitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallLine {
     /// A call failed with an error of this kind.
@@ -26,19 +26,19 @@
     }
 }
 
-/// Writes those lines.
+/// Writes the log lines about failed calls.
 pub(super) struct CallLog {
     log: Logger,
     lines: RefCell<RepeatedLines<CallLine>>,
 }
 
 impl CallLog {
-    /// Returns one that writes to `log`.
+    /// Returns a call log that writes to `log`.
     pub(super) fn new(log: Logger) -> CallLog {
         CallLog { log, lines: RefCell::default() }
     }
 
-    /// A call got no reply.
+    /// Logs that a call got no reply.
     pub(super) fn call_failed(&self, now: f64, error: &CallError) {
         let line = CallLine::CallFailed(error.kind());
         if self.admits(now, line) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The task of a call panicked.
+    /// Logs that the task of a call panicked.
     pub(super) fn task_panicked(&self, now: f64, panic: &Panic) {
         let line = CallLine::TaskPanicked;
         if self.admits(now, line) {
@@ -54,20 +54,20 @@
         }
     }
 
-    /// Returns when there is next something to tell, ms.
-    pub(super) fn next_repeated(&self) -> Option<f64> {
+    /// Returns when the repetitions of a window are due to be logged next, ms.
+    pub(super) fn next_repetitions_at(&self) -> Option<f64> {
         self.lines.borrow().next_end()
     }
 
-    /// Tells the repetitions of the windows that are over.
-    pub(super) fn tell_repeated(&self, now: f64) {
+    /// Logs the repetitions of the windows that have ended.
+    pub(super) fn log_repetitions(&self, now: f64) {
         let ended = self.lines.borrow_mut().end_windows(now);
         ended.into_iter().for_each(|repeated| self.write_repeated(repeated));
     }
 
-    /// Counts a line, and returns whether it has to be written.
+    /// Counts a line, and returns whether it is to be written.
     fn admits(&self, now: f64, line: CallLine) -> bool {
-        self.tell_repeated(now);
+        self.log_repetitions(now);
         self.lines.borrow_mut().admit(now, line)
     }
 
--- a/src/server/upstream/client.rs
+++ b/src/server/upstream/client.rs
@@ -18,17 +18,17 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// What an [`UpstreamClient`] is made of.
+/// Settings and dependencies of an [`UpstreamClient`].
 pub struct UpstreamClientSettings {
-    /// Where the service listens.
+    /// Address of the upstream service.
     pub address: SocketAddr,
-    /// The most connections, open calls and kept ones together.
+    /// Maximum number of connections, those of open calls and idle ones together.
     pub max_connections: usize,
     /// Sender to the dispatcher.
     pub dispatcher: DispatcherSender,
-    /// Sender to the client's own queue, for the tasks of its calls.
+    /// Sender to the client's own queue, for the call tasks.
     pub sender: Sender<UpstreamMessage>,
-    /// Runs the tasks of the calls.
+    /// Executor of the call tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The clock.
     pub clock: Clock,
@@ -40,7 +40,7 @@
 
 /// A call that waits for a connection.
 struct WaitingCall {
-    /// When the call was asked for, ms.
+    /// Time at which the call was requested, ms.
     requested_at: f64,
     call: UpstreamCall,
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// A call that was started. Dropping its task closes its connection, which gives up the call.
+/// A call that was started. Dropping its task closes its connection, which abandons the call.
 struct OpenCall {
     number: u64,
     _task: Task<()>,
@@ -60,8 +60,8 @@
 /// The client of the upstream service.
 ///
 /// # Invariants
-/// - A call is made once.
-/// - [`Outcome::Unreachable`](crate::admission::Outcome::Unreachable) is reported only where it is proved that the call
+/// - Each call is made once.
+/// - [`Outcome::Unreachable`](crate::admission::Outcome::Unreachable) is reported only if the call provably
 ///   never ran.
 pub struct UpstreamClient {
     context: Rc<CallContext>,
@@ -102,7 +102,7 @@
         loop {
             let message = async { Some(messages.next().await) };
             let deadline_passed = async {
-                self.next_deadline().await;
+                self.wait_for_deadline().await;
                 None
             };
             match or(message, deadline_passed).await {
@@ -116,11 +116,12 @@
         }
     }
 
-    /// Sleeps until the first deadline of a waiting call, or until the log has something to tell.
-    async fn next_deadline(&self) {
+    /// Sleeps until the first deadline of a waiting call, or until repetitions of a log line are due to be
+    /// logged.
+    async fn wait_for_deadline(&self) {
         let now = self.context.clock.now();
         let deadlines = self.waiting.iter().map(WaitingCall::deadline);
-        match deadlines.chain(self.context.log.next_repeated()).reduce(f64::min) {
+        match deadlines.chain(self.context.log.next_repetitions_at()).reduce(f64::min) {
             Some(deadline) => self.context.wheel.sleep(deadline - now).await,
             None => pending().await,
         }
@@ -148,11 +149,11 @@
 
     async fn on_deadline(&mut self) {
         let now = self.context.clock.now();
-        self.context.log.tell_repeated(now);
+        self.context.log.log_repetitions(now);
         self.expire_waiting(now).await;
     }
 
-    /// Reports waiting calls whose deadline has passed: they never ran.
+    /// Reports waiting calls whose deadline has passed. They never ran.
     async fn expire_waiting(&mut self, now: f64) {
         let waiting = std::mem::take(&mut self.waiting);
         let (expired, waiting): (VecDeque<_>, _) = waiting.into_iter().partition(|w| now >= w.deadline());
@@ -176,7 +177,7 @@
         self.waiting.retain(|waiting| waiting.call.id != id);
     }
 
-    /// Starts waiting calls as far as there are connections.
+    /// Starts waiting calls while the connection limit allows.
     fn start_waiting(&mut self) {
         while self.open.len() < self.max_connections {
             let Some(waiting) = self.waiting.pop_front() else { break };
@@ -188,7 +189,7 @@
         let WaitingCall { requested_at, call } = waiting;
         self.last_number += 1;
         let (id, number) = (call.id, self.last_number);
-        // Kept connections and open calls share the descriptors; one of them is for this call.
+        // Idle connections and open calls share the limit on connections; this call takes one.
         let max_idle = self.max_connections.saturating_sub(self.open.len() + 1);
         let context = self.context.clone();
         context.connections.borrow_mut().trim(context.clock.now(), max_idle);
--- a/src/server/upstream/connection_pool.rs
+++ b/src/server/upstream/connection_pool.rs
@@ -1,16 +1,18 @@
-//! Connections to the upstream service that are kept between calls.
+//! Idle connections to the upstream service, kept for reuse.
 
 use async_io::Async;
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
-/// Age past which a connection is not used again, ms. The service closes connections that are idle for 10 s.
+/// Idle time past which a connection is not reused, ms. The service closes connections that are idle for 10
+/// s.
 const MAX_IDLE_MS: f64 = 7000.0;
 
-/// A connection and when it became idle, ms.
+/// An idle connection.
 struct IdleConnection {
-    since: f64,
+    /// Time at which the connection became idle, ms.
+    idle_since: f64,
     stream: Async<TcpStream>,
 }
 
@@ -21,26 +23,27 @@
 }
 
 impl ConnectionPool {
-    /// Keeps a connection from `now` on.
+    /// Adds a connection that is idle from `now` on.
     pub(super) fn put(&mut self, now: f64, stream: Async<TcpStream>) {
-        self.idle.push_back(IdleConnection { since: now, stream });
+        self.idle.push_back(IdleConnection { idle_since: now, stream });
     }
 
-    /// Takes a connection that the service has not closed and that has nothing left to read. Those found otherwise are
-    /// closed.
+    /// Takes the most recently used connection that the service has not closed and that has no unread bytes.
+    /// Unusable connections met on the way are closed.
     pub(super) fn take(&mut self, now: f64) -> Option<Async<TcpStream>> {
         while let Some(connection) = self.idle.pop_back() {
-            if now - connection.since <= MAX_IDLE_MS && is_quiet(&connection.stream) {
+            if now - connection.idle_since <= MAX_IDLE_MS && is_quiet(&connection.stream) {
                 return Some(connection.stream);
             }
         }
         None
     }
 
-    /// Closes connections that are too old, and further ones until at most `max_idle` are left.
+    /// Closes connections that have been idle for too long, and further ones until at most `max_idle` are
+    /// left.
     pub(super) fn trim(&mut self, now: f64, max_idle: usize) {
-        let is_too_old = |connection: &IdleConnection| now - connection.since > MAX_IDLE_MS;
-        while self.idle.front().is_some_and(is_too_old) || self.idle.len() > max_idle {
+        let is_expired = |connection: &IdleConnection| now - connection.idle_since > MAX_IDLE_MS;
+        while self.idle.front().is_some_and(is_expired) || self.idle.len() > max_idle {
             self.idle.pop_front();
         }
     }
@@ -51,7 +54,7 @@
     }
 }
 
-/// Returns whether a connection is open and has nothing to read.
+/// Returns whether a connection is open and has no unread bytes.
 fn is_quiet(stream: &Async<TcpStream>) -> bool {
     matches!(stream.get_ref().read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
--- a/src/server/upstream/error.rs
+++ b/src/server/upstream/error.rs
@@ -4,13 +4,13 @@
 use crate::codec::http;
 use std::io;
 
-/// Why a call has no reply.
+/// Reason why a call has no reply.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// All connections are in use until the call's deadline.
+    /// All connections were in use until the call's deadline.
     #[error("waiting for a connection: all are in use")]
     NoFreeConnection,
-    /// The service can't be reached.
+    /// Connecting to the service failed.
     #[error("connecting: {0}")]
     Connect(io::Error),
     /// The request could not be written.
@@ -19,10 +19,10 @@
     /// The reply could not be read.
     #[error("reading the reply: {0}")]
     Read(io::Error),
-    /// The service closed the connection before the reply was whole.
+    /// The service closed the connection before the reply was complete.
     #[error("reading the reply: closed by the upstream service")]
     Closed,
-    /// The reply is no HTTP or past its limits.
+    /// The reply is not valid HTTP or exceeds a limit.
     #[error("reading the reply: {0}")]
     Decode(http::Error),
 }
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Returns the outcome of a call with this error. Before the first byte is written it is proved that no call ran.
+    /// Returns the outcome of a call that failed with this error. A call of which no byte was written
+    /// provably never ran.
     pub(super) fn outcome(&self) -> Outcome {
         match self {
             CallError::NoFreeConnection | CallError::Connect(_) => Outcome::Unreachable,
@@ -51,7 +52,7 @@
     }
 }
 
-/// The kind of a [`CallError`], without what the system or the service said.
+/// Kind of a [`CallError`], without the underlying error of the system or the decoder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CallErrorKind {
     /// [`CallError::NoFreeConnection`].
@@ -70,6 +71,6 @@
     #[error("reading the reply: closed by the upstream service")]
     Closed,
     /// [`CallError::Decode`].
-    #[error("reading the reply: not valid")]
+    #[error("reading the reply: not a valid HTTP reply")]
     Decode,
 }
--- a/src/server/upstream/mod.rs
+++ b/src/server/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The client of the upstream service: one task for each call, over connections that are kept between calls.
+//! The client of the upstream service: one task per call, over connections that are kept for reuse.
 
 mod call;
 mod call_log;
--- a/src/server/worker_pool/codec.rs
+++ b/src/server/worker_pool/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of commands to the worker pool and decoding of its messages.
+//! Encodes commands to the worker pool and decodes its messages.
 
 use super::error::DecodeError;
 use super::protocol as wire;
@@ -7,30 +7,30 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 
-/// A message from the pool.
+/// A message from the worker pool.
 #[derive(Debug, PartialEq)]
 pub(super) enum PoolMessage {
     /// The pool accepted the link.
     Bound {
         /// Whether the pool started cold.
         cold: bool,
-        /// How long ago the pool started, ms.
+        /// Time since the pool started, ms.
         uptime_ms: f64,
     },
-    /// A notice, which the pool repeats on a new link until its number is confirmed.
+    /// A numbered notice. The pool sends it again on each new link until its number is confirmed.
     Notice {
-        /// The number of the notice, from 1.
+        /// Sequence number of the notice, from 1.
         sequence: u64,
-        /// What happened; `None` for a notice without a meaning for this server.
+        /// Event that the notice reports; `None` for a notice that this server ignores.
         event: Option<PoolEvent>,
     },
-    /// All notices from before the link have been read.
+    /// Reply to the query of [`encode_caught_up_query`]: all notices from before the link have been read.
     CaughtUp,
-    /// An event that is not numbered.
+    /// An event without a sequence number.
     Event(PoolEvent),
 }
 
-/// Appends the command that begins a link; `last_sequence` is the number of the last notice that was read.
+/// Appends the command that starts a link; `last_sequence` is the sequence number of the last notice read.
 pub(super) fn encode_bind(last_sequence: u64, out: &mut String) {
     begin_command(out, wire::COMMAND_BIND);
     put_number(out, wire::KEY_SEQUENCE, last_sequence);
@@ -40,11 +40,11 @@
 /// Appends the query whose reply is [`PoolMessage::CaughtUp`].
 pub(super) fn encode_caught_up_query(out: &mut String) {
     begin_command(out, wire::COMMAND_READ_GAUGES);
-    put_word(out, wire::KEY_TAG, wire::TAG_CAUGHT_UP);
+    put_unescaped(out, wire::KEY_TAG, wire::TAG_CAUGHT_UP);
     end_command(out);
 }
 
-/// Appends a command. `classes` are the names of the classes by position.
+/// Appends a command; `classes` holds the class names by position.
 pub(super) fn encode_command(command: &PoolCommand, classes: &[String], out: &mut String) {
     match command {
         PoolCommand::Run { attempt, class, body } => {
@@ -65,7 +65,7 @@
         }
         PoolCommand::ReadGauges { tag } => {
             begin_command(out, wire::COMMAND_READ_GAUGES);
-            put_word(out, wire::KEY_TAG, &tag.to_string());
+            put_unescaped(out, wire::KEY_TAG, &tag.to_string());
         }
     }
     end_command(out);
@@ -81,7 +81,7 @@
 
 fn begin_attempt_command(out: &mut String, operation: &str, attempt: u64) {
     begin_command(out, operation);
-    put_word(out, wire::KEY_ATTEMPT, &format!("{attempt:016x}"));
+    put_unescaped(out, wire::KEY_ATTEMPT, &format!("{attempt:016x}"));
 }
 
 fn end_command(out: &mut String) {
@@ -99,11 +99,11 @@
     out.push_str(&number.to_string());
 }
 
-/// Appends a text that needs no escapes.
-fn put_word(out: &mut String, key: &str, word: &str) {
+/// Appends a string member whose value needs no escaping.
+fn put_unescaped(out: &mut String, key: &str, text: &str) {
     put_key(out, key);
     out.push('"');
-    out.push_str(word);
+    out.push_str(text);
     out.push('"');
 }
 
@@ -114,10 +114,11 @@
     out.push('"');
 }
 
-/// Decodes a line from the pool.
+/// Decodes a line from the worker pool.
 ///
 /// # Errors
-/// If the line is no JSON, its operation is unknown, or a key is missing or can't be read.
+/// Returns [`DecodeError::Json`] if the line is not valid JSON, [`DecodeError::UnknownOperation`] if its
+/// operation is unknown, and [`DecodeError::Key`] if a key is missing or has an invalid value.
 pub(super) fn decode(line: &[u8]) -> Result<PoolMessage, DecodeError> {
     let value = json::parse(line).map_err(DecodeError::Json)?;
     let object = Object(&value);
@@ -173,9 +174,9 @@
     Ok(PoolMessage::Event(PoolEvent::Gauges { tag, values }))
 }
 
-/// Returns the command that the pool names as rejected.
-fn rejected_command(word: &str) -> RejectedCommand {
-    match word {
+/// Returns the rejected command with this operation name.
+fn rejected_command(operation: &str) -> RejectedCommand {
+    match operation {
         wire::COMMAND_RUN => RejectedCommand::Run,
         wire::COMMAND_SUSPEND => RejectedCommand::Suspend,
         wire::COMMAND_RESUME => RejectedCommand::Resume,
@@ -186,7 +187,7 @@
     }
 }
 
-/// A decoded line, by key.
+/// A JSON object from the pool, with typed access by key.
 struct Object<'a>(&'a Value);
 
 impl<'a> Object<'a> {
--- a/src/server/worker_pool/connect.rs
+++ b/src/server/worker_pool/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting to the worker pool.
+//! Connection attempts to the worker pool.
 
 use crate::server::timer_wheel::TimerWheel;
 use async_io::Async;
@@ -7,17 +7,18 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Delay before connecting again after a failed attempt, ms.
+/// Delay before the next connection attempt after a failed one, ms.
 pub(super) const CONNECT_RETRY_MS: f64 = 50.0;
-/// Time limit of an attempt to connect, ms: a first packet that was lost is sent again by the system after a second.
+/// Time limit of a connection attempt, ms. It leaves time for a second SYN: the system resends a lost one
+/// after 1 s.
 const CONNECT_TIMEOUT_MS: f64 = 1500.0;
 
-/// An attempt to connect. It is kept until it ends: one that is dropped half-way leaves the pool with a connection on
-/// which nothing comes, beside the one that is made next.
+/// A connection attempt. It is kept until it ends: dropping it midway would leave the pool with a silent
+/// connection beside the next one.
 pub(super) type ConnectAttempt = BoxedLocal<io::Result<Async<TcpStream>>>;
 
-/// Begins an attempt that connects after a delay. It fails if the connection is refused or takes longer than its time
-/// limit.
+/// Starts an attempt that connects after a delay. It fails if the connection is refused or not established
+/// within the time limit.
 pub(super) fn connect_after(delay_ms: f64, address: SocketAddr, wheel: Rc<TimerWheel>) -> ConnectAttempt {
     Box::pin(async move {
         if delay_ms > 0.0 {
--- a/src/server/worker_pool/error.rs
+++ b/src/server/worker_pool/error.rs
@@ -3,24 +3,24 @@
 use crate::codec::json;
 use std::io;
 
-/// Why a line from the pool can't be decoded.
+/// Reason why a line from the worker pool can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum DecodeError {
-    /// The line is no JSON.
+    /// The line is not valid JSON.
     #[error("{0}")]
     Json(json::Error),
-    /// A key is missing, or its value can't be read.
-    #[error("`{0}` is missing or can't be read")]
+    /// A key is missing or has an invalid value.
+    #[error("`{0}` is missing or has an invalid value")]
     Key(&'static str),
-    /// An operation that the server does not know.
+    /// The operation is unknown to this server.
     #[error("`op` is unknown: {}", .0.escape_debug())]
     UnknownOperation(String),
-    /// A line past the limit on its length.
+    /// The line exceeds the length limit.
     #[error("line too long")]
     LineTooLong,
 }
 
-/// Why a connection to the pool ended.
+/// Reason why a connection to the worker pool ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LinkError {
     /// Writing to the connection failed or took too long.
@@ -32,7 +32,7 @@
     /// The pool closed the connection.
     #[error("closed by the worker pool")]
     ClosedByPool,
-    /// The process ends.
+    /// The process is ending: the dispatcher or the link's message queue has closed.
     #[error("the process ends")]
     ProcessEnds,
 }
--- a/src/server/worker_pool/link.rs
+++ b/src/server/worker_pool/link.rs
@@ -1,4 +1,4 @@
-//! The task that keeps a link to the worker pool.
+//! The task that maintains the link to the worker pool.
 
 use super::connect::{CONNECT_RETRY_MS, ConnectAttempt, connect_after};
 use super::reader::{LinkReader, PoolProgress};
@@ -13,48 +13,49 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Delay before connecting again after a link that was up, ms. Runs that are requested meanwhile wait that long.
+/// Delay before reconnecting after the loss of a link that was up, ms. Runs requested meanwhile wait for this
+/// time.
 const RECONNECT_MS: f64 = 5.0;
 
 /// The link to the worker pool.
 ///
 /// # Invariants
-/// - A notice is passed to the dispatcher once, whatever links it was read on.
-/// - [`PoolEvent::LinkUp`] follows all notices from before the link.
-/// - No message of the pool ends the task.
+/// - Each notice is passed to the dispatcher once, even if it is read on several links.
+/// - [`PoolEvent::LinkUp`] is sent after all notices from before the link.
+/// - No message from the pool ends the task.
 pub struct WorkerPoolLink {
     address: SocketAddr,
-    /// The names of the classes by position.
+    /// Class names by position.
     classes: Vec<String>,
     dispatcher: DispatcherSender,
     wheel: Rc<TimerWheel>,
     log: Logger,
     progress: PoolProgress,
-    /// The number of the last link.
-    link: u64,
-    /// The attempt to connect to `address`. It outlasts a link.
+    /// Number of the current link, or of the last one while there is none.
+    link_number: u64,
+    /// Current attempt to connect to `address`. It may outlive a link.
     connecting: Option<ConnectAttempt>,
 }
 
-/// What follows a link that ended.
+/// Next step after a link has ended.
 enum AfterLink {
-    /// The pool's new address is connected.
+    /// Use this connection, which leads to the pool's new address.
     Continue(Async<TcpStream>),
-    /// The pool is to be connected again.
+    /// Connect to the pool again.
     Reconnect,
-    /// The process ends.
+    /// End the task: the process is ending.
     ProcessEnds,
 }
 
 enum ConnectEvent {
-    /// The attempt ended.
+    /// The connection attempt ended.
     Ended(io::Result<Async<TcpStream>>),
     /// The pool's address changed.
     AddressChanged(SocketAddr),
 }
 
 impl WorkerPoolLink {
-    /// Returns a link that is not connected to the pool at `address`. `classes` are the names of the classes by
+    /// Returns a link to the pool at `address` that is not connected yet. `classes` holds the class names by
     /// position.
     pub fn new(
         address: SocketAddr,
@@ -64,10 +65,19 @@
         log: Logger,
     ) -> Self {
         let progress = PoolProgress::default();
-        WorkerPoolLink { address, classes, dispatcher, wheel, log, progress, link: 0, connecting: None }
+        WorkerPoolLink {
+            address,
+            classes,
+            dispatcher,
+            wheel,
+            log,
+            progress,
+            link_number: 0,
+            connecting: None,
+        }
     }
 
-    /// Keeps the link until the process ends.
+    /// Maintains the link until the process ends.
     pub async fn run(mut self, messages: Receiver<WorkerPoolMessage>) {
         let mut connected = None;
         let mut is_unreachable = false;
@@ -97,14 +107,16 @@
         }
     }
 
-    /// Waits for the end of an attempt to connect. A change of the pool's address begins another one.
+    /// Waits for a connection attempt to end. If the pool's address changes, a new attempt replaces the
+    /// current one.
     async fn connect(&mut self, messages: &Receiver<WorkerPoolMessage>) -> io::Result<Async<TcpStream>> {
         loop {
             let (address, wheel) = (self.address, self.wheel.clone());
             let attempt = self.connecting.get_or_insert_with(|| connect_after(0.0, address, wheel));
             let ended = async { ConnectEvent::Ended(attempt.await) };
             let address_changed = async { ConnectEvent::AddressChanged(next_address(messages).await) };
-            // A connection that is made comes first: if the address changed as well, the link moves in its usual way.
+            // An established connection is polled first: if the address changed as well, the link moves to it
+            // as usual.
             match or(ended, address_changed).await {
                 ConnectEvent::Ended(result) => {
                     self.connecting = None;
@@ -122,9 +134,9 @@
         self.connecting = Some(connect_after(delay_ms, self.address, self.wheel.clone()));
     }
 
-    /// Uses a connection until it ends.
+    /// Serves one link on a connection until the link ends.
     async fn serve(&mut self, stream: Async<TcpStream>, messages: &Receiver<WorkerPoolMessage>) -> AfterLink {
-        self.link += 1;
+        self.link_number += 1;
         let end = self.exchange(&stream, messages).await;
         drop(stream);
         let bound = std::mem::take(&mut self.progress.bound);
@@ -140,7 +152,7 @@
             LinkEnd::Failed(error) => {
                 warn!(self.log, "worker pool link down"; "component" => "worker_pool",
                     "error" => error.to_string(), "last_notice" => self.progress.last_sequence);
-                // The pool's address may have changed just before: then an attempt is under way.
+                // If the pool's address changed just before, an attempt is already under way.
                 if self.connecting.is_none() {
                     self.begin_connecting(if bound { RECONNECT_MS } else { CONNECT_RETRY_MS });
                 }
@@ -149,7 +161,7 @@
         }
     }
 
-    /// Reads and writes until one of both ends.
+    /// Reads and writes until either direction ends.
     async fn exchange(
         &mut self,
         stream: &Async<TcpStream>,
@@ -158,18 +170,18 @@
         let _ = stream.get_ref().set_nodelay(true);
         let last_sequence = self.progress.last_sequence;
         let writer = LinkWriter {
-            link: self.link,
+            link_number: self.link_number,
             stream,
             classes: &self.classes,
             address: &mut self.address,
             wheel: &self.wheel,
             dispatcher: &self.dispatcher,
-            oldest_given_at: None,
+            oldest_queued_at: None,
             last_written_at: f64::NEG_INFINITY,
             reconnecting: &mut self.connecting,
         };
         let reader = LinkReader {
-            link: self.link,
+            link_number: self.link_number,
             stream,
             progress: &mut self.progress,
             dispatcher: &self.dispatcher,
@@ -181,7 +193,8 @@
     }
 }
 
-/// Waits for a new address. Commands that come meanwhile are for a link that ended.
+/// Waits for a new address of the pool. Commands received meanwhile belong to a link that ended and are
+/// discarded.
 async fn next_address(messages: &Receiver<WorkerPoolMessage>) -> SocketAddr {
     loop {
         match messages.recv().await {
--- a/src/server/worker_pool/mod.rs
+++ b/src/server/worker_pool/mod.rs
@@ -1,7 +1,7 @@
 //! The link to the worker pool: JSON lines over TCP.
 //!
-//! [`WorkerPoolLink`] keeps one connection, carries commands to the pool and its notices to the dispatcher, and
-//! connects again whenever the connection ends or the pool's address changes.
+//! [`WorkerPoolLink`] maintains one connection, carries commands to the pool and its notices to the
+//! dispatcher, and reconnects whenever the connection ends or the pool's address changes.
 
 mod codec;
 mod connect;
--- a/src/server/worker_pool/protocol.rs
+++ b/src/server/worker_pool/protocol.rs
@@ -1,10 +1,10 @@
-//! Wire words of the worker pool's protocol, JSON lines. No other file spells them.
+//! Names on the wire of the worker pool protocol (JSON lines). They are defined in this file only.
 
 /// Key of the operation of a command or message.
 pub(super) const KEY_OPERATION: &str = "op";
-/// Key of the number of an attempt, 16 hexadecimal digits.
+/// Key of an attempt id, 16 hexadecimal digits.
 pub(super) const KEY_ATTEMPT: &str = "id";
-/// Key of the name of a class.
+/// Key of a class name.
 pub(super) const KEY_CLASS: &str = "class";
 /// Key of a body, in Base64.
 pub(super) const KEY_BODY: &str = "body";
@@ -12,14 +12,14 @@
 pub(super) const KEY_SEQUENCE: &str = "seq";
 /// Key of the tag of a gauge query.
 pub(super) const KEY_TAG: &str = "tag";
-/// Key of how a run ended, of how the pool started, and of the command that was rejected.
+/// Key of the outcome of a run, of the kind of the pool's start, and of the name of a rejected command.
 pub(super) const KEY_END: &str = "end";
 /// Key of a duration, ms.
 pub(super) const KEY_DURATION_MS: &str = "ms";
-/// Key of the values of the gauges.
+/// Key of the gauge values.
 pub(super) const KEY_VALUES: &str = "values";
 
-/// Command: begin a link after the last notice that was read.
+/// Command: start a link after the last notice read.
 pub(super) const COMMAND_BIND: &str = "bind";
 /// Command: run a request.
 pub(super) const COMMAND_RUN: &str = "spawn";
@@ -27,9 +27,9 @@
 pub(super) const COMMAND_SUSPEND: &str = "suspend";
 /// Command: resume a suspended run.
 pub(super) const COMMAND_RESUME: &str = "proceed";
-/// Command: the reply to the upstream call of a run.
+/// Command: deliver the reply to the upstream call of a run.
 pub(super) const COMMAND_UPSTREAM_REPLY: &str = "supply";
-/// Command: go on without an upstream call.
+/// Command: continue a run without its upstream call.
 pub(super) const COMMAND_SKIP_UPSTREAM_CALL: &str = "pass";
 /// Command: read the gauges.
 pub(super) const COMMAND_READ_GAUGES: &str = "poll";
@@ -40,22 +40,22 @@
 pub(super) const NOTICE_RUN_ENDED: &str = "finished";
 /// Notice: a run waits for an upstream call.
 pub(super) const NOTICE_UPSTREAM_CALL_NEEDED: &str = "blocked";
-/// Notice without a meaning for this server.
+/// Notice: ignored by this server.
 pub(super) const NOTICE_IGNORED: &str = "chatter";
-/// Message: the values of the gauges.
+/// Message: the gauge values.
 pub(super) const MESSAGE_GAUGES: &str = "polled";
 /// Message: a command was rejected.
 pub(super) const MESSAGE_COMMAND_REJECTED: &str = "unknown";
 
-/// Start of the pool: cold.
+/// Kind of the pool's start: cold.
 pub(super) const START_COLD: &str = "new";
-/// End of a run: with a result.
+/// Outcome of a run: completed with a result.
 pub(super) const END_COMPLETED: &str = "good";
-/// End of a run: failed.
+/// Outcome of a run: failed.
 pub(super) const END_FAILED: &str = "bad";
-/// End of a run: stopped.
+/// Outcome of a run: stopped.
 pub(super) const END_STOPPED: &str = "cut";
-/// End of a run: never started.
+/// Outcome of a run: never started.
 pub(super) const END_NOT_STARTED: &str = "gone";
 
 /// Tag of the gauge query whose reply shows that all earlier notices have been read.
--- a/src/server/worker_pool/reader.rs
+++ b/src/server/worker_pool/reader.rs
@@ -1,4 +1,4 @@
-//! The reading side of a link: messages of the worker pool to events for the dispatcher.
+//! The reading side of a link: turns messages of the worker pool into events for the dispatcher.
 
 use super::codec::{PoolMessage, decode, encode_caught_up_query};
 use super::error::{DecodeError, LinkError};
@@ -9,37 +9,37 @@
 use slog::{Logger, info, warn};
 use std::net::TcpStream;
 
-/// The longest line that is read, in bytes.
+/// Longest line that is accepted from the pool, bytes.
 pub(super) const MAX_LINE_BYTES: usize = 64 * 1024;
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The most log lines about invalid messages and missing notices of one link.
+/// Maximum number of log lines about invalid messages and missing notices per link.
 const MAX_WARNINGS: u32 = 10;
 
-/// What is known of the pool; it outlasts a link.
+/// State of the exchange with the pool that outlives a link.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PoolProgress {
-    /// The number of the last notice read.
+    /// Sequence number of the last notice read.
     pub(super) last_sequence: u64,
-    /// How long the pool was up when it last accepted a link, ms.
+    /// Uptime of the pool when it last accepted a link, ms.
     pub(super) uptime_ms: f64,
-    /// Whether the pool accepted the present link.
+    /// Whether the pool accepted the current link.
     pub(super) bound: bool,
 }
 
-/// Reads one link.
+/// The reading side of one link.
 pub(super) struct LinkReader<'a> {
-    /// The number of the link.
-    pub(super) link: u64,
+    /// Number of the link.
+    pub(super) link_number: u64,
     /// The connection.
     pub(super) stream: &'a Async<TcpStream>,
-    /// What is known of the pool.
+    /// State that outlives the link.
     pub(super) progress: &'a mut PoolProgress,
     /// Sender to the dispatcher.
     pub(super) dispatcher: &'a DispatcherSender,
     /// The log.
     pub(super) log: &'a Logger,
-    /// Warnings about this link so far.
+    /// Number of warnings about this link so far.
     pub(super) warnings: u32,
 }
 
@@ -78,7 +78,7 @@
     async fn handle_message(&mut self, message: PoolMessage) -> Result<(), LinkError> {
         match message {
             PoolMessage::Bound { cold, uptime_ms } => self.handle_bound(cold, uptime_ms).await,
-            PoolMessage::CaughtUp => self.send(PoolEvent::LinkUp(self.link)).await,
+            PoolMessage::CaughtUp => self.send(PoolEvent::LinkUp(self.link_number)).await,
             PoolMessage::Event(event) => self.send(event).await,
             PoolMessage::Notice { sequence, event } => {
                 if !self.record_notice(sequence) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Records the number of a notice, and returns whether it is new.
+    /// Records the sequence number of a notice, and returns whether the notice is new.
     fn record_notice(&mut self, sequence: u64) -> bool {
         let last = self.progress.last_sequence;
         if sequence <= last {
@@ -109,15 +109,17 @@
 
     async fn handle_bound(&mut self, cold: bool, uptime_ms: f64) -> Result<(), LinkError> {
         self.progress.bound = true;
-        // Up for less time than before: the pool was restarted, its notices count from 1, and earlier runs ended.
+        // A shorter uptime than before means a restart: notices count from 1 again, and earlier runs have
+        // ended.
         if uptime_ms < self.progress.uptime_ms {
             warn!(self.log, "worker pool restarted"; "component" => "worker_pool", "uptime_ms" => uptime_ms);
             self.progress.last_sequence = 0;
             self.send(PoolEvent::Restarted).await?;
         }
         self.progress.uptime_ms = uptime_ms;
-        // Not earlier: a pool that is still starting accepts the link but answers no query on it, and this query needs
-        // its reply. The writer has nothing to write until then.
+        // The query is not sent before this point: a pool that is still starting accepts the link but answers
+        // no query on it, and this query needs its reply. The writer has nothing to write until the link is
+        // up.
         let mut query = String::new();
         encode_caught_up_query(&mut query);
         let mut stream = self.stream;
--- a/src/server/worker_pool/writer.rs
+++ b/src/server/worker_pool/writer.rs
@@ -1,4 +1,4 @@
-//! The writing side of a link: commands of the dispatcher to the worker pool.
+//! The writing side of a link: sends commands of the dispatcher to the worker pool.
 
 use super::codec::{encode_bind, encode_command};
 use super::connect::{CONNECT_RETRY_MS, ConnectAttempt, connect_after};
@@ -18,16 +18,17 @@
 
 /// Time limit of a write, ms: longer than any pause of the machine.
 const WRITE_TIMEOUT_MS: f64 = 10_000.0;
-/// Waits of commands from which the dispatcher is told of them, ms: a lag of this process, beyond the usual turn of its loop.
+/// Shortest wait of commands that is reported to the dispatcher, ms: a lag of this process beyond the usual
+/// length of an event loop turn.
 const MIN_REPORTED_WAIT_MS: f64 = 5.0;
-/// Bytes encoded before they are written.
+/// Number of encoded bytes from which a batch is written.
 const WRITE_BUFFER_BYTES: usize = MAX_LINE_BYTES;
 
-/// Why a link ended.
+/// Reason why a link ended.
 pub(super) enum LinkEnd {
     /// The connection failed.
     Failed(LinkError),
-    /// The pool's address changed; the connection to its new address.
+    /// The pool's address changed; holds the connection to its new address.
     Moved(Async<TcpStream>),
 }
 
@@ -39,31 +40,34 @@
     QueueClosed,
 }
 
-/// Writes one link.
+/// The writing side of one link.
 pub(super) struct LinkWriter<'a> {
-    /// The number of the link.
-    pub(super) link: u64,
+    /// Number of the link.
+    pub(super) link_number: u64,
     /// The connection.
     pub(super) stream: &'a Async<TcpStream>,
-    /// The names of the classes by position.
+    /// Class names by position.
     pub(super) classes: &'a [String],
-    /// Where the pool listens; follows [`WorkerPoolMessage::SetAddress`].
+    /// Address of the pool, updated by [`WorkerPoolMessage::SetAddress`].
     pub(super) address: &'a mut SocketAddr,
     /// The timers.
     pub(super) wheel: &'a Rc<TimerWheel>,
     /// Sender to the dispatcher.
     pub(super) dispatcher: &'a DispatcherSender,
-    /// When the oldest command that a run needs to go on was given, of those that are encoded and not written, Unix ms.
-    pub(super) oldest_given_at: Option<f64>,
-    /// When such commands were last written, Unix ms.
+    /// Time at which the dispatcher issued the oldest command that is encoded but not written and that a run
+    /// needs to proceed, Unix ms.
+    pub(super) oldest_queued_at: Option<f64>,
+    /// Time of the last write with a command that a run needs to proceed, Unix ms.
     pub(super) last_written_at: f64,
-    /// The attempt to connect to the pool's new address. The present link is used until then: notices on their way are
-    /// still read, and the new link begins after the last of them. If the link ends first, the attempt goes on.
+    /// Attempt to connect to the pool's new address. The current link is used until it succeeds: notices in
+    /// transit are still read, and the new link starts after the last of them. If the link ends first, the
+    /// attempt continues.
     pub(super) reconnecting: &'a mut Option<ConnectAttempt>,
 }
 
 impl LinkWriter<'_> {
-    /// Begins the link after `last_sequence`, the number of the last notice read, and writes commands until it ends.
+    /// Starts the link after `last_sequence`, the sequence number of the last notice read, and writes
+    /// commands until the link ends.
     pub(super) async fn run(mut self, last_sequence: u64, messages: &Receiver<WorkerPoolMessage>) -> LinkEnd {
         let mut buffer = String::new();
         encode_bind(last_sequence, &mut buffer);
@@ -94,20 +98,23 @@
         or(stream.write_all(text.as_bytes()), timed_out).await
     }
 
-    /// Tells the dispatcher if the commands that were just written had waited for long.
+    /// Reports to the dispatcher if the commands just written had waited for [`MIN_REPORTED_WAIT_MS`] or
+    /// longer.
     fn report_delay(&mut self) {
-        let Some(given_at) = self.oldest_given_at else { return };
+        let Some(queued_at) = self.oldest_queued_at else { return };
         let now = self.wheel.clock().now();
-        // Where batches waited one behind the other, their waits overlap.
-        let waited_ms = now - given_at.max(self.last_written_at);
+        // The waits of successive batches overlap; the part before the last write was counted with an earlier
+        // batch.
+        let waited_ms = now - queued_at.max(self.last_written_at);
         if waited_ms >= MIN_REPORTED_WAIT_MS {
             let event = DispatcherMessage::Pool(PoolEvent::CommandsDelayed { waited_ms });
             if self.dispatcher.try_send(event).is_err() {
-                // No command waits for room in the dispatcher's mailbox: the next report covers this wait as well.
+                // Commands never wait for room in the dispatcher's mailbox: the next report covers this wait
+                // as well.
                 return;
             }
         }
-        self.oldest_given_at = None;
+        self.oldest_queued_at = None;
         self.last_written_at = now;
     }
 
@@ -132,20 +139,20 @@
         or(reconnected, message).await
     }
 
-    /// Notes when a command was given that a run needs to go on. The first of a batch is the oldest.
-    fn note_given(&mut self, command: &LinkCommand) {
+    /// Records when a command that a run needs to proceed was issued. The first one of a batch is the oldest.
+    fn record_queued_at(&mut self, command: &LinkCommand) {
         match command.command {
             PoolCommand::Run { .. }
             | PoolCommand::Resume { .. }
             | PoolCommand::UpstreamReply { .. }
             | PoolCommand::SkipUpstreamCall { .. } => {
-                self.oldest_given_at.get_or_insert(command.given_at);
+                self.oldest_queued_at.get_or_insert(command.given_at);
             }
             PoolCommand::Suspend { .. } | PoolCommand::ReadGauges { .. } => {}
         }
     }
 
-    /// Encodes a message and those that wait behind it, as far as the buffer's limit.
+    /// Encodes a message and those queued behind it, up to the buffer's limit.
     fn encode_batch(
         &mut self,
         first: WorkerPoolMessage,
@@ -155,11 +162,11 @@
         let mut next = Some(first);
         while let Some(message) = next {
             match message {
-                WorkerPoolMessage::Command(command) if command.link == self.link => {
-                    self.note_given(&command);
+                WorkerPoolMessage::Command(command) if command.link == self.link_number => {
+                    self.record_queued_at(&command);
                     encode_command(&command.command, self.classes, buffer);
                 }
-                // For a link that ended.
+                // The command belongs to a link that ended.
                 WorkerPoolMessage::Command(_) => {}
                 WorkerPoolMessage::SetAddress(address) => {
                     *self.address = address;
--- a/tests/client_log_lines.rs
+++ b/tests/client_log_lines.rs
@@ -16,7 +16,7 @@
 const NOISE: &[u8] = b"\xc1";
 /// What the log says of a connection that was closed for that.
 const CLOSED_FOR_TOO_LONG: &str = "reading a message: message too long";
-const CLOSED_FOR_NOISE: &str = "reading a message: no MessagePack";
+const CLOSED_FOR_NOISE: &str = "reading a message: invalid MessagePack";
 /// How the end of a connection is told.
 const ENDED: &str = "closed";
 
