--- a/src/daemon/command_line.rs
+++ b/src/daemon/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line, and the files that it names.
+//! Parsing of the command line, and loading of the configuration files that it names.
 
 use super::error::DaemonError;
 use crate::config::{Config, ConfigFallbacks};
@@ -6,15 +6,15 @@
 use clap::{Args, Parser, Subcommand};
 use std::path::PathBuf;
 
-/// Environment variable of the server's name, where the configuration file has none.
+/// Environment variable for the server's name, used if the configuration file has none.
 const NAME_VARIABLE: &str = "RELAY_NAME";
-/// Environment variable of the address for clients, where the configuration file has none.
+/// Environment variable for the client address, used if the configuration file has none.
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
-/// Environment variable of the address for operators, where the configuration file has none.
+/// Environment variable for the control endpoint's address, used if the configuration file has none.
 const CONTROL_VARIABLE: &str = "RELAY_CONTROL";
 
-/// A round server: takes requests from client proxies, has the worker pool run them, and turns away what would come to
-/// nothing.
+/// An admission and overload server: accepts requests from client proxies, runs them on the worker pool, and
+/// rejects those that would not complete successfully.
 #[derive(Parser)]
 #[command(name = "dunlinspread", version, about)]
 pub(super) struct CommandLine {
@@ -22,43 +22,47 @@
     pub(super) command: Option<Command>,
     #[command(flatten)]
     pub(super) files: ConfigFiles,
-    /// The form of the log's lines; overrides the operator file.
+    /// Format of the log lines; overrides the operator file.
     #[arg(long, global = true, value_enum)]
     pub(super) log_format: Option<LogFormat>,
 }
 
 #[derive(Clone, Copy, Subcommand)]
 pub(super) enum Command {
-    /// Serve until SIGTERM; what the program does with no command.
+    /// Serve until SIGTERM or SIGINT (the default command).
     Serve,
-    /// Read the platform file and the operator file, print what is in force, and end with 1 if one is faulty.
+    /// Read the platform file and the operator file, print the settings in force, and exit with 1 if one is
+    /// invalid.
     Check,
 }
 
-/// Where settings come from. They are read again on SIGHUP.
+/// Paths of the configuration files. They are read again on SIGHUP.
 #[derive(Args, Clone)]
 pub(super) struct ConfigFiles {
-    /// The platform's configuration, as JSON.
+    /// The platform's configuration file, in JSON.
     #[arg(long, global = true, env = "RELAY_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operator file, as HCL; without one, all that it could switch on is off.
+    /// The operator file, in HCL; without one, every subsystem that it configures is disabled.
     #[arg(long, global = true, env = "DUNLINSPREAD_OPERATOR", value_name = "FILE")]
     operator: Option<PathBuf>,
 }
 
-/// The settings of all files.
+/// The settings of all configuration files.
 pub(super) struct LoadedConfig {
-    /// The platform's.
+    /// The platform's configuration.
     pub(super) platform: Config,
-    /// The operators'.
+    /// The operator file's settings.
     pub(super) operator: OperatorConfig,
 }
 
 impl ConfigFiles {
-    /// Reads the files.
+    /// Reads the configuration files.
     ///
     /// # Errors
-    /// If a file can't be read or is invalid.
+    /// - [`DaemonError::ConfigFileNotSet`] if no platform configuration file is named.
+    /// - [`DaemonError::ReadConfigFile`] if the platform configuration file can't be read.
+    /// - [`DaemonError::Config`] if the platform configuration file is invalid.
+    /// - [`DaemonError::Operator`] if the operator file can't be read or is invalid.
     pub(super) fn load(&self) -> Result<LoadedConfig, DaemonError> {
         let path = self.config.as_ref().ok_or(DaemonError::ConfigFileNotSet)?;
         let text = std::fs::read(path)
--- a/src/daemon/config_follower.rs
+++ b/src/daemon/config_follower.rs
@@ -1,7 +1,7 @@
-//! Distributed configuration in the process: starts the subscriber's thread, applies its updates on the serving thread,
-//! confirms them, and logs when the server is cut off from the publisher.
+//! Distributed configuration in the process: starts the subscriber's thread, applies its updates on the
+//! serving thread, confirms them, and logs when the server loses or regains contact with the publisher.
 //!
-//! Serving does not wait for a relay: only the state on disk, if there is one, is applied before the first request.
+//! Serving does not wait for a relay: only the state on disk, if any, is applied before the first request.
 
 use super::error::DaemonError;
 use super::staleness::{StalenessChange, StalenessMonitor};
@@ -25,14 +25,14 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Updates that wait for the serving thread at most; the subscriber merges further ones.
+/// Maximum number of updates queued for the serving thread; the subscriber merges further ones.
 const MAX_WAITING_UPDATES: usize = 4;
 /// Interval at which the age of the settings is checked, ms.
 const AGE_CHECK_INTERVAL_MS: f64 = 1000.0;
 
-/// What a follower needs to start.
+/// Settings and handles with which a [`ConfigFollower`] is started.
 pub(super) struct FollowerStart<'a> {
-    /// The operators' settings.
+    /// The block `config_sync` of the operator file.
     pub(super) settings: &'a ConfigSyncSettings,
     /// The platform's configuration.
     pub(super) config: &'a Config,
@@ -40,17 +40,17 @@
     pub(super) class_names: Arc<NameTable>,
     /// The platform's tenants by name.
     pub(super) tenants: Arc<NameTable>,
-    /// The dispatcher's mailbox.
+    /// Sender of the dispatcher's mailbox.
     pub(super) dispatcher: DispatcherSender,
-    /// The timers.
+    /// The timer wheel.
     pub(super) wheel: Rc<TimerWheel>,
     /// The clock.
     pub(super) clock: Clock,
-    /// The log.
+    /// The logger.
     pub(super) log: &'a Logger,
 }
 
-/// Follows the publisher until the process ends.
+/// Applies the publisher's updates until the process ends.
 pub(super) struct ConfigFollower {
     client: Client,
     updates: Receiver<Update>,
@@ -60,16 +60,18 @@
     clock: Clock,
     log: Logger,
     staleness: StalenessMonitor,
-    /// The position of the last update that was applied.
+    /// Position of the last applied update.
     position: Option<Position>,
 }
 
 impl FollowerStart<'_> {
-    /// Starts the subscriber's thread and applies the state on disk, if there is one.
+    /// Starts the subscriber's thread and applies the state on disk, if any.
     ///
     /// # Errors
-    /// If the platform lists too many tenants, the fleet's key can't be used, the thread can't be started, or the state
-    /// on disk can't be applied.
+    /// - [`DaemonError::TooManyTenants`] if the platform lists more tenants than the operator file allows.
+    /// - [`DaemonError::FleetKey`] if the fleet's key can't be read or has an invalid length.
+    /// - [`DaemonError::Subscriber`] if the subscriber can't be started.
+    /// - [`DaemonError::StoredSettings`] if the state on disk can't be applied.
     pub(super) async fn start(self) -> Result<ConfigFollower, DaemonError> {
         let log = self.log.new(o!("component" => "config_sync"));
         let (max, listed) = (self.settings.max_tenants, self.tenants.len());
@@ -111,7 +113,7 @@
 }
 
 impl ConfigFollower {
-    /// Returns the settings that the follower keeps up to date.
+    /// Returns the distributed settings, which the follower keeps up to date.
     pub(super) fn settings(&self) -> Rc<DistributedSettings> {
         self.settings.clone()
     }
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Applies each update and checks the age of the settings from time to time.
+    /// Applies each update and checks the age of the settings periodically.
     pub(super) async fn run(mut self) {
         loop {
             let failure = match self.next_event().await {
@@ -135,7 +137,7 @@
                 FollowerEvent::SubscriberEnded => Some("the subscriber has ended".to_owned()),
             };
             if let Some(error) = failure {
-                // Serving goes on; no later update can be applied over one that is missing.
+                // Serving continues. Later updates can't be applied, because they build on the missing one.
                 error!(self.log, "distributed settings stay as they are until a restart"; "error" => error);
                 return pending().await;
             }
@@ -200,7 +202,7 @@
         servers: settings.relays.iter().map(relay_server).collect(),
         fleet_key: settings.fleet_key()?,
         state_directory: settings.state_directory.as_ref().map(PathBuf::from),
-        // The seed sets the jitter of servers apart; nothing has to be repeatable.
+        // The seed gives each server different jitter; it does not have to be reproducible.
         seed: RandomState::new().hash_one(server_name),
     })
 }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the process.
+//! Errors that terminate the process.
 
 use crate::config::ConfigError;
 use crate::operator::{FleetKeyError, OperatorConfigError};
@@ -10,80 +10,80 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why the process could not start or had to end.
+/// Reason why the process could not start or had to terminate.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DaemonError {
-    /// No configuration file is named.
+    /// No configuration file is specified.
     #[error("`RELAY_CONFIG`: is not set")]
     ConfigFileNotSet,
     /// The configuration file can't be read.
     #[error("`RELAY_CONFIG`: {}: {source}", path.display())]
     ReadConfigFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What happened.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// A key of the configuration file is missing or can't be read.
+    /// A key of the configuration file is missing or invalid.
     #[error("{}: {source}", path.display())]
     Config {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The key and what is wrong with it.
+        /// The key and the reason why it is invalid.
         source: ConfigError,
     },
     /// The operator file is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorConfigError),
-    /// Signals can't be handled.
+    /// Signal handling can't be set up.
     #[error("signals: {0}")]
     Signals(io::Error),
-    /// The address for clients can't be listened on.
+    /// Listening on the client address failed.
     #[error("`listen`: {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What happened.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The address for operators can't be listened on, or its thread can't be started.
+    /// Listening on the control endpoint's address failed, or its thread can't be started.
     #[error("`control`: {address}: {source}")]
     Control {
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// What happened.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// The usage ledger was not opened.
+    /// Opening the usage ledger failed.
     #[error(transparent)]
     Ledger(#[from] UsageError),
-    /// The platform lists more tenants than distributed configuration is allowed.
-    #[error("config_sync: `max_tenants`: {max}, and the platform lists {listed}")]
+    /// The platform lists more tenants than the operator file allows for distributed configuration.
+    #[error("config_sync: `max_tenants`: is {max}, but the platform lists {listed} tenants")]
     TooManyTenants {
-        /// The most tenants, by the operator file.
+        /// Maximum number of tenants, from the operator file.
         max: usize,
-        /// Tenants that the platform lists.
+        /// Number of tenants that the platform lists.
         listed: usize,
     },
-    /// The fleet's key can't be used.
+    /// The fleet's key can't be read or has an invalid length.
     #[error(transparent)]
     FleetKey(#[from] FleetKeyError),
-    /// The subscriber of distributed configuration was not started.
+    /// Starting the subscriber of distributed configuration failed.
     #[error("config_sync: {0}")]
     Subscriber(io::Error),
-    /// The stored state of distributed configuration was not applied.
+    /// Applying the stored state of distributed configuration failed.
     #[error("config_sync: {0}")]
     StoredSettings(ApplyError),
-    /// A task failed that should last as long as the process.
+    /// A task that should run as long as the process has failed.
     #[error(transparent)]
     Task(#[from] TaskFailure),
-    /// A predecessor serves, and there will be no handover.
+    /// A predecessor is serving, and the handover from it failed.
     #[error("handover: {0}")]
     Handover(GiveUpReason),
     /// All tasks have ended.
     #[error("all tasks have ended")]
     AllTasksEnded,
-    /// The dispatcher takes no message.
+    /// The dispatcher's mailbox is closed.
     #[error("requesting the drain: the dispatcher has ended")]
     DispatcherGone,
 }
--- a/src/daemon/handover/frames.rs
+++ b/src/daemon/handover/frames.rs
@@ -1,11 +1,12 @@
-//! Typed messages put into frames, on their way to the other process.
+//! Encoding of handover messages as frames, and forwarding of the frames to the other process.
 
 use crate::server::handover::OutgoingFrame;
 use crate::server::messages::{ConnectionMessage, Response, SuccessorFrame};
 use async_channel::{Receiver, Sender};
 use dunlinspread_handover::{ForwardedOutcome, ForwardedResponse, ToPredecessor};
 
-/// Passes frames on to the link to the successor, until their queue is closed.
+/// Encodes queued messages and sends them on the link to the successor, until the queue or the link is
+/// closed.
 pub(super) async fn send_to_successor(messages: Receiver<SuccessorFrame>, link: Sender<OutgoingFrame>) {
     while let Ok(SuccessorFrame { message, descriptor }) = messages.recv().await {
         let frame = OutgoingFrame { bytes: message.encode(), descriptor };
@@ -15,7 +16,8 @@
     }
 }
 
-/// Passes frames on to the link to the predecessor, until their queue is closed.
+/// Encodes queued messages and sends them on the link to the predecessor, until the queue or the link is
+/// closed.
 pub(super) async fn send_to_predecessor(messages: Receiver<ToPredecessor>, link: Sender<OutgoingFrame>) {
     while let Ok(message) = messages.recv().await {
         if link.send(frame(&message)).await.is_err() {
@@ -24,12 +26,12 @@
     }
 }
 
-/// Returns a frame for the predecessor.
+/// Encodes a message to the predecessor as a frame.
 pub(super) fn frame(message: &ToPredecessor) -> OutgoingFrame {
     OutgoingFrame { bytes: message.encode(), descriptor: None }
 }
 
-/// Passes the responses to forwarded requests back to the predecessor, as long as it lives.
+/// Sends the responses to forwarded requests back to the predecessor while it is running.
 pub(super) async fn return_responses(
     responses: Receiver<ConnectionMessage>,
     predecessor: Sender<ToPredecessor>,
@@ -38,7 +40,7 @@
         let ConnectionMessage::Response { tag, response, advertised_share } = message else { continue };
         let Some(outcome) = forwarded_outcome(response) else { continue };
         let response = ForwardedResponse { request: tag, outcome, advertised_share };
-        // After the end of the predecessor responses are read and dropped.
+        // Once the predecessor has ended, responses are received and dropped.
         let _ = predecessor.send(ToPredecessor::Response(response)).await;
     }
 }
--- a/src/daemon/handover/mod.rs
+++ b/src/daemon/handover/mod.rs
@@ -1,8 +1,9 @@
-//! Upgrades: the tasks that connect this process with the one before it and the one after it.
+//! Handover during an upgrade: the tasks that connect this process with its predecessor and its successor.
 //!
-//! The protocol is a pair of state machines in `crates/handover`: the predecessor's is driven by the dispatcher, since
-//! it holds requests; the successor's by [`Takeover`]. Off unless the configuration names an address for operators and
-//! `TMPDIR` is set: no page promises a socket in the file system otherwise.
+//! The protocol is a pair of state machines in `crates/handover`. The dispatcher drives the predecessor's
+//! state machine, since it holds the requests; [`Takeover`] drives the successor's. Handover is disabled
+//! unless the configuration sets the control endpoint's address and `TMPDIR` is set: only then does the
+//! platform's documentation provide for a socket in the file system.
 
 mod frames;
 mod start;
@@ -16,10 +17,10 @@
 use slog::{Logger, error, info};
 use std::path::PathBuf;
 
-/// Environment variable of the directory that all processes of this server share.
+/// Environment variable for the directory that all processes of this server share.
 const TEMPORARY_DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// Returns the directory in which the processes of this server meet; `None` where upgrades are off.
+/// Returns the directory of the handover socket; `None` if handover is disabled.
 pub(super) fn directory(loaded: &LoadedConfig, log: &Logger) -> Option<HandoverDirectory> {
     loaded.platform.control?;
     let temporary = std::env::var_os(TEMPORARY_DIRECTORY_VARIABLE)?;
--- a/src/daemon/handover/start.rs
+++ b/src/daemon/handover/start.rs
@@ -1,4 +1,4 @@
-//! The start of a handover's tasks.
+//! Starts the tasks of the handover.
 
 use super::successors::SuccessorAcceptor;
 use super::takeover::{Takeover, TakeoverContext, TakeoverTask};
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What the tasks of a handover are made of.
+/// Parts of the process that the handover tasks use.
 pub(in crate::daemon) struct HandoverStart {
     pub(in crate::daemon) identity: ServerIdentity,
     pub(in crate::daemon) executor: Rc<LocalExecutor<'static>>,
@@ -29,7 +29,7 @@
 }
 
 impl HandoverStart {
-    /// Looks for the process that this one is to take over from.
+    /// Connects to the predecessor; `None` if there is none or connecting to it fails.
     pub(in crate::daemon) fn find_predecessor(&self, directory: &HandoverDirectory) -> Option<Takeover> {
         let context = TakeoverContext {
             dispatcher: self.dispatcher.clone(),
@@ -41,7 +41,8 @@
         Takeover::find(directory, self.identity.clone(), context)
     }
 
-    /// Lets this process hand over to a successor, once it serves, and take over from its predecessor before.
+    /// Enables handover to a successor once this process serves, and starts the takeover from a predecessor
+    /// if there is one.
     pub(in crate::daemon) fn start(
         &self,
         directory: HandoverDirectory,
@@ -52,7 +53,8 @@
         match socket.try_clone() {
             Ok(socket) => dispatcher.enable_handover(self.identity.clone(), socket),
             Err(error) => {
-                return error!(self.log, "handover is off: no further descriptor"; "error" => error.to_string());
+                return error!(self.log, "handover is off: cannot duplicate the listening socket";
+                    "error" => error.to_string());
             }
         }
         let acceptor = SuccessorAcceptor {
--- a/src/daemon/handover/successors.rs
+++ b/src/daemon/handover/successors.rs
@@ -1,4 +1,4 @@
-//! Successors: the task that accepts them, one at a time, and carries their frames to the dispatcher.
+//! The task that accepts successors, one at a time, and forwards their frames to the dispatcher.
 
 use super::frames::send_to_successor;
 use crate::server::handover::{HandoverDirectory, HandoverListener, HandoverStream, LinkEvent, run_link};
@@ -13,11 +13,11 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Events of a link that wait for the dispatcher, before the successor has to wait.
-const LINK_EVENTS: usize = 64;
-/// Pause after a failure to listen or to accept, ms.
-const RETRY_MS: f64 = 500.0;
-/// Time for the last frames of a link that this side closes, ms.
+/// Maximum number of a link's events queued for the dispatcher; a full queue blocks the successor.
+const MAX_WAITING_LINK_EVENTS: usize = 64;
+/// Delay before retrying after listening or accepting failed, ms.
+const RETRY_DELAY_MS: f64 = 500.0;
+/// Time allowed for sending the last frames of a link that this process closes, ms.
 const CLOSE_TIMEOUT_MS: f64 = 500.0;
 
 /// The task that accepts successors.
@@ -35,8 +35,9 @@
     pub(in crate::daemon) async fn run(self) {
         let mut previous = None;
         loop {
-            // Bound anew after each link: a successor that took the name over and ended has left it to nobody. The
-            // listener before lives until then, so that a successor always finds one.
+            // The name is bound again after each link: a successor may have bound it for itself and then
+            // ended, which leaves no listener on it. The previous listener stays open until then, so that a
+            // successor can always connect.
             match HandoverListener::bind(&self.directory) {
                 Ok(listener) => {
                     drop(previous.take());
@@ -45,16 +46,16 @@
                 }
                 Err(error) => {
                     error!(self.log, "handover: not listening for a successor"; "error" => %error);
-                    self.wheel.sleep(RETRY_MS).await;
+                    self.wheel.sleep(RETRY_DELAY_MS).await;
                 }
             }
         }
     }
 
-    /// Serves the next successor, and refuses others meanwhile.
+    /// Serves the next successor, and refuses others in the meantime.
     async fn serve_next(&self, listener: &HandoverListener) {
         let stream = self.accept(listener).await;
-        or(self.serve(stream), self.refuse_others(listener)).await;
+        or(self.serve_successor(stream), self.refuse_others(listener)).await;
     }
 
     async fn accept(&self, listener: &HandoverListener) -> HandoverStream {
@@ -62,8 +63,8 @@
             match listener.accept().await {
                 Ok(stream) => return stream,
                 Err(error) => {
-                    warn!(self.log, "handover: successor not accepted"; "error" => %error);
-                    self.wheel.sleep(RETRY_MS).await;
+                    warn!(self.log, "handover: accepting a successor failed"; "error" => %error);
+                    self.wheel.sleep(RETRY_DELAY_MS).await;
                 }
             }
         }
@@ -73,31 +74,31 @@
         let busy = ToSuccessor::Refuse { reason: RefuseReason::Busy }.encode();
         loop {
             let stream = self.accept(listener).await;
-            // It learns of the refusal, or of the end of the link.
+            // If sending fails, the other process sees the end of the link instead of the refusal.
             let _ = stream.send(&busy, None).await;
         }
     }
 
-    /// Carries the frames of a successor until the link ends, or this side has closed it.
-    async fn serve(&self, stream: HandoverStream) {
+    /// Forwards the frames of a successor until the link ends or this process has closed it.
+    async fn serve_successor(&self, stream: HandoverStream) {
         let (frames, frames_to_send) = async_channel::unbounded();
         let (outgoing, outgoing_frames) = async_channel::unbounded();
-        let (events, link_events) = async_channel::bounded(LINK_EVENTS);
-        self.tell(SuccessorMessage::Connected(frames)).await;
+        let (events, link_events) = async_channel::bounded(MAX_WAITING_LINK_EVENTS);
+        self.notify_dispatcher(SuccessorMessage::Connected(frames)).await;
         let _link = self.executor.spawn(run_link(stream, outgoing_frames, events));
-        let closed_here = async {
+        let closed_locally = async {
             send_to_successor(frames_to_send, outgoing).await;
             self.wheel.sleep(CLOSE_TIMEOUT_MS).await;
         };
-        or(self.read(link_events), closed_here).await;
-        self.tell(SuccessorMessage::Disconnected).await;
+        or(self.forward_frames(link_events), closed_locally).await;
+        self.notify_dispatcher(SuccessorMessage::Disconnected).await;
     }
 
-    /// Passes frames on until the link ends, or one can't be read before the commit.
-    async fn read(&self, events: Receiver<LinkEvent>) {
+    /// Forwards frames to the dispatcher until the link ends or, before the commit, a frame can't be decoded.
+    async fn forward_frames(&self, events: Receiver<LinkEvent>) {
         while let Ok(LinkEvent::Frame(frame)) = events.recv().await {
             match ToPredecessor::decode(&frame.bytes) {
-                Ok(frame) => self.tell(message(frame)).await,
+                Ok(frame) => self.notify_dispatcher(dispatcher_message(frame)).await,
                 Err(error) if self.status.is_handed_over() => self.log_faulty_frame(&error),
                 Err(error) => return self.log_faulty_frame(&error),
             }
@@ -108,14 +109,14 @@
         warn!(self.log, "handover: faulty frame of the successor"; "error" => %error);
     }
 
-    async fn tell(&self, message: SuccessorMessage) {
-        // The dispatcher's mailbox closes only at the end of the process.
+    async fn notify_dispatcher(&self, message: SuccessorMessage) {
+        // The dispatcher's mailbox closes only when the process ends.
         let _ = self.dispatcher.send(DispatcherMessage::Successor(message)).await;
     }
 }
 
-/// Returns a frame as the dispatcher takes it.
-fn message(frame: ToPredecessor) -> SuccessorMessage {
+/// Converts a frame to the message that the dispatcher handles.
+fn dispatcher_message(frame: ToPredecessor) -> SuccessorMessage {
     match frame {
         ToPredecessor::Hello { version, identity } => {
             SuccessorMessage::Step(PredecessorInput::Hello { version, identity })
--- a/src/daemon/handover/takeover.rs
+++ b/src/daemon/handover/takeover.rs
@@ -1,4 +1,4 @@
-//! Taking over from a predecessor: connecting to it, and carrying out what the protocol asks of the successor.
+//! Takeover from a predecessor: connects to it and executes the actions of the successor's state machine.
 
 use super::frames::{frame, return_responses, send_to_predecessor};
 use super::successors::SuccessorAcceptor;
@@ -20,8 +20,8 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// Events of the link that wait for this task, before the predecessor has to wait.
-const LINK_EVENTS: usize = 64;
+/// Maximum number of the link's events queued for this task; a full queue blocks the predecessor.
+const MAX_WAITING_LINK_EVENTS: usize = 64;
 
 /// A link to the predecessor.
 struct Link {
@@ -30,7 +30,7 @@
     _task: Task<()>,
 }
 
-/// What wakes the task.
+/// Event that wakes the takeover task.
 enum Wake {
     Link(LinkEvent),
     CanServe,
@@ -38,26 +38,27 @@
     ReconnectDue,
 }
 
-/// A handover from a predecessor that was found.
+/// Handover from a predecessor to this process.
 pub(in crate::daemon) struct Takeover {
-    machine: Successor,
+    state_machine: Successor,
     identity: ServerIdentity,
     directory: HandoverDirectory,
     link: Option<Link>,
-    /// When the step under way is late, Unix ms.
-    late_at: Option<f64>,
-    /// When to connect anew, Unix ms.
+    /// When the current step times out, Unix ms.
+    timeout_at: Option<f64>,
+    /// When to reconnect, Unix ms.
     reconnect_at: Option<f64>,
-    /// The listening socket, from the first welcome to the start of the listener.
+    /// The listening socket, from the first welcome until the listener starts.
     listening_socket: Option<TcpListener>,
     was_welcomed: bool,
-    /// Whether nobody listened at the last try, though a predecessor was there before.
+    /// Whether no process listened at the last connection attempt, although a predecessor had welcomed this
+    /// one before.
     predecessor_died: bool,
-    /// The piece of the snapshot that came last.
+    /// Key records of the snapshot that were received last and are not loaded yet.
     records: Vec<KeyRecord>,
-    /// Whether all pieces could be loaded.
+    /// Whether all key records received so far could be loaded.
     all_loaded: bool,
-    given_up: Option<GiveUpReason>,
+    give_up_reason: Option<GiveUpReason>,
     dispatcher: DispatcherSender,
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
@@ -65,19 +66,19 @@
     log: Logger,
 }
 
-/// What the task of a handover needs once the server's tasks run.
+/// Channels and the acceptor that the takeover task needs once the server's tasks run.
 pub(in crate::daemon) struct TakeoverTask {
-    /// Told once the link to the worker pool is up.
+    /// Receives one message once the link to the worker pool is up.
     pub(in crate::daemon) can_serve: Receiver<()>,
     /// Responses to forwarded requests.
     pub(in crate::daemon) responses: Receiver<ConnectionMessage>,
-    /// Accepts successors of this process, once it serves.
+    /// Acceptor of this process's own successors, started once this process serves.
     pub(in crate::daemon) acceptor: SuccessorAcceptor,
-    /// Receives the failure of the handover.
+    /// Channel on which the failure of the handover is reported.
     pub(in crate::daemon) failures: Sender<TaskFailure>,
 }
 
-/// The parts of the process that a handover uses.
+/// Parts of the process that a [`Takeover`] uses.
 pub(in crate::daemon) struct TakeoverContext {
     pub(in crate::daemon) dispatcher: DispatcherSender,
     pub(in crate::daemon) executor: Rc<LocalExecutor<'static>>,
@@ -87,7 +88,7 @@
 }
 
 impl Takeover {
-    /// Looks for a predecessor; `None` if there is none.
+    /// Connects to a predecessor; `None` if there is none or connecting to it fails.
     pub(in crate::daemon) fn find(
         directory: &HandoverDirectory,
         identity: ServerIdentity,
@@ -97,23 +98,23 @@
         let stream = match connect(directory) {
             Ok(stream) => stream?,
             Err(error) => {
-                error!(log, "handover: no connection to a predecessor"; "error" => %error);
+                error!(log, "handover: connecting to the predecessor failed"; "error" => %error);
                 return None;
             }
         };
         let mut takeover = Takeover {
-            machine: Successor::new(identity.clone()),
+            state_machine: Successor::new(identity.clone()),
             identity,
             directory: directory.clone(),
             link: None,
-            late_at: None,
+            timeout_at: None,
             reconnect_at: None,
             listening_socket: None,
             was_welcomed: false,
             predecessor_died: false,
             records: Vec::new(),
             all_loaded: true,
-            given_up: None,
+            give_up_reason: None,
             dispatcher,
             executor,
             clock,
@@ -124,17 +125,17 @@
         Some(takeover)
     }
 
-    /// Goes on until the predecessor has handed its listening socket over, and returns it.
+    /// Runs the handover until the predecessor has sent its listening socket, and returns the socket.
     ///
     /// # Errors
-    /// If there will be no handover.
+    /// Returns [`DaemonError::Handover`] if the handover is given up.
     pub(in crate::daemon) async fn receive_socket(&mut self) -> Result<TcpListener, DaemonError> {
         self.advance(SuccessorEvent::Connected).await;
         loop {
             if let Some(socket) = self.listening_socket.take() {
                 return Ok(socket);
             }
-            if let Some(reason) = self.given_up {
+            if let Some(reason) = self.give_up_reason {
                 return Err(DaemonError::Handover(reason));
             }
             let wake = self.next_wake(None).await;
@@ -142,25 +143,26 @@
         }
     }
 
-    /// Goes on until the predecessor has ended. A handover that fails before the commit is a failure of the process,
-    /// unless the predecessor died: then nobody else serves.
+    /// Runs the handover until the predecessor has ended. A handover that fails before the commit is a
+    /// failure of this process, unless the predecessor died: then no other process serves, and this one
+    /// starts serving.
     pub(in crate::daemon) async fn run(mut self, task: TakeoverTask) {
         let TakeoverTask { can_serve, responses, acceptor, failures } = task;
-        while self.machine.phase() != SuccessorPhase::Owner && self.given_up.is_none() {
+        while self.state_machine.phase() != SuccessorPhase::Owner && self.give_up_reason.is_none() {
             let wake = self.next_wake(Some(&can_serve)).await;
             self.on_wake(wake).await;
         }
-        if let Some(reason) = self.given_up {
+        if let Some(reason) = self.give_up_reason {
             if !self.predecessor_died {
                 error!(self.log, "handover: given up"; "reason" => %reason);
                 let _ = failures.send(TaskFailure::Ended { task: "handover" }).await;
                 return;
             }
             warn!(self.log, "handover: predecessor died, serving without its keys");
-            self.tell(PredecessorMessage::KeysUnknown).await;
+            self.notify_dispatcher(PredecessorMessage::KeysUnknown).await;
         }
         self.start_serving(responses, acceptor).await;
-        while self.machine.phase() == SuccessorPhase::Owner {
+        while self.state_machine.phase() == SuccessorPhase::Owner {
             let wake = self.next_wake(None).await;
             self.on_wake(wake).await;
         }
@@ -183,7 +185,7 @@
             }
         };
         let timed_out = async {
-            self.sleep_until(self.late_at).await;
+            self.sleep_until(self.timeout_at).await;
             Wake::TimedOut
         };
         let reconnect_due = async {
@@ -193,7 +195,7 @@
         or(link_event, or(can_serve, or(timed_out, reconnect_due))).await
     }
 
-    /// Sleeps until that time, for ever without one.
+    /// Sleeps until `at`, Unix ms; forever if it is `None`.
     async fn sleep_until(&self, at: Option<f64>) {
         match at {
             Some(at) => self.wheel.sleep(at - self.clock.now()).await,
@@ -213,7 +215,7 @@
             }
             Wake::CanServe => self.advance(SuccessorEvent::CanServe).await,
             Wake::TimedOut => {
-                self.late_at = None;
+                self.timeout_at = None;
                 self.advance(SuccessorEvent::TimedOut).await;
             }
             Wake::ReconnectDue => {
@@ -229,7 +231,7 @@
             Ok(message) => message,
             Err(error) => {
                 warn!(self.log, "handover: faulty frame of the predecessor"; "error" => %error);
-                if self.machine.phase() != SuccessorPhase::Owner {
+                if self.state_machine.phase() != SuccessorPhase::Owner {
                     self.link = None;
                     self.advance(SuccessorEvent::Disconnected).await;
                 }
@@ -239,7 +241,7 @@
         match message {
             ToSuccessor::Welcome { version, body_hash_key, evacuated } => {
                 let Some(descriptor) = frame.descriptor else {
-                    warn!(self.log, "handover: welcome without the listening socket");
+                    warn!(self.log, "handover: the predecessor's welcome carries no listening socket");
                     self.link = None;
                     return self.advance(SuccessorEvent::Disconnected).await;
                 };
@@ -247,7 +249,7 @@
                     self.listening_socket = Some(TcpListener::from(descriptor));
                     self.was_welcomed = true;
                 }
-                self.tell(PredecessorMessage::Welcome { body_hash_key, evacuated }).await;
+                self.notify_dispatcher(PredecessorMessage::Welcome { body_hash_key, evacuated }).await;
                 self.step(SuccessorInput::Welcome { version }).await;
             }
             ToSuccessor::Refuse { reason } => self.step(SuccessorInput::Refuse { reason }).await,
@@ -258,7 +260,7 @@
             }
             ToSuccessor::SnapshotEnd { keys } => self.step(SuccessorInput::SnapshotEnd { keys }).await,
             ToSuccessor::Commit => self.step(SuccessorInput::Commit).await,
-            message => self.tell(PredecessorMessage::Frame(message)).await,
+            message => self.notify_dispatcher(PredecessorMessage::Frame(message)).await,
         }
     }
 
@@ -266,14 +268,14 @@
         self.advance(SuccessorEvent::Received(input)).await;
     }
 
-    /// Passes an event to the protocol and carries out what follows.
+    /// Passes an event to the state machine and executes the resulting actions.
     async fn advance(&mut self, event: SuccessorEvent) {
-        for action in self.machine.on_event(event) {
-            self.carry_out(action).await;
+        for action in self.state_machine.on_event(event) {
+            self.execute(action).await;
         }
     }
 
-    async fn carry_out(&mut self, action: SuccessorAction) {
+    async fn execute(&mut self, action: SuccessorAction) {
         match action {
             SuccessorAction::SendHello => {
                 let identity = self.identity.clone();
@@ -285,22 +287,23 @@
             SuccessorAction::LoadKeys => self.load_keys().await,
             SuccessorAction::DiscardKeys => {
                 self.all_loaded = true;
-                self.tell(PredecessorMessage::DiscardKeys).await;
+                self.notify_dispatcher(PredecessorMessage::DiscardKeys).await;
             }
-            // Carried out by [`Takeover::run`], which sees the phase.
+            // Executed by [`Takeover::run`], which checks the phase.
             SuccessorAction::BecomeOwner => {}
-            SuccessorAction::PredecessorGone => self.tell(PredecessorMessage::Gone).await,
+            SuccessorAction::PredecessorGone => self.notify_dispatcher(PredecessorMessage::Gone).await,
             SuccessorAction::Reconnect { after_ms } => {
                 self.reconnect_at = Some(self.clock.now() + after_ms as f64);
             }
-            SuccessorAction::GiveUp(reason) => self.given_up = Some(reason),
+            SuccessorAction::GiveUp(reason) => self.give_up_reason = Some(reason),
             SuccessorAction::Disconnect => self.link = None,
-            SuccessorAction::StartTimer { ms } => self.late_at = Some(self.clock.now() + ms as f64),
-            SuccessorAction::StopTimer => self.late_at = None,
+            SuccessorAction::StartTimer { ms } => self.timeout_at = Some(self.clock.now() + ms as f64),
+            SuccessorAction::StopTimer => self.timeout_at = None,
         }
     }
 
-    /// Confirms the snapshot, if all of it could be loaded; otherwise the predecessor will time out and serve on.
+    /// Confirms the snapshot if all of it could be loaded; otherwise the predecessor times out and keeps
+    /// serving.
     async fn send_loaded(&mut self, keys: u64) {
         if self.all_loaded {
             self.send(&ToPredecessor::Loaded { keys }).await;
@@ -310,11 +313,11 @@
     async fn load_keys(&mut self) {
         let records = std::mem::take(&mut self.records);
         let (loaded, all_loaded) = async_channel::bounded(1);
-        self.tell(PredecessorMessage::LoadKeys { records, loaded }).await;
+        self.notify_dispatcher(PredecessorMessage::LoadKeys { records, loaded }).await;
         self.all_loaded &= all_loaded.recv().await.unwrap_or(false);
     }
 
-    /// Has the dispatcher decide from now on, and the next successor find this process.
+    /// Makes the dispatcher the owner of all requests, and starts accepting successors.
     async fn start_serving(&mut self, responses: Receiver<ConnectionMessage>, acceptor: SuccessorAcceptor) {
         let mut to_predecessor = None;
         if let Some(link) = &self.link {
@@ -323,27 +326,28 @@
             self.executor.spawn(return_responses(responses, predecessor.clone())).detach();
             to_predecessor = Some(predecessor);
         }
-        self.tell(PredecessorMessage::BecomeOwner(to_predecessor)).await;
+        self.notify_dispatcher(PredecessorMessage::BecomeOwner(to_predecessor)).await;
         self.executor.spawn(acceptor.run()).detach();
     }
 
-    /// Connects anew, and returns whether somebody listens.
+    /// Tries to reconnect to the predecessor, and returns whether that succeeded.
     fn reconnect(&mut self) -> bool {
         self.reconnect_at = None;
         match connect(&self.directory) {
             Ok(Some(stream)) => {
-                info!(self.log, "handover: connecting anew");
+                info!(self.log, "handover: reconnected to the predecessor");
                 self.predecessor_died = false;
                 self.start_link(stream);
                 true
             }
             Ok(None) => {
-                // A predecessor that lives listens, also while it is stopped. The protocol tries for more than a second.
+                // A running predecessor always listens, even while it is stopped by a signal. The protocol
+                // keeps trying for more than a second.
                 self.predecessor_died = self.was_welcomed;
                 false
             }
             Err(error) => {
-                warn!(self.log, "handover: no connection to the predecessor"; "error" => %error);
+                warn!(self.log, "handover: reconnecting to the predecessor failed"; "error" => %error);
                 false
             }
         }
@@ -351,20 +355,20 @@
 
     fn start_link(&mut self, stream: HandoverStream) {
         let (outgoing, frames) = async_channel::unbounded();
-        let (events, link_events) = async_channel::bounded(LINK_EVENTS);
+        let (events, link_events) = async_channel::bounded(MAX_WAITING_LINK_EVENTS);
         let task = self.executor.spawn(run_link(stream, frames, events));
         self.link = Some(Link { outgoing, events: link_events, _task: task });
     }
 
     async fn send(&self, message: &ToPredecessor) {
         if let Some(link) = &self.link {
-            // A link that has ended tells so by an event.
+            // If the link has ended, an event reports it.
             let _ = link.outgoing.send(frame(message)).await;
         }
     }
 
-    async fn tell(&self, message: PredecessorMessage) {
-        // The dispatcher's mailbox closes only at the end of the process.
+    async fn notify_dispatcher(&self, message: PredecessorMessage) {
+        // The dispatcher's mailbox closes only when the process ends.
         let _ = self.dispatcher.send(DispatcherMessage::Predecessor(message)).await;
     }
 }
--- a/src/daemon/ledger.rs
+++ b/src/daemon/ledger.rs
@@ -1,6 +1,6 @@
 //! Start and shutdown of the usage ledger in the process.
 //!
-//! Serving begins only after the ledger is open, and the process ends only after it is closed.
+//! Serving starts only after the ledger is open, and the process exits only after it is closed.
 
 use crate::config::Config;
 use crate::operator::LedgerConfig;
@@ -18,14 +18,14 @@
 use slog::{Logger, info, o, warn};
 use std::panic::AssertUnwindSafe;
 
-/// Messages of the ledger's threads that wait for the dispatcher at most.
+/// Maximum number of messages from the ledger's threads that are queued for the dispatcher.
 const MAX_WAITING_MESSAGES: usize = 1024;
 
-/// The names of the ledger's threads in their failures.
+/// Names of the ledger's threads in [`TaskFailure`]s.
 const STORE_THREAD: &str = "store";
 const EXPORT_WORKER_THREAD: &str = "export worker";
 
-/// What the ledger needs of the process.
+/// Settings and handles with which the ledger is opened.
 pub struct LedgerStart<'a> {
     /// The block `ledger` of the operator file.
     pub ledger_config: &'a LedgerConfig,
@@ -33,20 +33,21 @@
     pub config: &'a Config,
     /// The clock.
     pub clock: Clock,
-    /// The dispatcher's mailbox.
+    /// Sender of the dispatcher's mailbox.
     pub dispatcher: DispatcherSender,
-    /// Where the failure of a thread is reported.
+    /// Channel on which the failure of a thread is reported.
     pub failures: Sender<TaskFailure>,
-    /// The log.
+    /// The logger.
     pub log: &'a Logger,
 }
 
 impl LedgerStart<'_> {
-    /// Opens the ledger, which waits for the disk, and starts its threads. Nothing is served before: a reply that can't
-    /// be billed may not be sent.
+    /// Opens the ledger, which waits for the disk, and starts its threads. No request is served before that,
+    /// because a reply that can't be billed must not be sent.
     ///
     /// # Errors
-    /// If the store can't be opened, a thread can't be started, or the peers' address can't be listened on.
+    /// Returns a [`UsageError`] if the store can't be opened, a thread can't be started, or listening on the
+    /// address for peers fails.
     pub fn open(self, executor: &LocalExecutor<'static>) -> Result<Billing, UsageError> {
         let log = component_log(self.log);
         let now_ms = self.clock.now() as u64;
@@ -60,9 +61,9 @@
             max_aggregates: self.config.limits.ledger_aggregates,
             now_ms,
         };
-        // The store's thread may wait for the dispatcher; the dispatcher never waits for it.
+        // The store's thread may block on the dispatcher; the dispatcher never waits for the store's thread.
         let on_progress = move |event| {
-            // A new ledger's first line is its own; the next ones bill requests.
+            // The first line of a new ledger is its own; the following lines bill requests.
             if matches!(&event, Progress::Durable { through, .. } if *through > 1) {
                 fault_injection::pass(PanicPoint::StoreProgress);
             }
@@ -77,7 +78,7 @@
         Ok(billing)
     }
 
-    /// Starts the export worker, and the digest exchange where peers are configured.
+    /// Starts the export worker, and the digest exchange if peers are configured.
     fn start_export_worker(
         self,
         ledger_id: u64,
@@ -116,9 +117,9 @@
 
 /// Starts the export worker's thread.
 ///
-/// It is not waited for at the end: a collector that does not answer must not hold that up, and what is under way is
-/// exported at the next start. The worker logs itself what it can't go on for, and serving goes on then; a panic ends
-/// the program.
+/// The shutdown does not wait for this thread: an unresponsive collector must not delay it, and an unfinished
+/// export is resumed at the next start. The worker logs an error that stops its exports, and serving
+/// continues; a panic ends the process.
 fn spawn_export_worker(
     options: ExportWorkerOptions,
     failures: Sender<TaskFailure>,
@@ -132,19 +133,19 @@
     spawned.map(drop).map_err(UsageError::Thread)
 }
 
-/// Returns what reports the panic of a thread, which ends the process.
+/// Returns a function that reports a panic of the thread, which ends the process.
 fn report_panic(
     thread: &'static str,
     failures: Sender<TaskFailure>,
 ) -> impl FnOnce(PanicPayload) + Send + 'static {
     move |payload| {
         let failure = TaskFailure::new(thread, Err(Panic::from_payload(&*payload)));
-        // Without a receiver the process is at its end.
+        // If there is no receiver, the process is already exiting.
         let _ = failures.send_blocking(failure);
     }
 }
 
-/// Passes the messages of the ledger's threads on to the dispatcher.
+/// Forwards the messages of the ledger's threads to the dispatcher.
 async fn forward_messages(from_threads: Receiver<UsageMessage>, dispatcher: DispatcherSender) {
     while let Ok(message) = from_threads.recv().await {
         if dispatcher.send(DispatcherMessage::Usage(Box::new(message))).await.is_err() {
@@ -153,14 +154,15 @@
     }
 }
 
-/// Writes what waits and closes the store cleanly. All replies are sent by now, so this may wait for the disk.
+/// Writes the pending lines and closes the store cleanly. All replies have been sent by now, so this may wait
+/// for the disk.
 pub async fn close(dispatcher: &DispatcherSender, log: &Logger) {
     let log = component_log(log);
-    let (to_closer, closer) = async_channel::bounded(1);
-    if dispatcher.send(DispatcherMessage::CloseUsage(to_closer)).await.is_err() {
+    let (writer_sender, writer_receiver) = async_channel::bounded(1);
+    if dispatcher.send(DispatcherMessage::CloseUsage(writer_sender)).await.is_err() {
         return;
     }
-    if let Ok(writer) = closer.recv().await {
+    if let Ok(writer) = writer_receiver.recv().await {
         match writer.close() {
             Ok(()) => info!(log, "ledger closed"),
             Err(error) => warn!(log, "ledger not closed cleanly"; "error" => error.to_string()),
--- a/src/daemon/log_writer.rs
+++ b/src/daemon/log_writer.rs
@@ -1,4 +1,5 @@
-//! The writer of log lines on the log's thread: a line that can't be written is lost alone.
+//! Writer of log lines on the log's thread. A line that can't be written is dropped without affecting other
+//! lines.
 
 use crate::server::fault_injection::{self, PanicPoint};
 use crate::server::supervisor::Panic;
@@ -9,11 +10,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A writer of lines in one format.
+/// Writer of log lines in one format.
 pub(super) type FormatWriter = Box<dyn Drain<Ok = (), Err = io::Error> + Send>;
 
-/// Standard error, to which each line is written at once when it is flushed: of a line that comes in pieces, an error
-/// between them would leave a part, which the next line would follow.
+/// Standard error with line buffering: a line is written as a whole when it is flushed. If the pieces of a
+/// line were written one by one, an error between them would leave an incomplete line, to which the next line
+/// would be appended.
 #[derive(Default)]
 pub(super) struct WholeLines {
     line: Vec<u8>,
@@ -31,11 +33,13 @@
     }
 }
 
-/// Writes lines, and outlasts errors and panics of a [`FormatWriter`].
+/// Writes log lines, and continues after errors and panics of the [`FormatWriter`].
 ///
 /// # Invariants
-/// - An error or a panic loses the line, and no other: the next one is tried again, after a panic with a new writer.
-/// - The first panic is said on standard error, and so is the end of the thread that owns this, unless it is expected.
+/// - An error or a panic loses only the current line: the next line is written as usual, after a panic with a
+///   new [`FormatWriter`].
+/// - The first panic is reported on standard error, and so is the end of the thread that owns this writer,
+///   unless that end is expected.
 pub(super) struct LogWriter {
     new_writer: fn() -> FormatWriter,
     writer: RefCell<FormatWriter>,
@@ -44,7 +48,8 @@
 }
 
 impl LogWriter {
-    /// Returns a writer whose writers of lines are made by `new_writer`. Its end is expected once `end_expected` is set.
+    /// Returns a writer that creates its [`FormatWriter`]s with `new_writer`. The end of its thread is
+    /// expected once `end_expected` is set.
     pub(super) fn new(new_writer: fn() -> FormatWriter, end_expected: Arc<AtomicBool>) -> LogWriter {
         LogWriter {
             new_writer,
@@ -70,7 +75,7 @@
         fault_injection::pass(PanicPoint::LogThread);
         let written = catch_unwind(AssertUnwindSafe(|| {
             fault_injection::pass(PanicPoint::LogLine);
-            // Standard error may be closed or its disk full, now and not later.
+            // Errors are ignored: standard error may be closed, or its disk may be full only for a time.
             let _ = self.writer.borrow().log(record, values);
         }));
         if let Err(payload) = written {
@@ -88,7 +93,7 @@
     }
 }
 
-/// Says something on standard error, which may be closed.
+/// Writes a message to standard error; ignores errors, since standard error may be closed.
 pub(super) fn report(text: &str) {
     let _ = writeln!(io::stderr(), "dunlinspread: {text}");
 }
--- a/src/daemon/logging.rs
+++ b/src/daemon/logging.rs
@@ -1,4 +1,4 @@
-//! The log: its form, its level and its thread.
+//! Setup of the log: its format, its level and its thread.
 
 use super::log_writer::{self, FormatWriter, LogWriter, WholeLines};
 use crate::operator::{LogFormat, LogLevel, LogSettings};
@@ -9,10 +9,10 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// The name of the thread that waits for the end of the log.
+/// Name of the thread that flushes the log when the process ends.
 const THREAD_NAME: &str = "log-end";
 
-/// A logger, and what ends it.
+/// A logger, and the handles for flushing and ending it.
 pub(super) struct Log {
     /// The logger.
     pub(super) logger: Logger,
@@ -21,27 +21,28 @@
 }
 
 impl Log {
-    /// Writes the lines that wait and what made the process fail, and ends the log's thread. What standard error does not
-    /// take within `time_limit`, because nobody reads it, is lost.
+    /// Writes the queued lines and the error that made the process fail, and ends the log's thread. Whatever
+    /// can't be written to standard error within `time_limit`, because it is not being read, is lost.
     pub(super) fn end(self, error: Option<String>, time_limit: Duration) {
-        let (sender, ended) = channel();
-        let write_rest = move || {
+        let (flushed_sender, flushed) = channel();
+        let flush = move || {
             self.end_expected.store(true, Ordering::Relaxed);
             drop(self.flush_guard);
             error.iter().for_each(|error| log_writer::report(error));
-            // Nobody waits any more once the time is up.
-            let _ = sender.send(());
+            // After `time_limit` there is no receiver any more.
+            let _ = flushed_sender.send(());
         };
-        // Both the log's thread and the report may wait for standard error.
-        if std::thread::Builder::new().name(THREAD_NAME.to_owned()).spawn(write_rest).is_ok() {
-            let _ = ended.recv_timeout(time_limit);
+        // Writing to standard error may block, both in the log's thread and in the report of the error.
+        if std::thread::Builder::new().name(THREAD_NAME.to_owned()).spawn(flush).is_ok() {
+            let _ = flushed.recv_timeout(time_limit);
         }
     }
 }
 
-/// Returns the log of a server. Its writer has a thread of its own, so a log that nobody reads does not delay serving; past
-/// `max_waiting_lines` lines are dropped and counted. If the thread ends, that is said on standard error, and all further
-/// lines are dropped: nothing that is owed to a client depends on a line.
+/// Returns the log of a server. Its writer has a thread of its own, so that a blocked standard error does not
+/// delay serving; lines beyond `max_waiting_lines` queued ones are dropped and counted. If the thread ends,
+/// this is reported on standard error, and all further lines are dropped: no response to a client depends on
+/// the log.
 pub(super) fn start(settings: &LogSettings, server_name: &str, max_waiting_lines: usize) -> Log {
     let end_expected = Arc::new(AtomicBool::new(false));
     let new_writer = match settings.format {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! The server as a process: reads its command line, starts the server's tasks, handles signals, and ends.
+//! The server process: parses the command line, starts the server's tasks, handles signals, and shuts down.
 //!
-//! SIGTERM and SIGINT request a shutdown, SIGHUP has the configuration reloaded. A SIGHUP or an invalid file never ends
-//! the process.
+//! SIGTERM and SIGINT request a shutdown, SIGHUP reloads the configuration. A SIGHUP never ends the process,
+//! even if a configuration file is invalid.
 
 mod command_line;
 mod config_follower;
--- a/src/daemon/process.rs
+++ b/src/daemon/process.rs
@@ -1,4 +1,4 @@
-//! The process from its command line to its exit code.
+//! The life of the process, from the command line to the exit code.
 
 use super::command_line::{Command, CommandLine, ConfigFiles, LoadedConfig};
 use super::error::DaemonError;
@@ -19,17 +19,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The part of the time up to the kill, as a divisor, in which the rest of the log can be written.
+/// Divisor of the time left until the kill; the quotient is the time limit for writing the rest of the log.
 const LOG_TIME_DIVISOR: u32 = 2;
-/// Time for the log of a process that nobody kills, because a task failed or the start did not succeed.
+/// Time limit for writing the rest of the log if no kill is due, because a task or the start failed.
 const LOG_TIME_AFTER_FAILURE: Duration = Duration::from_secs(1);
-/// Shortest time for the last lines of the log, also where the kill is near.
+/// Minimum time limit for writing the rest of the log, even if the kill is imminent.
 const MIN_LOG_TIME: Duration = Duration::from_millis(5);
-/// The exit codes of a process that served.
+/// Exit codes of a process that started serving.
 const EXIT_SUCCESS: i32 = 0;
 const EXIT_FAILURE: i32 = 1;
 
-/// Runs the program with the arguments of a command line, the program's own name first.
+/// Runs the program with the given command-line arguments, which start with the program's name.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let command_line = CommandLine::parse_from(arguments);
     let loaded = match command_line.files.load() {
@@ -55,8 +55,8 @@
     exit(log, served)
 }
 
-/// Writes the rest of the log and ends the process. Nothing else stands between the last that was owed and the exit: tasks,
-/// connections and threads are not ended one by one, the system takes back what they hold.
+/// Writes the rest of the log and exits the process. Nothing else delays the exit once all responses are
+/// sent: tasks, connections and threads are not ended one by one, since the system reclaims their resources.
 fn exit(log: Log, served: Result<KillTime, DaemonError>) -> ! {
     let (code, error, log_time) = match served {
         Ok(kill_time) => {
@@ -78,7 +78,8 @@
     log: Logger,
 ) -> Result<KillTime, DaemonError> {
     let mut signals = ProcessSignals::new(log.clone())?;
-    // The process exits right after this function: to end the server's threads and mailboxes first would only take time.
+    // Not dropped: the process exits right after this function, and ending the server's threads and mailboxes
+    // first would only delay the exit.
     let server = ManuallyDrop::new(wiring::start_server(&loaded, &executor, &read_turns, &log).await?);
     info!(log, "serving"; "listen" => server.listen.to_string(), "classes" => loaded.platform.classes.len());
     let has_ledger = loaded.operator.ledger.is_some();
@@ -86,7 +87,7 @@
     let kill_time = run_until_shutdown(&server, &mut signals, &mut reloader, &log).await?;
     if has_ledger {
         ledger::close(&server.dispatcher, &log).await;
-        // The store's writer works until here.
+        // The store's writer runs, and can fail, until the ledger is closed.
         if let Ok(failure) = server.failures.try_recv() {
             return Err(failure.into());
         }
--- a/src/daemon/reload.rs
+++ b/src/daemon/reload.rs
@@ -1,26 +1,27 @@
-//! Reloading of the configuration.
+//! Reloading of the configuration on SIGHUP.
 
 use super::command_line::{ConfigFiles, LoadedConfig};
-use super::wiring::MovableMailboxes;
+use super::wiring::PeerMailboxes;
 use crate::config::Config;
 use crate::server::messages::{RegistryMessage, UpstreamMessage, WorkerPoolMessage};
 use slog::{Logger, info, warn};
 
-/// Reloads the configuration and applies what can change while the server runs: the addresses of its peers.
+/// Reloads the configuration and applies the settings that can change while the server runs: the addresses of
+/// its peers.
 pub(super) struct ConfigReloader {
     files: ConfigFiles,
     /// The configuration in force.
     in_force: LoadedConfig,
-    mailboxes: MovableMailboxes,
+    mailboxes: PeerMailboxes,
     log: Logger,
 }
 
 impl ConfigReloader {
-    /// Returns a reloader with the configuration in force.
+    /// Returns a reloader for these files; `in_force` is the configuration with which the server was started.
     pub(super) fn new(
         files: ConfigFiles,
         in_force: LoadedConfig,
-        mailboxes: MovableMailboxes,
+        mailboxes: PeerMailboxes,
         log: Logger,
     ) -> ConfigReloader {
         ConfigReloader { files, in_force, mailboxes, log }
@@ -31,8 +32,8 @@
         &self.in_force.platform
     }
 
-    /// Reads the files and applies changed addresses. An invalid file changes nothing, and whatever else differs waits
-    /// for the next start.
+    /// Reads the files and applies changed addresses. An invalid file changes nothing, and other changes take
+    /// effect only with a restart.
     pub(super) fn reload(&mut self) {
         let loaded = match self.files.load() {
             Ok(loaded) => loaded,
@@ -52,7 +53,8 @@
             "index" => platform.upstream.map_or("none".to_owned(), |address| address.to_string()));
     }
 
-    /// Sends changed addresses. The mailboxes have no limit and close only at the end of the process.
+    /// Sends changed addresses to the tasks. Sending can't fail, because the mailboxes are unbounded and
+    /// close only when the process ends.
     fn send_addresses(&self, new: &Config) {
         let running = &self.in_force.platform;
         if new.worker_pool != running.worker_pool {
@@ -71,10 +73,10 @@
     fn warn_restart_needed(&self, new: &LoadedConfig) {
         let running = &self.in_force.platform;
         if self.mailboxes.upstream.is_some() != new.platform.upstream.is_some() {
-            warn!(self.log, "configuration not applied: `index` comes or goes only with a restart");
+            warn!(self.log, "configuration not applied: adding or removing `index` requires a restart");
         }
         if (&new.platform.name, new.platform.listen) != (&running.name, running.listen) {
-            warn!(self.log, "configuration not applied: `name` and `listen` change only with a restart");
+            warn!(self.log, "configuration not applied: changing `name` or `listen` requires a restart");
         }
         if new.operator != self.in_force.operator {
             warn!(self.log, "operator file not applied: it changes only with a restart");
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown that a signal requests.
+//! Shutdown of the server on request of a signal.
 
 use super::error::DaemonError;
 use super::reload::ConfigReloader;
@@ -10,11 +10,11 @@
 use slog::{Logger, error, info};
 use std::time::{Duration, Instant};
 
-/// Shortest time for the last answers of a process that comes late to its end, ms, also where the kill is due: some turns of
-/// the event loop.
-const MIN_ANSWER_TIME_MS: f64 = 15.0;
+/// Minimum time for sending the last responses if the shutdown is behind schedule, ms, even if the kill is
+/// due: a few turns of the event loop.
+const MIN_RESPONSE_TIME_MS: f64 = 15.0;
 
-/// When the process is killed if it has not ended by itself.
+/// Time at which the process is killed if it has not exited by then.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KillTime(pub(super) Instant);
 
@@ -22,8 +22,8 @@
     time.as_secs_f64() * 1000.0
 }
 
-/// Waits for the request of a shutdown, and reloads the configuration at each SIGHUP before it. Returns when it came;
-/// `None` if no signal can be received any more.
+/// Waits for a shutdown request, and reloads the configuration at each SIGHUP before it. Returns the time at
+/// which the request was received; `None` if signals can't be received any more.
 async fn shutdown_requested(signals: &mut ProcessSignals, reloader: &mut ConfigReloader) -> Option<Instant> {
     while let Some(signal) = signals.next().await {
         match signal {
@@ -34,16 +34,19 @@
     None
 }
 
-/// Reloads the configuration at each SIGHUP; further requests of a shutdown have no effect.
+/// Reloads the configuration at each SIGHUP; ignores further shutdown requests.
 async fn handle_after_shutdown_request(signals: &mut ProcessSignals, reloader: &mut ConfigReloader) {
     while shutdown_requested(signals, reloader).await.is_some() {}
     pending().await
 }
 
-/// Serves until a shutdown is requested and complete. Returns when the process is killed.
+/// Serves until a requested shutdown is complete. Returns the time at which the process is killed.
 ///
 /// # Errors
-/// If a task fails: what it owed can't be delivered, and whoever restarts the process has to see that.
+/// - [`DaemonError::Task`] if a task fails: its outstanding work can't be completed, and whatever restarts
+///   the process must see the failure.
+/// - [`DaemonError::AllTasksEnded`] if no task is left that could report a failure.
+/// - [`DaemonError::DispatcherGone`] if the drain can't be requested from the dispatcher.
 pub(super) async fn run_until_shutdown(
     server: &RunningServer,
     signals: &mut ProcessSignals,
@@ -66,8 +69,9 @@
     or(shutdown, task_failed).await
 }
 
-/// Drains the dispatcher, closes the connections, and returns once they are closed or the time is up. The time counts from
-/// when the request came, however late it is heard. Returns when the process is killed.
+/// Drains the dispatcher, closes the connections, and returns once they are closed or the time is up. The
+/// time counts from the receipt of the signal, however late the event loop handles it. Returns the time at
+/// which the process is killed.
 async fn shut_down(
     server: &RunningServer,
     received_at: Instant,
@@ -75,16 +79,17 @@
     reloader: &mut ConfigReloader,
     log: &Logger,
 ) -> Result<KillTime, DaemonError> {
-    let heard_after_ms = in_ms(received_at.elapsed());
+    let handling_delay_ms = in_ms(received_at.elapsed());
     let stop_timeout = reloader.platform().stop_timeout;
-    let requested_at = server.clock.now() - heard_after_ms;
+    let requested_at = server.clock.now() - handling_delay_ms;
     let schedule = ShutdownSchedule::new(requested_at, stop_timeout, server.wheel.greatest_lag_ms());
-    info!(log, "shutdown requested"; "heard_after_ms" => heard_after_ms.round(), "stop_ms" => in_ms(stop_timeout),
-        "lead_ms" => schedule.lead_ms().round());
+    info!(log, "shutdown requested"; "heard_after_ms" => handling_delay_ms.round(),
+        "stop_ms" => in_ms(stop_timeout), "lead_ms" => schedule.lead_ms().round());
     let drain = DispatcherMessage::Drain { stop_at: schedule.respond_by() };
     server.dispatcher.send(drain).await.map_err(|_| DaemonError::DispatcherGone)?;
     let connections_closed = async {
-        // A process that has handed over is no longer sent to: it ends as soon as nothing is owed.
+        // A process that has handed over receives no new connections: it exits as soon as all requests are
+        // answered.
         if !server.status.is_handed_over() {
             sleep_until(server, schedule.close_at()).await;
         }
@@ -104,31 +109,33 @@
     Ok(KillTime(received_at + stop_timeout))
 }
 
-/// Sleeps until that time, Unix ms.
+/// Sleeps until `time`, Unix ms.
 async fn sleep_until(server: &RunningServer, time: f64) {
     server.wheel.sleep(time - server.clock.now()).await;
 }
 
-/// Tells the clients to close their connections, and waits for the end of the last one.
+/// Asks the clients to close their connections, and waits until the last connection is closed.
 async fn close_connections(server: &RunningServer) {
     server.listener.may_end.set(true);
-    // The listener's mailbox is open as long as the listener runs.
+    // The listener's mailbox stays open as long as the listener runs.
     let _ = server.listener.sender.send(ListenerMessage::Shutdown).await;
     let _ = server.listener.ended.recv().await;
 }
 
-/// Has the open connections finish, once all requests are answered: an event loop that comes late to this comes late to the
-/// last responses as well, and a connection that finishes before one loses it. At `exit_at`, Unix ms, it is done whatever is
-/// owed, but not without a few turns of the event loop.
+/// Finishes the open connections once all requests are answered. An event loop that reaches this step late
+/// also sends the last responses late, and a connection that finishes before its response loses it. The
+/// connections are finished by `exit_at`, Unix ms, even if responses are missing, but not before the event
+/// loop has had a few more turns.
 async fn finish_connections(server: &RunningServer, exit_at: f64) {
     let time_left_ms = exit_at - server.clock.now();
-    let out_of_time = server.wheel.sleep(time_left_ms.max(MIN_ANSWER_TIME_MS));
+    let out_of_time = server.wheel.sleep(time_left_ms.max(MIN_RESPONSE_TIME_MS));
     or(wait_until_idle(server), out_of_time).await;
-    // Without a listener all connections are closed.
+    // If the listener has ended, all connections are closed already.
     let _ = server.listener.sender.send(ListenerMessage::Finish).await;
 }
 
-/// Waits until no request is left: the successor waits for the ends of runs that were begun here.
+/// Waits until no request is left. After a handover this includes the runs that this process started, whose
+/// ends the successor waits for.
 async fn wait_until_idle(server: &RunningServer) {
     let (idle, is_idle) = async_channel::bounded(1);
     if server.dispatcher.send(DispatcherMessage::NotifyIdle(idle)).await.is_ok() {
--- a/src/daemon/shutdown_schedule.rs
+++ b/src/daemon/shutdown_schedule.rs
@@ -1,68 +1,75 @@
-//! When each step of a shutdown is due, without a clock: its caller tells when the shutdown was requested and how late the
-//! event loop was seen to be.
+//! Schedule of the steps of a shutdown. It has no clock of its own: the caller passes the time of the request
+//! and the measured lag of the event loop.
 
 use std::time::Duration;
 
-/// The admission controller's time ends so long before the kill, ms: its last responses still have to be written.
+/// Time before the kill by which the admission controller has answered all requests, ms: its last responses
+/// still have to be written.
 const RESPONSE_MARGIN_MS: f64 = 100.0;
-/// Connections begin to close so long before the kill, ms, so that no request is read too late for its response.
+/// Time before the kill at which connections start to close, ms, so that no request is read too late to be
+/// answered.
 const CLOSE_MARGIN_MS: f64 = 600.0;
-/// Connections finish so long before the kill, ms, once the last responses are written: clients then read an end, where
-/// the end of the process could reset connections over unread bytes and lose responses.
+/// Time before the kill at which connections finish, ms, once the last responses are written. Clients then
+/// read an orderly end of the connection; the end of the process could reset connections that have unread
+/// bytes, and lose responses.
 const FINISH_MARGIN_MS: f64 = 70.0;
-/// The process ends so long before the kill, ms. The system needs some of it to close hundreds of connections.
+/// Time before the kill at which the process exits, ms. The system needs part of it to close hundreds of
+/// connections.
 const EXIT_MARGIN_MS: f64 = 50.0;
-/// All steps come earlier by the lag that the event loop was seen to have, up to this, ms.
+/// Maximum lead of the steps, ms. The lead is the measured lag of the event loop, by which all steps start
+/// earlier.
 const MAX_LEAD_MS: f64 = 250.0;
-/// The part of the time to the kill, as a divisor, by which they come earlier at most.
+/// Divisor of the time from the request to the kill; the quotient is a further maximum of the lead.
 const MAX_LEAD_DIVISOR: f64 = 8.0;
 
-/// The steps of a shutdown. Times are in ms of the caller's clock.
+/// Due times of the steps of a shutdown, in ms of the caller's clock.
 ///
 /// # Invariants
-/// All steps come earlier by the same lead, which keeps their order and the time between them.
+/// All steps start earlier by the same lead, which keeps their order and the time between them.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownSchedule {
-    /// When the process is killed.
+    /// Time at which the process is killed.
     stop_at: f64,
-    /// By how much each step comes earlier, because the event loop may come to it late.
+    /// Time by which each step starts earlier, because the event loop may handle it late, ms.
     lead_ms: f64,
 }
 
 impl ShutdownSchedule {
-    /// Returns the steps of a shutdown that was requested at that time, of a process whose event loop lagged by so much.
+    /// Returns the schedule of a shutdown that was requested at `requested_at`; `lag_ms` is the measured lag
+    /// of the event loop.
     pub fn new(requested_at: f64, stop_timeout: Duration, lag_ms: f64) -> ShutdownSchedule {
         let stop_ms = stop_timeout.as_secs_f64() * 1000.0;
         let lead_ms = lag_ms.min(MAX_LEAD_MS).min(stop_ms / MAX_LEAD_DIVISOR);
         ShutdownSchedule { stop_at: requested_at + stop_ms, lead_ms }
     }
 
-    /// Returns by how much the steps come earlier, ms.
+    /// Returns the time by which all steps start earlier, ms.
     pub fn lead_ms(&self) -> f64 {
         self.lead_ms
     }
 
-    /// Returns when connections begin to close.
+    /// Returns the time at which connections start to close.
     pub fn close_at(&self) -> f64 {
-        self.early(CLOSE_MARGIN_MS)
+        self.before_kill(CLOSE_MARGIN_MS)
     }
 
-    /// Returns by when the admission controller answers all requests.
+    /// Returns the time by which the admission controller answers all requests.
     pub fn respond_by(&self) -> f64 {
-        self.early(RESPONSE_MARGIN_MS)
+        self.before_kill(RESPONSE_MARGIN_MS)
     }
 
-    /// Returns when all connections finish.
+    /// Returns the time at which all connections finish.
     pub fn finish_at(&self) -> f64 {
-        self.early(FINISH_MARGIN_MS)
+        self.before_kill(FINISH_MARGIN_MS)
     }
 
-    /// Returns when the process ends at the latest. One that comes to this late still answers what is due.
+    /// Returns the latest time at which the process exits. A process that reaches this step late still sends
+    /// its outstanding responses.
     pub fn exit_at(&self) -> f64 {
-        self.early(EXIT_MARGIN_MS)
+        self.before_kill(EXIT_MARGIN_MS)
     }
 
-    fn early(&self, margin_ms: f64) -> f64 {
+    fn before_kill(&self, margin_ms: f64) -> f64 {
         self.stop_at - margin_ms - self.lead_ms
     }
 }
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -1,4 +1,4 @@
-//! The signals of the process, with the times at which they came.
+//! Signals of the process, with the times at which they were received.
 
 use super::error::DaemonError;
 use crate::server::fault_injection::{self, PanicPoint};
@@ -9,38 +9,38 @@
 use slog::{Logger, warn};
 use std::time::Instant;
 
-/// The name of the thread that receives signals.
+/// Name of the thread that receives signals.
 const THREAD_NAME: &str = "signals";
 
-/// A signal that asks something of the process.
+/// A signal that the process handles.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ProcessSignal {
-    /// The configuration is to be read again.
+    /// Request to reload the configuration.
     Reload,
-    /// The process is to end.
+    /// Request to shut down.
     Shutdown {
-        /// When the signal came.
+        /// Time at which the signal was received.
         received_at: Instant,
     },
 }
 
-/// The signals, in the order in which they came.
+/// Queue of received signals, in order of receipt.
 ///
-/// A thread of its own receives them, so that the time of each is known even where the event loop lags: whoever requested
-/// a shutdown counts its time from the signal.
+/// A separate thread receives the signals, so that the time of receipt is known even if the event loop lags:
+/// the time until the kill counts from the signal.
 pub(super) struct ProcessSignals {
     received: Receiver<ProcessSignal>,
 }
 
 impl ProcessSignals {
-    /// Handles SIGTERM, SIGINT and SIGHUP from now on.
+    /// Starts handling SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// If the system does not allow it.
+    /// Returns [`DaemonError::Signals`] if the handlers or the thread can't be set up.
     pub(super) fn new(log: Logger) -> Result<ProcessSignals, DaemonError> {
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(DaemonError::Signals)?;
-        // Unbounded, so that no signal waits for the event loop; the system merges signals that come faster than they
-        // are received.
+        // Unbounded, so that receiving never waits for the event loop. The system merges signals that arrive
+        // faster than they are received.
         let (sender, received) = async_channel::unbounded();
         std::thread::Builder::new()
             .name(THREAD_NAME.to_owned())
@@ -49,13 +49,13 @@
         Ok(ProcessSignals { received })
     }
 
-    /// Returns the next signal; `None` once the thread has ended.
+    /// Waits for the next signal and returns it; `None` once the thread has ended.
     pub(super) async fn next(&mut self) -> Option<ProcessSignal> {
         self.received.recv().await.ok()
     }
 }
 
-/// Receives signals until nobody takes them.
+/// Receives signals and sends them to `sender` until its receiver is dropped.
 async fn receive(mut signals: Signals, sender: &Sender<ProcessSignal>, log: &Logger) {
     while let Some(signal) = signals.next().await {
         let signal = match signal {
--- a/src/daemon/staleness.rs
+++ b/src/daemon/staleness.rs
@@ -1,46 +1,49 @@
-//! Whether the server is cut off from the publisher of its distributed settings, for one log line at each change.
+//! Detection of whether the server has lost contact with the publisher of its distributed settings, which is
+//! logged once per change.
 
-/// Age from which the settings count as stale, ms: several times what it takes to change to another relay.
+/// Age at which the settings are considered stale, ms: several times the time needed to switch to another
+/// relay.
 const STALE_AFTER_MS: f64 = 15_000.0;
 
-/// A change between up to date and stale.
+/// A change of the settings between current and stale.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum StalenessChange {
-    /// The settings are stale.
+    /// The settings have become stale.
     BecameStale {
-        /// Their age, ms.
+        /// Age of the settings, ms.
         age_ms: f64,
     },
-    /// The settings are up to date.
+    /// The settings have become current.
     BecameCurrent {
-        /// Time since the start, or since the server had all there is, ms.
+        /// Time since the start, or since the settings were last current, ms.
         after_ms: f64,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// The server has not had all there is since its start.
+    /// The settings have not been current since the start of the server.
     Starting,
-    /// The server had all there is a short while ago.
+    /// The settings were current less than [`STALE_AFTER_MS`] ago.
     Current,
-    /// The server has not had all there is for long.
+    /// The settings have not been current for [`STALE_AFTER_MS`] or longer.
     Stale,
 }
 
-/// Follows the age of the settings.
+/// Tracks the age of the settings.
 pub(super) struct StalenessMonitor {
     state: State,
     since: f64,
 }
 
 impl StalenessMonitor {
-    /// Returns the monitor of a server that starts at `now`, ms.
+    /// Returns a monitor for a server that starts at `now`, ms.
     pub(super) fn new(now: f64) -> StalenessMonitor {
         StalenessMonitor { since: now, state: State::Starting }
     }
 
-    /// Advances to `now` and returns what changed; `age_ms` is how long ago the subscriber had all there is.
+    /// Advances to `now` and returns the change of state, if any; `age_ms` is the time since the subscriber
+    /// last had the complete settings, `None` if it never had.
     pub(super) fn advance(&mut self, now: f64, age_ms: Option<f64>) -> Option<StalenessChange> {
         let age = age_ms.unwrap_or(now - self.since);
         let next = match age_ms {
--- a/src/daemon/wiring.rs
+++ b/src/daemon/wiring.rs
@@ -1,4 +1,4 @@
-//! The tasks of the server and the channels between them.
+//! Creates the tasks of the server and the channels between them.
 
 use super::command_line::LoadedConfig;
 use super::config_follower::FollowerStart;
@@ -37,53 +37,54 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Interval at which the usage ledger's time advances, ms, if its commit interval is not shorter.
+/// Maximum interval at which the usage ledger's time advances, ms; a shorter commit interval takes
+/// precedence.
 const LEDGER_TICK_MS: f64 = 100.0;
 
-/// The mailboxes of the tasks whose peers can move.
+/// Mailboxes of the tasks that connect to peers whose addresses can change.
 #[derive(Clone)]
-pub(super) struct MovableMailboxes {
-    /// The worker pool's link.
+pub(super) struct PeerMailboxes {
+    /// Mailbox of the worker pool link.
     pub(super) worker_pool: Sender<WorkerPoolMessage>,
-    /// The upstream client, where there is one.
+    /// Mailbox of the upstream client; `None` if there is no upstream service.
     pub(super) upstream: Option<Sender<UpstreamMessage>>,
-    /// The registry reporter.
+    /// Mailbox of the registry reporter.
     pub(super) registry: Sender<RegistryMessage>,
 }
 
-/// The listener's task, as its shutdown sees it.
+/// Handle with which the listener's task is shut down.
 pub(super) struct ListenerHandle {
-    /// The listener's mailbox.
+    /// Sender of the listener's mailbox.
     pub(super) sender: Sender<ListenerMessage>,
-    /// Whether the end of the task is expected; otherwise it is a failure.
+    /// Whether the task may end; if not, its end is a failure.
     pub(super) may_end: Rc<Cell<bool>>,
-    /// Receives one message at the expected end of the task.
+    /// Receives one message when the task ends as expected.
     pub(super) ended: Receiver<()>,
 }
 
-/// A server whose tasks run.
+/// A server whose tasks have been started.
 pub(super) struct RunningServer {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub(super) listen: SocketAddr,
     /// The clock.
     pub(super) clock: Clock,
-    /// The timers.
+    /// The timer wheel.
     pub(super) wheel: Rc<TimerWheel>,
-    /// The dispatcher's mailbox.
+    /// Sender of the dispatcher's mailbox.
     pub(super) dispatcher: DispatcherSender,
-    /// The mailboxes of the tasks whose peers can move.
-    pub(super) mailboxes: MovableMailboxes,
-    /// The listener.
+    /// Mailboxes of the tasks that connect to peers whose addresses can change.
+    pub(super) mailboxes: PeerMailboxes,
+    /// Handle of the listener's task.
     pub(super) listener: ListenerHandle,
-    /// What operators see and set.
+    /// Status that the control endpoint shows and changes.
     pub(super) status: Arc<ServingStatus>,
-    /// Failures of tasks that should last as long as the process.
+    /// Failures of tasks that should run as long as the process.
     pub(super) failures: Receiver<TaskFailure>,
-    /// The control endpoint, if an address is set for it; it ends with the server.
+    /// Control endpoint, if its address is configured; it ends with the server.
     _control: Option<ControlEndpoint>,
 }
 
-/// What the tasks are made of.
+/// Shared parts from which the tasks are created.
 struct Wiring<'a> {
     config: &'a Config,
     executor: &'a Rc<LocalExecutor<'static>>,
@@ -101,7 +102,11 @@
 /// Starts all tasks of a server.
 ///
 /// # Errors
-/// If the address for clients can't be listened on, or a subsystem of the operator file can't be started.
+/// - [`DaemonError::Control`] if the control endpoint can't be started.
+/// - [`DaemonError::Handover`] if a predecessor is serving and the handover from it is given up.
+/// - [`DaemonError::Listen`] if listening on the client address fails.
+/// - [`DaemonError::Ledger`] if the usage ledger can't be opened.
+/// - The errors of [`FollowerStart::start`] if distributed configuration can't be started.
 pub(super) async fn start_server(
     loaded: &LoadedConfig,
     executor: &Rc<LocalExecutor<'static>>,
@@ -114,7 +119,7 @@
     let (dispatcher, dispatcher_messages) = dispatcher_mailbox(config.limits.dispatcher_mailbox);
     let (listener, listener_messages) = async_channel::unbounded();
     let (failures, failed_tasks) = async_channel::unbounded();
-    // One message that waits stands for all later ones.
+    // Capacity 1: one queued message also covers later changes.
     let (evacuation_changed, evacuation_changes) = async_channel::bounded(1);
     let status = ServingStatus::new(&config.classes, evacuation_changed);
     let wiring = Wiring {
@@ -131,7 +136,7 @@
         log,
     };
     let control = wiring.start_control()?;
-    // The timers run from here on: a handover has time limits.
+    // The timer wheel must run before the handover, which has time limits.
     wiring.supervise("timer wheel", Box::pin(wheel.clone().advance()));
     let handover = handover::directory(loaded, log).map(|directory| (wiring.handover_start(), directory));
     let mut takeover = handover.as_ref().and_then(|(start, directory)| start.find_predecessor(directory));
@@ -141,7 +146,7 @@
             .map_err(|source| DaemonError::Listen { address: config.listen, source })?,
     };
     wiring.supervise("evacuation", Box::pin(report_evacuation(evacuation_changes, dispatcher.clone())));
-    // The process before reports until it has handed over.
+    // A predecessor reports health to the registry until it has handed over.
     let mailboxes = wiring.start_peer_tasks(takeover.is_none());
     let mut dispatcher_task = wiring.new_dispatcher(&mailboxes, &listener, operator.ledger.as_ref())?;
     let takes_over = takeover.is_some();
@@ -168,16 +173,16 @@
     })
 }
 
-/// Has the dispatcher report each change of the evacuation.
+/// Notifies the dispatcher of each change of the evacuation.
 async fn report_evacuation(changes: Receiver<()>, dispatcher: DispatcherSender) {
     while changes.recv().await.is_ok() {
-        // The dispatcher's mailbox closes only at the end of the process.
+        // The dispatcher's mailbox closes only when the process ends.
         let _ = dispatcher.send(DispatcherMessage::EvacuationChanged).await;
     }
 }
 
 impl Wiring<'_> {
-    /// Starts a task that should last as long as the process.
+    /// Starts a task that should run as long as the process.
     fn supervise(&self, name: &'static str, task: BoxedLocal<()>) {
         let task_times = self.task_times.clone();
         let measured = async move { task_times.measure(name, task).await };
@@ -185,7 +190,7 @@
         self.executor.spawn(supervised).detach();
     }
 
-    /// Starts the control endpoint if an address is set for it.
+    /// Starts the control endpoint if its address is configured.
     fn start_control(&self) -> Result<Option<ControlEndpoint>, DaemonError> {
         let Some(address) = self.config.control else { return Ok(None) };
         let max_connections = self.config.limits.control_connections;
@@ -195,8 +200,8 @@
             .map_err(|source| DaemonError::Control { address, source })
     }
 
-    /// Starts the tasks of the server's peers.
-    fn start_peer_tasks(&self, reports_health: bool) -> MovableMailboxes {
+    /// Starts the tasks that connect to the server's peers.
+    fn start_peer_tasks(&self, reports_health: bool) -> PeerMailboxes {
         let upstream = self.config.upstream.map(|address| self.start_upstream_client(address));
         let (worker_pool, messages) = async_channel::unbounded();
         let link = WorkerPoolLink::new(
@@ -217,7 +222,7 @@
             log: self.log.clone(),
         };
         self.supervise("registry reporter", Box::pin(reporter.run(messages)));
-        MovableMailboxes { worker_pool, upstream, registry }
+        PeerMailboxes { worker_pool, upstream, registry }
     }
 
     fn start_upstream_client(&self, address: SocketAddr) -> Sender<UpstreamMessage> {
@@ -236,10 +241,10 @@
         sender
     }
 
-    /// Returns the dispatcher, with the usage ledger if the operator file has one.
+    /// Returns the dispatcher, with the usage ledger if the operator file configures one.
     fn new_dispatcher(
         &self,
-        mailboxes: &MovableMailboxes,
+        mailboxes: &PeerMailboxes,
         listener: &Sender<ListenerMessage>,
         ledger: Option<&LedgerConfig>,
     ) -> Result<Dispatcher, DaemonError> {
@@ -285,7 +290,8 @@
         }
     }
 
-    /// Returns what the connections share, with distributed settings if the operator file has them.
+    /// Returns the context that all client connections share, with distributed settings if the operator file
+    /// configures them.
     async fn start_frontend_context(
         &self,
         loaded: &LoadedConfig,
@@ -367,8 +373,8 @@
     }
 }
 
-/// Returns the idle timeout of client connections until the admission controller changes it, ms: the clients' own, if it is
-/// stated.
+/// Returns the idle timeout of client connections until the admission controller changes it, ms: the clients'
+/// own idle timeout if it is configured, otherwise infinity.
 fn initial_idle_timeout_ms(settings: &Settings) -> f64 {
     if settings.client_idle_timeout_ms > 0.0 { settings.client_idle_timeout_ms } else { f64::INFINITY }
 }
--- a/src/decaying_counts.rs
+++ b/src/decaying_counts.rs
@@ -1,26 +1,28 @@
-//! Counts that decay with time, one for each member of a large set, and their sum: an addition and a step of time cost
-//! the same whatever the number of members.
+//! Counts that decay with time, one for each member of a large set, and their sum. Adding an arrival and
+//! decaying all counts take constant time, whatever the number of members.
 //!
-//! This is forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): in place of shrinking all counts with every
-//! step, the weight of a new arrival grows, and counts are read relative to the present weight.
+//! This is forward decay (Cormode, Shkapenyuk, Srivastava and Xu, 2009): instead of shrinking all counts at
+//! every step, the weight of a new arrival grows, and counts are read relative to the current weight.
 //!
-//! A reader may divide the sum of the others by very little, so that this difference must not be made of rounding
-//! errors, also where one member holds nearly all. The sum is therefore kept with a compensation (Neumaier, 1974): it
-//! is that of the stored counts to about twice the precision of each.
+//! A caller may divide by the counts of all other members, which can be very small. This difference between
+//! the sum and one count must therefore not consist of rounding errors, even if one member accounts for
+//! nearly the whole sum. The sum uses compensated summation (Neumaier, 1974): it equals the sum of the stored
+//! counts to about twice the precision of each.
 
-/// The weight from which all is scaled down: a power of two, by which floating-point numbers are divided exactly.
+/// Weight at which all counts are scaled down: a power of two, so that dividing a floating-point number by it
+/// is exact.
 const WEIGHT_MAX: f64 = 18_446_744_073_709_551_616.0; // 2^64
-/// Scalings after which no count is above zero: 2^-2048 is below the smallest number.
+/// Number of scalings after which every count is zero: 2^-2048 is below the smallest floating-point number.
 const SCALINGS_MAX: u64 = 32;
 
-/// A sum in two parts, the second of which holds what the first one's rounding left out.
+/// A compensated sum: `low` accumulates the rounding errors of `high`.
 #[derive(Clone, Copy, Debug, Default)]
 struct CompensatedSum {
     high: f64,
     low: f64,
 }
 
-/// Returns the rounded sum of two numbers and what rounding left out (Knuth's two-sum).
+/// Returns the rounded sum of two numbers and its rounding error (Knuth's two-sum).
 fn two_sum(left: f64, right: f64) -> (f64, f64) {
     let sum = left + right;
     let right_rounded = sum - left;
@@ -40,7 +42,7 @@
     }
 }
 
-/// One member's count, at the scale of the time when it was last added to.
+/// One member's count, at the scale in effect when it was last changed.
 #[derive(Clone, Copy, Debug, Default)]
 struct Count {
     value: f64,
@@ -48,28 +50,28 @@
 }
 
 impl Count {
-    /// The value at the scale after so many scalings.
-    fn at(self, scalings: u64) -> f64 {
-        let behind = (scalings - self.scalings).min(SCALINGS_MAX);
-        (0..behind).fold(self.value, |value, _| value / WEIGHT_MAX)
+    /// Returns the value at the scale that applies after `scalings` scalings.
+    fn rescaled(self, scalings: u64) -> f64 {
+        let missed_scalings = (scalings - self.scalings).min(SCALINGS_MAX);
+        (0..missed_scalings).fold(self.value, |value, _| value / WEIGHT_MAX)
     }
 }
 
-/// The counts that an addition finds.
+/// The decayed counts at the time of an arrival, as [`DecayingCounts::add`] returns them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberCounts {
-    /// The member's decayed count, with the arrival just added.
+    /// The member's decayed count, including the arrival just added.
     pub own: f64,
-    /// The decayed counts of all other members together.
+    /// The sum of the decayed counts of all other members.
     pub others: f64,
 }
 
 /// Decaying counts of the members `0..n`.
 #[derive(Clone, Debug)]
 pub struct DecayingCounts {
-    /// The weight of an arrival now.
+    /// Current weight of an arrival.
     weight: f64,
-    /// How often all was scaled down.
+    /// Number of times that all counts have been scaled down.
     scalings: u64,
     counts: Vec<Count>,
     total: CompensatedSum,
@@ -82,7 +84,7 @@
 }
 
 impl DecayingCounts {
-    /// Returns the counts of so many members, all zero.
+    /// Returns counts for `members` members, all zero.
     pub fn new(members: usize) -> DecayingCounts {
         DecayingCounts {
             weight: 1.0,
@@ -92,9 +94,9 @@
         }
     }
 
-    /// Decays all counts to that part of themselves: at most 1, and at least 2^-64.
-    pub fn decay(&mut self, part: f64) {
-        self.weight /= part.clamp(1.0 / WEIGHT_MAX, 1.0);
+    /// Multiplies all counts by `factor`, which is clamped to the range from 2^-64 to 1.
+    pub fn decay(&mut self, factor: f64) {
+        self.weight /= factor.clamp(1.0 / WEIGHT_MAX, 1.0);
         if self.weight >= WEIGHT_MAX {
             self.weight /= WEIGHT_MAX;
             self.total.high /= WEIGHT_MAX;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Adds members with a count of zero, up to so many in all.
+    /// Adds members with a count of zero until there are at least `members`.
     pub fn grow(&mut self, members: usize) {
         self.counts.resize(members.max(self.counts.len()), Count::default());
     }
@@ -111,18 +113,19 @@
     /// Sets a member's count to zero.
     pub fn reset(&mut self, member: usize) {
         let Some(count) = self.counts.get_mut(member) else { return };
-        let before = count.at(self.scalings);
+        let before = count.rescaled(self.scalings);
         *count = Count::default();
         self.total.add(-before);
     }
 
-    /// Counts one arrival of a member; `None` if there is no such member.
+    /// Counts one arrival of a member and returns the resulting counts; `None` if there is no such member.
     pub fn add(&mut self, member: usize) -> Option<MemberCounts> {
         let count = self.counts.get_mut(member)?;
-        let before = count.at(self.scalings);
+        let before = count.rescaled(self.scalings);
         let (value, error) = two_sum(before, self.weight);
         *count = Count { value, scalings: self.scalings };
-        // What the member's own rounding left out is left out of the sum as well.
+        // The rounding error of the member's count is subtracted, because the sum is that of the stored
+        // counts.
         self.total.add(self.weight);
         self.total.add(-error);
         let others = self.total.minus(value).max(0.0);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! Admission and scheduling for servers that stand behind other people's load balancers.
+//! Admission control and scheduling for servers behind load balancers that they do not control.
 //!
-//! One [`AdmissionController`] lives in each server instance. It takes [`Event`]s and returns
-//! [`Action`]s; it has no clock, threads or I/O of its own and shares nothing with other instances.
+//! Each server instance has one [`AdmissionController`], which handles [`Event`]s and returns
+//! [`Action`]s. It has no clock, threads or I/O of its own and shares nothing with other instances.
 //!
 //! ```
 //! use dunlinspread::{Action, Arrival, Class, RetrySafety, Event, AdmissionController, Settings};
--- a/tests/decaying_counts.rs
+++ b/tests/decaying_counts.rs
@@ -1,17 +1,17 @@
-//! Decaying counts against counts that are all decayed with every step.
+//! Compares decaying counts with counts that are all decayed at every step.
 
 use dunlinspread::decaying_counts::DecayingCounts;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// The part that is left after a timer of 50 ms over a span of 10 s.
-const PART: f64 = 0.995_012_479_192_682_3;
+/// Decay factor of one 50 ms step with a time constant of 10 s.
+const FACTOR: f64 = 0.995_012_479_192_682_3;
 
 fn close(a: f64, b: f64) -> bool {
     (a - b).abs() <= 1e-9 * a.abs().max(b.abs())
 }
 
-/// An arrival of a member after so many steps.
+/// An arrival: the member, and the number of decay steps before it.
 type Step = (usize, u32);
 
 proptest! {
@@ -19,7 +19,8 @@
         cases: 200, rng_seed: RngSeed::Fixed(30), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Member 0 gets most, so that the others are often a tiny part; some rests pass several scalings.
+    /// Member 0 gets most arrivals, so that the others are often a tiny share of the sum; some pauses span
+    /// several scalings.
     #[test]
     fn counts_are_those_of_decaying_each(
         members in 1_usize..6,
@@ -31,10 +32,10 @@
     ) {
         let steps: Vec<Step> = steps;
         let (mut counts, mut each) = (DecayingCounts::new(members), vec![0.0_f64; members]);
-        for (member, rest) in steps {
-            for _ in 0..rest {
-                counts.decay(PART);
-                each.iter_mut().for_each(|count| *count *= PART);
+        for (member, pause) in steps {
+            for _ in 0..pause {
+                counts.decay(FACTOR);
+                each.iter_mut().for_each(|count| *count *= FACTOR);
             }
             let Some(added) = counts.add(member) else {
                 prop_assert!(member >= members);
@@ -43,52 +44,53 @@
             each[member] += 1.0;
             let others: f64 = each.iter().enumerate().filter(|(at, _)| *at != member).map(|(_, c)| c).sum();
             prop_assert!(close(added.own, each[member]), "{added:?} for {each:?}");
-            // The sum has twice the precision of the member's own count, of which 10^-30 is left over.
+            // The sum has twice the precision of the member's own count, which leaves an error of 10^-30 of
+            // that count.
             let precise = (added.others - others).abs() <= 1e-9 * others + 1e-30 * each[member];
             prop_assert!(precise, "{added:?} for {each:?}");
         }
     }
 }
 
-/// A flood of one member while one other fades from a single arrival: what is left of that one stays exact until it is
-/// some 10^-15 of the flood, which a plain sum loses far earlier.
+/// One member floods the counts while another one's single arrival decays. The decayed count of the second
+/// member stays exact until it is about 10^-15 of the flood; a plain sum would lose it far earlier.
 #[test]
 fn the_rest_beside_a_flood_is_no_rounding_error() {
     let (mut counts, mut other) = (DecayingCounts::new(2), 1.0);
     assert!(counts.add(1).is_some());
     for _ in 0..5000 {
-        counts.decay(PART);
-        other *= PART;
+        counts.decay(FACTOR);
+        other *= FACTOR;
         let mut last = None;
         (0..20).for_each(|_| last = counts.add(0));
-        let added = last.expect("there is such a member");
+        let added = last.expect("the member exists");
         assert!(close(added.others, other), "{added:?}, {other}");
     }
     assert!(other < 1e-10, "{other}");
 }
 
-/// Where there is only one member, all others together have exactly nothing.
+/// With a single member, the sum of all others is exactly zero.
 #[test]
 fn one_member_alone_has_no_others() {
     let mut counts = DecayingCounts::new(1);
     for step in 0..200_000_u32 {
         if step % 7 == 0 {
-            counts.decay(PART);
+            counts.decay(FACTOR);
         }
-        let added = counts.add(0).expect("there is such a member");
+        let added = counts.add(0).expect("the member exists");
         assert_eq!(added.others, 0.0, "step {step}: {added:?}");
     }
 }
 
-/// Nothing is left after a long time, and absurd parts are brought into range.
+/// Counts decay to zero after a long time, and factors out of range are clamped.
 #[test]
 fn counts_end_at_zero() {
     let mut counts = DecayingCounts::new(2);
     assert!(counts.add(0).is_some() && counts.add(2).is_none());
-    for part in [0.0, -1.0, 2.0, f64::INFINITY] {
-        counts.decay(part);
+    for factor in [0.0, -1.0, 2.0, f64::INFINITY] {
+        counts.decay(factor);
     }
-    (0..400_000).for_each(|_| counts.decay(PART));
-    let added = counts.add(0).expect("there is such a member");
+    (0..400_000).for_each(|_| counts.decay(FACTOR));
+    let added = counts.add(0).expect("the member exists");
     assert_eq!((added.own, added.others), (1.0, 0.0));
 }
--- a/tests/shutdown_schedule.rs
+++ b/tests/shutdown_schedule.rs
@@ -1,26 +1,28 @@
-//! The steps of a shutdown in virtual time: their order, and their room for a lag that the event loop was seen to have.
+//! The steps of a shutdown in virtual time: their order, and the time that they leave for the measured lag of
+//! the event loop.
 
 use dunlinspread::daemon::shutdown_schedule::ShutdownSchedule;
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// The greatest lag that a shutdown of this length has room for, ms.
-fn greatest_lag_ms(stop_ms: f64) -> f64 {
+/// Returns the maximum lag for which a shutdown of this length leaves time, ms.
+fn max_lag_ms(stop_ms: f64) -> f64 {
     250.0_f64.min(stop_ms / 8.0)
 }
 
 proptest! {
-    /// An event loop that comes to each step late by a lag that was seen comes to the end before the kill.
+    /// An event loop that reaches each step late by no more than the measured lag exits before the kill.
     #[test]
     fn a_lag_that_was_seen_leaves_the_end_before_the_kill(
         requested_at in 0.0..1e12_f64, stop_ms in 600.0..60_000.0_f64, part in 0.0..=1.0_f64,
     ) {
-        let lag_ms = part * greatest_lag_ms(stop_ms);
+        let lag_ms = part * max_lag_ms(stop_ms);
         let schedule = ShutdownSchedule::new(requested_at, Duration::from_secs_f64(stop_ms / 1000.0), lag_ms);
         prop_assert!(schedule.exit_at() + lag_ms < requested_at + stop_ms);
     }
 
-    /// However long the lag, the steps keep their order and the controller its time: seven eighths less its margin.
+    /// However long the lag, the steps keep their order, and the admission controller has at least seven
+    /// eighths of the time less its margin.
     #[test]
     fn the_steps_keep_their_order_at_any_lag(
         requested_at in 0.0..1e12_f64, stop_ms in 600.0..60_000.0_f64, lag_ms in 0.0..1e7_f64,
