--- a/src/config.rs
+++ b/src/config.rs
@@ -1,8 +1,8 @@
-//! The platform's configuration: the server's configuration file, and the settings that it and the simulator's first
-//! message state under the same keys.
+//! The platform's configuration: the server's configuration file, and the settings that this file and the
+//! simulator's first message contain under the same keys.
 //!
-//! A value that is present but can't be read is a [`ConfigError`] that names its key; no value is guessed. Unknown keys
-//! are ignored. No other module reads the platform's keys.
+//! A value that can't be parsed is a [`ConfigError`] that names its key; it is not replaced by a default.
+//! Unknown keys are ignored. No other module reads the platform's keys.
 
 mod error;
 mod gauges;
--- a/src/config/gauges.rs
+++ b/src/config/gauges.rs
@@ -1,9 +1,9 @@
-//! The names of the gauges.
+//! Mapping of the platform's gauge names to gauges.
 
 use super::keys;
 use crate::admission::Gauges;
 
-/// Sets the gauge of this name. Unknown names are ignored.
+/// Sets the gauge that has this name on the platform. Unknown names are ignored.
 pub fn set_gauge(gauges: &mut Gauges, name: &str, value: f64) {
     match name {
         keys::GAUGE_BUSY => gauges.busy = Some(value),
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,32 +1,33 @@
-//! What the process may hold, derived from the limits that it is told.
+//! Bounds of the process's tables, queues and connections, derived from its memory and descriptor limits.
 
-/// The most of each resource that the process holds, whatever comes from outside.
+/// Maximum amount of each resource that the process uses, whatever its peers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Client connections.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Connections of operators, where there is a control endpoint.
+    /// Maximum number of connections to the control endpoint, if there is one.
     pub control_connections: usize,
-    /// Connections to the upstream service, open calls and idle ones together.
+    /// Maximum number of connections to the upstream service, both with open calls and idle.
     pub upstream_connections: usize,
-    /// Requests that have no response yet.
+    /// Maximum number of requests without a response.
     pub requests: usize,
-    /// Idempotency keys.
+    /// Maximum number of idempotency keys.
     pub idempotency_keys: usize,
-    /// Cached results, in bytes.
+    /// Maximum size of all cached results, bytes.
     pub result_bytes: usize,
-    /// Messages in each queue of the dispatcher's mailbox, before their senders wait.
+    /// Maximum number of messages in each queue of the dispatcher's mailbox; senders wait while a queue is
+    /// full.
     pub dispatcher_mailbox: usize,
-    /// Log lines that wait for the writer; further ones are dropped and counted.
+    /// Maximum number of log lines queued for the writer; further lines are dropped and counted.
     pub log_lines: usize,
-    /// Aggregates that a usage ledger holds open.
+    /// Maximum number of open aggregates of a usage ledger.
     pub ledger_aggregates: usize,
 }
 
 impl ResourceLimits {
     /// Memory of a client connection with its buffers and queue, bytes.
     const CONNECTION_BYTES: usize = 32 << 10;
-    /// Memory of a request with its body, twice while it is encoded, bytes.
+    /// Memory of a request with its body, bytes; the body is held twice while it is encoded.
     const REQUEST_BYTES: usize = 5 << 10;
     /// Memory of an idempotency key, bytes.
     const KEY_BYTES: usize = 400;
@@ -34,25 +35,26 @@
     const LOG_LINE_BYTES: usize = 1 << 10;
     /// Memory of an aggregate of the usage ledger, bytes.
     const AGGREGATE_BYTES: usize = 160;
-    /// Descriptors that are neither a client's nor an upstream call's: some fifteen, and a reserve.
+    /// Descriptors used neither by clients nor by upstream calls: about fifteen, and a reserve.
     const OTHER_DESCRIPTORS: usize = 24;
-    /// The most requests, whatever the memory.
+    /// Maximum number of requests, whatever the memory.
     const MAX_REQUESTS: usize = 10_000;
-    /// The most connections of operators.
+    /// Maximum number of connections to the control endpoint, whatever the number of descriptors.
     const MAX_CONTROL_CONNECTIONS: usize = 32;
-    /// The fewest connections to the upstream service.
+    /// Minimum number of connections to the upstream service.
     const MIN_UPSTREAM_CONNECTIONS: usize = 8;
-    /// The smallest and largest queue of messages or log lines.
-    const QUEUE: (usize, usize) = (64, 1024);
+    /// Minimum and maximum length of a queue of messages or log lines.
+    const QUEUE_LENGTH: (usize, usize) = (64, 1024);
 
-    /// Returns the limits for a process of this memory and so many descriptors.
+    /// Returns the limits for a process with this memory and this number of descriptors.
     ///
-    /// Of the memory, a quarter is for clients, a fifth for results, a sixth for requests and a tenth for keys; the rest
-    /// is for upstream calls, the log and the program itself. Of the descriptors, clients get a half, with a reserve
-    /// for connections that are closing, and upstream calls most of the rest; operators' connections come out of the last
-    /// sixteenth, which neither of them gets.
+    /// A quarter of the memory is for client connections, a fifth for results, a sixth for requests and a
+    /// tenth for idempotency keys; the rest is for upstream calls, the log and the program itself. Half of
+    /// the descriptors, with a reserve of a sixteenth for connections that are closing, are for clients, and
+    /// most of the rest for upstream calls. Connections to the control endpoint use the last sixteenth, which
+    /// neither clients nor upstream calls use.
     pub fn new(memory_bytes: usize, descriptors: usize) -> ResourceLimits {
-        let queue = |length: usize| length.clamp(Self::QUEUE.0, Self::QUEUE.1);
+        let queue = |length: usize| length.clamp(Self::QUEUE_LENGTH.0, Self::QUEUE_LENGTH.1);
         let upstream_connections = (descriptors * 3 / 8).saturating_sub(Self::OTHER_DESCRIPTORS);
         ResourceLimits {
             client_connections: (descriptors / 2 + descriptors / 16)
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the admission controller, with their defaults.
+//! Reading of the admission controller's settings, with their defaults.
 
 use super::keys;
 use super::stated::parse;
@@ -9,7 +9,7 @@
     /// Returns the settings of an admission controller.
     ///
     /// # Errors
-    /// If a value can't be read.
+    /// Returns a [`ConfigError`] if a value can't be parsed.
     pub fn settings(&self, seed: u64) -> Result<Settings, ConfigError> {
         let default = Settings::default();
         let classes = self.classes()?;
--- a/src/config/stated.rs
+++ b/src/config/stated.rs
@@ -1,17 +1,18 @@
-//! Settings as they are stated: a tree from the configuration file, or the simulator's pairs of paths and values.
+//! Unparsed settings: a JSON tree from the configuration file, or the simulator's pairs of paths and values.
 //!
-//! Both are read under the same paths. A list of plain values is read as its values joined by commas, a list of objects
-//! by the index of an item and the item's key. Values are borrowed until they are asked for.
+//! Both are read with the same paths. A list of scalars is read as its values joined by commas, a list of
+//! objects by the index of an item and the item's key. Values are borrowed and parsed only when they are
+//! read.
 
 use super::{ConfigError, keys};
 use crate::codec::json::Value;
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// The most items of a list.
+/// Maximum number of items of a list.
 const MAX_ITEMS: usize = 1_000_000;
 
-/// Settings as a file or the simulator states them.
+/// Unparsed settings from a configuration file or the simulator.
 #[derive(Clone, Debug)]
 pub struct StatedSettings<'a>(Source<'a>);
 
@@ -28,7 +29,7 @@
 }
 
 enum Items<'a> {
-    /// So many, under paths of the pairs.
+    /// The pairs that hold the items, and the number of items.
     Pairs(&'a HashMap<&'a str, &'a str>, usize),
     Tree(&'a [Value]),
 }
@@ -50,7 +51,7 @@
     pub(super) fn text(&self, path: &str) -> Option<Cow<'_, str>> {
         match &self.0 {
             Source::Pairs(pairs) => pairs.get(path).copied().map(Cow::Borrowed),
-            Source::Tree(root) => plain(at_path(root, path)?),
+            Source::Tree(root) => to_text(at_path(root, path)?),
         }
     }
 
@@ -66,13 +67,13 @@
         }
     }
 
-    /// Returns the values of a list of plain values.
+    /// Returns the values of a list of scalars.
     pub(super) fn values(&self, key: &str) -> Vec<String> {
         let text = self.text(key).unwrap_or_default();
         text.split(',').map(str::to_owned).collect()
     }
 
-    /// Returns a list of objects; an empty one if there is none.
+    /// Returns the list of objects at a path; an empty list if there is none.
     pub(super) fn list(&self, path: &'static str) -> Result<List<'_>, ConfigError> {
         let count_key = || format!("{path}{}", keys::COUNT_SUFFIX);
         let items = match &self.0 {
@@ -102,7 +103,7 @@
         (0..list.len()).map(name).collect()
     }
 
-    /// Returns the names of the gauges, in the order in which their values come.
+    /// Returns the names of the gauges, in the order in which their values are sent.
     pub fn gauge_names(&self) -> Vec<String> {
         self.values(keys::GAUGE_NAMES)
     }
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Returns the path of an item's key.
+    /// Returns the path of a key of an item.
     fn key(&self, index: usize, key: &str) -> String {
         format!("{}.{index}.{key}", self.path)
     }
@@ -124,7 +125,7 @@
     pub(super) fn text(&self, index: usize, key: &str) -> Option<Cow<'_, str>> {
         match &self.items {
             Items::Pairs(pairs, _) => pairs.get(self.key(index, key).as_str()).copied().map(Cow::Borrowed),
-            Items::Tree(items) => plain(member(items.get(index)?, key)?),
+            Items::Tree(items) => to_text(member(items.get(index)?, key)?),
         }
     }
 
@@ -136,16 +137,16 @@
     }
 }
 
-/// Parses a value.
+/// Parses the value of a key.
 pub(super) fn parse<T: std::str::FromStr>(key: &str, value: &str) -> Result<T, ConfigError> {
     value.parse().map_err(|_| ConfigError::unreadable(key, value))
 }
 
-/// Returns a member of an object. Of members with one name the last that is not null counts.
+/// Returns a member of an object; if several have the same name, the last one that is not null.
 fn member<'a>(value: &'a Value, key: &str) -> Option<&'a Value> {
     let Value::Object(members) = value else { return None };
-    let found = members.iter().rev().find(|(name, value)| name == key && *value != Value::Null);
-    found.map(|(_, value)| value)
+    let last = members.iter().rev().find(|(name, value)| name == key && *value != Value::Null);
+    last.map(|(_, value)| value)
 }
 
 fn at_path<'a>(root: &'a Value, path: &str) -> Option<&'a Value> {
@@ -156,20 +157,20 @@
     items.iter().any(|item| matches!(item, Value::Object(_)))
 }
 
-/// Returns a plain value, or a list of plain values joined by commas, as text.
-fn plain(value: &Value) -> Option<Cow<'_, str>> {
+/// Returns a scalar, or a list of scalars joined by commas, as text; `None` for other values.
+fn to_text(value: &Value) -> Option<Cow<'_, str>> {
     match value {
         Value::Str(text) => Some(Cow::Borrowed(text)),
-        Value::Number(_) | Value::Bool(_) => Some(Cow::Owned(scalar(value))),
+        Value::Number(_) | Value::Bool(_) => Some(Cow::Owned(scalar_to_text(value))),
         Value::Array(items) if !has_objects(items) => {
-            let scalars: Vec<String> = items.iter().map(scalar).collect();
+            let scalars: Vec<String> = items.iter().map(scalar_to_text).collect();
             Some(Cow::Owned(scalars.join(",")))
         }
         Value::Array(_) | Value::Object(_) | Value::Null => None,
     }
 }
 
-fn scalar(value: &Value) -> String {
+fn scalar_to_text(value: &Value) -> String {
     match value {
         Value::Str(text) => text.clone(),
         Value::Number(number) => number.to_string(),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what `check` prints and how it fails, and the forms of the log.
+//! The command line: the output and the errors of `check`, and the formats of the log.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -6,7 +6,7 @@
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
-/// Writes the files of one test in a folder of its own.
+/// Writes the configuration files of one test to a separate folder.
 fn files(test: &str, operator: &str) -> (PathBuf, PathBuf) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -22,7 +22,7 @@
         .env("RELAY_CONFIG", config)
         .env("DUNLINSPREAD_OPERATOR", operator)
         .output()
-        .expect("it runs")
+        .expect("the program starts")
 }
 
 #[test]
@@ -47,10 +47,10 @@
     assert!(said.contains("operator.hcl:2: log: `colour`: unknown field"), "{said}");
     std::fs::write(&config, "{\"name\":7}").expect("written");
     let said = String::from_utf8_lossy(&run(&["check"], &config, &hcl).stderr).into_owned();
-    assert!(said.contains("config.json: `name`: is no word"), "{said}");
+    assert!(said.contains("config.json: `name`: is not a non-empty string"), "{said}");
 }
 
-/// The example file in `deploy/` has to stay one that the program takes.
+/// The program must accept the example file in `deploy/`.
 #[test]
 fn the_example_is_valid() {
     let (config, _) = files("check_example", "");
@@ -62,19 +62,19 @@
 #[test]
 fn json_log_lines_are_valid_json() {
     let (config, hcl) = files("log_json", "");
-    // The worker pool's address takes no connection: that is the first line of interest.
+    // Nothing listens on the worker pool's address; the line `serving` is expected all the same.
     let mut child = Command::new(env!("CARGO_BIN_EXE_dunlinspread"))
         .args(["serve", "--log-format", "json"])
         .env("RELAY_CONFIG", &config)
         .env("DUNLINSPREAD_OPERATOR", &hcl)
         .stderr(std::process::Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let lines = std::io::BufReader::new(child.stderr.take().expect("a log"));
     let line = std::io::BufRead::lines(lines).map_while(Result::ok).find(|l| l.contains("\"serving\""));
     let _ = child.kill();
     let _ = child.wait();
-    let line = line.expect("it says so");
+    let line = line.expect("a line with `serving`");
     let value = dunlinspread::codec::json::parse(line.as_bytes()).expect("JSON");
     let word = |key: &str| value.get(key).and_then(dunlinspread::codec::json::Value::as_str);
     assert_eq!((word("msg"), word("level"), word("name")), (Some("serving"), Some("INFO"), Some("n3")));
--- a/tests/stated_settings.rs
+++ b/tests/stated_settings.rs
@@ -1,30 +1,30 @@
-//! Settings of the configuration file, as a tree, are the same as those of the simulator, as pairs of paths and values;
-//! errors name their keys.
+//! The configuration file's settings, as a tree, are read the same as the simulator's, as pairs of paths and
+//! values; errors name their keys.
 
 use dunlinspread::codec::json::{self, Value};
 use dunlinspread::config::{Config, ConfigFallbacks, StatedSettings};
 use std::collections::BTreeMap;
 
-/// Adds the paths and values of a tree: a list of plain values is joined by commas, a list of objects gives its length under
-/// `.count` and its items under `.0`, `.1` and so on.
+/// Adds the paths and values of a tree to `pairs`. A list of scalars becomes its values joined by commas; a
+/// list of objects becomes its length under `.count` and its items under `.0`, `.1` and so on.
 fn flatten(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let child_path = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     match value {
-        Value::Object(members) => members.iter().for_each(|(key, v)| flatten(&below(key), v, pairs)),
+        Value::Object(members) => members.iter().for_each(|(key, v)| flatten(&child_path(key), v, pairs)),
         Value::Array(items) if items.iter().any(|i| matches!(i, Value::Object(_))) => {
-            pairs.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(at, v)| flatten(&below(&at.to_string()), v, pairs));
+            pairs.insert(child_path("count"), items.len().to_string());
+            items.iter().enumerate().for_each(|(at, v)| flatten(&child_path(&at.to_string()), v, pairs));
         }
         Value::Array(items) => {
-            let plain: Vec<String> = items.iter().map(plain).collect();
-            pairs.insert(path.to_owned(), plain.join(","));
+            let scalars: Vec<String> = items.iter().map(scalar_to_text).collect();
+            pairs.insert(path.to_owned(), scalars.join(","));
         }
         Value::Null => {}
-        _ => drop(pairs.insert(path.to_owned(), plain(value))),
+        _ => drop(pairs.insert(path.to_owned(), scalar_to_text(value))),
     }
 }
 
-fn plain(value: &Value) -> String {
+fn scalar_to_text(value: &Value) -> String {
     match value {
         Value::Str(text) => text.clone(),
         Value::Number(n) => n.to_string(),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Returns the error of a configuration with these settings.
+/// Returns the error message for a configuration with these settings.
 fn error(settings: &str) -> String {
     let text = format!(
         r#"{{"name":"n","listen":"127.0.0.1:1","pool":"127.0.0.1:1","directory":"127.0.0.1:1","settings":{settings}}}"#
