--- a/src/operator/config_sync.rs
+++ b/src/operator/config_sync.rs
@@ -1,5 +1,5 @@
-//! The block `config_sync`: tenant allowances, routes and class limits that come from the fleet's publisher by way of
-//! relays, in force without a restart.
+//! The block `config_sync`: distribution of tenant quotas, routes and class limits from the fleet's publisher
+//! through relays. They take effect without a restart.
 
 use super::error::{FleetKeyError, KeyError, OperatorConfigError};
 use super::source::Source;
@@ -11,58 +11,60 @@
 use std::io::Read as _;
 use std::net::SocketAddr;
 
-/// Name of the blocks of relays.
+/// Name of a relay's block.
 const BLOCK_RELAY: &str = "relay";
-/// The longest name of a relay, zone or region, in bytes.
+/// Maximum length of the name of a relay, zone or region, bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// The most relays that one server may be given.
+/// Maximum number of relays in one operator file.
 const MAX_RELAYS: usize = 64;
-/// The most tenants where nothing is stated, and the largest value that may be stated.
+/// Default value of `max_tenants`, and the largest value that may be configured.
 const DEFAULT_MAX_TENANTS: usize = 1_000_000;
 const LARGEST_MAX_TENANTS: usize = 4_000_000;
-/// The most routes where nothing is stated, and the largest value that may be stated.
+/// Default value of `max_routes`, and the largest value that may be configured.
 const DEFAULT_MAX_ROUTES: usize = 200_000;
 const LARGEST_MAX_ROUTES: usize = 1_000_000;
-/// The length of the fleet's key, in bytes.
+/// Range of the length of the fleet's key, bytes.
 const KEY_BYTES: std::ops::RangeInclusive<usize> = 16..=1024;
 
-/// A relay or publisher that may be watched.
+/// A relay or publisher that the server may subscribe to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelaySettings {
-    /// Its name, by which servers rank it.
+    /// Name of the relay, by which servers rank it.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
-    /// Its zone; a region's relay has none.
+    /// Zone of the relay; `None` for a relay of a whole region.
     pub zone: Option<String>,
-    /// Its region.
+    /// Region of the relay.
     pub region: String,
 }
 
 /// The block `config_sync`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigSyncSettings {
-    /// The zone of this server.
+    /// Zone of this server.
     pub zone: String,
-    /// The region of this server.
+    /// Region of this server.
     pub region: String,
-    /// The file that holds the fleet's key.
+    /// Path of the file that holds the fleet's key.
     pub key_file: String,
-    /// Where the last good state is stored; without it, a restart begins with the platform's settings.
+    /// Directory in which the last valid state is stored; without it, a restart begins with the platform's
+    /// settings.
     pub state_directory: Option<String>,
-    /// The most tenants, including the platform's.
+    /// Maximum number of tenants, including the platform's.
     pub max_tenants: usize,
-    /// The most routes.
+    /// Maximum number of routes.
     pub max_routes: usize,
-    /// The servers to watch, by name.
+    /// Relays and publishers to subscribe to, sorted by name.
     pub relays: Vec<RelaySettings>,
 }
 
 impl ConfigSyncSettings {
-    /// Reads the fleet's key.
+    /// Reads the fleet's key from its file.
     ///
     /// # Errors
-    /// If the file can't be read, or the key is too short or too long.
+    /// - [`FleetKeyError::Read`] if the file can't be read.
+    /// - [`FleetKeyError::Length`] if the key is too short or too long.
     pub fn fleet_key(&self) -> Result<Vec<u8>, FleetKeyError> {
         let read_error = |source| FleetKeyError::Read { file: self.key_file.clone(), source };
         let (shortest, longest) = (*KEY_BYTES.start(), *KEY_BYTES.end());
@@ -76,7 +78,7 @@
     }
 }
 
-/// The block as it stands in the file.
+/// The block as written in the operator file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawConfigSync {
@@ -98,7 +100,7 @@
     region: Option<String>,
 }
 
-/// Reads the block.
+/// Reads and validates the block.
 pub(super) fn read(source: &Source, block: &Block) -> Result<ConfigSyncSettings, OperatorConfigError> {
     check_relay_labels(source, block)?;
     let raw: RawConfigSync = source.block(block)?;
@@ -111,11 +113,11 @@
         let error =
             |reason: &str| Err(source.error(relay.span(), Some(block), Some(BLOCK_RELAY), reason.to_owned()));
         let [label] = &relay.labels[..] else {
-            return error("takes one label, its name: relay \"name\" {");
+            return error("requires one label, the name: relay \"name\" {");
         };
         let name = label.as_str();
         if seen.contains(&name) {
-            return error(&format!("\"{name}\" stands here a second time"));
+            return error(&format!("\"{name}\" is defined more than once"));
         }
         seen.push(name);
     }
@@ -126,13 +128,15 @@
     fn check(self) -> Result<ConfigSyncSettings, KeyError> {
         check_name("zone", &self.zone)?;
         check_name("region", &self.region)?;
-        check_given("key_file", &self.key_file)?;
-        self.state_directory.iter().try_for_each(|directory| check_given("state_directory", directory))?;
+        check_not_empty("key_file", &self.key_file)?;
+        self.state_directory
+            .iter()
+            .try_for_each(|directory| check_not_empty("state_directory", directory))?;
         if self.relay.is_empty() {
-            return Err(KeyError::new(BLOCK_RELAY, "is missing: name at least one to watch"));
+            return Err(KeyError::new(BLOCK_RELAY, "is missing: at least one relay is required"));
         }
         if self.relay.len() > MAX_RELAYS {
-            return Err(KeyError::new(BLOCK_RELAY, format!("names more than {MAX_RELAYS}")));
+            return Err(KeyError::new(BLOCK_RELAY, format!("has more than {MAX_RELAYS} blocks")));
         }
         let region = &self.region;
         let relays = self.relay.into_iter().map(|(name, relay)| relay.check(name, region));
@@ -164,11 +168,11 @@
     if (1..=MAX_NAME_BYTES).contains(&name.len()) {
         return Ok(());
     }
-    let reason = format!("a name of {} bytes, wanted 1 to {MAX_NAME_BYTES}", name.len());
+    let reason = format!("a name of {} bytes, expected 1 to {MAX_NAME_BYTES}", name.len());
     Err(KeyError::new(key.to_owned(), reason))
 }
 
-fn check_given(key: &str, text: &str) -> Result<(), KeyError> {
+fn check_not_empty(key: &str, text: &str) -> Result<(), KeyError> {
     if text.is_empty() { Err(KeyError::new(key.to_owned(), "is empty")) } else { Ok(()) }
 }
 
@@ -177,18 +181,19 @@
     if (1..=largest as u64).contains(&count) {
         return Ok(count as usize);
     }
-    Err(KeyError::new(key, format!("{count} is not within 1 and {largest}")))
+    Err(KeyError::new(key, format!("{count} is not between 1 and {largest}")))
 }
 
 impl fmt::Display for ConfigSyncSettings {
-    /// The block as it could stand in a file; the key's file is named, never the key.
+    /// Writes the block as it would appear in an operator file, with the path of the key's file but never the
+    /// key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "config_sync {{")?;
-        writeln!(f, "  zone            = {}", quoted(&self.zone))?;
-        writeln!(f, "  region          = {}", quoted(&self.region))?;
-        writeln!(f, "  key_file        = {}", quoted(&self.key_file))?;
+        writeln!(f, "  zone            = {}", hcl_string(&self.zone))?;
+        writeln!(f, "  region          = {}", hcl_string(&self.region))?;
+        writeln!(f, "  key_file        = {}", hcl_string(&self.key_file))?;
         if let Some(directory) = &self.state_directory {
-            writeln!(f, "  state_directory = {}", quoted(directory))?;
+            writeln!(f, "  state_directory = {}", hcl_string(directory))?;
         }
         writeln!(f, "  max_tenants     = {}", self.max_tenants)?;
         writeln!(f, "  max_routes      = {}", self.max_routes)?;
@@ -199,17 +204,17 @@
 
 impl fmt::Display for RelaySettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "  relay {} {{", quoted(&self.name))?;
+        writeln!(f, "  relay {} {{", hcl_string(&self.name))?;
         writeln!(f, "    address = \"{}\"", self.address)?;
         if let Some(zone) = &self.zone {
-            writeln!(f, "    zone    = {}", quoted(zone))?;
+            writeln!(f, "    zone    = {}", hcl_string(zone))?;
         }
-        writeln!(f, "    region  = {}", quoted(&self.region))?;
+        writeln!(f, "    region  = {}", hcl_string(&self.region))?;
         writeln!(f, "  }}")
     }
 }
 
-/// Returns a text as HCL quotes it.
-fn quoted(text: &str) -> hcl::Expression {
+/// Returns a text as an HCL string, quoted and escaped.
+fn hcl_string(text: &str) -> hcl::Expression {
     hcl::Expression::from(text)
 }
--- a/src/operator/error.rs
+++ b/src/operator/error.rs
@@ -4,18 +4,18 @@
 use std::fmt;
 use std::io;
 
-/// What is wrong in an operator file, and where.
+/// An error in an operator file, with its location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct OperatorConfigError {
-    /// The file, as it was named.
+    /// Path of the file, as it was specified.
     pub file: String,
-    /// The line, from 1, where it is known.
+    /// Number of the line, from 1, if known.
     pub line: Option<usize>,
-    /// The block with its label, if the error is in one.
+    /// Block with its label, if the error is in a block.
     pub block: Option<String>,
-    /// The key, if the error is one key's.
+    /// Key to which the error applies, if any.
     pub key: Option<String>,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
@@ -35,42 +35,42 @@
     }
 }
 
-/// What is wrong with one key of a block, before the block's place in the file is known.
+/// An error of one key of a block, without the block's location in the file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{key}`: {reason}")]
 pub(super) struct KeyError {
-    /// The key, as a path within the block.
+    /// Path of the key within the block.
     pub(super) key: Cow<'static, str>,
-    /// What is wrong.
+    /// Description of the error.
     pub(super) reason: String,
 }
 
 impl KeyError {
-    /// Returns the error of a key.
+    /// Returns an error for a key.
     pub(super) fn new(key: impl Into<Cow<'static, str>>, reason: impl Into<String>) -> KeyError {
         KeyError { key: key.into(), reason: reason.into() }
     }
 }
 
-/// Why the fleet's key can't be used. The key itself is never part of the text.
+/// Reason why the fleet's key can't be used. The error message never contains the key itself.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetKeyError {
     /// The file can't be read.
     #[error("config_sync: `key_file`: {file}: can't be read: {source}")]
     Read {
-        /// The file that holds the key.
+        /// Path of the file that holds the key.
         file: String,
-        /// What happened.
+        /// The underlying I/O error.
         source: io::Error,
     },
     /// The key is too short or too long.
-    #[error("config_sync: `key_file`: {file}: wanted a key of {shortest} to {longest} bytes")]
+    #[error("config_sync: `key_file`: {file}: expected a key of {shortest} to {longest} bytes")]
     Length {
-        /// The file that holds the key.
+        /// Path of the file that holds the key.
         file: String,
-        /// The shortest key, in bytes.
+        /// Minimum length of the key, bytes.
         shortest: usize,
-        /// The longest key, in bytes.
+        /// Maximum length of the key, bytes.
         longest: usize,
     },
 }
--- a/src/operator/file.rs
+++ b/src/operator/file.rs
@@ -1,4 +1,4 @@
-//! The operator file as a whole.
+//! Reading of a whole operator file.
 
 use super::config_sync::{self, ConfigSyncSettings};
 use super::error::OperatorConfigError;
@@ -10,14 +10,14 @@
 use std::fmt;
 use std::path::Path;
 
-/// The settings of an operator file. [`OperatorConfig::default`] is in force without a file.
+/// The settings of an operator file. Without a file, [`OperatorConfig::default`] is in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// The daemon's log.
+    /// Settings of the daemon's log.
     pub log: LogSettings,
-    /// The usage ledger; disabled without it.
+    /// Settings of the usage ledger; if `None`, the usage ledger is disabled.
     pub ledger: Option<LedgerConfig>,
-    /// Distributed configuration; disabled without it.
+    /// Settings of distributed configuration; if `None`, distributed configuration is disabled.
     pub config_sync: Option<ConfigSyncSettings>,
 }
 
@@ -25,14 +25,15 @@
 const BLOCK_LOG: &str = "log";
 const BLOCK_LEDGER: &str = "ledger";
 const BLOCK_CONFIG_SYNC: &str = "config_sync";
-/// The names of all blocks, for errors.
+/// Names of all blocks, for error messages.
 const BLOCKS: &str = "log, ledger, config_sync";
 
 impl OperatorConfig {
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// If the file can't be read, is no HCL, or has a block, key or value that does not belong there.
+    /// Returns an [`OperatorConfigError`] if the file can't be read, is not valid HCL, or has an unknown or
+    /// repeated block, an unknown key or an invalid value.
     pub fn load(path: &Path) -> Result<OperatorConfig, OperatorConfigError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| OperatorConfigError {
@@ -45,10 +46,10 @@
         OperatorConfig::read(&text, &file)
     }
 
-    /// Reads the text of an operator file; `file` is its name in errors.
+    /// Reads the text of an operator file; `file` is the name used for it in errors.
     ///
     /// # Errors
-    /// As [`OperatorConfig::load`].
+    /// Returns the errors of [`OperatorConfig::load`], except that for an unreadable file.
     pub fn read(text: &str, file: &str) -> Result<OperatorConfig, OperatorConfigError> {
         let source = Source { text, file };
         let body = hcl_edit::parser::parse_body(text).map_err(|error| OperatorConfigError {
@@ -59,7 +60,7 @@
             reason: error.message().to_owned(),
         })?;
         if let Some(attribute) = body.attributes().next() {
-            let reason = format!("settings stand in blocks; the blocks are: {BLOCKS}");
+            let reason = format!("settings must be inside a block; the blocks are: {BLOCKS}");
             return Err(source.error(attribute.span(), None, Some(attribute.key.as_str()), reason));
         }
         let mut config = OperatorConfig::default();
@@ -67,7 +68,7 @@
         for block in body.blocks() {
             let name = block.ident.as_str();
             if seen.contains(&name) {
-                return Err(block_error(&source, block, "stands here a second time"));
+                return Err(block_error(&source, block, "is defined more than once"));
             }
             seen.push(name);
             config.read_block(&source, block)?;
@@ -87,7 +88,7 @@
                 self.config_sync = Some(config_sync::read(source, block)?);
             }
             _ => {
-                let reason = format!("is no block; the blocks are: {BLOCKS}");
+                let reason = format!("is not a known block; the blocks are: {BLOCKS}");
                 return Err(block_error(source, block, reason));
             }
         }
@@ -95,7 +96,7 @@
     }
 }
 
-/// Returns an error of a whole block.
+/// Returns an error that applies to a whole block.
 fn block_error(source: &Source, block: &Block, reason: impl Into<String>) -> OperatorConfigError {
     source.error(block.span(), Some(block), None, reason.into())
 }
@@ -104,23 +105,28 @@
     if block.labels.is_empty() {
         return Ok(());
     }
-    Err(block_error(source, block, "takes no label"))
+    Err(block_error(source, block, "must not have a label"))
 }
 
 fn read_ledger(source: &Source, block: &Block) -> Result<LedgerConfig, OperatorConfigError> {
     let [label] = &block.labels[..] else {
-        return Err(block_error(source, block, "takes one label, its name: ledger \"rounds\" {"));
+        return Err(block_error(source, block, "requires one label, the name: ledger \"rounds\" {"));
     };
     let raw: RawLedger = source.block(block)?;
     raw.check(label.as_str()).map_err(|error| source.key_error(block, error))
 }
 
 impl fmt::Display for OperatorConfig {
-    /// Writes what is in force, as an operator file that would set it.
+    /// Writes the settings in force as an operator file.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (format, level) = (self.log.format, self.log.level);
-        let word = |w: &dyn fmt::Debug| format!("{w:?}").to_lowercase();
-        writeln!(f, "log {{\n  format = \"{}\"\n  level  = \"{}\"\n}}", word(&format), word(&level))?;
+        let lowercase = |value: &dyn fmt::Debug| format!("{value:?}").to_lowercase();
+        writeln!(
+            f,
+            "log {{\n  format = \"{}\"\n  level  = \"{}\"\n}}",
+            lowercase(&format),
+            lowercase(&level)
+        )?;
         self.ledger.iter().try_for_each(|ledger| write!(f, "\n{ledger}"))?;
         self.config_sync.iter().try_for_each(|config_sync| write!(f, "\n{config_sync}"))
     }
--- a/src/operator/ledger.rs
+++ b/src/operator/ledger.rs
@@ -1,6 +1,6 @@
-//! The block `ledger` of the operator file: where and how usage is billed.
+//! The block `ledger` of the operator file: settings of the usage ledger, which bills requests.
 
-use super::duration::{humantime_text, range_ms, text};
+use super::duration::{format_ms, humantime_text, range_ms};
 use super::error::KeyError;
 use dunlinspread_ledger::{DurabilityMode, FailurePolicy};
 use serde::Deserialize;
@@ -8,80 +8,80 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The length of a period where none is set, and its range, ms.
+/// Default length of a period, and its range, ms.
 const DEFAULT_PERIOD_MS: u64 = 15 * 60_000;
 const MIN_PERIOD_MS: u64 = 100;
 const MAX_PERIOD_MS: u64 = 31 * DAY_MS;
-/// The grace after a period's end where none is set, ms, if the period is not shorter.
+/// Default grace after a period's end, ms; a period that is shorter than this is the default instead.
 const DEFAULT_GRACE_MS: u64 = 5000;
-/// How long lines are kept where nothing is set, and its range, ms.
+/// Default time for which lines are kept, and its range, ms.
 const DEFAULT_KEEP_MS: u64 = 400 * DAY_MS;
 const MIN_KEEP_MS: u64 = 1000;
 const MAX_KEEP_MS: u64 = 20 * 366 * DAY_MS;
-/// The time between commits in interval mode where none is set, and its range, ms.
+/// Default time between commits in interval mode, and its range, ms.
 const DEFAULT_INTERVAL_MS: u64 = 50;
 const MIN_INTERVAL_MS: u64 = 1;
 const MAX_INTERVAL_MS: u64 = 60_000;
-/// Replies sent before their line is durable in interval mode, at most, where nothing is set.
+/// Default maximum number of replies sent before their line is durable, in interval mode.
 const DEFAULT_AT_RISK: u64 = 1000;
-/// The time between questions to peers where none is set, and its range, ms.
+/// Default time between digest requests to peers, and its range, ms.
 const DEFAULT_PEER_INTERVAL_MS: u64 = 30_000;
 const MIN_PEER_INTERVAL_MS: u64 = 100;
 const MAX_PEER_INTERVAL_MS: u64 = DAY_MS;
-/// Peers that are asked at most.
-const MAX_PEERS_ASKED: usize = 64;
-/// Items of a batch at most where nothing is set, and the range of that.
+/// Maximum number of peers in `ask`.
+const MAX_ASKED_PEERS: usize = 64;
+/// Default maximum number of items in a batch, and its range.
 const DEFAULT_BATCH_LINES: u64 = 10_000;
 const BATCH_LINES: std::ops::RangeInclusive<u64> = 1..=100_000;
-/// A day, ms.
+/// Length of a day, ms.
 const DAY_MS: u64 = 86_400_000;
 
-/// Where closed periods are exported to.
+/// Target to which closed periods are exported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExportTarget {
-    /// A folder.
+    /// Path of a folder.
     Folder(String),
-    /// A collector that listens at this address.
+    /// Address of a collector.
     Collector(SocketAddr),
 }
 
-/// The block `peers` of a ledger: other servers that it may talk to.
+/// The block `peers` of a ledger: other servers with which it exchanges digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// The address at which others may ask.
+    /// Address on which digest requests of other servers are accepted.
     pub listen: Option<SocketAddr>,
-    /// The servers to ask.
+    /// Addresses of the servers from which digests are requested.
     pub ask: Vec<SocketAddr>,
-    /// How often, ms.
+    /// Time between digest requests, ms.
     pub every_ms: u64,
 }
 
 /// The block `ledger`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerConfig {
-    /// The block's label.
+    /// Label of the block.
     pub name: String,
-    /// The directory of its store.
+    /// Directory of the ledger's store.
     pub directory: String,
-    /// The length of a period, ms.
+    /// Length of a period, ms.
     pub period_ms: u64,
-    /// How long after its end a period is closed, ms.
+    /// Time from the end of a period until it is closed, ms.
     pub grace_ms: u64,
-    /// When replies may be sent.
+    /// Durability mode, which determines when replies may be sent.
     pub mode: DurabilityMode,
-    /// What happens while the store fails.
+    /// Handling of requests while the store fails.
     pub on_failure: FailurePolicy,
-    /// Where closed periods go; they stay in the store without one.
+    /// Target to which closed periods are exported; without one they stay in the store.
     pub export: Option<ExportTarget>,
-    /// Items of a batch at most.
+    /// Maximum number of items in a batch.
     pub batch_lines: usize,
-    /// How long lines are kept, ms, once they are exported (or closed, if nothing is).
+    /// Time for which lines are kept after their export, ms; after their close, if nothing is exported.
     pub keep_ms: u64,
-    /// Other servers to exchange digests with; none on a platform where they may not talk.
+    /// Exchange of digests with other servers; `None` on a platform whose servers must not communicate.
     pub peers: Option<PeerSettings>,
 }
 
-/// The block `ledger` as it stands in the file.
+/// The block `ledger` as written in the operator file, before validation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawLedger {
@@ -138,10 +138,10 @@
 }
 
 impl RawLedger {
-    /// Returns the settings of the block, which has this label.
+    /// Validates the block, whose label is `name`, and returns its settings.
     ///
     /// # Errors
-    /// With the first key that is faulty.
+    /// Returns the [`KeyError`] of the first invalid key.
     pub(super) fn check(self, name: &str) -> Result<LedgerConfig, KeyError> {
         let period_ms = range_ms("period", self.period, DEFAULT_PERIOD_MS, MIN_PERIOD_MS, MAX_PERIOD_MS)?;
         let default_grace_ms = period_ms.min(DEFAULT_GRACE_MS);
@@ -170,14 +170,14 @@
 }
 
 impl RawMode {
-    /// Returns the mode with its two keys, which belong to interval mode alone.
+    /// Returns the mode with its two keys, which are valid only in interval mode.
     fn check(self, interval: Option<Duration>, at_risk: Option<u64>) -> Result<DurabilityMode, KeyError> {
         match self {
             RawMode::Strict if interval.is_some() => {
-                Err(KeyError::new("interval", "belongs to mode \"interval\""))
+                Err(KeyError::new("interval", "is valid only in mode \"interval\""))
             }
             RawMode::Strict if at_risk.is_some() => {
-                Err(KeyError::new("at_risk", "belongs to mode \"interval\""))
+                Err(KeyError::new("at_risk", "is valid only in mode \"interval\""))
             }
             RawMode::Strict => Ok(DurabilityMode::Strict),
             RawMode::Interval => {
@@ -185,8 +185,9 @@
                     range_ms("interval", interval, DEFAULT_INTERVAL_MS, MIN_INTERVAL_MS, MAX_INTERVAL_MS)?;
                 let at_risk = at_risk.unwrap_or(DEFAULT_AT_RISK);
                 if at_risk == 0 {
-                    let what = "with 0 no answer could leave; mode \"strict\" is that";
-                    return Err(KeyError::new("at_risk", what));
+                    let reason =
+                        "must be at least 1; mode \"strict\" sends no reply before its line is durable";
+                    return Err(KeyError::new("at_risk", reason));
                 }
                 Ok(DurabilityMode::Interval { every_ms, at_risk })
             }
@@ -208,7 +209,7 @@
         match (self.folder, self.collector) {
             (Some(folder), None) => Ok(ExportTarget::Folder(folder)),
             (None, Some(address)) => Ok(ExportTarget::Collector(address)),
-            _ => Err(KeyError::new("export", "takes either `folder` or `collector`")),
+            _ => Err(KeyError::new("export", "requires exactly one of `folder` and `collector`")),
         }
     }
 }
@@ -216,10 +217,13 @@
 impl RawPeers {
     fn check(self) -> Result<PeerSettings, KeyError> {
         if self.listen.is_none() && self.ask.is_empty() {
-            return Err(KeyError::new("peers", "names neither `listen` nor whom to `ask`"));
+            return Err(KeyError::new("peers", "sets neither `listen` nor `ask`"));
         }
-        if self.ask.len() > MAX_PEERS_ASKED {
-            return Err(KeyError::new("peers", format!("asks more than {MAX_PEERS_ASKED}")));
+        if self.ask.len() > MAX_ASKED_PEERS {
+            return Err(KeyError::new(
+                "peers",
+                format!("has more than {MAX_ASKED_PEERS} addresses in `ask`"),
+            ));
         }
         let every_ms = range_ms(
             "peers",
@@ -237,21 +241,21 @@
     if BATCH_LINES.contains(&batch_lines) {
         return Ok(batch_lines as usize);
     }
-    let (least, most) = (BATCH_LINES.start(), BATCH_LINES.end());
-    Err(KeyError::new("batch_lines", format!("{batch_lines} is not within {least} and {most}")))
+    let (min, max) = (BATCH_LINES.start(), BATCH_LINES.end());
+    Err(KeyError::new("batch_lines", format!("{batch_lines} is not between {min} and {max}")))
 }
 
 impl fmt::Display for LedgerConfig {
-    /// Writes the block as it would stand in an operator file.
+    /// Writes the block as it would appear in an operator file.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "ledger \"{}\" {{", self.name)?;
         writeln!(f, "  directory   = {:?}", self.directory)?;
-        writeln!(f, "  period      = \"{}\"", text(self.period_ms))?;
-        writeln!(f, "  grace       = \"{}\"", text(self.grace_ms))?;
+        writeln!(f, "  period      = \"{}\"", format_ms(self.period_ms))?;
+        writeln!(f, "  grace       = \"{}\"", format_ms(self.grace_ms))?;
         write_mode(f, self.mode)?;
-        writeln!(f, "  on_failure  = \"{}\"", failure_policy_word(self.on_failure))?;
+        writeln!(f, "  on_failure  = \"{}\"", failure_policy_name(self.on_failure))?;
         writeln!(f, "  batch_lines = {}", self.batch_lines)?;
-        writeln!(f, "  keep        = \"{}\"", text(self.keep_ms))?;
+        writeln!(f, "  keep        = \"{}\"", format_ms(self.keep_ms))?;
         if let Some(export) = &self.export {
             write_export(f, export)?;
         }
@@ -267,13 +271,13 @@
         DurabilityMode::Strict => writeln!(f, "  mode        = \"strict\""),
         DurabilityMode::Interval { every_ms, at_risk } => {
             writeln!(f, "  mode        = \"interval\"")?;
-            writeln!(f, "  interval    = \"{}\"", text(every_ms))?;
+            writeln!(f, "  interval    = \"{}\"", format_ms(every_ms))?;
             writeln!(f, "  at_risk     = {at_risk}")
         }
     }
 }
 
-fn failure_policy_word(policy: FailurePolicy) -> &'static str {
+fn failure_policy_name(policy: FailurePolicy) -> &'static str {
     match policy {
         FailurePolicy::Reject => "refuse",
         FailurePolicy::Continue => "continue",
@@ -296,6 +300,6 @@
     }
     let ask: Vec<String> = peers.ask.iter().map(|address| format!("\"{address}\"")).collect();
     writeln!(f, "    ask    = [{}]", ask.join(", "))?;
-    writeln!(f, "    every  = \"{}\"", text(peers.every_ms))?;
+    writeln!(f, "    every  = \"{}\"", format_ms(peers.every_ms))?;
     writeln!(f, "  }}")
 }
--- a/src/operator/log.rs
+++ b/src/operator/log.rs
@@ -1,27 +1,27 @@
-//! The block `log`: the form of the daemon's log lines and the least important ones written.
+//! The block `log`: format and minimum level of the daemon's log lines.
 
 use serde::Deserialize;
 
-/// The form of the log's lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, clap::ValueEnum)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable lines.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The least important lines that are written.
+/// Minimum level of the lines that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Only failures that need someone.
+    /// Only failures that require operator action.
     Error,
-    /// Those, and what may need someone.
+    /// Errors, and conditions that may require operator action.
     Warning,
-    /// Those, and changes of state.
+    /// Errors, warnings, and changes of state.
     #[default]
     Info,
 }
@@ -30,8 +30,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// The form of the lines; `--log-format` overrides it.
+    /// Format of the lines; `--log-format` overrides it.
     pub format: LogFormat,
-    /// The least important lines written.
+    /// Minimum level of the lines that are written.
     pub level: LogLevel,
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,7 +1,9 @@
-//! The operator file: every setting that is the operators' own rather than the platform's, in HCL, one block a
-//! subsystem. Without a file every subsystem is disabled, and the daemon behaves as its platform file says.
+//! The operator file: all settings that operators rather than the platform control, in HCL, with one block
+//! per subsystem. Without a file every subsystem is disabled, and the daemon uses only the platform's
+//! configuration.
 //!
-//! A file is read and checked whole before any of it takes effect. An error names file, line, block and key.
+//! A file is read and validated as a whole before any of it takes effect. An error names file, line, block
+//! and key.
 
 mod config_sync;
 mod duration;
--- a/src/operator/source.rs
+++ b/src/operator/source.rs
@@ -1,4 +1,4 @@
-//! The text of an operator file, and the places of its blocks and keys.
+//! The text of an operator file, and the positions of its blocks and keys.
 
 use super::error::{KeyError, OperatorConfigError};
 use hcl_edit::Span as _;
@@ -6,20 +6,20 @@
 use serde::de::DeserializeOwned;
 use std::ops::Range;
 
-/// The text of an operator file, under the name that errors give it.
+/// The text of an operator file, and the name used for the file in errors.
 pub(super) struct Source<'a> {
     pub(super) text: &'a str,
     pub(super) file: &'a str,
 }
 
 impl Source<'_> {
-    /// Returns the line of a place in the text, from 1.
+    /// Returns the number of the line, from 1, at which a span starts.
     fn line(&self, span: Option<Range<usize>>) -> Option<usize> {
         let before = self.text.as_bytes().get(..span?.start)?;
         Some(before.iter().filter(|b| **b == b'\n').count() + 1)
     }
 
-    /// Returns an error at a place in the text.
+    /// Returns an error located at a span of the text.
     pub(super) fn error(
         &self,
         span: Option<Range<usize>>,
@@ -36,16 +36,16 @@
         }
     }
 
-    /// Returns the error of one key of a block, or of a block within it.
+    /// Returns an error for one key of a block, or of a block nested in it.
     pub(super) fn key_error(&self, block: &Block, error: KeyError) -> OperatorConfigError {
         let span = key_span(&block.body, &error.key).or_else(|| block.span());
         self.error(span, Some(block), Some(&error.key), error.reason)
     }
 
-    /// Reads the settings of a block.
+    /// Deserializes the settings of a block.
     ///
     /// # Errors
-    /// If a key does not belong there, or its value is of another kind.
+    /// Returns an [`OperatorConfigError`] if a key is unknown or missing, or a value has the wrong type.
     pub(super) fn block<T: DeserializeOwned>(&self, block: &Block) -> Result<T, OperatorConfigError> {
         let body = hcl::Body::from(block.body.clone());
         let deserializer = hcl::de::Deserializer::from_body(body);
@@ -61,13 +61,13 @@
     }
 }
 
-/// Returns a block as its first line names it.
+/// Returns the name of a block with its labels, as written in its first line.
 fn title(block: &Block) -> String {
     let labels = block.labels.iter().map(|label| format!(" \"{}\"", label.as_str()));
     format!("{}{}", block.ident.as_str(), labels.collect::<String>())
 }
 
-/// Returns the place of a key by its dotted path; a labelled block's label is one part of the path.
+/// Returns the span of the key at a dotted path; the label of a labelled block is one part of the path.
 fn key_span(body: &Body, path: &str) -> Option<Range<usize>> {
     let (first, rest) = split_path(path);
     if let Some(attribute) = body.get_attribute(first) {
@@ -77,8 +77,8 @@
     let labelled =
         body.get_blocks(first).find(|block| block.labels.first().map(|label| label.as_str()) == label);
     if let (Some(block), Some(rest)) = (labelled, rest) {
-        let below = split_path(rest).1.and_then(|below| key_span(&block.body, below));
-        return below.or_else(|| block.span());
+        let inner_span = split_path(rest).1.and_then(|inner| key_span(&block.body, inner));
+        return inner_span.or_else(|| block.span());
     }
     let block = body.get_blocks(first).next()?;
     rest.and_then(|rest| key_span(&block.body, rest)).or_else(|| block.span())
--- a/tests/config_sync.rs
+++ b/tests/config_sync.rs
@@ -249,7 +249,7 @@
         .expect("it runs");
     let said = String::from_utf8_lossy(&ended.stderr).into_owned();
     assert_eq!(ended.status.code(), Some(1), "{said}");
-    assert!(said.contains("`key_file`") && said.contains("wanted a key of 16 to 1024 bytes"), "{said}");
+    assert!(said.contains("`key_file`") && said.contains("expected a key of 16 to 1024 bytes"), "{said}");
     assert!(!said.contains("short secret"), "{said}");
 }
 
