--- a/crates/handover/src/codec/convert.rs
+++ b/crates/handover/src/codec/convert.rs
@@ -1,4 +1,4 @@
-//! Between structures on the wire and the types of identity and forwarding.
+//! Conversions between the wire structures and the types for identity, forwarded requests and ends of runs.
 
 use super::{DecodeError, check, wire};
 use crate::message::{ForwardedOutcome, ForwardedRequest, ForwardedResponse, RunEnd, ServerIdentity};
@@ -46,11 +46,11 @@
             request: request.request,
             attempt: request.attempt,
             class: request.class,
-            received_at: check::number("request.received_at", request.received_at)?,
-            request_kb: check::number("request.request_kb", request.request_kb)?,
-            priority: check::number("request.priority", request.priority)?,
+            received_at: check::non_negative("request.received_at", request.received_at)?,
+            request_kb: check::non_negative("request.request_kb", request.request_kb)?,
+            priority: check::non_negative("request.priority", request.priority)?,
             key: request.key,
-            timeout_ms: check::optional_number("request.timeout_ms", request.timeout_ms)?,
+            timeout_ms: check::optional_non_negative("request.timeout_ms", request.timeout_ms)?,
             tenant: request.tenant,
             account: request.account,
             shareable: request.shareable,
@@ -75,8 +75,11 @@
     fn try_from(response: wire::ForwardedResponse) -> Result<Self, DecodeError> {
         Ok(ForwardedResponse {
             request: response.request,
-            outcome: check::present("response.outcome", response.outcome)?.try_into()?,
-            advertised_share: check::optional_number("response.advertised_share", response.advertised_share)?,
+            outcome: check::required("response.outcome", response.outcome)?.try_into()?,
+            advertised_share: check::optional_non_negative(
+                "response.advertised_share",
+                response.advertised_share,
+            )?,
         })
     }
 }
@@ -102,7 +105,10 @@
         Ok(match outcome {
             wire::outcome::Kind::Completed(result) => ForwardedOutcome::Completed(result),
             wire::outcome::Kind::Rejected(rejected) => ForwardedOutcome::Rejected {
-                retry_after_ms: check::number("response.rejected.retry_after_ms", rejected.retry_after_ms)?,
+                retry_after_ms: check::non_negative(
+                    "response.rejected.retry_after_ms",
+                    rejected.retry_after_ms,
+                )?,
                 do_not_retry: rejected.do_not_retry,
             },
             wire::outcome::Kind::Failed(_) => ForwardedOutcome::Failed,
--- a/crates/handover/src/codec/key_record.rs
+++ b/crates/handover/src/codec/key_record.rs
@@ -1,4 +1,4 @@
-//! Between structures on the wire and the records of keys.
+//! Conversions between the wire structures and the records of keys.
 
 use super::{DecodeError, check, wire};
 use crate::message::{KeyRecord, RunRecord, RunRecordState};
@@ -19,7 +19,7 @@
 
     fn try_from(record: wire::KeyRecord) -> Result<Self, DecodeError> {
         let previous_window_end =
-            check::optional_number("keys.previous_window_end", record.previous_window_end)?;
+            check::optional_non_negative("keys.previous_window_end", record.previous_window_end)?;
         let run = record.run.map(RunRecord::try_from).transpose()?;
         Ok(KeyRecord { key: record.key, class: record.class, run, previous_window_end })
     }
@@ -45,7 +45,7 @@
     type Error = DecodeError;
 
     fn try_from(run: wire::RunRecord) -> Result<Self, DecodeError> {
-        let state = match check::present("keys.run.state", run.state)? {
+        let state = match check::required("keys.run.state", run.state)? {
             wire::run_state::Kind::Running(_) => RunRecordState::Running,
             wire::run_state::Kind::Failed(_) => RunRecordState::Failed,
             wire::run_state::Kind::Completed(result) => RunRecordState::Completed(result),
@@ -53,7 +53,7 @@
         Ok(RunRecord {
             attempt: run.attempt,
             body_hash: run.body_hash,
-            window_end: check::number("keys.run.window_end", run.window_end)?,
+            window_end: check::non_negative("keys.run.window_end", run.window_end)?,
             state,
         })
     }
--- a/crates/handover/src/codec/mod.rs
+++ b/crates/handover/src/codec/mod.rs
@@ -1,5 +1,6 @@
-//! How frames are written as bytes, in the encoding of Protocol Buffers, and read back with every field checked. The
-//! layout is in `docs/formats/handover.md`.
+//! Encoding and decoding of frames with Protocol Buffers. Decoding validates every field.
+//!
+//! `docs/formats/handover.md` specifies the format.
 
 mod check;
 mod convert;
@@ -11,56 +12,57 @@
 
 pub use pieces::{SNAPSHOT_PIECE_BYTES, snapshot_pieces};
 
-/// The longest frame, without the length before it, in bytes.
+/// Maximum length of a frame in bytes, without the length prefix.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Why bytes are no frame.
+/// Error of decoding a frame.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes are not in the encoding.
-    #[error("not in the encoding: {0}")]
+    /// The bytes are not a valid Protocol Buffers message.
+    #[error("invalid Protocol Buffers message: {0}")]
     Encoding(#[from] prost::DecodeError),
-    /// The frame is too long.
-    #[error("a frame of {bytes} bytes, wanted at most {most}")]
+    /// The frame exceeds [`MAX_FRAME_BYTES`].
+    #[error("frame has {bytes} bytes, which exceeds the limit of {limit}")]
     TooLong {
-        /// Its length.
+        /// Length of the frame in bytes.
         bytes: usize,
-        /// The most it may have.
-        most: usize,
+        /// Maximum length of a frame in bytes.
+        limit: usize,
     },
-    /// The frame is of no kind that this version knows: of a newer version, or of the other direction.
-    #[error("a frame {direction} of an unknown kind")]
+    /// The frame has a kind that this version doesn't know. It may be from a newer version or for the other
+    /// direction.
+    #[error("frame {direction} has an unknown kind")]
     UnknownKind {
-        /// Whom it was for.
+        /// Direction of the frame: "to the predecessor" or "to the successor".
         direction: &'static str,
     },
-    /// A field that has to be there is not.
+    /// A required field is missing.
     #[error("`{0}` is missing")]
     Missing(&'static str),
-    /// A number is not finite, or is negative where that means nothing.
-    #[error("`{field}` is {value}, wanted a finite number of at least 0")]
+    /// A number is negative or not finite.
+    #[error("`{field}` is {value}, expected a finite number of at least 0")]
     Number {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
     },
     /// A field has the wrong length.
-    #[error("`{field}` has {bytes} bytes, wanted {wanted}")]
+    #[error("`{field}` has {bytes} bytes, expected {expected}")]
     Length {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its length.
+        /// Length of the field in bytes.
         bytes: usize,
-        /// The length that it has to have.
-        wanted: usize,
+        /// Required length in bytes.
+        expected: usize,
     },
-    /// A field has a value that means nothing.
-    #[error("`{field}` has the value {value}, which means nothing")]
+    /// A field has an undefined value.
+    #[error("`{field}` has the undefined value {value}")]
     Value {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: u64,
     },
 }
--- a/crates/handover/src/codec/pieces.rs
+++ b/crates/handover/src/codec/pieces.rs
@@ -1,30 +1,34 @@
-//! A snapshot, cut into frames.
+//! Division of a snapshot into frames.
 
 use crate::message::{KeyRecord, RunRecordState, ToSuccessor};
 
-/// How many bytes of records a piece of a snapshot has at most, unless a single record is longer.
+/// Maximum size of the records in a snapshot piece, in bytes. A single longer record makes a piece of its
+/// own.
 pub const SNAPSHOT_PIECE_BYTES: usize = 64 << 10;
 
-/// The most bytes that a record takes beside its key and its result.
+/// Upper bound of the encoded size of a record without its key and its result, in bytes.
 const RECORD_OVERHEAD_BYTES: usize = 96;
 
-/// Returns the records in frames of about [`SNAPSHOT_PIECE_BYTES`], without the end of the snapshot. Records are taken
-/// as the frames are, so that they don't all stand in memory twice.
+/// Returns the records in frames of at most about [`SNAPSHOT_PIECE_BYTES`], without the end of the snapshot.
+///
+/// The iterator is lazy: records are taken only as frames are, so that not all records are in memory twice.
 pub fn snapshot_pieces(records: impl IntoIterator<Item = KeyRecord>) -> impl Iterator<Item = ToSuccessor> {
     let mut records = records.into_iter().peekable();
     std::iter::from_fn(move || {
         let mut piece = vec![records.next()?];
-        let mut bytes = most_bytes(&piece[0]);
-        while let Some(record) = records.next_if(|next| bytes + most_bytes(next) <= SNAPSHOT_PIECE_BYTES) {
-            bytes += most_bytes(&record);
+        let mut bytes = max_encoded_bytes(&piece[0]);
+        while let Some(record) =
+            records.next_if(|next| bytes + max_encoded_bytes(next) <= SNAPSHOT_PIECE_BYTES)
+        {
+            bytes += max_encoded_bytes(&record);
             piece.push(record);
         }
         Some(ToSuccessor::Keys(piece))
     })
 }
 
-/// Returns an upper bound of a record's bytes in a frame.
-fn most_bytes(record: &KeyRecord) -> usize {
+/// Returns an upper bound of the encoded size of a record, in bytes.
+fn max_encoded_bytes(record: &KeyRecord) -> usize {
     let result_bytes = match record.run.as_ref().map(|run| &run.state) {
         Some(RunRecordState::Completed(result)) => result.len(),
         Some(RunRecordState::Running | RunRecordState::Failed) | None => 0,
--- a/crates/handover/src/codec/to_predecessor.rs
+++ b/crates/handover/src/codec/to_predecessor.rs
@@ -1,4 +1,4 @@
-//! Frames from the successor.
+//! Encoding and decoding of frames from the successor.
 
 use super::wire::to_predecessor::Kind;
 use super::{DecodeError, check, wire};
@@ -6,7 +6,7 @@
 use prost::Message as _;
 
 impl ToPredecessor {
-    /// Returns the payload of one frame, without a length before it.
+    /// Returns the payload of one frame, without a length prefix.
     pub fn encode(&self) -> Vec<u8> {
         let kind = match self {
             ToPredecessor::Hello { version, identity } => {
@@ -22,10 +22,11 @@
         wire::ToPredecessor { kind: Some(kind) }.encode_to_vec()
     }
 
-    /// Reads the payload of one frame.
+    /// Decodes the payload of one frame.
     ///
     /// # Errors
-    /// On the first fault, which the error names with its field.
+    /// Returns a [`DecodeError`] for the first invalid field, or if the frame is too long, malformed or of an
+    /// unknown kind.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         check::frame_length(bytes)?;
         let unknown_kind = DecodeError::UnknownKind { direction: "to the predecessor" };
@@ -39,7 +40,8 @@
     }
 }
 
-/// Reads a `Hello`, of another version also without an identity: it has to be answered by its version.
+/// Decodes `Hello`. With another version the identity may be missing, since the predecessor has to be able to
+/// refuse the version.
 fn decode_hello(hello: wire::Hello) -> Result<ToPredecessor, DecodeError> {
     let identity = match hello.identity {
         Some(identity) => identity.into(),
@@ -50,6 +52,6 @@
 }
 
 fn decode_health(health: wire::Health) -> Result<ToPredecessor, DecodeError> {
-    let advertised_share = check::optional_number("health.advertised_share", health.advertised_share)?;
+    let advertised_share = check::optional_non_negative("health.advertised_share", health.advertised_share)?;
     Ok(ToPredecessor::Health { healthy: health.healthy, advertised_share })
 }
--- a/crates/handover/src/codec/to_successor.rs
+++ b/crates/handover/src/codec/to_successor.rs
@@ -1,4 +1,4 @@
-//! Frames from the predecessor.
+//! Encoding and decoding of frames from the predecessor.
 
 use super::wire::to_successor::Kind;
 use super::{DecodeError, check, wire};
@@ -11,21 +11,22 @@
 const REASON_SHUTTING_DOWN: u32 = 4;
 
 impl ToSuccessor {
-    /// Returns the payload of one frame, without a length before it.
+    /// Returns the payload of one frame, without a length prefix.
     pub fn encode(&self) -> Vec<u8> {
-        wire::ToSuccessor { kind: Some(kind(self)) }.encode_to_vec()
+        wire::ToSuccessor { kind: Some(wire_kind(self)) }.encode_to_vec()
     }
 
-    /// Reads the payload of one frame.
+    /// Decodes the payload of one frame.
     ///
     /// # Errors
-    /// On the first fault, which the error names with its field.
+    /// Returns a [`DecodeError`] for the first invalid field, or if the frame is too long, malformed or of an
+    /// unknown kind.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         check::frame_length(bytes)?;
         let unknown_kind = DecodeError::UnknownKind { direction: "to the successor" };
         match wire::ToSuccessor::decode(bytes)?.kind.ok_or(unknown_kind)? {
             Kind::Welcome(welcome) => decode_welcome(&welcome),
-            Kind::Refuse(refuse) => Ok(ToSuccessor::Refuse { reason: reason(refuse.reason)? }),
+            Kind::Refuse(refuse) => Ok(ToSuccessor::Refuse { reason: refuse_reason(refuse.reason)? }),
             Kind::Keys(keys) => decode_keys(keys),
             Kind::SnapshotEnd(count) => Ok(ToSuccessor::SnapshotEnd { keys: count.keys }),
             Kind::Commit(_) => Ok(ToSuccessor::Commit),
@@ -33,14 +34,14 @@
             Kind::Request(request) => Ok(ToSuccessor::Request(request.try_into()?)),
             Kind::Cancel(cancel) => Ok(ToSuccessor::Cancel { request: cancel.request }),
             Kind::RunsInProgress(progress) => decode_runs_in_progress(progress),
-            Kind::KeysUnknown(unknown) => {
-                Ok(ToSuccessor::KeysUnknown { until: check::number("keys_unknown.until", unknown.until)? })
+            Kind::KeysUnknown(keys) => {
+                Ok(ToSuccessor::KeysUnknown { until: check::non_negative("keys_unknown.until", keys.until)? })
             }
         }
     }
 }
 
-fn kind(frame: &ToSuccessor) -> Kind {
+fn wire_kind(frame: &ToSuccessor) -> Kind {
     match frame {
         ToSuccessor::Welcome { version, body_hash_key, evacuated } => Kind::Welcome(wire::Welcome {
             version: *version,
@@ -74,7 +75,7 @@
     }
 }
 
-fn reason(number: u32) -> Result<RefuseReason, DecodeError> {
+fn refuse_reason(number: u32) -> Result<RefuseReason, DecodeError> {
     match number {
         REASON_OTHER_VERSION => Ok(RefuseReason::OtherVersion),
         REASON_OTHER_IDENTITY => Ok(RefuseReason::OtherIdentity),
@@ -96,11 +97,11 @@
 }
 
 fn decode_run_ended(ended: wire::RunEnded) -> Result<ToSuccessor, DecodeError> {
-    let end = check::present("run_ended.end", ended.end)?.into();
+    let end = check::required("run_ended.end", ended.end)?.into();
     Ok(ToSuccessor::RunEnded { key: ended.key, attempt: ended.attempt, end })
 }
 
 fn decode_runs_in_progress(progress: wire::RunsInProgress) -> Result<ToSuccessor, DecodeError> {
-    let memory_kb = check::number("runs_in_progress.memory_kb", progress.memory_kb)?;
+    let memory_kb = check::non_negative("runs_in_progress.memory_kb", progress.memory_kb)?;
     Ok(ToSuccessor::RunsInProgress { runs: progress.runs, memory_kb })
 }
--- a/crates/handover/src/codec/wire.rs
+++ b/crates/handover/src/codec/wire.rs
@@ -1,5 +1,7 @@
-//! The structures on the wire, as `docs/formats/handover.md` lists them. Numbers of fields never get another meaning.
-//! The two directions have different numbers, so that a frame that comes back to its sender is refused.
+//! The wire structures, as specified in `docs/formats/handover.md`.
+//!
+//! A field number is never reused with another meaning. The two directions have different numbers, so that a
+//! frame that is reflected to its sender is refused.
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct ToPredecessor {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Without fields.
+/// Message without fields.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(super) struct Empty {}
 
@@ -65,7 +67,8 @@
     pub keys: u64,
 }
 
-/// Its first field stays as it is in all versions, since it says how the others are read.
+/// The first frame of the successor. Its first field is the same in all versions, because it determines how
+/// the other fields are read.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct Hello {
     #[prost(uint32, tag = "1")]
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,25 +1,28 @@
-//! Handover of a serving process (the *predecessor*) to a new one (the *successor*): messages, their encoding, and the
-//! decisions of both sides.
+//! Handover from a serving process (the *predecessor*) to a new one (the *successor*): the messages, their
+//! encoding, and a state machine for each side.
 //!
-//! The successor connects to the predecessor's Unix socket and names itself. Once it can serve, it asks for the
-//! transfer; the predecessor freezes, sends a snapshot of all idempotency keys, and commits once the successor has
-//! confirmed their number. From the commit on the successor owns the keys, and the predecessor forwards what it still
-//! gets.
+//! The successor connects to the predecessor's Unix socket and identifies itself; this connection is the
+//! *link*. Once the successor can serve, it requests the transfer. The predecessor then freezes, sends a
+//! snapshot of all idempotency keys, and commits once the successor has confirmed their number. From the
+//! commit on, the successor owns the keys, and the predecessor forwards all requests that it still receives.
 //!
-//! [`Predecessor`] and [`Successor`] are state machines: an event goes in, actions come out. Both have an outcome for
-//! every event in every phase and never panic. [`ToPredecessor`] and [`ToSuccessor`] are the frames, of which the
-//! machines see only the control part; forwarded requests, responses and ends of runs are their callers'.
+//! [`Predecessor`] and [`Successor`] are state machines that take an event and return the actions to perform.
+//! Both handle every event in every phase and never panic. [`ToPredecessor`] and [`ToSuccessor`] are the
+//! frames. The state machines process only the control frames; the callers handle forwarded requests,
+//! responses and ends of runs.
 //!
 //! # Invariants
-//! - At most one of the two owns the keys at any time; between the predecessor's `Commit` and its reading nobody does.
+//! - At most one of the two processes owns the keys at any time. While `Commit` is in transit, neither owns
+//!   them.
 //! - The successor owns the keys only after it has loaded as many as the predecessor announced.
-//! - A frozen predecessor commits or resumes.
+//! - A frozen predecessor either commits or resumes.
 //!
-//! They rest on the order of frames on the link, and on one rule for the callers: after the commit the successor never
-//! closes the link while it lives, since its end tells the predecessor that the successor's process has ended.
+//! The invariants rely on frames being delivered in order, and on one rule for the callers: after the commit,
+//! a live successor never closes the link, because the predecessor takes the end of the link for the end of
+//! the successor's process.
 //!
-//! Nothing here does I/O or reads a clock. `docs/design/upgrade.md` has the reasons, `docs/formats/handover.md` the
-//! bytes.
+//! This crate does no I/O and reads no clock. `docs/design/upgrade.md` gives the design reasons, and
+//! `docs/formats/handover.md` specifies the encoding.
 #![forbid(unsafe_code)]
 
 mod codec;
@@ -39,6 +42,7 @@
     PredecessorPhase, TRANSFER_REQUEST_TIMEOUT_MS,
 };
 pub use successor::{
-    COMMIT_TIMEOUT_MS, FIRST_RECONNECT_MS, FailedTry, GiveUpReason, MAX_RECONNECTS, SNAPSHOT_TIMEOUT_MS,
-    Successor, SuccessorAction, SuccessorEvent, SuccessorInput, SuccessorPhase, WELCOME_TIMEOUT_MS,
+    COMMIT_TIMEOUT_MS, ConnectionFailure, FIRST_RECONNECT_MS, GiveUpReason, MAX_RECONNECTS,
+    SNAPSHOT_TIMEOUT_MS, Successor, SuccessorAction, SuccessorEvent, SuccessorInput, SuccessorPhase,
+    WELCOME_TIMEOUT_MS,
 };
--- a/crates/handover/src/message.rs
+++ b/crates/handover/src/message.rs
@@ -1,43 +1,45 @@
-//! What predecessor and successor tell each other. Times are Unix ms.
+//! Messages between predecessor and successor. Times are Unix milliseconds.
 
-/// The version of the protocol. Two processes of different versions don't hand over.
+/// Version of the protocol. A handover requires that both processes have the same version.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Which server a process is. Both processes have to agree on it, since classes and tenants are told by their position.
+/// Identity of the server that a process runs as.
+///
+/// It has to be equal in both processes, because messages refer to classes and tenants by their position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ServerIdentity {
     /// The server's name.
     pub name: String,
-    /// The names of its classes, in their order.
+    /// The names of the server's classes, by position.
     pub classes: Vec<String>,
-    /// The names of its tenants, in their order.
+    /// The names of the server's tenants, by position.
     pub tenants: Vec<String>,
 }
 
 /// A frame from the successor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToPredecessor {
-    /// The first frame of a link.
+    /// Identifies the successor; the first frame on a link.
     Hello {
         /// The successor's [`PROTOCOL_VERSION`].
         version: u32,
-        /// Which server the successor is. Empty when it was read from another version that has none.
+        /// The identity of the successor. Empty if the frame came from another version without an identity.
         identity: ServerIdentity,
     },
-    /// The successor's link to the worker pool is up: the transfer may begin.
+    /// Requests the transfer: the successor is connected to its worker pool.
     RequestTransfer,
-    /// All keys are loaded.
+    /// Confirms that the successor has loaded all keys.
     Loaded {
-        /// How many; it has to equal the number in [`ToSuccessor::SnapshotEnd`].
+        /// Number of loaded keys; has to equal the number in [`ToSuccessor::SnapshotEnd`].
         keys: u64,
     },
     /// The response to a forwarded request.
     Response(ForwardedResponse),
-    /// The successor's health, after each change, from the commit on.
+    /// The successor's health. Sent after each change, from the commit on.
     Health {
-        /// What health checks are answered.
+        /// Whether health checks are answered as healthy.
         healthy: bool,
-        /// The share of the usual traffic that clients are asked to send, if it is limited.
+        /// The share of their usual traffic that clients should send, if it is limited.
         advertised_share: Option<f64>,
     },
 }
@@ -45,175 +47,178 @@
 /// A frame from the predecessor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToSuccessor {
-    /// The answer to `Hello`. The descriptor of the listening socket travels beside this frame.
+    /// Accepts `Hello`. The file descriptor of the listening socket is sent along with this frame.
     Welcome {
         /// The predecessor's [`PROTOCOL_VERSION`].
         version: u32,
-        /// The key under which bodies are hashed, so that both processes have the same hashes.
+        /// The key for hashing request bodies, so that both processes compute the same hashes.
         body_hash_key: [u8; 32],
-        /// Whether operators have evacuated the server.
+        /// Whether the server is evacuated.
         evacuated: bool,
     },
-    /// The predecessor doesn't hand over, and closes the link.
+    /// Refuses the handover. The predecessor closes the link after this frame.
     Refuse {
-        /// Why not.
+        /// The reason for the refusal.
         reason: RefuseReason,
     },
-    /// A piece of the snapshot.
+    /// A piece of the snapshot, with the records of some keys.
     Keys(Vec<KeyRecord>),
-    /// The end of the snapshot.
+    /// Ends the snapshot.
     SnapshotEnd {
-        /// How many keys it has.
+        /// Number of keys in the whole snapshot.
         keys: u64,
     },
-    /// The predecessor owns no key any more; whoever reads this does.
+    /// Transfers the ownership of all keys: the predecessor has given it up, and the successor takes it on
+    /// receipt.
     Commit,
-    /// A run of a key that was sent as running has ended; also before the commit.
+    /// Reports the end of a run that the snapshot contained as running. May be sent before the commit.
     RunEnded {
         /// The key.
         key: Vec<u8>,
-        /// The attempt that ran.
+        /// The attempt whose run has ended.
         attempt: u64,
-        /// How it ended.
+        /// The outcome of the run.
         end: RunEnd,
     },
-    /// A request that came to the predecessor; after the commit only.
+    /// Forwards a request that the predecessor received. Sent only after the commit.
     Request(ForwardedRequest),
-    /// The client of a forwarded request has left; after the commit only.
+    /// Reports that the client of a forwarded request has disconnected. Sent only after the commit.
     Cancel {
-        /// The number of the request.
+        /// The number of the forwarded request.
         request: u64,
     },
-    /// The runs that the predecessor has begun and that go on, at each change; after the commit only.
+    /// Reports the predecessor's unfinished runs, after each change. Sent only after the commit.
     RunsInProgress {
-        /// How many.
+        /// Number of unfinished runs.
         runs: u64,
-        /// Their memory, kB.
+        /// Memory of the unfinished runs, kB.
         memory_kb: f64,
     },
-    /// The snapshot may lack keys that ran, since an earlier successor died with what it ran: until then the successor
-    /// fails requests of keys that it doesn't know, as the predecessor does. Before `SnapshotEnd`.
+    /// Announces that the snapshot may lack keys that have run, because an earlier successor died after the
+    /// commit and the keys that it ran are lost. Until the given time the successor fails requests with keys
+    /// that it doesn't know, as the predecessor does. Sent before `SnapshotEnd`.
     KeysUnknown {
-        /// Until when.
+        /// The time until which requests with unknown keys fail.
         until: f64,
     },
 }
 
-/// Why the predecessor doesn't hand over.
+/// Reason why the predecessor refuses a handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefuseReason {
-    /// The successor's version of the protocol is another one.
+    /// The successor has a different version of the protocol.
     OtherVersion,
-    /// The successor is another server, or has other classes or tenants.
+    /// The successor has a different server name, or different classes or tenants.
     OtherIdentity,
-    /// Another successor is being served.
+    /// The predecessor has a link to another successor.
     Busy,
-    /// The predecessor is ending.
+    /// The predecessor is shutting down.
     ShuttingDown,
 }
 
-/// A request that the predecessor passes on.
+/// A request that the predecessor forwards to the successor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedRequest {
-    /// Its number, unique on the link.
+    /// The number of the request, unique on the link.
     pub request: u64,
-    /// The client's attempt.
+    /// The number of the client's attempt.
     pub attempt: u64,
-    /// The position of its class.
+    /// The position of the request's class.
     pub class: u32,
-    /// When it reached the machine.
+    /// Time at which the request reached the machine.
     pub received_at: f64,
-    /// Its memory while queued, kB.
+    /// Memory of the request while it is queued, kB.
     pub request_kb: f64,
-    /// Its priority, 0 to 1.
+    /// Priority of the request, 0 to 1.
     pub priority: f64,
-    /// Its key in the idempotency table, for classes that have keys.
+    /// The idempotency key of the request, for classes that have keys.
     pub key: Option<Vec<u8>>,
-    /// How long the client waits, ms, when it says so.
+    /// The client timeout, ms, if the client sent it.
     pub timeout_ms: Option<f64>,
-    /// The position of its tenant.
+    /// The position of the request's tenant.
     pub tenant: u32,
-    /// The billed account, if any.
+    /// The billed account, if there is one.
     pub account: Option<String>,
-    /// Whether its result may be shared with other requests.
+    /// Whether the result of the request may be shared with other requests.
     pub shareable: bool,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
 }
 
-/// The successor's answer to a forwarded request.
+/// The successor's response to a forwarded request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedResponse {
-    /// The number of the request.
+    /// The number of the forwarded request.
     pub request: u64,
-    /// How it ended.
+    /// The outcome of the request.
     pub outcome: ForwardedOutcome,
-    /// The share of the usual traffic that the client is asked to send, if it is limited.
+    /// The share of its usual traffic that the client should send, if it is limited.
     pub advertised_share: Option<f64>,
 }
 
-/// How a forwarded request ended.
+/// Outcome of a forwarded request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ForwardedOutcome {
-    /// It ran, with this result.
+    /// The request ran and had this result.
     Completed(Vec<u8>),
-    /// It did not run.
+    /// The request was rejected and has not run.
     Rejected {
-        /// When the client may try again, ms.
+        /// Time after which the client may retry, ms.
         retry_after_ms: f64,
-        /// Whether it shall try no other server.
+        /// Whether the client must not retry at another server.
         do_not_retry: bool,
     },
-    /// It failed, or may have run.
+    /// The request failed; it may have run.
     Failed,
-    /// It was no valid request.
+    /// The request was invalid.
     Invalid,
 }
 
-/// How a run of a key ended.
+/// Outcome of a run of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RunEnd {
-    /// With this result.
+    /// The run completed with this result.
     Completed(Vec<u8>),
-    /// It failed, or its end is unknown.
+    /// The run failed, or its outcome is unknown.
     Failed,
-    /// It never began.
+    /// The run never began.
     NotStarted,
 }
 
-/// A key of the idempotency table.
+/// Record of a key of the idempotency table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyRecord {
     /// The key.
     pub key: Vec<u8>,
-    /// The position of its class.
+    /// The position of the key's class.
     pub class: u32,
-    /// The attempt that was run, if any.
+    /// The last run of the key, if there was one.
     pub run: Option<RunRecord>,
-    /// Until when attempts are duplicates of a run before, if there was one.
+    /// Attempts received up to this time are duplicates of an earlier run that was superseded, if there was
+    /// one.
     pub previous_window_end: Option<f64>,
 }
 
-/// A run of a key.
+/// Record of a run of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRecord {
-    /// The attempt that was run.
+    /// The number of the attempt that was run.
     pub attempt: u64,
-    /// The hash of its body.
+    /// The hash of the attempt's body.
     pub body_hash: u64,
-    /// Attempts received up to this time are its duplicates.
+    /// Attempts received up to this time are duplicates of the run.
     pub window_end: f64,
-    /// Its state.
+    /// The state of the run.
     pub state: RunRecordState,
 }
 
-/// The state of a run.
+/// State of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RunRecordState {
-    /// It goes on at the predecessor, which will send [`ToSuccessor::RunEnded`].
+    /// The run is in progress at the predecessor, which sends [`ToSuccessor::RunEnded`] when it ends.
     Running,
-    /// It failed, or its result is no longer kept.
+    /// The run failed, or its result is no longer cached.
     Failed,
-    /// It completed with this result.
+    /// The run completed with this result.
     Completed(Vec<u8>),
 }
--- a/crates/handover/src/predecessor.rs
+++ b/crates/handover/src/predecessor.rs
@@ -1,94 +1,98 @@
-//! The side of the process that serves: it greets a successor, freezes, sends its keys, and commits or resumes.
+//! State machine of the serving process: it accepts a successor, freezes, sends its keys, and commits or
+//! resumes.
 
 use crate::fault::Fault;
 use crate::message::{PROTOCOL_VERSION, RefuseReason, ServerIdentity};
 
-/// How long a new link may take to its `Hello`.
+/// Time limit for `Hello` on a new link.
 pub const HELLO_TIMEOUT_MS: u64 = 1_000;
 
-/// How long a greeted successor may take to ask for the transfer: its worker-pool link may come up late.
+/// Time limit for a welcomed successor to request the transfer. Long, because the successor's worker pool may
+/// take long to connect.
 pub const TRANSFER_REQUEST_TIMEOUT_MS: u64 = 30_000;
 
-/// How long a successor may take to load the snapshot. Requests are held meanwhile.
+/// Time limit for a successor to load the snapshot. Requests are held during this time.
 pub const LOAD_TIMEOUT_MS: u64 = 1_000;
 
-/// What happens to the predecessor.
+/// An event for the predecessor.
 ///
-/// A link that could not be read further, for example after a frame that can't be decoded, is closed by the caller and
-/// told as `Disconnected`; not so after `HandOver`, where only the end of the successor's process may be told so.
+/// If a link can't be read any further, for example after a frame that can't be decoded, the caller closes it
+/// and reports `Disconnected`. After `HandOver` this doesn't apply: then only the end of the successor's
+/// process may be reported as `Disconnected`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorEvent {
-    /// A successor has connected. While a link is there, the caller refuses further ones with `Busy` by itself.
+    /// A successor has connected. While a link exists, the caller refuses further ones with `Busy` by itself.
     Connected,
-    /// A control frame came.
+    /// A control frame was received.
     Received(PredecessorInput),
-    /// The link has ended. Not told after the action `Disconnect`.
+    /// The link has ended. Not reported after the action `Disconnect`.
     Disconnected,
-    /// The timer has run out.
+    /// The timer has expired.
     TimedOut,
-    /// This process shall end.
+    /// This process has been requested to shut down.
     ShutdownRequested,
 }
 
-/// The control frames among [`crate::ToPredecessor`].
+/// A control frame of [`crate::ToPredecessor`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorInput {
-    /// `Hello`.
+    /// The frame `Hello`.
     Hello {
         /// The successor's version of the protocol.
         version: u32,
-        /// Which server it is.
+        /// The identity of the successor.
         identity: ServerIdentity,
     },
-    /// `RequestTransfer`.
+    /// The frame `RequestTransfer`.
     RequestTransfer,
-    /// `Loaded`.
+    /// The frame `Loaded`.
     Loaded {
-        /// How many keys.
+        /// Number of keys that the successor has loaded.
         keys: u64,
     },
 }
 
-/// What the caller has to do, in the order given.
+/// An action for the caller. Actions have to be performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PredecessorAction {
-    /// Send `Welcome` with the descriptor of the listening socket.
+    /// Send `Welcome` with the file descriptor of the listening socket.
     SendWelcome,
     /// Send `Refuse`.
     SendRefusal(RefuseReason),
-    /// Hold queued requests and arrivals, start no run.
+    /// Hold queued and arriving requests, and start no run.
     Freeze,
-    /// Send all keys and `SnapshotEnd`, at once; then call [`Predecessor::snapshot_sent`].
+    /// Send all keys and `SnapshotEnd` immediately, then call [`Predecessor::snapshot_sent`].
     SendSnapshot,
     /// Send `Commit`. `HandOver` follows.
     SendCommit,
-    /// Forward all that is held and all that arrives; accept no connection.
+    /// Forward all held and arriving requests, and accept no connection.
     HandOver,
-    /// The transfer failed: decide what is held here.
+    /// Decide on the held requests in this process, since the transfer failed.
     Resume,
-    /// The successor died after the commit: serve again, and fail keyed requests for a window.
+    /// Serve again, since the successor died after the commit, and fail requests with keys for one key
+    /// window.
     TakeBack,
-    /// Close the link, after what was sent on it.
+    /// Close the link once all frames sent on it before are transmitted.
     Disconnect,
-    /// Start the timer, in place of the one that runs.
+    /// Start the timer, replacing a running one.
     StartTimer {
-        /// When it runs out, ms from now.
+        /// Time until the timer expires, ms.
         ms: u64,
     },
     /// Stop the timer.
     StopTimer,
 }
 
-/// What the predecessor is doing.
+/// Phase of the handover at the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PredecessorPhase {
-    /// It owns the keys. A link that has not been greeted yet may be there.
+    /// The predecessor owns the keys. It may have a link on which no `Hello` has been accepted yet.
     Serving,
-    /// It owns the keys, and a successor has been welcomed.
-    Greeted,
-    /// It owns the keys, and starts no run.
+    /// The predecessor owns the keys and has welcomed a successor.
+    Welcomed,
+    /// The predecessor owns the keys and starts no run.
     Transferring,
-    /// It owns no key.
+    /// The predecessor owns no key.
     HandedOver,
 }
 
@@ -96,15 +100,15 @@
 enum State {
     Serving,
     AwaitingHello,
-    Greeted,
-    /// With the number of keys in the snapshot, once it is sent.
+    Welcomed,
+    /// The snapshot is being transferred; `sent_keys` is its number of keys once it is sent.
     Transferring {
         sent_keys: Option<u64>,
     },
     HandedOver,
 }
 
-/// The state machine of the process that serves.
+/// State machine of the serving process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     identity: ServerIdentity,
@@ -114,34 +118,36 @@
 }
 
 impl Predecessor {
-    /// Returns the machine of a process that serves as this server.
+    /// Returns the state machine of a process that serves with this identity.
     pub fn new(identity: ServerIdentity) -> Self {
         Self::with_fault(identity, Fault::None)
     }
 
-    /// Returns the machine with a guard left out, which has an effect with the feature `test-faults` alone.
+    /// Returns the state machine with an injected fault, which has an effect only with the `test-faults`
+    /// feature.
     pub fn with_fault(identity: ServerIdentity, fault: Fault) -> Self {
         Predecessor { identity, state: State::Serving, shutting_down: false, fault }
     }
 
-    /// Returns what it is doing.
+    /// Returns the phase of the handover.
     pub fn phase(&self) -> PredecessorPhase {
         match self.state {
             State::Serving | State::AwaitingHello => PredecessorPhase::Serving,
-            State::Greeted => PredecessorPhase::Greeted,
+            State::Welcomed => PredecessorPhase::Welcomed,
             State::Transferring { .. } => PredecessorPhase::Transferring,
             State::HandedOver => PredecessorPhase::HandedOver,
         }
     }
 
-    /// Records that the snapshot was sent with so many keys. Without effect outside a transfer, or a second time.
+    /// Records that the snapshot was sent and contained `keys` keys. Has no effect outside a transfer or if
+    /// called again.
     pub fn snapshot_sent(&mut self, keys: u64) {
         if let State::Transferring { sent_keys: sent_keys @ None } = &mut self.state {
             *sent_keys = Some(keys);
         }
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Processes an event and returns the actions to perform.
     pub fn on_event(&mut self, event: PredecessorEvent) -> Vec<PredecessorAction> {
         match event {
             PredecessorEvent::Connected => self.on_connected(),
@@ -172,20 +178,21 @@
             (State::AwaitingHello, PredecessorInput::Hello { version, identity }) => {
                 self.on_hello(version, &identity)
             }
-            (State::Greeted, PredecessorInput::RequestTransfer) => self.begin_transfer(),
+            (State::Welcomed, PredecessorInput::RequestTransfer) => self.begin_transfer(),
             (State::Transferring { sent_keys: Some(sent) }, PredecessorInput::Loaded { keys })
                 if sent == keys =>
             {
                 self.commit()
             }
-            // The link has to stay as long as the successor lives: its end would be taken for the successor's.
+            // The link has to stay open as long as the successor lives, because its end counts as the
+            // successor's end.
             (State::HandedOver, _) => Vec::new(),
-            _ => self.end_link(),
+            _ => self.close_link(),
         }
     }
 
     fn on_hello(&mut self, version: u32, identity: &ServerIdentity) -> Vec<PredecessorAction> {
-        if let Some(reason) = self.reason_to_refuse(version, identity) {
+        if let Some(reason) = self.refusal_reason(version, identity) {
             self.state = State::Serving;
             return vec![
                 PredecessorAction::SendRefusal(reason),
@@ -193,14 +200,14 @@
                 PredecessorAction::StopTimer,
             ];
         }
-        self.state = State::Greeted;
+        self.state = State::Welcomed;
         vec![
             PredecessorAction::SendWelcome,
             PredecessorAction::StartTimer { ms: TRANSFER_REQUEST_TIMEOUT_MS },
         ]
     }
 
-    fn reason_to_refuse(&self, version: u32, identity: &ServerIdentity) -> Option<RefuseReason> {
+    fn refusal_reason(&self, version: u32, identity: &ServerIdentity) -> Option<RefuseReason> {
         if version != PROTOCOL_VERSION {
             Some(RefuseReason::OtherVersion)
         } else if *identity != self.identity {
@@ -232,8 +239,8 @@
         vec![PredecessorAction::SendCommit, PredecessorAction::HandOver, PredecessorAction::StopTimer]
     }
 
-    /// Ends a link on which something came that has no place there, and goes on serving.
-    fn end_link(&mut self) -> Vec<PredecessorAction> {
+    /// Closes a link on which an unexpected frame was received, and continues to serve.
+    fn close_link(&mut self) -> Vec<PredecessorAction> {
         let mut actions = self.resume_if_frozen();
         actions.push(PredecessorAction::Disconnect);
         if self.state != State::Serving {
@@ -248,7 +255,7 @@
         match self.state {
             State::Serving => {}
             State::HandedOver => actions.push(PredecessorAction::TakeBack),
-            State::AwaitingHello | State::Greeted | State::Transferring { .. } => {
+            State::AwaitingHello | State::Welcomed | State::Transferring { .. } => {
                 actions.push(PredecessorAction::StopTimer);
             }
         }
@@ -269,7 +276,7 @@
     fn resume_if_frozen(&self) -> Vec<PredecessorAction> {
         match self.state {
             State::Transferring { .. } => vec![PredecessorAction::Resume],
-            State::Serving | State::AwaitingHello | State::Greeted | State::HandedOver => Vec::new(),
+            State::Serving | State::AwaitingHello | State::Welcomed | State::HandedOver => Vec::new(),
         }
     }
 }
--- a/crates/handover/src/successor.rs
+++ b/crates/handover/src/successor.rs
@@ -1,66 +1,69 @@
-//! The side of the new process: it asks for the keys, loads them, and owns them once the predecessor has committed.
+//! State machine of the new process: it requests the keys, loads them, and owns them once the predecessor has
+//! committed.
 
 use crate::fault::Fault;
 use crate::message::{PROTOCOL_VERSION, RefuseReason, ServerIdentity};
 
-/// How long the predecessor may take to answer `Hello`.
+/// Time limit for the predecessor to answer `Hello`.
 pub const WELCOME_TIMEOUT_MS: u64 = 1_000;
 
-/// How long the whole snapshot may take from `RequestTransfer`.
+/// Time limit for the whole snapshot, from `RequestTransfer` on.
 pub const SNAPSHOT_TIMEOUT_MS: u64 = 2_000;
 
-/// How long the predecessor may take to commit.
+/// Time limit for the predecessor to commit after `Loaded`.
 pub const COMMIT_TIMEOUT_MS: u64 = 2_000;
 
-/// How many times the successor connects anew before it gives up.
+/// Number of times that the successor reconnects before it gives up.
 pub const MAX_RECONNECTS: u32 = 5;
 
-/// How long the successor waits before it connects anew for the first time; then twice as long each time.
+/// Delay before the successor reconnects for the first time. The delay doubles with each further
+/// reconnection.
 pub const FIRST_RECONNECT_MS: u64 = 50;
 
-/// What happens to the successor.
+/// An event for the successor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorEvent {
-    /// The link is there.
+    /// The link is established.
     Connected,
-    /// A control frame came.
+    /// A control frame was received.
     Received(SuccessorInput),
-    /// The successor's own link to the worker pool is up. It may be told at any time, and holds from then on.
+    /// The successor is connected to its worker pool. May be reported at any time, and remains valid from
+    /// then on.
     CanServe,
-    /// The link has ended, or connecting has failed. Not told after the action `Disconnect`.
+    /// The link has ended, or connecting has failed. Not reported after the action `Disconnect`.
     Disconnected,
-    /// The timer has run out.
+    /// The timer has expired.
     TimedOut,
 }
 
-/// The control frames among [`crate::ToSuccessor`].
+/// A control frame of [`crate::ToSuccessor`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorInput {
-    /// `Welcome`.
+    /// The frame `Welcome`.
     Welcome {
         /// The predecessor's version of the protocol.
         version: u32,
     },
-    /// `Refuse`.
+    /// The frame `Refuse`.
     Refuse {
-        /// Why.
+        /// The reason for the refusal.
         reason: RefuseReason,
     },
-    /// `Keys`.
+    /// The frame `Keys`.
     Keys {
-        /// How many the piece has.
+        /// Number of keys in the piece.
         count: u64,
     },
-    /// `SnapshotEnd`.
+    /// The frame `SnapshotEnd`.
     SnapshotEnd {
-        /// How many the snapshot has.
+        /// Number of keys in the whole snapshot.
         keys: u64,
     },
-    /// `Commit`.
+    /// The frame `Commit`.
     Commit,
 }
 
-/// What the caller has to do, in the order given.
+/// An action for the caller. Actions have to be performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SuccessorAction {
     /// Send `Hello`.
@@ -69,148 +72,149 @@
     SendRequestTransfer,
     /// Send `Loaded`.
     SendLoaded {
-        /// How many keys were loaded.
+        /// Number of loaded keys.
         keys: u64,
     },
-    /// Load the records of the piece that just came.
+    /// Load the records of the piece that was just received.
     LoadKeys,
-    /// Drop all that was loaded.
+    /// Discard all loaded keys.
     DiscardKeys,
-    /// Own the keys: accept connections, decide, report health.
+    /// Take ownership of the keys: accept connections, decide on requests, and report health.
     BecomeOwner,
-    /// The predecessor ended after the commit: the runs that it had not reported have an unknown end.
+    /// Treat the outcome of all unreported runs as unknown, since the predecessor ended after the commit.
     PredecessorGone,
-    /// Connect anew.
+    /// Reconnect to the predecessor.
     Reconnect {
-        /// When, ms from now.
+        /// Delay before connecting, ms.
         after_ms: u64,
     },
-    /// There will be no handover.
+    /// Give up: there will be no handover.
     GiveUp(GiveUpReason),
-    /// Close the link. Never after `BecomeOwner`.
+    /// Close the link. Never returned after `BecomeOwner`.
     Disconnect,
-    /// Start the timer, in place of the one that runs.
+    /// Start the timer, replacing a running one.
     StartTimer {
-        /// When it runs out, ms from now.
+        /// Time until the timer expires, ms.
         ms: u64,
     },
     /// Stop the timer.
     StopTimer,
 }
 
-/// Why there will be no handover.
+/// Reason why the successor gives up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum GiveUpReason {
-    /// The predecessor speaks another version of the protocol.
+    /// The predecessor has a different version of the protocol.
     #[error("the predecessor speaks another version of the protocol")]
     OtherVersion,
-    /// The predecessor is another server, or has other classes or tenants.
-    #[error("the predecessor has another identity")]
+    /// The predecessor has a different server name, or different classes or tenants.
+    #[error("the predecessor has a different identity (server name, classes or tenants)")]
     OtherIdentity,
-    /// All tries failed.
-    #[error("all tries failed, the last one: {0}")]
-    RetriesExhausted(FailedTry),
+    /// The first connection and all reconnections failed; contains the last failure.
+    #[error("all connections to the predecessor failed; last failure: {0}")]
+    RetriesExhausted(ConnectionFailure),
 }
 
-/// How a try failed.
+/// Reason why a connection to the predecessor failed to complete the handover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum FailedTry {
-    /// There was no link, or it ended.
-    #[error("no link to the predecessor")]
+pub enum ConnectionFailure {
+    /// The link could not be established, or it ended.
+    #[error("could not connect to the predecessor, or the connection ended")]
     NoLink,
-    /// The predecessor took too long.
-    #[error("the predecessor did not answer in time")]
+    /// The predecessor did not answer within the time limit.
+    #[error("the predecessor did not answer within the time limit")]
     TimedOut,
-    /// The predecessor is busy with another successor.
+    /// The predecessor has a link to another successor.
     #[error("the predecessor is busy with another successor")]
     Busy,
-    /// The predecessor is ending.
+    /// The predecessor is shutting down.
     #[error("the predecessor is shutting down")]
     ShuttingDown,
-    /// The snapshot had another number of keys than it said.
-    #[error("{loaded} keys loaded, {announced} announced")]
+    /// The number of keys in the snapshot differs from the announced number.
+    #[error("loaded {loaded} keys, but the predecessor announced {announced}")]
     WrongKeyCount {
-        /// How many were loaded.
+        /// Number of loaded keys.
         loaded: u64,
-        /// How many were announced.
+        /// Number of announced keys.
         announced: u64,
     },
-    /// A frame came that has no place there.
-    #[error("a frame out of place")]
+    /// The predecessor sent a frame that is not allowed in this phase.
+    #[error("received a frame that is not allowed in this phase of the handover")]
     UnexpectedFrame,
 }
 
-/// What the successor is doing.
+/// Phase of the handover at the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SuccessorPhase {
-    /// It has no link.
+    /// The successor has no link.
     Connecting,
-    /// It has sent `Hello`.
+    /// The successor has sent `Hello`.
     AwaitingWelcome,
-    /// It is welcome, and waits until it can serve.
+    /// The successor has been welcomed, and waits until it can serve.
     Welcomed,
-    /// It loads the snapshot.
+    /// The successor is loading the snapshot.
     Loading,
-    /// It has confirmed the snapshot.
+    /// The successor has confirmed the snapshot.
     AwaitingCommit,
-    /// It owns the keys, and the predecessor forwards to it.
+    /// The successor owns the keys, and the predecessor forwards requests to it.
     Owner,
-    /// It owns the keys, and the predecessor has ended.
+    /// The successor owns the keys, and the predecessor has ended.
     PredecessorEnded,
-    /// There will be no handover.
+    /// The successor has given up: there will be no handover.
     GivenUp,
 }
 
-/// Whether a try that failed leaves a link.
+/// State of the link after a failure.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LinkLeft {
-    None,
+enum LinkState {
+    Closed,
     Open,
 }
 
-/// The state machine of the new process.
+/// State machine of the new process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Successor {
     identity: ServerIdentity,
     phase: SuccessorPhase,
     can_serve: bool,
-    /// Whether a piece was loaded and not discarded.
-    holds_pieces: bool,
+    /// Whether a piece of a snapshot has been loaded and not discarded.
+    has_loaded_pieces: bool,
     loaded_keys: u64,
     reconnects: u32,
     fault: Fault,
 }
 
 impl Successor {
-    /// Returns the machine of a new process of this server, which is about to connect.
+    /// Returns the state machine of a new process with this identity that is about to connect.
     pub fn new(identity: ServerIdentity) -> Self {
         Self::with_fault(identity, Fault::None)
     }
 
-    /// Returns the machine with a guard left out, which has an effect with the feature `test-faults` alone.
+    /// Returns the state machine with an injected fault, which has an effect only with the `test-faults`
+    /// feature.
     pub fn with_fault(identity: ServerIdentity, fault: Fault) -> Self {
         Successor {
             identity,
             phase: SuccessorPhase::Connecting,
             can_serve: false,
-            holds_pieces: false,
+            has_loaded_pieces: false,
             loaded_keys: 0,
             reconnects: 0,
             fault,
         }
     }
 
-    /// Returns which server it is, for `Hello`.
+    /// Returns the identity of the server, for `Hello`.
     pub fn identity(&self) -> &ServerIdentity {
         &self.identity
     }
 
-    /// Returns what it is doing.
+    /// Returns the phase of the handover.
     pub fn phase(&self) -> SuccessorPhase {
         self.phase
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Processes an event and returns the actions to perform.
     pub fn on_event(&mut self, event: SuccessorEvent) -> Vec<SuccessorAction> {
         match event {
             SuccessorEvent::Connected => self.on_connected(),
@@ -246,10 +250,11 @@
                 self.become_owner()
             }
             (SuccessorPhase::AwaitingCommit, SuccessorInput::Commit) => self.become_owner(),
-            // After the commit the link stays: the predecessor would take its end for this process's.
+            // After the commit the link stays open, because the predecessor would take its end for the end of
+            // this process.
             (SuccessorPhase::Owner | SuccessorPhase::PredecessorEnded, _) => Vec::new(),
             (SuccessorPhase::Connecting | SuccessorPhase::GivenUp, _) => vec![SuccessorAction::Disconnect],
-            _ => self.fail(FailedTry::UnexpectedFrame, LinkLeft::Open),
+            _ => self.fail(ConnectionFailure::UnexpectedFrame, LinkState::Open),
         }
     }
 
@@ -265,8 +270,8 @@
         match reason {
             RefuseReason::OtherVersion => self.give_up_on_refusal(GiveUpReason::OtherVersion),
             RefuseReason::OtherIdentity => self.give_up_on_refusal(GiveUpReason::OtherIdentity),
-            RefuseReason::Busy => self.fail(FailedTry::Busy, LinkLeft::Open),
-            RefuseReason::ShuttingDown => self.fail(FailedTry::ShuttingDown, LinkLeft::Open),
+            RefuseReason::Busy => self.fail(ConnectionFailure::Busy, LinkState::Open),
+            RefuseReason::ShuttingDown => self.fail(ConnectionFailure::ShuttingDown, LinkState::Open),
         }
     }
 
@@ -282,7 +287,7 @@
     }
 
     fn load(&mut self, count: u64) -> Vec<SuccessorAction> {
-        self.holds_pieces = true;
+        self.has_loaded_pieces = true;
         self.loaded_keys = self.loaded_keys.saturating_add(count);
         vec![SuccessorAction::LoadKeys]
     }
@@ -290,7 +295,7 @@
     fn on_snapshot_end(&mut self, announced: u64) -> Vec<SuccessorAction> {
         let loaded = self.loaded_keys;
         if loaded != announced {
-            return self.fail(FailedTry::WrongKeyCount { loaded, announced }, LinkLeft::Open);
+            return self.fail(ConnectionFailure::WrongKeyCount { loaded, announced }, LinkState::Open);
         }
         self.phase = SuccessorPhase::AwaitingCommit;
         let mut actions = vec![SuccessorAction::SendLoaded { keys: loaded }];
@@ -314,21 +319,21 @@
                 vec![SuccessorAction::PredecessorGone]
             }
             SuccessorPhase::PredecessorEnded | SuccessorPhase::GivenUp => Vec::new(),
-            _ => self.fail(FailedTry::NoLink, LinkLeft::None),
+            _ => self.fail(ConnectionFailure::NoLink, LinkState::Closed),
         }
     }
 
     fn on_timed_out(&mut self) -> Vec<SuccessorAction> {
         match self.phase {
             SuccessorPhase::AwaitingWelcome | SuccessorPhase::Loading | SuccessorPhase::AwaitingCommit => {
-                self.fail(FailedTry::TimedOut, LinkLeft::Open)
+                self.fail(ConnectionFailure::TimedOut, LinkState::Open)
             }
             _ => Vec::new(),
         }
     }
 
-    fn fail(&mut self, failure: FailedTry, link: LinkLeft) -> Vec<SuccessorAction> {
-        let mut actions = self.leave_link(link);
+    fn fail(&mut self, failure: ConnectionFailure, link: LinkState) -> Vec<SuccessorAction> {
+        let mut actions = self.abandon_link(link);
         if self.reconnects == MAX_RECONNECTS {
             self.phase = SuccessorPhase::GivenUp;
             actions.push(SuccessorAction::GiveUp(GiveUpReason::RetriesExhausted(failure)));
@@ -342,19 +347,19 @@
     }
 
     fn give_up_on_refusal(&mut self, reason: GiveUpReason) -> Vec<SuccessorAction> {
-        let mut actions = self.leave_link(LinkLeft::Open);
+        let mut actions = self.abandon_link(LinkState::Open);
         self.phase = SuccessorPhase::GivenUp;
         actions.push(SuccessorAction::GiveUp(reason));
         actions
     }
 
-    /// Drops what was loaded, and closes the link if it is still there.
-    fn leave_link(&mut self, link: LinkLeft) -> Vec<SuccessorAction> {
+    /// Discards the loaded keys, and closes the link if it is still open.
+    fn abandon_link(&mut self, link: LinkState) -> Vec<SuccessorAction> {
         let mut actions = Vec::new();
-        if std::mem::take(&mut self.holds_pieces) {
+        if std::mem::take(&mut self.has_loaded_pieces) {
             actions.push(SuccessorAction::DiscardKeys);
         }
-        if link == LinkLeft::Open {
+        if link == LinkState::Open {
             actions.push(SuccessorAction::Disconnect);
         }
         if self.phase != SuccessorPhase::Connecting {
--- a/crates/handover/tests/codec.rs
+++ b/crates/handover/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Frames: what is encoded comes back, what is out of bounds is refused by the name of its field, and no bytes make a
-//! decoder panic.
+//! Encoding of frames: decoding an encoded frame returns the same frame, an invalid value is refused with the
+//! name of its field, and no input makes a decoder panic.
 
 mod frames;
 
@@ -12,10 +12,10 @@
 use proptest::collection::vec;
 use proptest::prelude::{ProptestConfig, any, prop_assert, prop_assert_eq, proptest};
 
-const NOT_A_NUMBER: [f64; 4] = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0];
+const INVALID_NUMBERS: [f64; 4] = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0];
 
-/// The field that a number was refused for.
-fn refused_number<T>(decoded: Result<T, DecodeError>) -> Option<&'static str> {
+/// Returns the field with an invalid number that decoding failed for.
+fn invalid_number_field<T>(decoded: Result<T, DecodeError>) -> Option<&'static str> {
     match decoded {
         Err(DecodeError::Number { field, .. }) => Some(field),
         _ => None,
@@ -36,10 +36,16 @@
     }
 
     #[test]
-    fn a_frame_that_comes_back_to_its_sender_is_refused(down in to_predecessor(), up in to_successor()) {
+    fn a_frame_that_comes_back_to_its_sender_is_refused(
+        from_successor in to_predecessor(),
+        from_predecessor in to_successor(),
+    ) {
         let unknown = |direction| DecodeError::UnknownKind { direction };
-        prop_assert_eq!(ToSuccessor::decode(&down.encode()), Err(unknown("to the successor")));
-        prop_assert_eq!(ToPredecessor::decode(&up.encode()), Err(unknown("to the predecessor")));
+        prop_assert_eq!(ToSuccessor::decode(&from_successor.encode()), Err(unknown("to the successor")));
+        prop_assert_eq!(
+            ToPredecessor::decode(&from_predecessor.encode()),
+            Err(unknown("to the predecessor"))
+        );
     }
 
     #[test]
@@ -50,16 +56,16 @@
 
     #[test]
     fn no_damage_makes_a_decoder_panic(
-        down in to_predecessor(),
-        up in to_successor(),
-        at in any::<usize>(),
+        from_successor in to_predecessor(),
+        from_predecessor in to_successor(),
+        position in any::<usize>(),
         byte in any::<u8>(),
-        cut in any::<usize>(),
+        new_length in any::<usize>(),
     ) {
-        for mut bytes in [down.encode(), up.encode()] {
+        for mut bytes in [from_successor.encode(), from_predecessor.encode()] {
             let length = bytes.len();
-            bytes[at % length] = byte;
-            bytes.truncate(cut % (length + 1));
+            bytes[position % length] = byte;
+            bytes.truncate(new_length % (length + 1));
             let _ = ToPredecessor::decode(&bytes);
             let _ = ToSuccessor::decode(&bytes);
         }
@@ -67,14 +73,14 @@
 
     #[test]
     fn pieces_hold_all_records_in_their_order(records in vec(key_record(), 0..40)) {
-        let mut read = Vec::new();
+        let mut decoded = Vec::new();
         for piece in snapshot_pieces(records.clone()) {
             match piece {
-                ToSuccessor::Keys(piece) => read.extend(piece),
+                ToSuccessor::Keys(piece) => decoded.extend(piece),
                 other => prop_assert!(false, "{:?}", other),
             }
         }
-        prop_assert_eq!(read, records);
+        prop_assert_eq!(decoded, records);
     }
 }
 
@@ -101,7 +107,7 @@
     let longest = frame(MAX_FRAME_BYTES - overhead);
     assert_eq!(longest.encode().len(), MAX_FRAME_BYTES);
     assert_eq!(ToSuccessor::decode(&longest.encode()), Ok(longest));
-    let too_long = DecodeError::TooLong { bytes: MAX_FRAME_BYTES + 1, most: MAX_FRAME_BYTES };
+    let too_long = DecodeError::TooLong { bytes: MAX_FRAME_BYTES + 1, limit: MAX_FRAME_BYTES };
     let bytes = frame(MAX_FRAME_BYTES - overhead + 1).encode();
     assert_eq!(ToSuccessor::decode(&bytes), Err(too_long.clone()));
     assert_eq!(ToPredecessor::decode(&vec![0; MAX_FRAME_BYTES + 1]), Err(too_long));
@@ -109,22 +115,22 @@
 
 #[test]
 fn numbers_to_the_predecessor_are_finite_and_not_negative() {
-    for value in NOT_A_NUMBER {
+    for value in INVALID_NUMBERS {
         let cases = [
             (health(Some(value)), "health.advertised_share"),
             (rejected(1.0, Some(value)), "response.advertised_share"),
             (rejected(value, None), "response.rejected.retry_after_ms"),
         ];
         for (frame, field) in cases {
-            assert_eq!(refused_number(ToPredecessor::decode(&frame.encode())), Some(field), "{value}");
+            assert_eq!(invalid_number_field(ToPredecessor::decode(&frame.encode())), Some(field), "{value}");
         }
     }
 }
 
 #[test]
 fn numbers_to_the_successor_are_finite_and_not_negative() {
-    for value in NOT_A_NUMBER {
-        let good = forwarded_request();
+    for value in INVALID_NUMBERS {
+        let valid = forwarded_request();
         let keys = |record| ToSuccessor::Keys(vec![key(None, None), record]);
         let cases = [
             (request(|request| request.received_at = value), "request.received_at"),
@@ -137,38 +143,38 @@
             (ToSuccessor::KeysUnknown { until: value }, "keys_unknown.until"),
         ];
         for (frame, field) in cases {
-            assert_eq!(refused_number(ToSuccessor::decode(&frame.encode())), Some(field), "{value}");
+            assert_eq!(invalid_number_field(ToSuccessor::decode(&frame.encode())), Some(field), "{value}");
         }
-        assert!(ToSuccessor::decode(&ToSuccessor::Request(good).encode()).is_ok());
+        assert!(ToSuccessor::decode(&ToSuccessor::Request(valid).encode()).is_ok());
     }
 }
 
 #[test]
 fn what_is_missing_or_means_nothing_is_named() {
     let to_successor = [
-        // An empty `Welcome`; one with a key of one byte.
-        (vec![0x8a, 0x01, 0x00], "`welcome.body_hash_key` has 0 bytes, wanted 32"),
-        (vec![0x8a, 0x01, 0x03, 0x12, 0x01, 0x07], "`welcome.body_hash_key` has 1 bytes, wanted 32"),
-        // `Refuse` with reasons 0 and 5.
-        (vec![0x92, 0x01, 0x00], "`refuse.reason` has the value 0, which means nothing"),
-        (vec![0x92, 0x01, 0x02, 0x08, 0x05], "`refuse.reason` has the value 5, which means nothing"),
-        // `Keys` with a run without a state; `RunEnded` without an end.
+        // An empty `Welcome`, and a `Welcome` with a key of one byte.
+        (vec![0x8a, 0x01, 0x00], "`welcome.body_hash_key` has 0 bytes, expected 32"),
+        (vec![0x8a, 0x01, 0x03, 0x12, 0x01, 0x07], "`welcome.body_hash_key` has 1 bytes, expected 32"),
+        // `Refuse` with the undefined reasons 0 and 5.
+        (vec![0x92, 0x01, 0x00], "`refuse.reason` has the undefined value 0"),
+        (vec![0x92, 0x01, 0x02, 0x08, 0x05], "`refuse.reason` has the undefined value 5"),
+        // `Keys` with a run without a state, and `RunEnded` without an end.
         (vec![0x9a, 0x01, 0x04, 0x0a, 0x02, 0x1a, 0x00], "`keys.run.state` is missing"),
         (vec![0xb2, 0x01, 0x00], "`run_ended.end` is missing"),
-        (vec![], "a frame to the successor of an unknown kind"),
+        (vec![], "frame to the successor has an unknown kind"),
     ];
     for (bytes, message) in to_successor {
-        let error = ToSuccessor::decode(&bytes).expect_err("it is refused");
+        let error = ToSuccessor::decode(&bytes).expect_err("the frame is invalid");
         assert_eq!(error.to_string(), message);
     }
     let to_predecessor = [
-        // `Hello` of this version without an identity; `Response` without an outcome.
+        // `Hello` of this version without an identity, and `Response` without an outcome.
         (vec![0x0a, 0x02, 0x08, 0x01], "`hello.identity` is missing"),
         (vec![0x22, 0x00], "`response.outcome` is missing"),
-        (vec![], "a frame to the predecessor of an unknown kind"),
+        (vec![], "frame to the predecessor has an unknown kind"),
     ];
     for (bytes, message) in to_predecessor {
-        let error = ToPredecessor::decode(&bytes).expect_err("it is refused");
+        let error = ToPredecessor::decode(&bytes).expect_err("the frame is invalid");
         assert_eq!(error.to_string(), message);
     }
 }
@@ -182,7 +188,7 @@
 
 #[test]
 fn a_field_of_a_newer_version_is_passed_over_and_a_kind_is_refused() {
-    // `Loaded` with 3 keys and a field 15; then kinds 6 and 27.
+    // `Loaded` with 3 keys and an unknown field 15, then the unknown kinds 6 and 27.
     let decoded = ToPredecessor::decode(&[0x1a, 0x04, 0x08, 0x03, 0x78, 0x01]);
     assert_eq!(decoded, Ok(ToPredecessor::Loaded { keys: 3 }));
     let unknown = |direction| DecodeError::UnknownKind { direction };
--- a/crates/handover/tests/format_v1.rs
+++ b/crates/handover/tests/format_v1.rs
@@ -1,5 +1,6 @@
-//! Bytes of version 1, as `docs/formats/handover.md` describes them. They must go on being read, and written: a release
-//! that wants other bytes gets another `PROTOCOL_VERSION`.
+//! Encoding of protocol version 1, as specified in `docs/formats/handover.md`. Every release with version 1
+//! has to read and write exactly these bytes; a release with a different encoding needs a new
+//! `PROTOCOL_VERSION`.
 
 use dunlinspread_handover::{
     ForwardedOutcome, ForwardedRequest, ForwardedResponse, KeyRecord, PROTOCOL_VERSION, RefuseReason, RunEnd,
--- a/crates/handover/tests/frames/mod.rs
+++ b/crates/handover/tests/frames/mod.rs
@@ -1,4 +1,4 @@
-//! Frames for tests of the encoding.
+//! Example frames for tests of the encoding.
 
 pub mod strategies;
 
@@ -7,7 +7,7 @@
     ToPredecessor, ToSuccessor,
 };
 
-/// A request that is good.
+/// Returns a valid request.
 pub fn forwarded_request() -> ForwardedRequest {
     ForwardedRequest {
         request: 300,
@@ -25,7 +25,7 @@
     }
 }
 
-/// The good request with a change.
+/// Returns a frame with the valid request, modified by `change`.
 pub fn request(change: impl FnOnce(&mut ForwardedRequest)) -> ToSuccessor {
     let mut request = forwarded_request();
     change(&mut request);
@@ -49,7 +49,7 @@
     RunRecord { attempt: 5, body_hash: 6, window_end, state: RunRecordState::Failed }
 }
 
-/// A key of 16 bytes that completed with a result of so many bytes.
+/// Returns a record of a 16-byte key whose run completed with a result of `result_bytes` bytes.
 pub fn completed_key(number: u128, result_bytes: usize) -> KeyRecord {
     let state = RunRecordState::Completed(vec![9; result_bytes]);
     let run = RunRecord { attempt: u64::MAX, body_hash: u64::MAX, window_end: 1e12, state };
--- a/crates/handover/tests/frames/strategies.rs
+++ b/crates/handover/tests/frames/strategies.rs
@@ -1,4 +1,4 @@
-//! Any frame.
+//! Strategies that generate arbitrary valid frames.
 
 use dunlinspread_handover::{
     ForwardedOutcome, ForwardedRequest, ForwardedResponse, KeyRecord, RefuseReason, RunEnd, RunRecord,
@@ -46,7 +46,7 @@
     })
 }
 
-/// Any frame to the predecessor.
+/// Returns a strategy for arbitrary frames to the predecessor.
 pub fn to_predecessor() -> impl Strategy<Value = ToPredecessor> {
     prop_oneof![
         (any::<u32>(), identity()).prop_map(|(version, identity)| ToPredecessor::Hello { version, identity }),
@@ -72,7 +72,7 @@
     })
 }
 
-/// Any record of a key.
+/// Returns a strategy for arbitrary records of keys.
 pub fn key_record() -> impl Strategy<Value = KeyRecord> {
     (bytes(), any::<u32>(), option::of(run_record()), option::of(number()))
         .prop_map(|(key, class, run, previous_window_end)| KeyRecord { key, class, run, previous_window_end })
@@ -92,12 +92,12 @@
 }
 
 fn request() -> impl Strategy<Value = ForwardedRequest> {
-    let numbers = (any::<u64>(), any::<u64>(), any::<u32>(), any::<u32>(), any::<bool>());
-    let amounts = (number(), number(), number(), option::of(number()));
-    (numbers, amounts, option::of(bytes()), option::of(name()), bytes()).prop_map(
-        |(numbers, amounts, key, account, body)| {
-            let (request, attempt, class, tenant, shareable) = numbers;
-            let (received_at, request_kb, priority, timeout_ms) = amounts;
+    let integers = (any::<u64>(), any::<u64>(), any::<u32>(), any::<u32>(), any::<bool>());
+    let measures = (number(), number(), number(), option::of(number()));
+    (integers, measures, option::of(bytes()), option::of(name()), bytes()).prop_map(
+        |(integers, measures, key, account, body)| {
+            let (request, attempt, class, tenant, shareable) = integers;
+            let (received_at, request_kb, priority, timeout_ms) = measures;
             ForwardedRequest {
                 request,
                 attempt,
@@ -116,7 +116,7 @@
     )
 }
 
-/// Any frame to the successor.
+/// Returns a strategy for arbitrary frames to the successor.
 pub fn to_successor() -> impl Strategy<Value = ToSuccessor> {
     prop_oneof![
         (any::<u32>(), any::<[u8; 32]>(), any::<bool>()).prop_map(|(version, body_hash_key, evacuated)| {
--- a/crates/handover/tests/predecessor.rs
+++ b/crates/handover/tests/predecessor.rs
@@ -1,4 +1,4 @@
-//! The predecessor: the rows of its state table, and any events in any order.
+//! State machine of the predecessor: each transition of its state table, and arbitrary sequences of events.
 
 use dunlinspread_handover::{
     HELLO_TIMEOUT_MS, LOAD_TIMEOUT_MS, PROTOCOL_VERSION, Predecessor, PredecessorAction as Action,
@@ -24,13 +24,13 @@
 
 const REQUEST_TRANSFER: Event = Event::Received(Input::RequestTransfer);
 
-/// A predecessor in each phase, by the events that lead there.
+/// Returns a predecessor that has reached `phase` through the events of a handover.
 fn predecessor_in(phase: Phase) -> Predecessor {
     let mut predecessor = Predecessor::new(identity());
     let events = [Event::Connected, hello(), REQUEST_TRANSFER, loaded(KEYS)];
     let count = match phase {
         Phase::Serving => 0,
-        Phase::Greeted => 2,
+        Phase::Welcomed => 2,
         Phase::Transferring => 3,
         Phase::HandedOver => 4,
     };
@@ -48,8 +48,8 @@
     predecessor
 }
 
-/// Asserts the answer to an event, and the phase after it.
-fn assert_answer(
+/// Asserts the actions that an event causes and the phase after it, and returns the predecessor.
+fn assert_transition(
     mut predecessor: Predecessor,
     event: Event,
     actions: &[Action],
@@ -64,14 +64,14 @@
 fn a_handover_goes_its_way() {
     let start = Predecessor::new(identity());
     let timer = |ms| Action::StartTimer { ms };
-    let linked = assert_answer(start, Event::Connected, &[timer(HELLO_TIMEOUT_MS)], Phase::Serving);
+    let linked = assert_transition(start, Event::Connected, &[timer(HELLO_TIMEOUT_MS)], Phase::Serving);
     let welcome = [Action::SendWelcome, timer(TRANSFER_REQUEST_TIMEOUT_MS)];
-    let greeted = assert_answer(linked, hello(), &welcome, Phase::Greeted);
+    let welcomed = assert_transition(linked, hello(), &welcome, Phase::Welcomed);
     let transfer = [Action::Freeze, Action::SendSnapshot, timer(LOAD_TIMEOUT_MS)];
-    let mut transferring = assert_answer(greeted, REQUEST_TRANSFER, &transfer, Phase::Transferring);
+    let mut transferring = assert_transition(welcomed, REQUEST_TRANSFER, &transfer, Phase::Transferring);
     transferring.snapshot_sent(KEYS);
     let commit = [Action::SendCommit, Action::HandOver, Action::StopTimer];
-    assert_answer(transferring, loaded(KEYS), &commit, Phase::HandedOver);
+    assert_transition(transferring, loaded(KEYS), &commit, Phase::HandedOver);
 }
 
 #[test]
@@ -92,16 +92,16 @@
     ];
     for (event, reason) in cases {
         let refusal = [Action::SendRefusal(reason), Action::Disconnect, Action::StopTimer];
-        let refused = assert_answer(linked(), event, &refusal, Phase::Serving);
+        let refused = assert_transition(linked(), event, &refusal, Phase::Serving);
         let timer = Action::StartTimer { ms: HELLO_TIMEOUT_MS };
-        assert_answer(refused, Event::Connected, &[timer], Phase::Serving);
+        assert_transition(refused, Event::Connected, &[timer], Phase::Serving);
     }
 }
 
 #[test]
 fn a_link_that_fails_before_the_commit_leaves_the_predecessor_serving() {
     let transferring = || predecessor_in(Phase::Transferring);
-    let greeted = || predecessor_in(Phase::Greeted);
+    let welcomed = || predecessor_in(Phase::Welcomed);
     let close = [Action::Disconnect, Action::StopTimer];
     let resume_and_close = [Action::Resume, Action::Disconnect, Action::StopTimer];
     let cases: [(Predecessor, Event, &[Action]); 12] = [
@@ -109,9 +109,9 @@
         (linked(), Event::TimedOut, &[Action::Disconnect]),
         (linked(), REQUEST_TRANSFER, &close),
         (linked(), loaded(KEYS), &close),
-        (greeted(), Event::Disconnected, &[Action::StopTimer]),
-        (greeted(), Event::TimedOut, &[Action::Disconnect]),
-        (greeted(), hello(), &close),
+        (welcomed(), Event::Disconnected, &[Action::StopTimer]),
+        (welcomed(), Event::TimedOut, &[Action::Disconnect]),
+        (welcomed(), hello(), &close),
         (transferring(), Event::Disconnected, &[Action::Resume, Action::StopTimer]),
         (transferring(), Event::TimedOut, &[Action::Resume, Action::Disconnect]),
         (transferring(), loaded(KEYS + 1), &resume_and_close),
@@ -119,16 +119,16 @@
         (transferring(), hello(), &resume_and_close),
     ];
     for (predecessor, event, actions) in cases {
-        assert_answer(predecessor, event, actions, Phase::Serving);
+        assert_transition(predecessor, event, actions, Phase::Serving);
     }
 }
 
 #[test]
 fn a_confirmation_before_the_snapshot_was_sent_is_out_of_place() {
-    let mut predecessor = predecessor_in(Phase::Greeted);
+    let mut predecessor = predecessor_in(Phase::Welcomed);
     predecessor.on_event(REQUEST_TRANSFER);
     let actions = [Action::Resume, Action::Disconnect, Action::StopTimer];
-    assert_answer(predecessor, loaded(0), &actions, Phase::Serving);
+    assert_transition(predecessor, loaded(0), &actions, Phase::Serving);
 }
 
 #[test]
@@ -142,60 +142,65 @@
         loaded(KEYS),
     ];
     for event in ignored {
-        assert_answer(predecessor_in(Phase::HandedOver), event, &[], Phase::HandedOver);
+        assert_transition(predecessor_in(Phase::HandedOver), event, &[], Phase::HandedOver);
     }
     let handed_over = predecessor_in(Phase::HandedOver);
-    assert_answer(handed_over, Event::Disconnected, &[Action::TakeBack], Phase::Serving);
+    assert_transition(handed_over, Event::Disconnected, &[Action::TakeBack], Phase::Serving);
 }
 
 #[test]
 fn a_shutdown_refuses_new_successors_and_lets_a_greeted_one_go_on() {
     let refusal = Action::SendRefusal(RefuseReason::ShuttingDown);
     let serving =
-        assert_answer(predecessor_in(Phase::Serving), Event::ShutdownRequested, &[], Phase::Serving);
-    assert_answer(serving, Event::Connected, &[refusal.clone(), Action::Disconnect], Phase::Serving);
-    let not_greeted = assert_answer(linked(), Event::ShutdownRequested, &[], Phase::Serving);
-    assert_answer(not_greeted, hello(), &[refusal, Action::Disconnect, Action::StopTimer], Phase::Serving);
-    let greeted =
-        assert_answer(predecessor_in(Phase::Greeted), Event::ShutdownRequested, &[], Phase::Greeted);
+        assert_transition(predecessor_in(Phase::Serving), Event::ShutdownRequested, &[], Phase::Serving);
+    assert_transition(serving, Event::Connected, &[refusal.clone(), Action::Disconnect], Phase::Serving);
+    let not_welcomed = assert_transition(linked(), Event::ShutdownRequested, &[], Phase::Serving);
+    assert_transition(
+        not_welcomed,
+        hello(),
+        &[refusal, Action::Disconnect, Action::StopTimer],
+        Phase::Serving,
+    );
+    let welcomed =
+        assert_transition(predecessor_in(Phase::Welcomed), Event::ShutdownRequested, &[], Phase::Welcomed);
     let transfer = [Action::Freeze, Action::SendSnapshot, Action::StartTimer { ms: LOAD_TIMEOUT_MS }];
-    assert_answer(greeted, REQUEST_TRANSFER, &transfer, Phase::Transferring);
+    assert_transition(welcomed, REQUEST_TRANSFER, &transfer, Phase::Transferring);
     let transferring = predecessor_in(Phase::Transferring);
-    let transferring = assert_answer(transferring, Event::ShutdownRequested, &[], Phase::Transferring);
+    let transferring = assert_transition(transferring, Event::ShutdownRequested, &[], Phase::Transferring);
     let commit = [Action::SendCommit, Action::HandOver, Action::StopTimer];
-    assert_answer(transferring, loaded(KEYS), &commit, Phase::HandedOver);
+    assert_transition(transferring, loaded(KEYS), &commit, Phase::HandedOver);
 }
 
 #[test]
 fn events_without_a_link_change_nothing() {
     let serving = || predecessor_in(Phase::Serving);
-    assert_answer(serving(), Event::Disconnected, &[], Phase::Serving);
-    assert_answer(serving(), Event::TimedOut, &[], Phase::Serving);
-    assert_answer(serving(), hello(), &[Action::Disconnect], Phase::Serving);
-    for phase in [Phase::Greeted, Phase::Transferring, Phase::HandedOver] {
-        assert_answer(predecessor_in(phase), Event::Connected, &[], phase);
+    assert_transition(serving(), Event::Disconnected, &[], Phase::Serving);
+    assert_transition(serving(), Event::TimedOut, &[], Phase::Serving);
+    assert_transition(serving(), hello(), &[Action::Disconnect], Phase::Serving);
+    for phase in [Phase::Welcomed, Phase::Transferring, Phase::HandedOver] {
+        assert_transition(predecessor_in(phase), Event::Connected, &[], phase);
     }
 }
 
-/// What a caller would hold after the actions so far.
+/// State of the caller after the actions performed so far.
 #[derive(Debug, Default, PartialEq)]
 struct Caller {
     frozen: bool,
     handed_over: bool,
-    timer: bool,
+    timer_running: bool,
     commits: usize,
     hand_overs: usize,
 }
 
 impl Caller {
-    /// Carries an action out; an error says that it has no place.
-    fn carry_out(&mut self, action: &Action) -> Result<(), &'static str> {
-        let deciding = !self.frozen && !self.handed_over;
+    /// Performs an action, or returns an error if the action is not allowed in this state.
+    fn perform(&mut self, action: &Action) -> Result<(), &'static str> {
+        let is_deciding = !self.frozen && !self.handed_over;
         let allowed = match action {
-            Action::Freeze => deciding,
+            Action::Freeze => is_deciding,
             Action::SendSnapshot | Action::SendCommit | Action::HandOver | Action::Resume => self.frozen,
             Action::TakeBack => self.handed_over,
-            Action::SendWelcome | Action::SendRefusal(_) => deciding,
+            Action::SendWelcome | Action::SendRefusal(_) => is_deciding,
             Action::Disconnect => !self.handed_over,
             Action::StartTimer { .. } | Action::StopTimer => true,
         };
@@ -208,15 +213,15 @@
                 (self.frozen, self.handed_over) = (false, true);
             }
             Action::TakeBack => self.handed_over = false,
-            Action::StartTimer { .. } => self.timer = true,
-            Action::StopTimer => self.timer = false,
+            Action::StartTimer { .. } => self.timer_running = true,
+            Action::StopTimer => self.timer_running = false,
             Action::SendSnapshot | Action::SendWelcome | Action::SendRefusal(_) | Action::Disconnect => {}
         }
-        if allowed { Ok(()) } else { Err("an action out of its place") }
+        if allowed { Ok(()) } else { Err("the action is not allowed in this state") }
     }
 }
 
-/// An event, or the one that leads a handover on.
+/// An event: the next one of a successful handover, or an arbitrary one.
 #[derive(Clone, Debug)]
 enum Choice {
     Next,
@@ -242,9 +247,9 @@
 
 fn next_event(predecessor: &Predecessor, caller: &Caller) -> Event {
     match predecessor.phase() {
-        Phase::Serving if caller.timer => hello(),
+        Phase::Serving if caller.timer_running => hello(),
         Phase::Serving => Event::Connected,
-        Phase::Greeted => REQUEST_TRANSFER,
+        Phase::Welcomed => REQUEST_TRANSFER,
         Phase::Transferring => loaded(KEYS),
         Phase::HandedOver => Event::Disconnected,
     }
@@ -259,31 +264,36 @@
     ) {
         let mut predecessor = Predecessor::new(identity());
         let mut caller = Caller::default();
-        for (choice, snapshot) in steps {
+        for (choice, snapshot_choice) in steps {
             let event = match choice {
                 Choice::Next => next_event(&predecessor, &caller),
                 Choice::Any(event) => event,
             };
             if event == Event::TimedOut {
-                caller.timer = false;
+                caller.timer_running = false;
             }
             let was_frozen = caller.frozen;
             let actions = predecessor.on_event(event.clone());
             for action in &actions {
-                prop_assert_eq!(caller.carry_out(action), Ok(()), "{:?} of {:?}", action, actions);
+                prop_assert_eq!(caller.perform(action), Ok(()), "{:?} of {:?}", action, actions);
             }
-            // Mostly the snapshot is sent at once; sometimes not at all.
-            if snapshot > 0 {
+            // The snapshot is usually sent immediately, and in 1 of 8 steps not at all.
+            if snapshot_choice > 0 {
                 predecessor.snapshot_sent(KEYS);
             }
             prop_assert_eq!(caller.commits, caller.hand_overs);
             prop_assert_eq!(caller.frozen, predecessor.phase() == Phase::Transferring);
             prop_assert_eq!(caller.handed_over, predecessor.phase() == Phase::HandedOver);
             let ends_transfer = matches!(event, Event::TimedOut | Event::Disconnected | Event::Received(_));
-            prop_assert_eq!(was_frozen && ends_transfer && caller.frozen, false, "still frozen after {:?}", event);
-            let has_to_be_timed = matches!(predecessor.phase(), Phase::Greeted | Phase::Transferring);
-            prop_assert_eq!(has_to_be_timed && !caller.timer, false, "no timer after {:?}", event);
-            prop_assert_eq!(predecessor.phase() == Phase::HandedOver && caller.timer, false);
+            prop_assert_eq!(
+                was_frozen && ends_transfer && caller.frozen,
+                false,
+                "still frozen after {:?}",
+                event
+            );
+            let needs_timer = matches!(predecessor.phase(), Phase::Welcomed | Phase::Transferring);
+            prop_assert_eq!(needs_timer && !caller.timer_running, false, "no timer after {:?}", event);
+            prop_assert_eq!(predecessor.phase() == Phase::HandedOver && caller.timer_running, false);
         }
     }
 }
--- a/crates/handover/tests/processes/link.rs
+++ b/crates/handover/tests/processes/link.rs
@@ -1,16 +1,16 @@
-//! A link: two queues of encoded frames, and which ends are closed.
+//! Model of a link: a queue of encoded frames for each direction, and whether each end is closed.
 
 use dunlinspread_handover::{ToPredecessor, ToSuccessor};
 use std::collections::VecDeque;
 
-/// A link between the predecessor and one successor.
+/// Link between the predecessor and one successor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Link {
     to_predecessor: VecDeque<Vec<u8>>,
     to_successor: VecDeque<Vec<u8>>,
-    /// Whether the predecessor's process has closed its end, ended, or was cut off.
+    /// Whether the predecessor's end is closed: by the process, by its crash, or by a cut of the link.
     pub closed_by_predecessor: bool,
-    /// Whether the successor's process has closed its end, ended, or was cut off.
+    /// Whether the successor's end is closed: by the process, by its crash, or by a cut of the link.
     pub closed_by_successor: bool,
 }
 
@@ -37,27 +37,29 @@
 
     pub fn read_at_predecessor(&mut self) -> Option<ToPredecessor> {
         let bytes = self.to_predecessor.pop_front()?;
-        Some(ToPredecessor::decode(&bytes).expect("a frame that was encoded"))
+        Some(ToPredecessor::decode(&bytes).expect("an encoded frame can be decoded"))
     }
 
     pub fn read_at_successor(&mut self) -> Option<ToSuccessor> {
         let bytes = self.to_successor.pop_front()?;
-        Some(ToSuccessor::decode(&bytes).expect("a frame that was encoded"))
+        Some(ToSuccessor::decode(&bytes).expect("an encoded frame can be decoded"))
     }
 
-    /// Closes the predecessor's end. What it did not read is gone; what it sent can still be read.
+    /// Closes the predecessor's end. Frames that it has not read are lost; frames that it sent can still be
+    /// read.
     pub fn close_by_predecessor(&mut self) {
         self.closed_by_predecessor = true;
         self.to_predecessor.clear();
     }
 
-    /// Closes the successor's end. What it did not read is gone; what it sent can still be read.
+    /// Closes the successor's end. Frames that it has not read are lost; frames that it sent can still be
+    /// read.
     pub fn close_by_successor(&mut self) {
         self.closed_by_successor = true;
         self.to_successor.clear();
     }
 
-    /// Ends the link for both, with all that is under way.
+    /// Closes both ends. All frames in transit are lost.
     pub fn cut(&mut self) {
         self.close_by_predecessor();
         self.close_by_successor();
--- a/crates/handover/tests/processes/main.rs
+++ b/crates/handover/tests/processes/main.rs
@@ -1,5 +1,8 @@
-//! Predecessor and successors as processes on a FIFO link, with the real machines and the real frames: explored in
-//! every order of events within small bounds (`model`), and played at random beyond them (`random_play`).
+//! Predecessor and successors as processes connected by FIFO links, with the real state machines and the real
+//! encoding.
+//!
+//! `model` checks every order of events within small bounds. `random_play` checks random orders within larger
+//! bounds.
 
 mod link;
 mod model;
--- a/crates/handover/tests/processes/predecessor_process.rs
+++ b/crates/handover/tests/processes/predecessor_process.rs
@@ -1,4 +1,4 @@
-//! The predecessor's process: its machine, its keys, and what its actions do.
+//! Model of the predecessor's process: its state machine, its keys, and the effects of its actions.
 
 use crate::link::Link;
 use crate::rules::{FIRST_KEYS, Rules, identity};
@@ -8,33 +8,33 @@
 };
 use std::collections::BTreeSet;
 
-/// What the process does with requests.
+/// How the process handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Mode {
-    /// It decides.
+    /// The process decides on requests.
     Deciding,
-    /// It owns the keys and holds the requests.
+    /// The process owns the keys and holds the requests.
     Frozen,
-    /// It passes the requests on.
+    /// The process forwards the requests.
     Forwarding,
 }
 
-/// The predecessor's process.
+/// State of the predecessor's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PredecessorProcess {
     pub alive: bool,
     pub machine: Predecessor,
     pub mode: Mode,
-    /// The keys that it knows to have run.
+    /// The keys that are known to have run.
     pub table: BTreeSet<u8>,
-    /// Whether keys may have run that are not in the table.
+    /// Whether keys may have run that are missing from the table.
     pub keys_unknown: bool,
-    pub timer: bool,
+    pub timer_running: bool,
     pub shutdown_requested: bool,
-    /// The successor whose link it has.
+    /// The number of the linked successor, if there is one.
     pub linked_to: Option<usize>,
-    /// An action that had no place, if there was one.
-    pub misplaced: Option<&'static str>,
+    /// The last action that was not allowed in its state, if there was one.
+    pub disallowed_action: Option<&'static str>,
 }
 
 impl PredecessorProcess {
@@ -45,10 +45,10 @@
             mode: Mode::Deciding,
             table: FIRST_KEYS.into(),
             keys_unknown: false,
-            timer: false,
+            timer_running: false,
             shutdown_requested: false,
             linked_to: None,
-            misplaced: None,
+            disallowed_action: None,
         }
     }
 
@@ -56,7 +56,7 @@
         self.alive && self.mode != Mode::Forwarding
     }
 
-    /// Whether an attempt of this key begins a run here.
+    /// Returns whether an attempt of this key would begin a run at this process.
     pub fn would_run(&self, key: u8) -> bool {
         self.alive && self.mode == Mode::Deciding && !self.keys_unknown && !self.table.contains(&key)
     }
@@ -73,11 +73,11 @@
 
     pub fn on_event(&mut self, event: PredecessorEvent, rules: &Rules, link: &mut Link) {
         for action in self.machine.on_event(event) {
-            self.carry_out(action, rules, link);
+            self.perform(action, rules, link);
         }
     }
 
-    fn carry_out(&mut self, action: PredecessorAction, rules: &Rules, link: &mut Link) {
+    fn perform(&mut self, action: PredecessorAction, rules: &Rules, link: &mut Link) {
         match action {
             PredecessorAction::SendWelcome => link.send_to_successor(&welcome()),
             PredecessorAction::SendRefusal(reason) => link.send_to_successor(&ToSuccessor::Refuse { reason }),
@@ -94,14 +94,14 @@
                 link.close_by_predecessor();
                 self.linked_to = None;
             }
-            PredecessorAction::StartTimer { .. } => self.timer = true,
-            PredecessorAction::StopTimer => self.timer = false,
+            PredecessorAction::StartTimer { .. } => self.timer_running = true,
+            PredecessorAction::StopTimer => self.timer_running = false,
         }
     }
 
     fn change_mode(&mut self, from: Mode, to: Mode, name: &'static str) {
         if self.mode != from {
-            self.misplaced = Some(name);
+            self.disallowed_action = Some(name);
         }
         self.mode = to;
     }
@@ -110,7 +110,7 @@
         for key in &self.table {
             link.send_to_successor(&ToSuccessor::Keys(vec![record(*key)]));
         }
-        if self.keys_unknown && rules.tells_unknown_keys {
+        if self.keys_unknown && rules.sends_keys_unknown {
             link.send_to_successor(&ToSuccessor::KeysUnknown { until: 1.0 });
         }
         let keys = self.table.len() as u64;
--- a/crates/handover/tests/processes/rules.rs
+++ b/crates/handover/tests/processes/rules.rs
@@ -1,38 +1,39 @@
-//! What a run of the world may do: faults left in the machines, and bounds on what happens.
+//! Rules of a world: the faults injected into the state machines, and bounds on the number of events.
 
 use dunlinspread_handover::{Fault, ServerIdentity};
 
-/// The bounds and faults of a world.
+/// Injected faults and bounds of a world.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules {
-    /// The predecessor's fault.
+    /// Fault injected into the predecessor.
     pub predecessor_fault: Fault,
-    /// The successors' fault.
+    /// Fault injected into all successors.
     pub successor_fault: Fault,
-    /// Whether a predecessor that took its keys back tells the next successor that keys may be unknown.
-    pub tells_unknown_keys: bool,
-    /// Keys of which attempts arrive, beside those that the predecessor has from the start.
+    /// Whether a predecessor that took its keys back sends `KeysUnknown` to the next successor.
+    pub sends_keys_unknown: bool,
+    /// Number of keys of which attempts arrive, in addition to [`FIRST_KEYS`].
     pub new_keys: u8,
-    /// How many successors are started.
+    /// Number of successors that are started.
     pub starts: usize,
-    /// How often one successor connects.
+    /// Number of times that one successor connects.
     pub connections: u8,
-    /// How often a process crashes.
+    /// Number of crashes of a process.
     pub crashes: u8,
-    /// How often a link is cut between living processes.
+    /// Number of cuts of a link between live processes.
     pub cuts: u8,
-    /// Whether a link is cut also after a successor has read the commit, which the callers have to exclude.
+    /// Whether links may also be cut after a successor has read the commit. Callers of the real state
+    /// machines have to prevent this.
     pub cuts_after_commit: bool,
-    /// How often a timer runs out.
+    /// Number of timers that expire while other steps are possible.
     pub timeouts: u8,
-    /// Whether the predecessor may be asked to end.
+    /// Whether the predecessor may be requested to shut down.
     pub shutdown: bool,
 }
 
-/// The keys that the predecessor has from the start: more than one piece.
+/// The keys that the predecessor has from the start. They make more than one snapshot piece.
 pub const FIRST_KEYS: [u8; 2] = [0, 1];
 
-/// The identity of all processes.
+/// Returns the identity of all processes.
 pub fn identity() -> ServerIdentity {
     ServerIdentity { name: "s".into(), classes: vec!["c".into()], tenants: Vec::new() }
 }
--- a/crates/handover/tests/processes/successor_process.rs
+++ b/crates/handover/tests/processes/successor_process.rs
@@ -1,4 +1,4 @@
-//! A successor's process: its machine, its keys, and what its actions do.
+//! Model of a successor's process: its state machine, its keys, and the effects of its actions.
 
 use crate::link::Link;
 use crate::rules::{Rules, identity};
@@ -7,28 +7,29 @@
 };
 use std::collections::BTreeSet;
 
-/// A successor's process.
+/// State of a successor's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SuccessorProcess {
     pub alive: bool,
     pub machine: Successor,
     pub owner: bool,
-    /// The keys that it knows to have run.
+    /// The keys that are known to have run.
     pub table: BTreeSet<u8>,
-    /// Whether keys may have run that are not in the table.
+    /// Whether keys may have run that are missing from the table.
     pub keys_unknown: bool,
-    pub timer: bool,
-    pub told_can_serve: bool,
-    /// Whether it is about to connect.
+    pub timer_running: bool,
+    pub can_serve_reported: bool,
+    /// Whether the process is about to connect.
     pub connecting: bool,
     pub connections: u8,
-    /// Whether it has the link below; the predecessor may still have it when the successor has not.
+    /// Whether this process has `link` open. The predecessor may still have it open after this process has
+    /// lost it.
     pub linked: bool,
     pub link: Link,
-    /// The records of the piece that just came.
+    /// The keys of the piece that was just received.
     piece: Vec<u8>,
-    /// An action that had no place, if there was one.
-    pub misplaced: Option<&'static str>,
+    /// The last action that was not allowed in its state, if there was one.
+    pub disallowed_action: Option<&'static str>,
 }
 
 impl SuccessorProcess {
@@ -39,14 +40,14 @@
             owner: false,
             table: BTreeSet::new(),
             keys_unknown: false,
-            timer: false,
-            told_can_serve: false,
+            timer_running: false,
+            can_serve_reported: false,
             connecting: true,
             connections: 0,
             linked: false,
             link: Link::default(),
             piece: Vec::new(),
-            misplaced: None,
+            disallowed_action: None,
         }
     }
 
@@ -54,7 +55,7 @@
         self.alive && self.owner
     }
 
-    /// Whether an attempt of this key begins a run here.
+    /// Returns whether an attempt of this key would begin a run at this process.
     pub fn would_run(&self, key: u8) -> bool {
         self.owns_keys() && !self.keys_unknown && !self.table.contains(&key)
     }
@@ -84,11 +85,11 @@
 
     pub fn on_event(&mut self, event: SuccessorEvent) {
         for action in self.machine.on_event(event) {
-            self.carry_out(action);
+            self.perform(action);
         }
     }
 
-    fn carry_out(&mut self, action: SuccessorAction) {
+    fn perform(&mut self, action: SuccessorAction) {
         match action {
             SuccessorAction::SendHello => self.send(&ToPredecessor::Hello {
                 version: PROTOCOL_VERSION,
@@ -101,14 +102,14 @@
             SuccessorAction::BecomeOwner => self.become_owner(),
             SuccessorAction::PredecessorGone => {
                 if !self.owner {
-                    self.misplaced = Some("predecessor gone before the commit");
+                    self.disallowed_action = Some("end of the predecessor reported before the commit");
                 }
             }
             SuccessorAction::Reconnect { .. } => self.connecting = true,
             SuccessorAction::GiveUp(_) => self.connecting = false,
             SuccessorAction::Disconnect => self.disconnect(),
-            SuccessorAction::StartTimer { .. } => self.timer = true,
-            SuccessorAction::StopTimer => self.timer = false,
+            SuccessorAction::StartTimer { .. } => self.timer_running = true,
+            SuccessorAction::StopTimer => self.timer_running = false,
         }
     }
 
@@ -120,14 +121,14 @@
 
     fn load_piece(&mut self) {
         if self.owner {
-            self.misplaced = Some("keys loaded after the commit");
+            self.disallowed_action = Some("keys loaded after the commit");
         }
         self.table.extend(self.piece.drain(..));
     }
 
     fn discard(&mut self) {
         if self.owner {
-            self.misplaced = Some("keys discarded after the commit");
+            self.disallowed_action = Some("keys discarded after the commit");
         }
         self.table.clear();
         self.keys_unknown = false;
@@ -135,14 +136,14 @@
 
     fn become_owner(&mut self) {
         if self.owner {
-            self.misplaced = Some("owner twice");
+            self.disallowed_action = Some("ownership taken twice");
         }
         self.owner = true;
     }
 
     fn disconnect(&mut self) {
         if self.owner {
-            self.misplaced = Some("link closed after the commit");
+            self.disallowed_action = Some("link closed after the commit");
         }
         if self.linked {
             self.link.close_by_successor();
--- a/crates/handover/tests/processes/world.rs
+++ b/crates/handover/tests/processes/world.rs
@@ -1,4 +1,4 @@
-//! All processes and links, what can happen next, and what may never be seen.
+//! A world with all processes and links: its possible steps, and the state that the properties check.
 
 use crate::link::Link;
 use crate::predecessor_process::{Mode, PredecessorProcess};
@@ -7,57 +7,57 @@
 use dunlinspread_handover::{PredecessorEvent, RefuseReason, SuccessorEvent, SuccessorInput};
 use std::collections::BTreeSet;
 
-/// A process: the predecessor, or a successor by its number.
+/// Identifies a process: the predecessor, or a successor by its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Process {
     Predecessor,
     Successor(usize),
 }
 
-/// What can happen next. Successors are named by their number.
+/// A step of the world. Successors are identified by their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     /// A successor is started.
     Start,
-    /// A successor connects, or fails to.
+    /// A successor connects or fails to connect.
     Connect(usize),
-    /// The worker-pool link of a successor comes up.
+    /// A successor is connected to its worker pool.
     CanServe(usize),
     /// The predecessor reads a frame of this successor.
     ReadAtPredecessor(usize),
-    /// The predecessor sees the end of its link, and loses what it has not read.
+    /// The predecessor detects the end of its link and loses all unread frames.
     EndAtPredecessor(usize),
     /// A successor reads a frame.
     ReadAtSuccessor(usize),
-    /// A successor sees the end of its link, and loses what it has not read.
+    /// A successor detects the end of its link and loses all unread frames.
     EndAtSuccessor(usize),
-    /// A timer runs out.
+    /// A timer expires.
     TimeOut(Process),
-    /// An attempt of a key comes to a process, which begins a run.
+    /// An attempt of a key arrives at a process, which begins a run.
     Attempt(Process, u8),
-    /// A process dies.
+    /// A process crashes.
     Crash(Process),
-    /// A link ends between two living processes.
+    /// A link ends between two live processes.
     Cut(usize),
-    /// The predecessor is asked to end.
+    /// The predecessor is requested to shut down.
     RequestShutdown,
 }
 
 impl Step {
-    /// Returns whether it is a fault, so that random play can choose it less often.
+    /// Returns whether the step is a fault. Random play chooses faults less often.
     pub fn is_fault(self) -> bool {
         matches!(self, Step::TimeOut(_) | Step::Crash(_) | Step::Cut(_) | Step::RequestShutdown)
     }
 }
 
-/// All processes.
+/// State of all processes and their links.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     pub predecessor: PredecessorProcess,
     pub successors: Vec<SuccessorProcess>,
-    /// Which processes began a run, of each new key.
+    /// For each new key, the processes that began a run of it.
     runs: Vec<BTreeSet<Process>>,
-    /// Whether a successor became the owner without all keys of the predecessor.
+    /// Whether a successor became the owner before it had all keys of the predecessor.
     owner_without_keys: bool,
     crashes: u8,
     cuts: u8,
@@ -82,23 +82,24 @@
         usize::from(self.predecessor.owns_keys()) + successors
     }
 
-    /// Whether a successor was ready before it had all keys that the predecessor knew.
+    /// Returns whether a successor became ready before it had all keys of the predecessor.
     pub fn was_ready_without_keys(&self) -> bool {
         self.owner_without_keys
     }
 
-    /// Whether a key began to run at more than one process.
+    /// Returns whether more than one process began a run of the same key.
     pub fn ran_at_two_processes(&self) -> bool {
         self.runs.iter().any(|processes| processes.len() > 1)
     }
 
-    /// An action that a machine asked for where it has no place.
-    pub fn misplaced_action(&self) -> Option<&'static str> {
-        let of_a_successor = self.successors.iter().find_map(|successor| successor.misplaced);
-        self.predecessor.misplaced.or(of_a_successor)
+    /// Returns an action that a state machine requested in a state that does not allow it.
+    pub fn disallowed_action(&self) -> Option<&'static str> {
+        let of_successors = self.successors.iter().find_map(|successor| successor.disallowed_action);
+        self.predecessor.disallowed_action.or(of_successors)
     }
 
-    /// Returns what can happen next. Once nothing else goes on, time passes and the timers run out, whatever the bound.
+    /// Returns the possible steps. If only faults are possible, running timers may expire regardless of the
+    /// bound.
     pub fn steps(&self, rules: &Rules) -> Vec<Step> {
         let mut steps = self.steps_within_bounds(rules);
         if steps.iter().all(|step| step.is_fault()) {
@@ -108,12 +109,13 @@
         steps
     }
 
-    /// Returns whether nothing goes on any more, unless there is a further fault.
+    /// Returns whether no timer is running and no step other than a fault is possible.
     pub fn is_settled(&self, rules: &Rules) -> bool {
         self.running_timers().next().is_none() && self.steps(rules).iter().all(|step| step.is_fault())
     }
 
-    /// Whether the predecessor, if it lives, decides again or has left the keys to a successor.
+    /// Returns whether the predecessor has crashed, decides on requests, or has handed the keys over to a
+    /// live successor.
     pub fn keys_have_an_owner(&self) -> bool {
         let decides = self.predecessor.mode == Mode::Deciding;
         !self.predecessor.alive || decides || self.successors.iter().any(SuccessorProcess::owns_keys)
@@ -121,9 +123,10 @@
 
     fn running_timers(&self) -> impl Iterator<Item = Process> {
         let predecessor =
-            Some(Process::Predecessor).filter(|_| self.predecessor.alive && self.predecessor.timer);
-        let numbered = self.successors.iter().enumerate();
-        let successors = numbered.filter(|(_, successor)| successor.alive && successor.timer);
+            Some(Process::Predecessor).filter(|_| self.predecessor.alive && self.predecessor.timer_running);
+        let numbered_successors = self.successors.iter().enumerate();
+        let successors =
+            numbered_successors.filter(|(_, successor)| successor.alive && successor.timer_running);
         predecessor.into_iter().chain(successors.map(|(number, _)| Process::Successor(number)))
     }
 
@@ -138,13 +141,13 @@
         self.process_steps(
             Process::Predecessor,
             self.predecessor.alive,
-            self.predecessor.timer,
+            self.predecessor.timer_running,
             rules,
             &mut steps,
         );
         for (number, successor) in self.successors.iter().enumerate() {
             let process = Process::Successor(number);
-            self.process_steps(process, successor.alive, successor.timer, rules, &mut steps);
+            self.process_steps(process, successor.alive, successor.timer_running, rules, &mut steps);
             self.successor_steps(number, rules, &mut steps);
             self.link_steps(number, rules, &mut steps);
         }
@@ -155,14 +158,14 @@
         &self,
         process: Process,
         alive: bool,
-        timer: bool,
+        timer_running: bool,
         rules: &Rules,
         steps: &mut Vec<Step>,
     ) {
         if !alive {
             return;
         }
-        if timer && self.timeouts < rules.timeouts {
+        if timer_running && self.timeouts < rules.timeouts {
             steps.push(Step::TimeOut(process));
         }
         if self.crashes < rules.crashes {
@@ -187,7 +190,7 @@
         if successor.connecting && successor.connections < rules.connections {
             steps.push(Step::Connect(number));
         }
-        if !successor.told_can_serve {
+        if !successor.can_serve_reported {
             steps.push(Step::CanServe(number));
         }
         if successor.linked && successor.link.has_frame_for_successor() {
@@ -213,13 +216,13 @@
         }
     }
 
-    /// Takes a step that [`World::steps`] has given.
+    /// Performs a step that [`World::steps`] returned.
     pub fn take(&mut self, step: Step, rules: &Rules) {
         match step {
             Step::Start => self.successors.push(SuccessorProcess::new(rules)),
             Step::Connect(number) => self.connect(number, rules),
             Step::CanServe(number) => {
-                self.successors[number].told_can_serve = true;
+                self.successors[number].can_serve_reported = true;
                 self.successors[number].on_event(SuccessorEvent::CanServe);
             }
             Step::ReadAtPredecessor(number) => self.read_at_predecessor(number, rules),
@@ -257,7 +260,8 @@
         if !self.predecessor.alive {
             successor.on_event(SuccessorEvent::Disconnected);
         } else if self.predecessor.linked_to.is_some() {
-            // The caller refuses by itself, on a link that the predecessor's machine never sees.
+            // The predecessor's caller refuses by itself, without an event for the predecessor's state
+            // machine.
             successor.on_event(SuccessorEvent::Connected);
             let reason = RefuseReason::Busy;
             successor.on_event(SuccessorEvent::Received(SuccessorInput::Refuse { reason }));
@@ -290,12 +294,12 @@
     }
 
     fn time_out(&mut self, process: Process, rules: &Rules) {
-        // Not counted beyond the bound, where timers run out only when nothing else goes on: it would tell states apart
-        // for nothing.
+        // Timeouts beyond the bound happen only when no other step is possible. They are not counted, because
+        // the count would make otherwise equal states distinct.
         self.timeouts = rules.timeouts.min(self.timeouts + 1);
         match process {
             Process::Predecessor => {
-                self.predecessor.timer = false;
+                self.predecessor.timer_running = false;
                 let mut no_link = Link::default();
                 let link = match self.predecessor.linked_to {
                     Some(number) => &mut self.successors[number].link,
@@ -304,7 +308,7 @@
                 self.predecessor.on_event(PredecessorEvent::TimedOut, rules, link);
             }
             Process::Successor(number) => {
-                self.successors[number].timer = false;
+                self.successors[number].timer_running = false;
                 self.successors[number].on_event(SuccessorEvent::TimedOut);
             }
         }
--- a/crates/handover/tests/successor.rs
+++ b/crates/handover/tests/successor.rs
@@ -1,9 +1,9 @@
-//! The successor: the rows of its state table, and any events in any order.
+//! State machine of the successor: each transition of its state table, and arbitrary sequences of events.
 
 mod successor_caller;
 
 use dunlinspread_handover::{
-    COMMIT_TIMEOUT_MS, FIRST_RECONNECT_MS, FailedTry, GiveUpReason, MAX_RECONNECTS, PROTOCOL_VERSION,
+    COMMIT_TIMEOUT_MS, ConnectionFailure, FIRST_RECONNECT_MS, GiveUpReason, MAX_RECONNECTS, PROTOCOL_VERSION,
     RefuseReason, SNAPSHOT_TIMEOUT_MS, ServerIdentity, Successor, SuccessorAction as Action,
     SuccessorEvent as Event, SuccessorInput as Input, SuccessorPhase as Phase, WELCOME_TIMEOUT_MS,
 };
@@ -30,7 +30,7 @@
     Successor::new(ServerIdentity { name: "s".into(), classes: vec!["c".into()], tenants: Vec::new() })
 }
 
-/// A successor that took these events.
+/// Returns a successor that has processed these events.
 fn successor_after(events: &[Event]) -> Successor {
     let mut successor = new_successor();
     for event in events {
@@ -57,8 +57,8 @@
     successor
 }
 
-/// Asserts the answer to an event, and the phase after it.
-fn assert_answer(mut successor: Successor, event: Event, actions: &[Action], phase: Phase) -> Successor {
+/// Asserts the actions that an event causes and the phase after it, and returns the successor.
+fn assert_transition(mut successor: Successor, event: Event, actions: &[Action], phase: Phase) -> Successor {
     assert_eq!(successor.on_event(event.clone()), actions, "{event:?}");
     assert_eq!(successor.phase(), phase, "{event:?}");
     successor
@@ -68,32 +68,32 @@
 fn a_handover_goes_its_way() {
     let timer = |ms| Action::StartTimer { ms };
     let hello = [Action::SendHello, timer(WELCOME_TIMEOUT_MS)];
-    let linked = assert_answer(new_successor(), Event::Connected, &hello, Phase::AwaitingWelcome);
-    let welcomed = assert_answer(linked, WELCOME, &[Action::StopTimer], Phase::Welcomed);
+    let linked = assert_transition(new_successor(), Event::Connected, &hello, Phase::AwaitingWelcome);
+    let welcomed = assert_transition(linked, WELCOME, &[Action::StopTimer], Phase::Welcomed);
     let request = [Action::SendRequestTransfer, timer(SNAPSHOT_TIMEOUT_MS)];
-    let loading = assert_answer(welcomed, Event::CanServe, &request, Phase::Loading);
-    let loading = assert_answer(loading, PIECE, &[Action::LoadKeys], Phase::Loading);
-    let loading = assert_answer(loading, PIECE, &[Action::LoadKeys], Phase::Loading);
+    let loading = assert_transition(welcomed, Event::CanServe, &request, Phase::Loading);
+    let loading = assert_transition(loading, PIECE, &[Action::LoadKeys], Phase::Loading);
+    let loading = assert_transition(loading, PIECE, &[Action::LoadKeys], Phase::Loading);
     let end = Event::Received(Input::SnapshotEnd { keys: 2 * KEYS });
     let confirm = [Action::SendLoaded { keys: 2 * KEYS }, timer(COMMIT_TIMEOUT_MS)];
-    let loaded = assert_answer(loading, end, &confirm, Phase::AwaitingCommit);
+    let loaded = assert_transition(loading, end, &confirm, Phase::AwaitingCommit);
     let own = [Action::StopTimer, Action::BecomeOwner];
-    let owner = assert_answer(loaded, COMMIT, &own, Phase::Owner);
+    let owner = assert_transition(loaded, COMMIT, &own, Phase::Owner);
     let ended =
-        assert_answer(owner, Event::Disconnected, &[Action::PredecessorGone], Phase::PredecessorEnded);
-    assert_answer(ended, Event::Disconnected, &[], Phase::PredecessorEnded);
+        assert_transition(owner, Event::Disconnected, &[Action::PredecessorGone], Phase::PredecessorEnded);
+    assert_transition(ended, Event::Disconnected, &[], Phase::PredecessorEnded);
 }
 
 #[test]
 fn the_worker_pool_may_be_there_before_the_predecessor() {
     for events in [[Event::CanServe, Event::Connected], [Event::Connected, Event::CanServe]] {
         let request = [Action::SendRequestTransfer, Action::StartTimer { ms: SNAPSHOT_TIMEOUT_MS }];
-        assert_answer(successor_after(&events), WELCOME, &request, Phase::Loading);
+        assert_transition(successor_after(&events), WELCOME, &request, Phase::Loading);
     }
-    // It is known from then on, on later links as well.
+    // `CanServe` remains valid for later links.
     let events = [Event::Connected, WELCOME, Event::CanServe, PIECE, Event::Disconnected, Event::Connected];
     let request = [Action::SendRequestTransfer, Action::StartTimer { ms: SNAPSHOT_TIMEOUT_MS }];
-    assert_answer(successor_after(&events), WELCOME, &request, Phase::Loading);
+    assert_transition(successor_after(&events), WELCOME, &request, Phase::Loading);
 }
 
 #[test]
@@ -101,7 +101,7 @@
     let loading = successor_after(&[Event::Connected, WELCOME, Event::CanServe]);
     let end = Event::Received(Input::SnapshotEnd { keys: 0 });
     let confirm = [Action::SendLoaded { keys: 0 }, Action::StartTimer { ms: COMMIT_TIMEOUT_MS }];
-    assert_answer(loading, end, &confirm, Phase::AwaitingCommit);
+    assert_transition(loading, end, &confirm, Phase::AwaitingCommit);
 }
 
 #[test]
@@ -114,7 +114,7 @@
     ];
     for (event, reason) in cases {
         let actions = [Action::Disconnect, Action::StopTimer, Action::GiveUp(reason)];
-        assert_answer(successor_in(Phase::AwaitingWelcome), event, &actions, Phase::GivenUp);
+        assert_transition(successor_in(Phase::AwaitingWelcome), event, &actions, Phase::GivenUp);
     }
 }
 
@@ -146,7 +146,7 @@
         (Phase::AwaitingCommit, refuse(RefuseReason::OtherVersion), &discard_and_close),
     ];
     for (phase, event, actions) in cases {
-        assert_answer(successor_in(phase), event, actions, Phase::Connecting);
+        assert_transition(successor_in(phase), event, actions, Phase::Connecting);
     }
 }
 
@@ -156,38 +156,39 @@
         let events =
             [Event::Connected, Event::TimedOut, Event::CanServe, WELCOME, PIECE, SNAPSHOT_END, COMMIT];
         for event in events {
-            assert_answer(successor_in(phase), event, &[], phase);
+            assert_transition(successor_in(phase), event, &[], phase);
         }
     }
     for phase in [Phase::Connecting, Phase::Welcomed] {
-        assert_answer(successor_in(phase), Event::TimedOut, &[], phase);
+        assert_transition(successor_in(phase), Event::TimedOut, &[], phase);
     }
-    assert_answer(successor_in(Phase::Connecting), PIECE, &[Action::Disconnect], Phase::Connecting);
+    assert_transition(successor_in(Phase::Connecting), PIECE, &[Action::Disconnect], Phase::Connecting);
     for event in [Event::Connected, WELCOME, COMMIT] {
-        assert_answer(successor_in(Phase::GivenUp), event, &[Action::Disconnect], Phase::GivenUp);
+        assert_transition(successor_in(Phase::GivenUp), event, &[Action::Disconnect], Phase::GivenUp);
     }
     for event in [Event::Disconnected, Event::TimedOut, Event::CanServe] {
-        assert_answer(successor_in(Phase::GivenUp), event, &[], Phase::GivenUp);
+        assert_transition(successor_in(Phase::GivenUp), event, &[], Phase::GivenUp);
     }
 }
 
 #[test]
 fn it_connects_anew_a_bounded_number_of_times() {
     let mut successor = new_successor();
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..MAX_RECONNECTS {
         match successor.on_event(Event::Disconnected).as_slice() {
-            [Action::Reconnect { after_ms }] => waits.push(*after_ms),
+            [Action::Reconnect { after_ms }] => delays.push(*after_ms),
             other => panic!("{other:?}"),
         }
     }
-    assert_eq!(waits, [50, 100, 200, 400, 800]);
-    let reason = GiveUpReason::RetriesExhausted(FailedTry::NoLink);
-    let given_up = assert_answer(successor, Event::Disconnected, &[Action::GiveUp(reason)], Phase::GivenUp);
-    assert_answer(given_up, Event::Disconnected, &[], Phase::GivenUp);
+    assert_eq!(delays, [50, 100, 200, 400, 800]);
+    let reason = GiveUpReason::RetriesExhausted(ConnectionFailure::NoLink);
+    let given_up =
+        assert_transition(successor, Event::Disconnected, &[Action::GiveUp(reason)], Phase::GivenUp);
+    assert_transition(given_up, Event::Disconnected, &[], Phase::GivenUp);
 }
 
-/// An event, or the one that leads a handover on.
+/// An event: the next one of a successful handover, or an arbitrary one.
 #[derive(Clone, Debug)]
 enum Choice {
     Next,
@@ -240,12 +241,12 @@
                 Choice::Next => next_event(&successor, &caller),
                 Choice::Any(event) => event,
             };
-            caller.before(&event);
+            caller.record_event(&event);
             let actions = successor.on_event(event.clone());
             for action in &actions {
-                prop_assert_eq!(caller.carry_out(&event, action), Ok(()), "{:?} of {:?}", action, actions);
+                prop_assert_eq!(caller.perform(&event, action), Ok(()), "{:?} of {:?}", action, actions);
             }
-            prop_assert_eq!(caller.after(successor.phase()), Ok(()), "{:?} after {:?}", actions, event);
+            prop_assert_eq!(caller.check_phase(successor.phase()), Ok(()), "{:?} after {:?}", actions, event);
         }
     }
 }
--- a/crates/handover/tests/successor_caller/mod.rs
+++ b/crates/handover/tests/successor_caller/mod.rs
@@ -1,51 +1,48 @@
-//! What the caller of a successor's machine would hold, and which actions have a place there.
+//! Model of the caller of a successor's state machine. It checks that each action is allowed in the caller's
+//! state.
 
 use dunlinspread_handover::{
     MAX_RECONNECTS, SuccessorAction, SuccessorEvent, SuccessorInput, SuccessorPhase,
 };
 
-/// What the caller holds after the actions so far.
+/// State of the caller after the actions performed so far.
 #[derive(Debug, Default)]
 pub struct Caller {
-    /// The keys that came since the transfer was asked for.
+    /// Number of keys received since the transfer was requested.
     pub received: u64,
     can_serve: bool,
-    /// Whether the transfer was asked for on this link.
+    /// Whether the transfer was requested on this link.
     requested: bool,
     /// Whether the whole snapshot was confirmed on this link.
     confirmed: bool,
-    holds_pieces: bool,
+    has_loaded_pieces: bool,
     owner: bool,
     predecessor_gone: bool,
     given_up: bool,
-    timer: bool,
+    timer_running: bool,
     reconnects: u32,
 }
 
 impl Caller {
-    /// Takes note of an event before the machine does.
-    pub fn before(&mut self, event: &SuccessorEvent) {
+    /// Records an event before the state machine processes it.
+    pub fn record_event(&mut self, event: &SuccessorEvent) {
         match event {
             SuccessorEvent::CanServe => self.can_serve = true,
-            SuccessorEvent::TimedOut => self.timer = false,
+            SuccessorEvent::TimedOut => self.timer_running = false,
             SuccessorEvent::Connected | SuccessorEvent::Disconnected | SuccessorEvent::Received(_) => {}
         }
     }
 
-    /// Carries an action out.
+    /// Performs an action.
     ///
     /// # Errors
-    /// When it has no place there.
-    pub fn carry_out(
-        &mut self,
-        event: &SuccessorEvent,
-        action: &SuccessorAction,
-    ) -> Result<(), &'static str> {
+    /// Returns the violated rule if the action is not allowed in this state.
+    pub fn perform(&mut self, event: &SuccessorEvent, action: &SuccessorAction) -> Result<(), &'static str> {
         if self.given_up && *action != SuccessorAction::Disconnect {
-            return Err("an action after giving up");
+            return Err("action after giving up");
         }
         if self.owner && *action != SuccessorAction::PredecessorGone {
-            return Err("an action after the commit");
+            return Err("action after the commit");
         }
         match action {
             SuccessorAction::SendRequestTransfer => self.request_transfer(),
@@ -53,7 +50,7 @@
             SuccessorAction::SendLoaded { keys } => self.confirm(*keys),
             SuccessorAction::DiscardKeys => self.discard(),
             SuccessorAction::BecomeOwner => self.become_owner(event),
-            SuccessorAction::PredecessorGone => self.lose_predecessor(),
+            SuccessorAction::PredecessorGone => self.record_predecessor_end(),
             SuccessorAction::Reconnect { .. } => self.reconnect(),
             SuccessorAction::GiveUp(_) => self.give_up(),
             SuccessorAction::StartTimer { .. } => self.set_timer(true),
@@ -62,24 +59,27 @@
         }
     }
 
-    /// Compares with the phase after the actions.
+    /// Compares this state with the phase after the actions.
     ///
     /// # Errors
-    /// When they don't fit together.
-    pub fn after(&self, phase: SuccessorPhase) -> Result<(), &'static str> {
+    /// Returns the violated rule if they are inconsistent.
+    pub fn check_phase(&self, phase: SuccessorPhase) -> Result<(), &'static str> {
         let owns = matches!(phase, SuccessorPhase::Owner | SuccessorPhase::PredecessorEnded);
-        let waits = matches!(
+        let needs_timer = matches!(
             phase,
             SuccessorPhase::AwaitingWelcome | SuccessorPhase::Loading | SuccessorPhase::AwaitingCommit
         );
-        check(owns == self.owner, "the phase is not the owner's")?;
-        check(waits == self.timer, "the timer runs where it shouldn't, or doesn't where it should")
+        check(owns == self.owner, "the phase and the ownership of the keys differ")?;
+        check(needs_timer == self.timer_running, "the timer doesn't run exactly in the phases that need it")
     }
 
     fn request_transfer(&mut self) -> Result<(), &'static str> {
-        check(self.can_serve, "a transfer before it can serve")?;
-        check(!self.requested, "a second transfer on a link")?;
-        check(!self.holds_pieces, "a transfer on top of an earlier one")?;
+        check(self.can_serve, "transfer requested before the successor can serve")?;
+        check(!self.requested, "second transfer requested on a link")?;
+        check(
+            !self.has_loaded_pieces,
+            "transfer requested before the keys of an earlier one were discarded",
+        )?;
         self.requested = true;
         self.received = 0;
         Ok(())
@@ -87,61 +87,64 @@
 
     fn load(&mut self, event: &SuccessorEvent) -> Result<(), &'static str> {
         let SuccessorEvent::Received(SuccessorInput::Keys { count }) = event else {
-            return Err("keys loaded that did not come");
+            return Err("keys loaded without a `Keys` frame");
         };
-        check(self.requested, "keys loaded before they were asked for")?;
+        check(self.requested, "keys loaded before the transfer was requested")?;
         check(!self.confirmed, "keys loaded after the end of the snapshot")?;
-        self.holds_pieces = true;
+        self.has_loaded_pieces = true;
         self.received = self.received.saturating_add(*count);
         Ok(())
     }
 
     fn confirm(&mut self, keys: u64) -> Result<(), &'static str> {
-        check(self.requested && !self.confirmed, "a confirmation out of place")?;
-        check(keys == self.received, "a confirmation of another number of keys")?;
+        check(self.requested && !self.confirmed, "`Loaded` sent without a transfer, or twice")?;
+        check(keys == self.received, "`Loaded` sent with another number of keys than received")?;
         self.confirmed = true;
         Ok(())
     }
 
     fn discard(&mut self) -> Result<(), &'static str> {
-        check(self.holds_pieces, "nothing to discard")?;
-        self.holds_pieces = false;
+        check(self.has_loaded_pieces, "keys discarded although none are loaded")?;
+        self.has_loaded_pieces = false;
         Ok(())
     }
 
     fn become_owner(&mut self, event: &SuccessorEvent) -> Result<(), &'static str> {
         let commit = SuccessorEvent::Received(SuccessorInput::Commit);
-        check(*event == commit && self.confirmed, "an owner without the table or the commit")?;
+        check(*event == commit && self.confirmed, "ownership taken without the whole table or the commit")?;
         self.owner = true;
         Ok(())
     }
 
-    fn lose_predecessor(&mut self) -> Result<(), &'static str> {
-        check(self.owner && !self.predecessor_gone, "the predecessor gone twice, or before the commit")?;
+    fn record_predecessor_end(&mut self) -> Result<(), &'static str> {
+        check(
+            self.owner && !self.predecessor_gone,
+            "end of the predecessor reported twice, or before the commit",
+        )?;
         self.predecessor_gone = true;
         Ok(())
     }
 
     fn reconnect(&mut self) -> Result<(), &'static str> {
-        self.leave_link()?;
+        self.abandon_link()?;
         self.reconnects += 1;
-        check(self.reconnects <= MAX_RECONNECTS, "too many tries")
+        check(self.reconnects <= MAX_RECONNECTS, "too many reconnections")
     }
 
     fn give_up(&mut self) -> Result<(), &'static str> {
-        self.leave_link()?;
+        self.abandon_link()?;
         self.given_up = true;
         Ok(())
     }
 
-    fn leave_link(&mut self) -> Result<(), &'static str> {
+    fn abandon_link(&mut self) -> Result<(), &'static str> {
         self.requested = false;
         self.confirmed = false;
-        check(!self.holds_pieces, "keys kept from a link that failed")
+        check(!self.has_loaded_pieces, "keys of a failed link not discarded")
     }
 
-    fn set_timer(&mut self, runs: bool) -> Result<(), &'static str> {
-        self.timer = runs;
+    fn set_timer(&mut self, running: bool) -> Result<(), &'static str> {
+        self.timer_running = running;
         Ok(())
     }
 }
