--- a/crates/idempotency/src/entry.rs
+++ b/crates/idempotency/src/entry.rs
@@ -1,11 +1,11 @@
-//! What is known of one key.
+//! Entry of the table for one key.
 
 use crate::outcome::{AttemptId, Lookup};
 
-/// The state of a run, with what its duplicates get.
+/// State of a run, with the result for its duplicates.
 pub(crate) enum RunState<R> {
     Running,
-    /// It failed, or its result was evicted.
+    /// The run failed, or its result was evicted.
     Failed,
     Completed(R),
 }
@@ -13,14 +13,14 @@
 /// An attempt that was run.
 pub(crate) struct Run<R> {
     pub(crate) attempt: AttemptId,
-    /// The hash of its body, which all its duplicates share.
+    /// The hash of the attempt's body, which is the same for all its duplicates.
     pub(crate) body_hash: u64,
-    /// Attempts received up to this time are its duplicates.
+    /// Attempts received up to this time are duplicates of this run.
     pub(crate) window_end: f64,
     pub(crate) state: RunState<R>,
-    /// Whether another process began it.
+    /// Whether another process began the run.
     pub(crate) is_imported: bool,
-    /// Attempts that wait for its end.
+    /// Attempts that wait for the end of the run.
     pub(crate) waiters: Vec<AttemptId>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl<R: AsRef<[u8]>> Run<R> {
-    /// Returns the bytes of the cached result, 0 without one.
+    /// Returns the size of the cached result in bytes, or 0 if there is none.
     pub(crate) fn result_bytes(&self) -> usize {
         match &self.state {
             RunState::Completed(result) => result.as_ref().len(),
@@ -40,7 +40,7 @@
     }
 }
 
-/// An attempt that holds its key and has not run.
+/// Reservation of a key by an attempt that has not run.
 #[derive(Clone, Copy)]
 pub(crate) struct Reservation {
     pub(crate) attempt: AttemptId,
@@ -48,18 +48,20 @@
     pub(crate) window_end: f64,
 }
 
-/// What is known of a key.
+/// State of a key.
 ///
-/// A reservation stands beside the run before it: attempts that are read late can still fall in the window of that run.
+/// A reservation doesn't replace the previous run, because attempts that are read late can still fall within
+/// the window of that run.
 pub(crate) struct Entry<R> {
     pub(crate) class: usize,
     pub(crate) run: Option<Run<R>>,
     pub(crate) reservation: Option<Reservation>,
-    /// Attempts received up to this time are duplicates of a run that another run superseded.
+    /// Attempts received up to this time are duplicates of a superseded run.
     pub(crate) previous_window_end: f64,
-    /// Attempts that have not finished. The entry stays while there are any, since each may still ask to run.
+    /// Number of attempts that have not finished. The entry is kept while there are any, since each may still
+    /// request a run.
     pub(crate) open_attempts: usize,
-    /// Whether it came from another process that may still pass on attempts of it.
+    /// Whether the entry was imported from another process that may still forward attempts of this key.
     pub(crate) is_imported: bool,
 }
 
@@ -75,28 +77,30 @@
         }
     }
 
-    /// Returns whether the attempt received at `received_at` falls in the window of the last run.
+    /// Returns whether an attempt received at `received_at` falls within the window of the last run.
     pub(crate) fn is_in_window_of_run(&self, received_at: f64) -> bool {
         self.run.as_ref().is_some_and(|run| received_at <= run.window_end)
     }
 
-    /// Returns whether there is a result of the last run.
+    /// Returns whether the result of the last run is cached.
     pub(crate) fn has_result(&self) -> bool {
         self.run.as_ref().is_some_and(|run| matches!(run.state, RunState::Completed(_)))
     }
 
-    /// Returns whether this attempt was the last to be run, and there is its result.
+    /// Returns whether the last run was of `attempt` and its result is cached.
     pub(crate) fn has_result_of(&self, attempt: AttemptId) -> bool {
         self.has_result() && self.run.as_ref().is_some_and(|run| run.attempt == attempt)
     }
 
-    /// Returns whether an attempt of its windows is open, or can still come within `max_read_delay_ms` of its receipt.
+    /// Returns whether the entry has to be kept: an attempt is open, or an attempt received within one of the
+    /// entry's windows can still be read, at most `max_read_delay_ms` after its receipt, or forwarded by
+    /// another process.
     pub(crate) fn is_needed(&self, now: f64, max_read_delay_ms: f64) -> bool {
-        let may_be_passed_on = self.is_imported && self.window_end() > f64::NEG_INFINITY;
-        self.open_attempts > 0 || may_be_passed_on || now <= self.window_end() + max_read_delay_ms
+        let may_be_forwarded = self.is_imported && self.window_end() > f64::NEG_INFINITY;
+        self.open_attempts > 0 || may_be_forwarded || now <= self.window_end() + max_read_delay_ms
     }
 
-    /// Returns the time up to which received attempts may no longer run.
+    /// Returns the end of the latest window of a run. Attempts received up to this time may not run.
     pub(crate) fn window_end(&self) -> f64 {
         match &self.run {
             Some(run) => run.window_end.max(self.previous_window_end),
@@ -104,15 +108,15 @@
         }
     }
 
-    /// Returns whether nothing is known of the key.
-    pub(crate) fn is_blank(&self) -> bool {
+    /// Returns whether the entry holds no information.
+    pub(crate) fn is_empty(&self) -> bool {
         self.open_attempts == 0
             && self.run.is_none()
             && self.reservation.is_none()
             && self.previous_window_end == f64::NEG_INFINITY
     }
 
-    /// Returns what an attempt with this body is that was received at `received_at`.
+    /// Classifies an attempt with this body that was received at `received_at`.
     pub(crate) fn lookup(&self, body_hash: u64, received_at: f64) -> Lookup {
         let duplicate_of = |attempt, expected_hash| {
             if body_hash == expected_hash { Lookup::DuplicateOf(attempt) } else { Lookup::BodyMismatch }
@@ -120,7 +124,8 @@
         match (&self.run, &self.reservation) {
             (Some(run), _) if received_at <= run.window_end => duplicate_of(run.attempt, run.body_hash),
             _ if received_at <= self.previous_window_end => Lookup::Expired,
-            // A reservation has no end of its own: it may still run, however late.
+            // The window of a reservation is not checked, because the reserving attempt may still run at any
+            // later time.
             (_, Some(reservation)) => duplicate_of(reservation.attempt, reservation.body_hash),
             _ => Lookup::New,
         }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,12 +1,15 @@
-//! Idempotency keys of requests that may run at most once within a window, with the results of their runs.
+//! Table of the idempotency keys of requests that may run at most once within a key window, with the results
+//! of their runs.
 //!
-//! [`IdempotencyTable`] is a state machine without I/O, clock or randomness. The owner of the requests reports each
-//! event with its time (an attempt arrives, a run begins or ends, an attempt finishes) and acts on the answer.
+//! [`IdempotencyTable`] is a state machine without I/O, clock or randomness. Its caller, which owns the
+//! requests, reports each event with its time (an attempt arrives, a run begins or ends, an attempt finishes)
+//! and acts on the returned value.
 //!
 //! # Invariants
-//! - Of the attempts of one key that are received within the window of a run, none is run again.
-//! - Each attempt that waits for a result is named exactly once, when the run ends or is superseded.
-//! - All this holds over a move to another process ([`IdempotencyTable::export`], [`IdempotencyTable::import`]).
+//! - After an attempt was run, no other attempt of its key that is received within the key window is run.
+//! - Each attempt that waits for a result is returned exactly once, when the run ends or is superseded.
+//! - These invariants also hold across a transfer to another process ([`IdempotencyTable::export`],
+//!   [`IdempotencyTable::import`]).
 //! - The number of keys and the bytes of cached results stay within [`Bounds`].
 //!
 //! ```
@@ -20,7 +23,7 @@
 //! assert!(table.begin_run(&key, 0xfeed, 1, 10.0).is_ok());
 //! let _no_waiters = table.finish_run(&key, 1, RunResult::Completed(b"done".to_vec()));
 //! table.finish_attempt(&key, 1);
-//! // The next attempt repeats the first one and takes its result.
+//! // The next attempt is a duplicate of the first one and reuses its result.
 //! assert_eq!(table.arrive(&key, 0, 0xfeed, 2, 300.0), Lookup::DuplicateOf(1));
 //! assert_eq!(table.reuse_result(&key, 2, 300.0), ReuseOutcome::Ready(Some(b"done".to_vec())));
 //! ```
--- a/crates/idempotency/src/outcome.rs
+++ b/crates/idempotency/src/outcome.rs
@@ -1,62 +1,62 @@
-//! What the table answers, and what it is told of a run.
+//! Results returned by the table, and the outcome of a run reported to it.
 
-/// The number of an attempt, unique for the life of the process.
+/// Number of an attempt, unique within the process.
 pub type AttemptId = u64;
 
-/// A run of a key was requested within the window of another run.
+/// Error of requesting a run of a key within the window of another run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a run of this key was requested within the window of an earlier run")]
 pub struct DuplicateRun;
 
-/// What an attempt is, by its key.
+/// Classification of an attempt by its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// The first attempt, or the first one since the window ended.
+    /// The first attempt of the key, or the first one since the window of the last run ended.
     New,
-    /// A duplicate of this attempt.
+    /// The attempt is a duplicate of the contained attempt.
     DuplicateOf(AttemptId),
-    /// Received in the window of a run whose result is no longer known: it may not run.
+    /// The attempt was received within the window of a run whose result is no longer known. It may not run.
     Expired,
-    /// The key is in use with another body: this is no attempt of the same request.
+    /// The key is in use with another body, so the attempt belongs to a different request.
     BodyMismatch,
 }
 
-/// What a duplicate gets.
+/// Outcome of reusing a result for a duplicate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReuseOutcome<R> {
-    /// The result of the run, or none if it failed.
+    /// The run has ended. Contains its result, or `None` if the run failed.
     Ready(Option<R>),
-    /// The run has not ended; [`crate::IdempotencyTable::finish_run`] names the attempt.
+    /// The run has not ended. The attempt waits until [`crate::IdempotencyTable::finish_run`] returns it.
     Pending,
-    /// The attempt that it duplicates was dropped before it ran.
+    /// The original attempt was dropped before it ran.
     NotRun,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunResult<R> {
-    /// With a result.
+    /// The run completed with this result.
     Completed(R),
-    /// It failed or was stopped; it may have had its effect.
+    /// The run failed or was stopped. It may have had side effects.
     Failed,
-    /// It is proved that it never began.
+    /// The run certainly never began.
     NotStarted,
 }
 
-/// A run whose end will never be known, and the attempts that waited for it: they fail.
+/// A run whose outcome will never be known, and the attempts that waited for it. These attempts fail.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedRun {
     /// The attempt that was run.
     pub attempt: AttemptId,
-    /// The waiting attempts, in the order of their arrival.
+    /// The waiting attempts, in the order in which they began to wait.
     pub waiters: Vec<AttemptId>,
 }
 
-/// The attempts that waited for a run, and what they get.
+/// The attempts that waited for a run, and the result for them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FinishedRun<R> {
-    /// The waiting attempts, in the order of their arrival.
+    /// The waiting attempts, in the order in which they began to wait.
     pub waiters: Vec<AttemptId>,
-    /// The result for all of them, or none for a failure.
+    /// The result for all waiting attempts, or `None` if the run failed.
     pub result: Option<R>,
 }
--- a/crates/idempotency/src/record.rs
+++ b/crates/idempotency/src/record.rs
@@ -1,67 +1,67 @@
-//! What one process tells another of a key, when the table moves.
+//! Records of keys, for the transfer of the table to another process.
 
 use crate::entry::{Entry, Run, RunState};
 use crate::outcome::AttemptId;
 use std::rc::Rc;
 
-/// What is known of a key, without the attempts that have not run.
+/// Record of a key, without the attempts that have not run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyRecord<R> {
     /// The key.
     pub key: Rc<[u8]>,
-    /// The position of its class.
+    /// The position of the key's class.
     pub class: usize,
-    /// The last run of the key.
+    /// The last run of the key, if there was one.
     pub run: Option<RunRecord<R>>,
-    /// Attempts received up to this time, Unix ms, are duplicates of a run that another run superseded.
+    /// Attempts received up to this time, Unix ms, are duplicates of a superseded run.
     pub previous_window_end: Option<f64>,
 }
 
-/// What is known of a run.
+/// Record of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunRecord<R> {
-    /// The number of its attempt in the process that runs it.
+    /// The number of the attempt in the process that exported the record.
     pub attempt: AttemptId,
-    /// The hash of its body, made with the same hash key in both processes.
+    /// The hash of the attempt's body. Both processes use the same hash key.
     pub body_hash: u64,
-    /// Attempts received up to this time, Unix ms, are its duplicates.
+    /// Attempts received up to this time, Unix ms, are duplicates of the run.
     pub window_end: f64,
-    /// Its state.
+    /// The state of the run.
     pub state: RunRecordState<R>,
 }
 
-/// The state of a run.
+/// State of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunRecordState<R> {
-    /// It goes on in the process that began it.
+    /// The run is in progress in the process that began it.
     Running,
-    /// It failed, or its result was evicted.
+    /// The run failed, or its result was evicted.
     Failed,
-    /// It ended with this result.
+    /// The run completed with this result.
     Completed(R),
 }
 
-/// A key could not be loaded. The table is as it was.
+/// Error of importing a key. The table is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ImportError {
     /// The table is full.
-    #[error("key {key}: the table is full with {max_keys} keys")]
+    #[error("can't import key {key}: the table is full with {max_keys} keys")]
     TableFull {
-        /// The key, with its unprintable bytes escaped.
+        /// The key, with unprintable bytes escaped.
         key: String,
-        /// [`crate::Bounds::keys`].
+        /// The maximum number of keys, [`crate::Bounds::keys`].
         max_keys: usize,
     },
-    /// The table knows the key already.
-    #[error("key {key} is known already")]
+    /// The table already has an entry for the key.
+    #[error("can't import key {key}: the table already has this key")]
     KnownKey {
-        /// The key, with its unprintable bytes escaped.
+        /// The key, with unprintable bytes escaped.
         key: String,
     },
-    /// The class of the key is none of the table's classes.
-    #[error("key {key}: no class has the position {class}")]
+    /// The table has no class at the position given in the record.
+    #[error("can't import key {key}: there is no class at position {class}")]
     UnknownClass {
-        /// The key, with its unprintable bytes escaped.
+        /// The key, with unprintable bytes escaped.
         key: String,
         /// The position of the class.
         class: usize,
@@ -69,7 +69,7 @@
 }
 
 impl<R: Clone> KeyRecord<R> {
-    /// Returns the record of a key, or `None` if only attempts that have not run are known of it.
+    /// Returns the record of a key, or `None` if the entry has only attempts that have not run.
     pub(crate) fn of_entry(key: &Rc<[u8]>, entry: &Entry<R>) -> Option<Self> {
         let previous_window_end = entry.previous_window_end;
         let previous_window_end = (previous_window_end > f64::NEG_INFINITY).then_some(previous_window_end);
@@ -80,7 +80,7 @@
         Some(KeyRecord { key: key.clone(), class: entry.class, run, previous_window_end })
     }
 
-    /// Returns the entry for a record that came from another process. Its run is known as `attempt`.
+    /// Returns the entry for a record from another process. Its run gets the number `attempt`.
     pub(crate) fn into_entry(self, attempt: AttemptId) -> Entry<R> {
         let mut entry = Entry::new(self.class);
         entry.run = self.run.map(|run| run.into_run(attempt));
--- a/crates/idempotency/src/result_cache.rs
+++ b/crates/idempotency/src/result_cache.rs
@@ -1,16 +1,16 @@
-//! The order in which cached results are evicted, and the bytes that they hold.
+//! Eviction order and total size of the cached results.
 
 use crate::outcome::AttemptId;
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Names the run of a key whose result was cached.
+/// Identifies a cached result by the key and the attempt that was run.
 pub(crate) struct CachedResult {
     pub(crate) key: Rc<[u8]>,
     pub(crate) attempt: AttemptId,
 }
 
-/// The results that were cached, oldest first. Some of them may be gone since.
+/// Queue of the cached results, oldest first. It may contain results that have been dropped since.
 pub(crate) struct ResultCache {
     max_bytes: usize,
     bytes: usize,
@@ -26,34 +26,36 @@
         self.bytes
     }
 
-    /// Returns the results in the order in which they were cached. Some of them may be gone since.
+    /// Returns the results in the order in which they were cached, including some that have been dropped
+    /// since.
     pub(crate) fn oldest_first(&self) -> impl Iterator<Item = &CachedResult> {
         self.oldest_first.iter()
     }
 
-    /// Drops all results.
+    /// Removes all results.
     pub(crate) fn clear(&mut self) {
         self.bytes = 0;
         self.oldest_first.clear();
     }
 
-    /// Adds a result of so many bytes.
+    /// Adds a result with a size of `bytes`.
     pub(crate) fn add(&mut self, result: CachedResult, bytes: usize) {
         self.oldest_first.push_back(result);
         self.bytes += bytes;
     }
 
-    /// Subtracts the bytes of a result that is gone.
+    /// Subtracts the size of a dropped result from the total.
     pub(crate) fn subtract(&mut self, bytes: usize) {
         self.bytes -= bytes;
     }
 
-    /// Takes the oldest result out while the limit is exceeded. The caller drops it and subtracts its bytes.
+    /// Removes and returns the oldest result if the limit is exceeded. The caller drops the result and
+    /// subtracts its size.
     pub(crate) fn pop_excess(&mut self) -> Option<CachedResult> {
         if self.bytes <= self.max_bytes { None } else { self.oldest_first.pop_front() }
     }
 
-    /// Removes the oldest results that are gone since, up to the first one that is there.
+    /// Removes dropped results from the front of the queue, up to the first one that is still cached.
     pub(crate) fn trim(&mut self, is_cached: impl Fn(&CachedResult) -> bool) {
         while self.oldest_first.front().is_some_and(|result| !is_cached(result)) {
             self.oldest_first.pop_front();
--- a/crates/idempotency/src/settings.rs
+++ b/crates/idempotency/src/settings.rs
@@ -1,28 +1,32 @@
-//! The limits of the table and the times of each class.
+//! Limits of the table and key windows of the classes.
 
-/// Slack added to the window of a key, ms: received times are whole milliseconds, and the platform allows 50 ms on
-/// every time.
+/// Slack added to each key window, ms. Receipt times are whole milliseconds, and the platform allows a
+/// deviation of 50 ms on every time.
 const WINDOW_SLACK_MS: f64 = 60.0;
 
-/// The limits of the table.
+/// Limits of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Keys, at least 1. A full table has no room for a new key: [`crate::IdempotencyTable::has_room`].
+    /// Maximum number of keys, at least 1. A full table accepts no new key:
+    /// [`crate::IdempotencyTable::has_room`].
     pub keys: usize,
-    /// Bytes of cached results. Beyond it the oldest results are evicted; their keys stay, as run and failed.
+    /// Maximum size of all cached results, in bytes. Beyond it the oldest results are evicted. Their keys
+    /// remain in the table, with their runs marked as failed.
     pub result_bytes: usize,
 }
 
-/// The times of a class of requests.
+/// Key window of a request class, and the delay with which its requests may be read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyWindow {
-    /// How long after the receipt of an attempt that was run a further one is its duplicate, ms.
+    /// Time after the receipt of an attempt that was run during which further attempts are its duplicates,
+    /// ms.
     pub window_ms: f64,
-    /// The longest time between the receipt of an attempt and its reading, ms. An entry outlasts its window by this.
+    /// Maximum time between the receipt of an attempt and reading it, ms. An entry is kept this long after
+    /// its window.
     pub max_read_delay_ms: f64,
 }
 
-/// The times of all classes, by position.
+/// Key windows of all classes, by position.
 pub(crate) struct KeyWindows(Vec<KeyWindow>);
 
 impl KeyWindows {
@@ -46,7 +50,7 @@
         received_at + longest + WINDOW_SLACK_MS
     }
 
-    /// Returns the longest time between receipt and reading, ms.
+    /// Returns the maximum time between receiving and reading an attempt, ms.
     pub(crate) fn max_read_delay_ms(&self, class: usize) -> f64 {
         self.0.get(class).map_or(0.0, |window| window.max_read_delay_ms)
     }
--- a/crates/idempotency/src/table.rs
+++ b/crates/idempotency/src/table.rs
@@ -8,14 +8,15 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The idempotency keys in use, each with its run, its result and the attempts that wait for it.
+/// Table of idempotency keys, each with its last run, the result and the attempts that wait for it.
 ///
-/// Times are Unix milliseconds; `received_at` is when an attempt reached the machine, which may be long before it was
-/// read.
+/// Times are Unix milliseconds. `received_at` is the time at which an attempt reached the machine, which may
+/// be long before it was read.
 ///
 /// # Invariants
-/// - A key is run once in its window.
-/// - A key that was run is known until no attempt of its window can be read any more.
+/// - A key is run at most once within its window.
+/// - The entry of a key that was run is kept until no attempt received within its window can be read any
+///   more.
 pub struct IdempotencyTable<R> {
     pub(crate) max_keys: usize,
     pub(crate) windows: KeyWindows,
@@ -25,7 +26,7 @@
 }
 
 impl<R: Clone + AsRef<[u8]>> IdempotencyTable<R> {
-    /// Returns an empty table. `windows` are the times of the classes, by position.
+    /// Returns an empty table. `windows` contains the key windows of the classes, by position.
     pub fn new(bounds: Bounds, windows: Vec<KeyWindow>) -> Self {
         IdempotencyTable {
             max_keys: bounds.keys,
@@ -46,17 +47,18 @@
         self.entries.is_empty()
     }
 
-    /// Returns the bytes of the cached results.
+    /// Returns the total size of the cached results, in bytes.
     pub fn result_bytes(&self) -> usize {
         self.results.bytes()
     }
 
-    /// Returns whether an attempt of this key has room: the key is known, or the table is not full.
+    /// Returns whether the table can accept an attempt of this key: it has an entry for the key, or is not
+    /// full.
     pub fn has_room(&self, key: &[u8]) -> bool {
         self.entries.len() < self.max_keys || self.entries.contains_key(key)
     }
 
-    /// Returns what an attempt would be that was received at `received_at` with this body.
+    /// Classifies an attempt with this body that was received at `received_at`, without registering it.
     pub fn lookup(&self, key: &[u8], body_hash: u64, received_at: f64) -> Lookup {
         let entry = self.entries.get(key);
         let is_in_window_of_run = entry.is_some_and(|entry| entry.is_in_window_of_run(received_at));
@@ -66,16 +68,17 @@
         entry.map_or(Lookup::New, |entry| entry.lookup(body_hash, received_at))
     }
 
-    /// Returns whether the attempt received at `received_at` falls in the window of a run of its key, or may do so.
+    /// Returns whether an attempt received at `received_at` falls, or may fall, within the window of a run of
+    /// its key.
     pub fn has_run(&self, key: &[u8], received_at: f64) -> bool {
         self.blackout.covers(received_at)
             || self.entries.get(key).is_some_and(|entry| received_at <= entry.window_end())
     }
 
-    /// Registers an attempt and returns what it is.
+    /// Registers an attempt and returns its classification.
     ///
-    /// A new one reserves its key. New ones and duplicates are open until [`IdempotencyTable::finish_attempt`]; the
-    /// others leave no trace.
+    /// A new attempt reserves its key. New attempts and duplicates are open until
+    /// [`IdempotencyTable::finish_attempt`]. Other attempts are not registered.
     pub fn arrive(
         &mut self,
         key: &Rc<[u8]>,
@@ -97,9 +100,11 @@
         lookup
     }
 
-    /// Reserves the key for an open attempt until `window_end` at least, also in place of an earlier attempt.
+    /// Reserves the key for an open attempt, with a window until at least `window_end`, replacing any earlier
+    /// reservation.
     ///
-    /// If the attempt was run, its window is prolonged. An attempt in the window of another run reserves nothing.
+    /// If the attempt was run already, its window is extended. An attempt within the window of another run
+    /// reserves nothing.
     pub fn reserve(
         &mut self,
         key: &[u8],
@@ -121,20 +126,23 @@
         }
     }
 
-    /// Releases the reservation of an attempt. A run is not undone by it.
+    /// Releases the reservation of an attempt. Runs are not affected.
     pub fn release(&mut self, key: &[u8], attempt: AttemptId) {
         let Some(entry) = self.entries.get_mut(key) else { return };
         entry.reservation.take_if(|reservation| reservation.attempt == attempt);
-        if entry.is_blank() {
+        if entry.is_empty() {
             self.entries.remove(key);
         }
     }
 
-    /// Records the run of an open attempt, if it may run, and returns the attempts that waited for the run that it
-    /// supersedes: that run outlasted its own window, and they fail.
+    /// Records the beginning of the run of an open attempt, if it may run.
+    ///
+    /// Returns the attempts that waited for the superseded run, which has outlasted its own window. These
+    /// attempts fail.
     ///
     /// # Errors
-    /// [`DuplicateRun`] if the attempt falls in the window of another run, or may do so, or the key is unknown.
+    /// Returns [`DuplicateRun`] if the attempt falls, or may fall, within the window of another run, or if
+    /// the key is unknown.
     pub fn begin_run(
         &mut self,
         key: &[u8],
@@ -150,8 +158,8 @@
             return Err(DuplicateRun);
         }
         let mut window_end = self.windows.window_end(entry.class, received_at);
-        if let Some(own) = entry.reservation.take_if(|reservation| reservation.attempt == attempt) {
-            window_end = window_end.max(own.window_end);
+        if let Some(reservation) = entry.reservation.take_if(|reservation| reservation.attempt == attempt) {
+            window_end = window_end.max(reservation.window_end);
         }
         let run = Run {
             attempt,
@@ -167,7 +175,7 @@
         Ok(superseded.waiters)
     }
 
-    /// Returns the result of the run that an attempt duplicates, or has the attempt wait for it.
+    /// Returns the result of the run that an attempt duplicates, or registers the attempt as waiting for it.
     #[must_use]
     pub fn reuse_result(&mut self, key: &[u8], attempt: AttemptId, received_at: f64) -> ReuseOutcome<R> {
         let may_have_run = self.has_run(key, received_at);
@@ -188,7 +196,7 @@
 
     /// Records the end of an attempt's run and returns the attempts that waited for it.
     ///
-    /// Any other attempt, and one whose run has ended already, has no effect.
+    /// Has no effect if the last run of the key is of another attempt or has already ended.
     #[must_use]
     pub fn finish_run(
         &mut self,
@@ -215,7 +223,7 @@
         finished
     }
 
-    /// Closes an attempt: it waits no longer, and its reservation is released.
+    /// Closes an attempt: it no longer waits, and its reservation is released.
     pub fn finish_attempt(&mut self, key: &[u8], attempt: AttemptId) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.open_attempts = entry.open_attempts.saturating_sub(1);
@@ -226,22 +234,23 @@
         self.release(key, attempt);
     }
 
-    /// Removes the keys without open attempts of whose windows no attempt can be read any more.
+    /// Removes the keys without open attempts for whose windows no attempt can be read any more.
     pub fn sweep(&mut self, now: f64) {
         let (windows, results) = (&self.windows, &mut self.results);
         self.entries.retain(|_, entry| {
-            let stays = entry.is_needed(now, windows.max_read_delay_ms(entry.class));
-            if !stays {
+            let is_needed = entry.is_needed(now, windows.max_read_delay_ms(entry.class));
+            if !is_needed {
                 results.subtract(entry.run.as_ref().map_or(0, Run::result_bytes));
             }
-            stays
+            is_needed
         });
         let entries = &self.entries;
         results
             .trim(|cached| entries.get(&cached.key).is_some_and(|entry| entry.has_result_of(cached.attempt)));
     }
 
-    /// Adds a result and evicts the oldest ones beyond the limit; duplicates of an evicted one fail.
+    /// Adds a result and evicts the oldest results beyond the limit. Duplicates of a run with an evicted
+    /// result fail.
     pub(crate) fn cache_result(&mut self, result: CachedResult, bytes: usize) {
         self.results.add(result, bytes);
         while let Some(oldest) = self.results.pop_excess() {
--- a/crates/idempotency/src/transfer.rs
+++ b/crates/idempotency/src/transfer.rs
@@ -1,4 +1,4 @@
-//! The move of the table to another process.
+//! Transfer of the table to another process.
 
 use crate::entry::{Run, RunState};
 use crate::outcome::{AttemptId, FailedRun};
@@ -7,10 +7,11 @@
 use crate::table::IdempotencyTable;
 
 impl<R: Clone + AsRef<[u8]>> IdempotencyTable<R> {
-    /// Returns a record of each key that was run and of whose windows an attempt is open or can still be read.
+    /// Returns a record of each key that was run and that has an open attempt or a window for which an
+    /// attempt can still be read.
     ///
-    /// The keys with a cached result come first, oldest result first: a table that imports them in this order evicts
-    /// in the same order. Reservations and open attempts have no records.
+    /// The keys with a cached result come first, oldest result first, so that a table that imports them in
+    /// this order evicts results in the same order. Reservations and open attempts are not exported.
     pub fn export(&self, now: f64) -> impl Iterator<Item = KeyRecord<R>> + '_ {
         let cached = self.results.oldest_first().filter_map(|cached| {
             let entry = self.entries.get(&cached.key)?;
@@ -23,13 +24,18 @@
             .filter_map(|(key, entry)| KeyRecord::of_entry(key, entry))
     }
 
-    /// Loads a key from another process. Its run is known as `attempt` from then on, which no other attempt may be.
+    /// Imports a key from another process. Its run gets the number `attempt`, which no other attempt may
+    /// have.
     ///
-    /// The key stays until [`IdempotencyTable::end_import`] at least, since the other process may still pass on an
-    /// attempt that it read long ago. A run that goes on there ends here by [`IdempotencyTable::finish_run`].
+    /// The key is kept at least until [`IdempotencyTable::end_import`], since the other process may still
+    /// forward an attempt that it read long ago. The end of a run that is in progress there is reported to
+    /// this table with [`IdempotencyTable::finish_run`].
     ///
     /// # Errors
-    /// [`ImportError`] if the table is full, knows the key already, or has no such class. Nothing is loaded then.
+    /// In each case the table is unchanged.
+    /// - [`ImportError::KnownKey`] if the table already has the key.
+    /// - [`ImportError::UnknownClass`] if the table has no class at the record's position.
+    /// - [`ImportError::TableFull`] if the table is full.
     pub fn import(&mut self, record: KeyRecord<R>, attempt: AttemptId) -> Result<(), ImportError> {
         self.check_import(&record)?;
         let key = record.key.clone();
@@ -43,7 +49,7 @@
         Ok(())
     }
 
-    /// Returns an error if the record can't be loaded.
+    /// Returns an error if the record can't be imported.
     fn check_import(&self, record: &KeyRecord<R>) -> Result<(), ImportError> {
         let key_text = || record.key.escape_ascii().to_string();
         if self.entries.contains_key(&record.key) {
@@ -58,10 +64,11 @@
         Ok(())
     }
 
-    /// Records that the process from which keys were loaded is gone, and returns its runs whose end is not known.
+    /// Records that the process from which keys were imported has ended, and returns its runs whose outcome
+    /// is unknown.
     ///
-    /// They count as failed: they may have had their effect, and the attempts that wait for them fail. From now on the
-    /// loaded keys are swept as all others.
+    /// These runs are marked as failed, since they may have had side effects, and the attempts that wait for
+    /// them fail. From now on the imported keys are swept like all others.
     #[must_use]
     pub fn end_import(&mut self) -> Vec<FailedRun> {
         let mut failed = Vec::new();
@@ -77,26 +84,30 @@
         failed
     }
 
-    /// Drops all keys and results, as if none had been loaded.
+    /// Removes all keys and results, as if none had been imported.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.results.clear();
     }
 
-    /// Allows no run of an attempt received up to `until`, Unix ms, except for runs that this table knows already.
+    /// Begins a blackout: attempts received up to `until`, Unix ms, may not run. Runs that this table already
+    /// has are not affected, and their results can be reused.
     ///
-    /// For a process that handed its keys over and takes them back since the other one died: that one may have run any
-    /// key. The time has to reach to [`IdempotencyTable::latest_window_end`] of the last request it may have received.
+    /// For a process that handed its keys over and takes them back because the other process, which may have
+    /// run any key, died. `until` has to be at least [`IdempotencyTable::latest_window_end`] of the last
+    /// request that the other process may have received.
     pub fn begin_blackout(&mut self, until: f64) {
         self.blackout.extend_to(until);
     }
 
-    /// Returns until when unknown keys are not run; `None` if they are.
+    /// Returns the end of the blackout, up to which unknown keys are not run, or `None` if there was no
+    /// blackout.
     pub fn blackout_until(&self) -> Option<f64> {
         self.blackout.until()
     }
 
-    /// Returns the end of the longest window that an attempt received at `received_at` can have, by its class.
+    /// Returns the latest end that the window of an attempt received at `received_at` can have, over all
+    /// classes.
     pub fn latest_window_end(&self, received_at: f64) -> f64 {
         self.windows.latest_window_end(received_at)
     }
--- a/crates/idempotency/tests/table.rs
+++ b/crates/idempotency/tests/table.rs
@@ -1,5 +1,6 @@
-//! The table against a plain record of the runs: any order of arrivals, runs, ends and sweeps, with attempts read late
-//! and out of order, few enough keys to collide, and results beyond the allowed bytes.
+//! The table compared with a plain record of the runs, for any order of arrivals, runs, ends and sweeps.
+//! Attempts are read late and out of order, the keys are few enough to collide, and the results exceed the
+//! size limit.
 
 use dunlinspread_idempotency::{
     AttemptId, Bounds, DuplicateRun, IdempotencyTable, KeyWindow, Lookup, ReuseOutcome, RunResult,
@@ -13,29 +14,24 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An attempt of that key with that body arrives, received that many milliseconds ago.
-    Arrive {
-        key: u8,
-        body: u8,
-        ago: f64,
-    },
-    /// The open attempt at this position is run, its run ends, or it is dropped.
+    /// An attempt of the key arrives. It was received `age_ms` before.
+    Arrive { key: u8, body: u8, age_ms: f64 },
+    /// The open attempt at this position is run, or reuses the result that it duplicates.
     Run(usize),
-    End {
-        at: usize,
-        how: u8,
-    },
+    /// The run of the open attempt at this position ends.
+    End { position: usize, outcome: u8 },
+    /// The open attempt at this position is dropped, unless it is running.
     Drop(usize),
-    /// Time advances, ms.
+    /// Time advances by this many ms, and the table is swept.
     Advance(f64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         4 => (0u8..4, 0u8..8, 0.0..MAX_READ_DELAY_MS)
-            .prop_map(|(key, body, ago)| Step::Arrive { key, body: body / 7, ago }),
+            .prop_map(|(key, body, age_ms)| Step::Arrive { key, body: body / 7, age_ms }),
         4 => (0usize..8).prop_map(Step::Run),
-        3 => (0usize..8, 0u8..4).prop_map(|(at, how)| Step::End { at, how }),
+        3 => (0usize..8, 0u8..4).prop_map(|(position, outcome)| Step::End { position, outcome }),
         1 => (0usize..8).prop_map(Step::Drop),
         2 => (1.0..400.0).prop_map(Step::Advance),
     ];
@@ -48,50 +44,53 @@
     received_at: f64,
     is_duplicate: bool,
     is_waiting: bool,
-    running: bool,
+    is_running: bool,
 }
 
-/// The owner of the requests, as the dispatcher is, with its own record of the runs.
+/// The owner of the requests, like the dispatcher, with its own record of the runs.
 struct Owner {
     table: IdempotencyTable<Vec<u8>>,
     now: f64,
-    next: AttemptId,
+    last_id: AttemptId,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Runs that may have had their effect: by key, the attempt and when it was received.
-    ran: BTreeMap<Vec<u8>, Vec<(AttemptId, f64)>>,
-    /// The results of the runs, by key.
-    made: BTreeMap<Vec<u8>, BTreeSet<Vec<u8>>>,
+    /// Runs that may have had side effects, by key, with the attempt and the time of its receipt.
+    runs: BTreeMap<Vec<u8>, Vec<(AttemptId, f64)>>,
+    /// Results of the runs, by key.
+    results: BTreeMap<Vec<u8>, BTreeSet<Vec<u8>>>,
     answered: BTreeSet<AttemptId>,
 }
 
 impl Owner {
     fn new(result_bytes: usize) -> Owner {
-        let span = KeyWindow { window_ms: WINDOW_MS, max_read_delay_ms: MAX_READ_DELAY_MS };
+        let window = KeyWindow { window_ms: WINDOW_MS, max_read_delay_ms: MAX_READ_DELAY_MS };
         Owner {
-            table: IdempotencyTable::new(Bounds { keys: 3, result_bytes }, vec![span]),
+            table: IdempotencyTable::new(Bounds { keys: 3, result_bytes }, vec![window]),
             now: 10_000.0,
-            next: 0,
+            last_id: 0,
             attempts: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            made: BTreeMap::new(),
+            runs: BTreeMap::new(),
+            results: BTreeMap::new(),
             answered: BTreeSet::new(),
         }
     }
 
-    fn at(&self, place: usize) -> Option<AttemptId> {
+    fn id_at(&self, position: usize) -> Option<AttemptId> {
         let count = self.attempts.len();
-        self.attempts.keys().nth(place % count.max(1)).copied()
+        self.attempts.keys().nth(position % count.max(1)).copied()
     }
 
-    /// Answers a waiting attempt: once, and only with a result of its key.
+    /// Answers a waiting attempt. Each attempt is answered once, and only with a result of its key.
     fn answer(&mut self, id: AttemptId, result: Option<&Vec<u8>>) {
         assert!(self.answered.insert(id), "{id} is answered twice");
-        let Some(gone) = self.attempts.remove(&id) else { panic!("{id} is unknown") };
-        assert!(gone.is_waiting, "{id} did not wait");
+        let Some(attempt) = self.attempts.remove(&id) else { panic!("{id} is unknown") };
+        assert!(attempt.is_waiting, "{id} was not waiting");
         if let Some(result) = result {
-            assert!(self.made[&gone.key[..]].contains(result), "{id} gets what its key never made");
+            assert!(
+                self.results[&attempt.key[..]].contains(result),
+                "{id} gets a result that no run of its key returned"
+            );
         }
-        self.table.finish_attempt(&gone.key, id);
+        self.table.finish_attempt(&attempt.key, id);
     }
 
     fn step(&mut self, step: Step) {
@@ -100,113 +99,125 @@
                 self.now += ms;
                 self.table.sweep(self.now);
             }
-            Step::Arrive { key, body, ago } => self.arrive(key, body, ago),
-            Step::Run(at) => self.run(at),
-            Step::End { at, how } => self.end(at, how),
-            Step::Drop(at) => {
-                let Some(id) = self.at(at).filter(|id| !self.attempts[id].running) else { return };
-                if let Some(gone) = self.attempts.remove(&id) {
-                    self.table.finish_attempt(&gone.key, id);
+            Step::Arrive { key, body, age_ms } => self.arrive(key, body, age_ms),
+            Step::Run(position) => self.run(position),
+            Step::End { position, outcome } => self.end(position, outcome),
+            Step::Drop(position) => {
+                let Some(id) = self.id_at(position).filter(|id| !self.attempts[id].is_running) else {
+                    return;
+                };
+                if let Some(attempt) = self.attempts.remove(&id) {
+                    self.table.finish_attempt(&attempt.key, id);
                 }
             }
         }
     }
 
-    fn arrive(&mut self, key: u8, body: u8, ago: f64) {
+    fn arrive(&mut self, key: u8, body: u8, age_ms: f64) {
         let (key, body_hash, received_at): (Rc<[u8]>, _, _) =
-            ([key][..].into(), u64::from(body), self.now - ago);
+            ([key][..].into(), u64::from(body), self.now - age_ms);
         if !self.table.has_room(&key) {
             assert!(self.table.len() >= 3);
             return;
         }
-        self.next += 1;
-        let id = self.next;
-        let known = self.table.arrive(&key, 0, body_hash, id, received_at);
-        if matches!(known, Lookup::BodyMismatch | Lookup::Expired) {
+        self.last_id += 1;
+        let id = self.last_id;
+        let lookup = self.table.arrive(&key, 0, body_hash, id, received_at);
+        if matches!(lookup, Lookup::BodyMismatch | Lookup::Expired) {
             return;
         }
-        let is_duplicate = matches!(known, Lookup::DuplicateOf(_));
+        let is_duplicate = matches!(lookup, Lookup::DuplicateOf(_));
         self.attempts.insert(
             id,
-            Attempt { key, body_hash, received_at, is_duplicate, is_waiting: false, running: false },
+            Attempt { key, body_hash, received_at, is_duplicate, is_waiting: false, is_running: false },
         );
     }
 
-    fn run(&mut self, at: usize) {
-        let Some(id) = self.at(at) else { return };
-        let Some(t) = self.attempts.get_mut(&id).filter(|t| !t.running && !t.is_waiting) else { return };
-        let key = t.key.clone();
-        // A duplicate takes the result of its original, or takes its place if that was dropped before it ran.
-        if t.is_duplicate {
-            match self.table.reuse_result(&key, id, t.received_at) {
+    fn run(&mut self, position: usize) {
+        let Some(id) = self.id_at(position) else { return };
+        let Some(attempt) =
+            self.attempts.get_mut(&id).filter(|attempt| !attempt.is_running && !attempt.is_waiting)
+        else {
+            return;
+        };
+        let key = attempt.key.clone();
+        // A duplicate reuses the result of the original attempt, or replaces it if it was dropped before it
+        // ran.
+        if attempt.is_duplicate {
+            match self.table.reuse_result(&key, id, attempt.received_at) {
                 ReuseOutcome::Ready(result) => {
-                    t.is_waiting = true;
+                    attempt.is_waiting = true;
                     return self.answer(id, result.as_ref());
                 }
                 ReuseOutcome::Pending => {
-                    t.is_waiting = true;
+                    attempt.is_waiting = true;
                     return;
                 }
                 ReuseOutcome::NotRun => {
-                    t.is_duplicate = false;
-                    self.table.reserve(&key, t.body_hash, id, t.received_at, self.now + WINDOW_MS);
+                    attempt.is_duplicate = false;
+                    self.table.reserve(
+                        &key,
+                        attempt.body_hash,
+                        id,
+                        attempt.received_at,
+                        self.now + WINDOW_MS,
+                    );
                     return;
                 }
             }
         }
-        let (body_hash, received_at) = (t.body_hash, t.received_at);
-        let before = self.ran.entry(key.to_vec()).or_default();
-        let covered = before.iter().any(|(other, at)| *other != id && received_at <= at + WINDOW_MS);
+        let (body_hash, received_at) = (attempt.body_hash, attempt.received_at);
+        let earlier_runs = self.runs.entry(key.to_vec()).or_default();
+        let is_covered = earlier_runs.iter().any(|(other, at)| *other != id && received_at <= at + WINDOW_MS);
         if let Ok(superseded_waiters) = self.table.begin_run(&key, body_hash, id, received_at) {
-            assert!(!covered, "{id} runs in the window of another run of its key: {before:?}, {received_at}");
-            before.push((id, received_at));
-            self.attempts.get_mut(&id).expect("it is there").running = true;
-            superseded_waiters.into_iter().for_each(|waited| self.answer(waited, None));
+            assert!(
+                !is_covered,
+                "{id} runs in the window of another run of its key: {earlier_runs:?}, {received_at}"
+            );
+            earlier_runs.push((id, received_at));
+            self.attempts.get_mut(&id).expect("the attempt is open").is_running = true;
+            superseded_waiters.into_iter().for_each(|waiter| self.answer(waiter, None));
         }
     }
 
-    fn end(&mut self, at: usize, how: u8) {
-        let Some(id) = self.at(at).filter(|id| self.attempts[id].running) else { return };
+    fn end(&mut self, position: usize, outcome: u8) {
+        let Some(id) = self.id_at(position).filter(|id| self.attempts[id].is_running) else { return };
         let key = self.attempts[&id].key.clone();
-        let run_result = match how {
+        let run_result = match outcome {
             0 => RunResult::Failed,
             1 => {
-                self.ran.get_mut(&key[..]).expect("it ran").retain(|(other, _)| *other != id);
+                self.runs.get_mut(&key[..]).expect("the key was run").retain(|(other, _)| *other != id);
                 RunResult::NotStarted
             }
-            n => {
-                let result = vec![n; 40 + usize::from(n)];
-                self.made.entry(key.to_vec()).or_default().insert(result.clone());
+            byte => {
+                let result = vec![byte; 40 + usize::from(byte)];
+                self.results.entry(key.to_vec()).or_default().insert(result.clone());
                 RunResult::Completed(result)
             }
         };
-        let failed = !matches!(run_result, RunResult::Completed(_));
-        let ended = self.table.finish_run(&key, id, run_result);
-        assert!(!failed || ended.result.is_none());
-        for waited in ended.waiters {
-            self.answer(waited, ended.result.as_ref());
+        let has_no_result = !matches!(run_result, RunResult::Completed(_));
+        let finished = self.table.finish_run(&key, id, run_result);
+        assert!(!has_no_result || finished.result.is_none());
+        for waiter in finished.waiters {
+            self.answer(waiter, finished.result.as_ref());
         }
         self.attempts.remove(&id);
         self.table.finish_attempt(&key, id);
     }
 
-    /// Ends all; after every window the table is empty.
+    /// Ends all runs and attempts, and asserts that the table is empty after all windows.
     fn settle(&mut self) {
-        while let Some(id) = self.attempts.iter().find(|(_, t)| t.running).map(|(id, _)| *id) {
-            let at = self.attempts.keys().position(|other| *other == id).expect("it is there");
-            self.end(at, 2);
+        while let Some(id) = self.attempts.iter().find(|(_, attempt)| attempt.is_running).map(|(id, _)| *id) {
+            let position = self.attempts.keys().position(|other| *other == id).expect("the attempt is open");
+            self.end(position, 2);
         }
-        let waiting = self.attempts.iter().filter(|(_, t)| t.is_waiting).count();
-        assert_eq!(waiting, 0, "attempts wait for a run that is over");
-        for (id, t) in std::mem::take(&mut self.attempts) {
-            self.table.finish_attempt(&t.key, id);
+        let waiting = self.attempts.iter().filter(|(_, attempt)| attempt.is_waiting).count();
+        assert_eq!(waiting, 0, "attempts wait for a run that has ended");
+        for (id, attempt) in std::mem::take(&mut self.attempts) {
+            self.table.finish_attempt(&attempt.key, id);
         }
         self.table.sweep(self.now + 10.0 * (WINDOW_MS + MAX_READ_DELAY_MS));
-        assert_eq!(
-            (self.table.len(), self.table.result_bytes()),
-            (0, 0),
-            "something is superseded_waiters over"
-        );
+        assert_eq!((self.table.len(), self.table.result_bytes()), (0, 0), "keys or results are left over");
     }
 }
 
@@ -227,11 +238,11 @@
 }
 
 fn table() -> (IdempotencyTable<Vec<u8>>, Rc<[u8]>) {
-    let span = KeyWindow { window_ms: WINDOW_MS, max_read_delay_ms: MAX_READ_DELAY_MS };
-    (IdempotencyTable::new(Bounds { keys: 2, result_bytes: 100 }, vec![span]), b"k"[..].into())
+    let window = KeyWindow { window_ms: WINDOW_MS, max_read_delay_ms: MAX_READ_DELAY_MS };
+    (IdempotencyTable::new(Bounds { keys: 2, result_bytes: 100 }, vec![window]), b"k"[..].into())
 }
 
-/// A full table has no room for new keys, and goes on with the known ones.
+/// A full table accepts no new keys, but continues to work for the existing ones.
 #[test]
 fn a_full_table_has_no_room_for_new_keys_and_keeps_the_known_ones() {
     let (mut table, key) = table();
@@ -240,24 +251,25 @@
     assert!(table.begin_run(&key, 7, 1, 0.0).is_ok());
     assert_eq!(table.arrive(&other, 0, 7, 2, 0.0), Lookup::New);
     assert!(!table.has_room(b"m") && table.has_room(b"k"));
-    // Its window is over, but an attempt of it could still be read.
+    // The key window is over, but an attempt received within it could still be read.
     table.finish_attempt(&other, 2);
     let _ = table.finish_run(&key, 1, RunResult::Failed);
     table.finish_attempt(&key, 1);
     table.sweep(WINDOW_MS + MAX_READ_DELAY_MS);
     assert_eq!(table.lookup(&key, 7, WINDOW_MS), Lookup::DuplicateOf(1));
-    assert!(table.has_room(b"m"), "what never ran is given back");
+    assert!(table.has_room(b"m"), "the slot of a key that was never run is released");
     table.sweep(WINDOW_MS + MAX_READ_DELAY_MS + 61.0);
     assert!(table.is_empty());
 }
 
-/// The oldest results beyond the allowed bytes are evicted; their keys stay, and their duplicates fail.
+/// The oldest results beyond the size limit are evicted. Their keys remain in the table, and their duplicates
+/// fail.
 #[test]
 fn duplicates_of_an_evicted_result_fail() {
     let (mut table, key) = table();
     let other: Rc<[u8]> = b"l"[..].into();
-    for (at, key) in [&key, &other].into_iter().enumerate() {
-        let id = at as AttemptId + 1;
+    for (index, key) in [&key, &other].into_iter().enumerate() {
+        let id = index as AttemptId + 1;
         assert_eq!(table.arrive(key, 0, 7, id, 0.0), Lookup::New);
         assert!(table.begin_run(key, 7, id, 0.0).is_ok());
         let _ = table.finish_run(key, id, RunResult::Completed(vec![0; 60]));
@@ -269,8 +281,9 @@
     assert_eq!(table.begin_run(&key, 7, 8, 10.0), Err(DuplicateRun));
 }
 
-/// Two attempts of a key wait unread while the process stands still. The later one, past the window, is read first
-/// and dropped: the run before must stay known, or the earlier attempt would run a second time.
+/// Two attempts of a key are unread while the process is stalled. The later one, received after the window of
+/// the previous run, is read first and dropped. The previous run must stay in the table, or the earlier
+/// attempt would run the key again.
 #[test]
 fn an_attempt_read_after_a_later_one_is_still_a_duplicate_of_the_run_before() {
     let (mut table, key) = table();
@@ -283,7 +296,7 @@
     table.finish_attempt(&key, 2);
     assert_eq!(table.lookup(&key, 7, 490.0), Lookup::DuplicateOf(1));
     assert_eq!(table.reuse_result(&key, 3, 490.0), ReuseOutcome::Ready(Some(vec![1])));
-    // Of a superseded run only the end of its window is known.
+    // Of a superseded run only the end of its window is kept.
     assert_eq!(table.arrive(&key, 0, 7, 4, 600.0), Lookup::New);
     assert!(table.begin_run(&key, 7, 4, 600.0).is_ok());
     assert_eq!(table.finish_run(&key, 4, RunResult::NotStarted).waiters, vec![]);
--- a/crates/idempotency/tests/transfer.rs
+++ b/crates/idempotency/tests/transfer.rs
@@ -1,5 +1,5 @@
-//! The table moved to another process at any time of a random history, against a table that stays; and what each part
-//! of the move promises.
+//! Transfer of the table to another process at any time of a random history, compared with a table that stays
+//! in one process, and tests of each part of the transfer.
 
 mod transfer_support;
 
@@ -13,14 +13,14 @@
 use transfer_support::server::{Comparison, Server};
 use transfer_support::step::steps;
 
-/// The slack that the table adds to every window, ms.
+/// Slack that the table adds to every window, ms.
 const WINDOW_SLACK_MS: f64 = 60.0;
-/// Bytes of results that no history exceeds.
+/// Limit for the size of results that no history exceeds, in bytes.
 const AMPLE_RESULT_BYTES: usize = 100_000;
-/// The first identifier that a successor gives to an attempt.
+/// First identifier that a successor assigns to an attempt.
 const SUCCESSOR_FIRST_ID: u64 = 5000;
 
-/// Room for no result, one, a few, or all.
+/// Returns a strategy for limits that allow no result, one, a few, or all.
 fn result_bytes() -> impl Strategy<Value = usize> {
     prop_oneof![Just(0usize), Just(60), Just(100), Just(130), Just(AMPLE_RESULT_BYTES)]
 }
@@ -28,8 +28,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// From the move on the moved table decides as the one that stayed, also of runs that end after the move, and
-    /// after the predecessor is gone.
+    /// After a transfer the transferred table decides like the original one, also about runs that end after
+    /// the transfer, and after the predecessor has ended.
     #[test]
     fn a_moved_table_decides_as_if_it_had_stayed(
         before in steps(150), pending in steps(100), after in steps(100), result_bytes in result_bytes()
@@ -45,8 +45,8 @@
         server.settle();
     }
 
-    /// With few bytes for results too, if the predecessor has ended when the history goes on: results are evicted in
-    /// the same order.
+    /// If the predecessor has ended when the history continues, the transferred table decides exactly like
+    /// the original one even with a small size limit, since both evict results in the same order.
     #[test]
     fn a_moved_table_evicts_as_if_it_had_stayed(
         before in steps(150), after in steps(150), result_bytes in result_bytes()
@@ -59,7 +59,8 @@
         server.settle();
     }
 
-    /// Over a handover and the death of the successor no key runs twice, and once the blackout is over keys run again.
+    /// No key runs twice within its window across a handover and the death of the successor. After the
+    /// blackout, keys run again.
     #[test]
     fn no_key_runs_twice_in_its_window_over_a_handover_and_back(
         before in steps(100), handed_over in steps(100), after in steps(100), result_bytes in result_bytes()
@@ -86,7 +87,7 @@
     text.as_bytes().into()
 }
 
-/// Runs an attempt with the body hash 7.
+/// Begins the run of an attempt with the body hash 7.
 fn begin_run_at(table: &mut IdempotencyTable<Vec<u8>>, key: &Rc<[u8]>, attempt: u64, received_at: f64) {
     assert_eq!(table.arrive(key, 0, 7, attempt, received_at), Lookup::New);
     assert_eq!(table.begin_run(key, 7, attempt, received_at), Ok(vec![]));
@@ -102,14 +103,14 @@
     table.finish_attempt(key, attempt);
 }
 
-/// A record of a run of an attempt received at 0 with the body hash 7.
+/// Returns the record of a run of an attempt with the body hash 7, received at time 0.
 fn record(key: &Rc<[u8]>, state: RunRecordState<Vec<u8>>) -> KeyRecord<Vec<u8>> {
     let window_end = WINDOW_MS + WINDOW_SLACK_MS;
     let run = RunRecord { attempt: 1, body_hash: 7, window_end, state };
     KeyRecord { key: key.clone(), class: 0, run: Some(run), previous_window_end: None }
 }
 
-/// Results come first, oldest first; what never ran has no record.
+/// Keys with results come first, oldest result first. Keys that never ran have no record.
 #[test]
 fn an_export_holds_all_runs_and_no_reservations() {
     let mut table = table(10, 1000);
@@ -137,10 +138,11 @@
     let last_read_at = WINDOW_MS + WINDOW_SLACK_MS + MAX_READ_DELAY_MS;
     assert_eq!(table.export(last_read_at).count(), 4);
     let open: Vec<_> = table.export(last_read_at + 1.0).map(|record| record.key).collect();
-    assert_eq!(open, [running], "the others no longer matter");
+    assert_eq!(open, [running], "the other keys are no longer needed");
 }
 
-/// A key of whose runs only the end of a window is known travels, and keeps its attempts from running.
+/// A key for which only the end of a superseded run's window is known is transferred, and attempts received
+/// within that window don't run.
 #[test]
 fn the_window_of_a_superseded_run_travels() {
     let mut old = table(10, 1000);
@@ -160,27 +162,27 @@
     assert_eq!(new.lookup(&key, 7, 600.0), Lookup::New);
 }
 
-/// A record that can't be loaded changes nothing, and the error names its key.
+/// A record that can't be imported leaves the table unchanged, and the error names the key.
 #[test]
 fn what_can_not_be_loaded_is_an_error() {
     let mut table = table(1, 1000);
     let [known, other] = ["known", "other"].map(key);
     let state = RunRecordState::Completed(vec![1; 9]);
     let no_class = KeyRecord { class: 1, ..record(&known, state.clone()) };
-    let unknown_class = table.import(no_class, 1).expect_err("there is one class");
+    let unknown_class = table.import(no_class, 1).expect_err("the table has one class");
     assert_eq!(unknown_class, ImportError::UnknownClass { key: "known".to_owned(), class: 1 });
     assert!(table.is_empty());
     assert_eq!(table.import(record(&known, state.clone()), 1), Ok(()));
-    let known_key = table.import(record(&known, state.clone()), 2).expect_err("it is there");
+    let known_key = table.import(record(&known, state.clone()), 2).expect_err("the key is in the table");
     assert_eq!(known_key, ImportError::KnownKey { key: "known".to_owned() });
-    let full = table.import(record(&other, state), 3).expect_err("it is full");
+    let full = table.import(record(&other, state), 3).expect_err("the table is full");
     assert_eq!(full, ImportError::TableFull { key: "other".to_owned(), max_keys: 1 });
     assert!(full.to_string().contains("other"), "{full}");
     assert_eq!((table.len(), table.result_bytes()), (1, 9));
     assert_eq!(table.lookup(&known, 7, 0.0), Lookup::DuplicateOf(1));
 }
 
-/// Results beyond the allowed bytes are evicted in the order of their records; their keys stay.
+/// Results beyond the size limit are evicted in the order of their records. Their keys remain in the table.
 #[test]
 fn loaded_results_are_evicted_oldest_first() {
     let mut table = table(10, 100);
@@ -197,7 +199,8 @@
     assert_eq!((table.len(), table.result_bytes()), (4, 80));
 }
 
-/// A loaded run that goes on keeps its key, ends once, and answers all that wait for it.
+/// An imported run that is in progress keeps its key in use, ends once, and returns all attempts that wait
+/// for it.
 #[test]
 fn a_loaded_run_ends_once_and_answers_its_waiters() {
     let mut table = table(10, 1000);
@@ -210,14 +213,15 @@
     assert_eq!(table.begin_run(&key, 7, 52, 100.0), Err(DuplicateRun));
     let finished = table.finish_run(&key, 50, RunResult::Completed(vec![1; 9]));
     assert_eq!((finished.waiters, finished.result), (vec![51, 52], Some(vec![1; 9])));
-    let told_again = table.finish_run(&key, 50, RunResult::Completed(vec![2; 9]));
-    assert_eq!((told_again.waiters, told_again.result), (vec![], None));
+    let finished_again = table.finish_run(&key, 50, RunResult::Completed(vec![2; 9]));
+    assert_eq!((finished_again.waiters, finished_again.result), (vec![], None));
     assert_eq!(table.result_bytes(), 9);
     assert_eq!(table.reuse_result(&key, 53, 100.0), ReuseOutcome::Ready(Some(vec![1; 9])));
     assert_eq!(table.end_import(), vec![]);
 }
 
-/// Once the predecessor is gone, all waiters of its runs are answered, and their keys stay failed for their windows.
+/// Once the predecessor has ended, all waiters of its runs are returned, and duplicates of these runs fail
+/// within their windows.
 #[test]
 fn runs_of_a_predecessor_that_is_gone_fail_with_all_their_waiters() {
     let mut table = table(10, 1000);
@@ -236,7 +240,7 @@
     let expected =
         [FailedRun { attempt: 50, waiters: vec![61, 62] }, FailedRun { attempt: 51, waiters: vec![] }];
     assert_eq!(table.end_import(), expected);
-    assert_eq!(table.end_import(), vec![], "each is told once");
+    assert_eq!(table.end_import(), vec![], "each lost run is returned once");
     assert_eq!(table.reuse_result(&alone, 64, 1.0), ReuseOutcome::Ready(None));
     assert_eq!(table.begin_run(&waited_for, 7, 61, 1.0), Err(DuplicateRun));
     assert_eq!(table.reuse_result(&completed, 65, 1.0), ReuseOutcome::Ready(Some(vec![1])));
@@ -244,8 +248,8 @@
     assert_eq!(table.reuse_result(&superseded, 67, 600.0), ReuseOutcome::Pending, "its own run goes on");
 }
 
-/// The predecessor may pass on an attempt that it read in time and held long. Its key is there until it is gone, and
-/// for its window in any case.
+/// The predecessor may forward an attempt that it read in time and held for long. The key is therefore kept
+/// until the predecessor has ended, and at least for its window.
 #[test]
 fn a_loaded_key_stays_until_the_predecessor_is_gone_and_its_window_is_over() {
     let last_read_at = WINDOW_MS + WINDOW_SLACK_MS + MAX_READ_DELAY_MS;
@@ -264,7 +268,7 @@
     }
 }
 
-/// A loaded run that never began leaves its key free, and nothing of it behind.
+/// An imported run that turns out never to have begun releases its key, and its entry is removed.
 #[test]
 fn a_loaded_run_that_never_began_frees_its_key() {
     let mut table = table(10, 1000);
@@ -276,7 +280,7 @@
     assert!(table.is_empty());
 }
 
-/// After a handover that failed nothing is left of it, and all can be loaded again.
+/// After a failed handover the table is cleared, and all keys can be imported again.
 #[test]
 fn a_cleared_table_is_as_new() {
     let mut table = table(1, 1000);
@@ -290,7 +294,8 @@
     assert_eq!(table.result_bytes(), 9);
 }
 
-/// In a blackout every run of the other process counts as possible; what this process knows goes on.
+/// In a blackout any key may have been run by the other process. Runs that this process knows can still be
+/// reused.
 #[test]
 fn in_a_blackout_only_known_runs_are_answered() {
     let mut table = table(10, 1000);
@@ -305,13 +310,17 @@
     assert_eq!(table.lookup(&known, 7, 1500.0), Lookup::Expired, "another run may have superseded it");
     for key in [&reserved, &unknown] {
         assert_eq!(table.arrive(key, 0, 7, 4, 1500.0), Lookup::Expired);
-        assert!(table.has_run(key, 1500.0), "it is not rejected as one that did not run");
+        assert!(table.has_run(key, 1500.0), "the attempt must not be rejected as one that did not run");
         assert_eq!(table.reuse_result(key, 4, 1500.0), ReuseOutcome::Ready(None));
         assert_eq!(table.begin_run(key, 7, 4, 1500.0), Err(DuplicateRun));
     }
-    assert_eq!(table.begin_run(&reserved, 7, 2, 0.0), Err(DuplicateRun), "it may have been passed on");
+    assert_eq!(
+        table.begin_run(&reserved, 7, 2, 0.0),
+        Err(DuplicateRun),
+        "the attempt may have been forwarded"
+    );
     table.reserve(&reserved, 7, 5, 1500.0, 9000.0);
     table.finish_attempt(&reserved, 2);
-    assert_eq!(table.lookup(&reserved, 7, 2001.0), Lookup::New, "nothing was reserved");
+    assert_eq!(table.lookup(&reserved, 7, 2001.0), Lookup::New, "no reservation was made");
     begin_run_at(&mut table, &unknown, 6, 2001.0);
 }
--- a/crates/idempotency/tests/transfer_support/mod.rs
+++ b/crates/idempotency/tests/transfer_support/mod.rs
@@ -1,4 +1,4 @@
-//! A history of requests in a server whose table moves to another process.
+//! Random history of requests at a server whose table is transferred to another process.
 
 pub mod process;
 pub mod server;
--- a/crates/idempotency/tests/transfer_support/process.rs
+++ b/crates/idempotency/tests/transfer_support/process.rs
@@ -1,4 +1,4 @@
-//! One process: its table, and the identifiers that it gave to the attempts.
+//! One process, with its table and the identifiers that it assigned to the attempts.
 
 use dunlinspread_idempotency::{
     AttemptId, Bounds, DuplicateRun, FinishedRun, IdempotencyTable, KeyWindow, Lookup, ReuseOutcome,
@@ -9,35 +9,35 @@
 
 pub const WINDOW_MS: f64 = 500.0;
 pub const MAX_READ_DELAY_MS: f64 = 200.0;
-/// More keys than a history uses.
+/// Maximum number of keys of a table; larger than the number of keys in a history.
 const MAX_KEYS: usize = 10;
 
-/// The number of an attempt in the history; each process knows it by an identifier of its own.
+/// Number of an attempt in the history. Each process assigns its own identifier to the attempt.
 pub type AttemptNumber = u64;
 
-/// What an attempt asks with.
+/// The properties of an attempt that the table needs.
 #[derive(Clone, Debug)]
-pub struct Keyed {
+pub struct KeyedAttempt {
     pub number: AttemptNumber,
     pub key: Rc<[u8]>,
     pub body_hash: u64,
     pub received_at: f64,
 }
 
-/// A run whose end will never be known, and the attempts that waited for it.
+/// A run whose outcome will never be known, and the attempts that waited for it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostRun {
     pub number: AttemptNumber,
     pub waiters: Vec<AttemptNumber>,
 }
 
-/// A process with a table. What it returns is in numbers of the history.
+/// A process with a table. Its methods return attempts as numbers of the history.
 pub struct Process {
     pub table: IdempotencyTable<Vec<u8>>,
     ids: BTreeMap<AttemptNumber, AttemptId>,
     numbers: BTreeMap<AttemptId, AttemptNumber>,
-    open: BTreeSet<AttemptNumber>,
-    begun: BTreeSet<AttemptNumber>,
+    open_attempts: BTreeSet<AttemptNumber>,
+    begun_runs: BTreeSet<AttemptNumber>,
     next_id: AttemptId,
 }
 
@@ -48,26 +48,26 @@
             table: IdempotencyTable::new(Bounds { keys: MAX_KEYS, result_bytes }, vec![window]),
             ids: BTreeMap::new(),
             numbers: BTreeMap::new(),
-            open: BTreeSet::new(),
-            begun: BTreeSet::new(),
+            open_attempts: BTreeSet::new(),
+            begun_runs: BTreeSet::new(),
             next_id: first_id,
         }
     }
 
-    /// Loads all keys of another process.
+    /// Imports all keys of another process.
     pub fn import_from(&mut self, other: &Process, now: f64) {
         for record in other.table.export(now) {
             let number = record.run.as_ref().map_or(0, |run| other.numbers[&run.attempt]);
-            let id = self.id(number);
+            let id = self.id_of(number);
             self.table.import(record, id).expect("the table is empty and as large as the other one");
         }
     }
 
-    pub fn arrive(&mut self, keyed: &Keyed) -> Lookup {
-        let id = self.id(keyed.number);
-        let lookup = self.table.arrive(&keyed.key, 0, keyed.body_hash, id, keyed.received_at);
+    pub fn arrive(&mut self, attempt: &KeyedAttempt) -> Lookup {
+        let id = self.id_of(attempt.number);
+        let lookup = self.table.arrive(&attempt.key, 0, attempt.body_hash, id, attempt.received_at);
         if matches!(lookup, Lookup::New | Lookup::DuplicateOf(_)) {
-            self.open.insert(keyed.number);
+            self.open_attempts.insert(attempt.number);
         }
         match lookup {
             Lookup::DuplicateOf(id) => Lookup::DuplicateOf(self.numbers[&id]),
@@ -75,43 +75,44 @@
         }
     }
 
-    pub fn reserve(&mut self, keyed: &Keyed, window_end: f64) {
-        let id = self.id(keyed.number);
-        self.table.reserve(&keyed.key, keyed.body_hash, id, keyed.received_at, window_end);
+    pub fn reserve(&mut self, attempt: &KeyedAttempt, window_end: f64) {
+        let id = self.id_of(attempt.number);
+        self.table.reserve(&attempt.key, attempt.body_hash, id, attempt.received_at, window_end);
     }
 
-    pub fn begin_run(&mut self, keyed: &Keyed) -> Result<Vec<AttemptNumber>, DuplicateRun> {
-        let id = self.id(keyed.number);
-        let waiters = self.table.begin_run(&keyed.key, keyed.body_hash, id, keyed.received_at)?;
-        self.begun.insert(keyed.number);
+    pub fn begin_run(&mut self, attempt: &KeyedAttempt) -> Result<Vec<AttemptNumber>, DuplicateRun> {
+        let id = self.id_of(attempt.number);
+        let waiters = self.table.begin_run(&attempt.key, attempt.body_hash, id, attempt.received_at)?;
+        self.begun_runs.insert(attempt.number);
         Ok(self.numbers_of(&waiters))
     }
 
     /// Returns whether this process ran the attempt.
     pub fn has_begun(&self, number: AttemptNumber) -> bool {
-        self.begun.contains(&number)
+        self.begun_runs.contains(&number)
     }
 
-    pub fn reuse_result(&mut self, keyed: &Keyed) -> ReuseOutcome<Vec<u8>> {
-        let id = self.id(keyed.number);
-        self.table.reuse_result(&keyed.key, id, keyed.received_at)
+    pub fn reuse_result(&mut self, attempt: &KeyedAttempt) -> ReuseOutcome<Vec<u8>> {
+        let id = self.id_of(attempt.number);
+        self.table.reuse_result(&attempt.key, id, attempt.received_at)
     }
 
-    pub fn finish_run(&mut self, keyed: &Keyed, result: RunResult<Vec<u8>>) -> FinishedRun<Vec<u8>> {
-        let id = self.id(keyed.number);
-        let finished = self.table.finish_run(&keyed.key, id, result);
+    pub fn finish_run(&mut self, attempt: &KeyedAttempt, result: RunResult<Vec<u8>>) -> FinishedRun<Vec<u8>> {
+        let id = self.id_of(attempt.number);
+        let finished = self.table.finish_run(&attempt.key, id, result);
         FinishedRun { waiters: self.numbers_of(&finished.waiters), result: finished.result }
     }
 
     /// Closes an attempt, if it is open in this process.
-    pub fn finish_attempt(&mut self, keyed: &Keyed) {
-        if self.open.remove(&keyed.number) {
-            let id = self.id(keyed.number);
-            self.table.finish_attempt(&keyed.key, id);
+    pub fn finish_attempt(&mut self, attempt: &KeyedAttempt) {
+        if self.open_attempts.remove(&attempt.number) {
+            let id = self.id_of(attempt.number);
+            self.table.finish_attempt(&attempt.key, id);
         }
     }
 
-    /// The process that the keys came from is gone. Returns its runs in the order of their numbers.
+    /// Records the end of the process from which the keys were imported. Returns its lost runs, sorted by
+    /// number.
     pub fn end_import(&mut self) -> Vec<LostRun> {
         let runs = self.table.end_import();
         let lost = runs.into_iter().map(|run| LostRun {
@@ -123,7 +124,7 @@
         lost
     }
 
-    fn id(&mut self, number: AttemptNumber) -> AttemptId {
+    fn id_of(&mut self, number: AttemptNumber) -> AttemptId {
         if let Some(id) = self.ids.get(&number) {
             return *id;
         }
--- a/crates/idempotency/tests/transfer_support/server.rs
+++ b/crates/idempotency/tests/transfer_support/server.rs
@@ -1,33 +1,34 @@
-//! A server that is one process, then two, as its clients see it; with a record of the runs that knows no tables.
+//! Model of a server that consists of one process and later of two, with a record of the runs that is
+//! independent of the tables.
 
-use super::process::{AttemptNumber, Keyed, LostRun, Process, WINDOW_MS};
+use super::process::{AttemptNumber, KeyedAttempt, LostRun, Process, WINDOW_MS};
 use super::step::Step;
 use dunlinspread_idempotency::{Lookup, ReuseOutcome, RunResult};
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 use std::mem;
 
-/// How the results of a moved table may differ from those of the table that stayed.
+/// How far the results of a transferred table may differ from those of the original table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Comparison {
-    /// Not at all.
+    /// The results have to be equal.
     Exact,
-    /// A result may be evicted earlier. Keys that were loaded stay until the predecessor is gone, also past their
-    /// windows, and their results take bytes that the table that stayed has free again.
+    /// The transferred table may evict a result earlier: imported keys are kept until the predecessor has
+    /// ended, even past their windows, and their results take space that is free again in the original table.
     MayEvictEarlier,
 }
 
-/// Which processes decide.
+/// Which processes decide on attempts.
 enum Phase {
     Single,
-    /// Both processes get all steps, and must answer alike.
+    /// Both processes perform all steps and have to return the same results.
     Compared(Box<Process>, Comparison),
     /// The successor decides, and the predecessor finishes the runs that it began.
     HandedOver(Box<Process>),
 }
 
 struct Attempt {
-    keyed: Keyed,
+    keyed: KeyedAttempt,
     is_duplicate: bool,
     is_waiting: bool,
     is_running: bool,
@@ -37,10 +38,10 @@
     pub predecessor: Process,
     phase: Phase,
     pub now: f64,
-    next: AttemptNumber,
+    last_number: AttemptNumber,
     attempts: BTreeMap<AttemptNumber, Attempt>,
-    /// Runs that may have had their effect: by key, the attempt and when it was received.
-    ran: BTreeMap<Vec<u8>, Vec<(AttemptNumber, f64)>>,
+    /// Runs that may have had side effects, by key, with the attempt and the time of its receipt.
+    runs: BTreeMap<Vec<u8>, Vec<(AttemptNumber, f64)>>,
 }
 
 impl Server {
@@ -49,13 +50,13 @@
             predecessor: Process::new(result_bytes, 1),
             phase: Phase::Single,
             now: 10_000.0,
-            next: 0,
+            last_number: 0,
             attempts: BTreeMap::new(),
-            ran: BTreeMap::new(),
+            runs: BTreeMap::new(),
         }
     }
 
-    /// The table is copied to a successor that gets all further steps beside the predecessor.
+    /// Copies the table to a successor. Both processes perform all further steps.
     pub fn copy_to(&mut self, mut successor: Process, comparison: Comparison) {
         self.predecessor.table.sweep(self.now);
         successor.import_from(&self.predecessor, self.now);
@@ -66,7 +67,7 @@
         held.into_iter().for_each(|attempt| self.arrive(attempt.keyed));
     }
 
-    /// The successor owns the keys from now on, and gets the attempts that have not run.
+    /// Hands the keys and the attempts that have not run over to the successor.
     pub fn hand_over_to(&mut self, mut successor: Process) {
         successor.import_from(&self.predecessor, self.now);
         self.phase = Phase::HandedOver(Box::new(successor));
@@ -74,8 +75,8 @@
         held.into_iter().for_each(|attempt| self.arrive(attempt.keyed));
     }
 
-    /// The successor dies, and the predecessor owns the keys again: all attempts fail but those that it runs itself.
-    /// Returns the end of its blackout.
+    /// Ends the successor, so that the predecessor owns the keys again. All attempts fail except those that
+    /// the predecessor itself is running. Returns the end of the blackout.
     pub fn take_back(&mut self) -> f64 {
         self.phase = Phase::Single;
         let blackout_end = self.predecessor.table.latest_window_end(self.now);
@@ -91,14 +92,14 @@
         blackout_end
     }
 
-    /// The predecessor of a copied table is gone: all that it began before has an unknown end. Its own table is told
-    /// so for the comparison.
+    /// Ends the predecessor of a copied table, so that the outcome of the runs that it began is unknown. For
+    /// the comparison its own table records these runs as failed.
     pub fn lose_predecessor(&mut self) {
         let Phase::Compared(successor, _) = &mut self.phase else { return };
         let lost = take_attempts(&mut self.attempts, |attempt| {
             attempt.is_running && !successor.has_begun(attempt.keyed.number)
         });
-        let told = successor.end_import();
+        let reported = successor.end_import();
         let mut expected = Vec::new();
         for attempt in lost {
             let number = attempt.keyed.number;
@@ -106,10 +107,11 @@
             self.predecessor.finish_attempt(&attempt.keyed);
             expected.push(LostRun { number, waiters });
         }
-        // Of a run that another one superseded nothing is told, and nothing waits for it.
-        expected.retain(|run| told.iter().any(|other| other.number == run.number) || !run.waiters.is_empty());
-        assert_eq!(told, expected, "other attempts wait for the lost runs");
-        let waiters: Vec<_> = told.into_iter().flat_map(|run| run.waiters).collect();
+        // Superseded runs are not reported, and no attempt waits for them.
+        expected
+            .retain(|run| reported.iter().any(|other| other.number == run.number) || !run.waiters.is_empty());
+        assert_eq!(reported, expected, "the lost runs or their waiters differ");
+        let waiters: Vec<_> = reported.into_iter().flat_map(|run| run.waiters).collect();
         waiters.into_iter().for_each(|waiter| self.close(waiter));
     }
 
@@ -119,33 +121,38 @@
                 self.now += ms;
                 self.sweep();
             }
-            Step::Arrive { key, body, ago } => {
-                self.next += 1;
-                let (number, received_at) = (self.next, self.now - ago);
-                let keyed = Keyed { number, key: [key][..].into(), body_hash: u64::from(body), received_at };
+            Step::Arrive { key, body, age_ms } => {
+                self.last_number += 1;
+                let (number, received_at) = (self.last_number, self.now - age_ms);
+                let keyed =
+                    KeyedAttempt { number, key: [key][..].into(), body_hash: u64::from(body), received_at };
                 self.arrive(keyed);
             }
-            Step::Run(at) => self.run(at),
-            Step::End { at, how } => {
-                if let Some(number) = self.at(at).filter(|number| self.attempts[number].is_running) {
-                    self.end(number, how);
+            Step::Run(position) => self.run(position),
+            Step::End { position, outcome } => {
+                if let Some(number) =
+                    self.number_at(position).filter(|number| self.attempts[number].is_running)
+                {
+                    self.end(number, outcome);
                 }
             }
-            Step::Drop(at) => {
-                if let Some(number) = self.at(at).filter(|number| !self.attempts[number].is_running) {
+            Step::Drop(position) => {
+                if let Some(number) =
+                    self.number_at(position).filter(|number| !self.attempts[number].is_running)
+                {
                     self.close(number);
                 }
             }
         }
     }
 
-    /// Ends all runs and attempts. After every window no process knows anything.
+    /// Ends all runs and attempts, and asserts that all tables are empty after all windows.
     pub fn settle(&mut self) {
         let running = self.attempts.iter().filter(|(_, attempt)| attempt.is_running);
         let running: Vec<_> = running.map(|(number, _)| *number).collect();
         running.into_iter().for_each(|number| self.end(number, 2));
         let waiting = self.attempts.values().filter(|attempt| attempt.is_waiting).count();
-        assert_eq!(waiting, 0, "attempts wait for a run that is over");
+        assert_eq!(waiting, 0, "attempts wait for a run that has ended");
         self.lose_predecessor();
         let open: Vec<_> = self.attempts.keys().copied().collect();
         open.into_iter().for_each(|number| self.close(number));
@@ -153,11 +160,11 @@
         self.sweep();
         for process in self.processes() {
             assert!(process.table.is_empty(), "keys are left over");
-            assert_eq!(process.table.result_bytes(), 0, "bytes of results are left over");
+            assert_eq!(process.table.result_bytes(), 0, "results are left over");
         }
     }
 
-    fn arrive(&mut self, keyed: Keyed) {
+    fn arrive(&mut self, keyed: KeyedAttempt) {
         let lookup = self.decide(|process| process.arrive(&keyed));
         let is_duplicate = match lookup {
             Lookup::New => false,
@@ -168,9 +175,10 @@
         self.attempts.insert(attempt.keyed.number, attempt);
     }
 
-    /// The attempt at this position runs, takes a result, waits for one, or takes the place of a dropped attempt.
-    fn run(&mut self, at: usize) {
-        let Some(number) = self.at(at) else { return };
+    /// Runs the attempt at this position, or lets it reuse a result, wait for one, or replace a dropped
+    /// attempt.
+    fn run(&mut self, position: usize) {
+        let Some(number) = self.number_at(position) else { return };
         let attempt = &self.attempts[&number];
         if attempt.is_running || attempt.is_waiting {
             return;
@@ -193,52 +201,61 @@
         }
     }
 
-    fn begin_run(&mut self, keyed: &Keyed) {
+    fn begin_run(&mut self, keyed: &KeyedAttempt) {
         let Ok(superseded_waiters) = self.decide(|process| process.begin_run(keyed)) else { return };
-        let Keyed { number, received_at, .. } = *keyed;
-        let before = self.ran.entry(keyed.key.to_vec()).or_default();
-        let covered = before.iter().any(|(other, at)| *other != number && received_at <= at + WINDOW_MS);
+        let KeyedAttempt { number, received_at, .. } = *keyed;
+        let earlier_runs = self.runs.entry(keyed.key.to_vec()).or_default();
+        let is_covered =
+            earlier_runs.iter().any(|(other, at)| *other != number && received_at <= at + WINDOW_MS);
         assert!(
-            !covered,
-            "{number}, {received_at}, runs in the window of another run of its key: {before:?}"
+            !is_covered,
+            "{number}, {received_at}, runs within the window of another run of its key: {earlier_runs:?}"
         );
-        before.push((number, received_at));
+        earlier_runs.push((number, received_at));
         self.attempt_mut(number).is_running = true;
         superseded_waiters.into_iter().for_each(|waiter| self.close(waiter));
     }
 
-    fn reuse_result(&mut self, keyed: &Keyed) -> ReuseOutcome<Vec<u8>> {
+    fn reuse_result(&mut self, keyed: &KeyedAttempt) -> ReuseOutcome<Vec<u8>> {
         let Phase::Compared(successor, Comparison::MayEvictEarlier) = &mut self.phase else {
             return self.decide(|process| process.reuse_result(keyed));
         };
         let expected = self.predecessor.reuse_result(keyed);
-        let moved = successor.reuse_result(keyed);
+        let transferred = successor.reuse_result(keyed);
         let is_evicted =
-            matches!(expected, ReuseOutcome::Ready(Some(_))) && moved == ReuseOutcome::Ready(None);
-        assert!(expected == moved || is_evicted, "{keyed:?} gets {moved:?} for {expected:?}");
+            matches!(expected, ReuseOutcome::Ready(Some(_))) && transferred == ReuseOutcome::Ready(None);
+        assert!(
+            expected == transferred || is_evicted,
+            "{keyed:?} gets {transferred:?} instead of {expected:?}"
+        );
         expected
     }
 
-    /// A result tells which attempt made it: one of the same key.
-    fn check_result(&self, keyed: &Keyed, result: Option<&[u8]>) {
+    /// Asserts that a result is of a run of the same key. A result contains the number of the attempt that
+    /// was run.
+    fn check_result(&self, keyed: &KeyedAttempt, result: Option<&[u8]>) {
         let Some(result) = result else { return };
-        let made_by = result.first_chunk().copied().map(AttemptNumber::from_be_bytes).expect("a number");
-        let made_by_key = self.ran[&keyed.key[..]].iter().any(|(number, _)| *number == made_by);
-        assert!(made_by_key, "{keyed:?} gets the result of {made_by}, which ran for another key");
+        let original = result
+            .first_chunk()
+            .copied()
+            .map(AttemptNumber::from_be_bytes)
+            .expect("a result begins with a number");
+        let ran_for_key = self.runs[&keyed.key[..]].iter().any(|(number, _)| *number == original);
+        assert!(ran_for_key, "{keyed:?} gets the result of attempt {original}, which has another key");
     }
 
-    fn end(&mut self, number: AttemptNumber, how: u8) {
+    fn end(&mut self, number: AttemptNumber, outcome: u8) {
         let keyed = self.attempts[&number].keyed.clone();
-        let result = match how {
+        let result = match outcome {
             0 => RunResult::Failed,
             1 => {
-                let runs = self.ran.get_mut(&keyed.key[..]).expect("it ran");
+                let runs = self.runs.get_mut(&keyed.key[..]).expect("the key was run");
                 runs.retain(|(other, _)| *other != number);
                 RunResult::NotStarted
             }
-            how => {
+            byte => {
                 let mut result = number.to_be_bytes().to_vec();
-                result.resize(40 + usize::from(how), how);
+                result.resize(40 + usize::from(byte), byte);
                 RunResult::Completed(result)
             }
         };
@@ -247,21 +264,21 @@
             self.predecessor.finish_run(&keyed, result);
         }
         for waiter in finished.waiters {
-            assert!(self.attempts[&waiter].is_waiting, "{waiter} did not wait");
+            assert!(self.attempts[&waiter].is_waiting, "{waiter} was not waiting");
             self.check_result(&self.attempts[&waiter].keyed, finished.result.as_deref());
             self.close(waiter);
         }
         self.close(number);
     }
 
-    /// Has the processes decide that own the keys, and compares what they say.
+    /// Lets the processes that own the keys decide, and asserts that their decisions are equal.
     fn decide<T: PartialEq + Debug>(&mut self, decision: impl Fn(&mut Process) -> T) -> T {
         match &mut self.phase {
             Phase::Single => decision(&mut self.predecessor),
             Phase::HandedOver(successor) => decision(successor),
             Phase::Compared(successor, _) => {
                 let expected = decision(&mut self.predecessor);
-                assert_eq!(decision(successor), expected, "the moved table decides otherwise");
+                assert_eq!(decision(successor), expected, "the transferred table decides differently");
                 expected
             }
         }
@@ -282,30 +299,30 @@
     }
 
     fn close(&mut self, number: AttemptNumber) {
-        let attempt = self.attempts.remove(&number).expect("an open attempt is closed once");
+        let attempt = self.attempts.remove(&number).expect("only an open attempt is closed");
         self.close_everywhere(&attempt.keyed);
     }
 
-    fn close_everywhere(&mut self, keyed: &Keyed) {
+    fn close_everywhere(&mut self, keyed: &KeyedAttempt) {
         self.processes().into_iter().for_each(|process| process.finish_attempt(keyed));
     }
 
-    fn at(&self, position: usize) -> Option<AttemptNumber> {
+    fn number_at(&self, position: usize) -> Option<AttemptNumber> {
         self.attempts.keys().nth(position % self.attempts.len().max(1)).copied()
     }
 
     fn attempt_mut(&mut self, number: AttemptNumber) -> &mut Attempt {
-        self.attempts.get_mut(&number).expect("an open attempt")
+        self.attempts.get_mut(&number).expect("the attempt is open")
     }
 }
 
-/// Takes the attempts out that are such, in the order of their numbers.
+/// Removes and returns the attempts that match the predicate, sorted by number.
 fn take_attempts(
     attempts: &mut BTreeMap<AttemptNumber, Attempt>,
-    is_such: impl Fn(&Attempt) -> bool,
+    matches: impl Fn(&Attempt) -> bool,
 ) -> Vec<Attempt> {
-    let (taken, left): (BTreeMap<_, _>, _) =
-        mem::take(attempts).into_iter().partition(|(_, attempt)| is_such(attempt));
-    *attempts = left;
-    taken.into_values().collect()
+    let (removed, remaining): (BTreeMap<_, _>, _) =
+        mem::take(attempts).into_iter().partition(|(_, attempt)| matches(attempt));
+    *attempts = remaining;
+    removed.into_values().collect()
 }
