--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -10,21 +10,22 @@
 
 /// One member's view of the fleet, and the pool it grants from when it is the allocator.
 ///
-/// Every member keeps one, fed with its view of the fleet. The one whose name is the least of the members that it sees
-/// alive grants leases; the others refuse with [`Refusal::NotAllocator`].
+/// Every member runs an `Allocator` and updates it with its view of the fleet. A member whose name is the
+/// lowest among the members that it sees alive grants leases; every other member refuses with
+/// [`Refusal::NotAllocator`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Allocator<M> {
     config: Config,
     me: M,
     members: BTreeMap<M, Member>,
-    /// Those that have left the view and are still counted.
+    /// Members that have left the view and whose grants are still counted.
     removed: BTreeSet<M>,
     totals: Totals<M>,
 }
 
 impl<M: Ord + Clone> Allocator<M> {
-    /// Returns a view that holds only `me`, alive, with no share in its pool. `me` must be new at each start: shares
-    /// committed to an earlier start are not known here.
+    /// Returns a view that holds only `me`, alive, with no share in its pool. `me` must be a new name at each
+    /// start, because shares that were committed before a restart are unknown after it.
     pub fn new(config: Config, me: M) -> Self {
         let mut members = BTreeMap::new();
         let mut totals = Totals::new();
@@ -39,10 +40,11 @@
         &self.config
     }
 
-    /// Takes up what the failure detector now states of `member`, and adds it to the view if it is new.
+    /// Sets the liveness that the failure detector reports for `member`, and adds the member to the view if
+    /// it is new.
     ///
     /// # Errors
-    /// [`Refusal::ViewFull`] if it is new and the view holds `max_members`.
+    /// Returns [`Refusal::ViewFull`] if the member is new and the view already holds `max_members` members.
     pub fn update_member(&mut self, now: Millis, member: M, liveness: Liveness) -> Result<(), Refusal> {
         if member == self.me {
             return Ok(());
@@ -59,8 +61,8 @@
         Ok(())
     }
 
-    /// Removes `member` from the view for good: its guaranteed minimum goes back to the others. What it was granted
-    /// stays counted until the lease would end.
+    /// Removes `member` from the view permanently. Its guaranteed minimum is redistributed to the other
+    /// members; its grants stay counted until their leases end.
     pub fn remove_member(&mut self, now: Millis, member: &M) {
         if *member == self.me {
             return;
@@ -84,48 +86,52 @@
         self.members.values().filter(|member| member.is_alive()).count()
     }
 
-    /// Returns the member that this view takes for the allocator: the least name among those alive.
+    /// Returns the allocator according to this view: the member with the lowest name among those alive.
     pub fn allocator(&self) -> &M {
         let alive = self.members.iter().find(|(_, member)| member.is_alive());
         alive.map(|(name, _)| name).unwrap_or(&self.me)
     }
 
-    /// Returns whether this member is the allocator now.
+    /// Returns whether this member is currently the allocator.
     pub fn is_allocator(&self) -> bool {
         *self.allocator() == self.me
     }
 
-    /// Returns what each member of this view may use without a lease.
+    /// Returns the units that each member of this view may use without a lease.
     pub fn guaranteed_minimum(&self) -> u64 {
         self.config.guaranteed_minimum(self.member_count())
     }
 
-    /// Returns the number of shares that members have committed to this allocator and that stay its own for a whole
-    /// lease from now: a grant made now is counted for a lease, and must not outlive the shares it was made from.
+    /// Returns the number of shares that are committed to this allocator for at least a whole lease from
+    /// `now`. Shares with less time left are excluded because a grant made now is counted for a whole lease,
+    /// and must not outlive the shares it was made from.
     pub fn held_shares(&self, now: Millis) -> usize {
-        self.members.values().filter(|member| member.shares_for_a_lease(now, &self.config)).count()
+        self.members.values().filter(|member| member.has_share_for_a_lease(now, &self.config)).count()
     }
 
-    /// Returns the part of the pool that this allocator may grant: one share of each member that committed it.
+    /// Returns the part of the pool that this allocator may grant: one share of each member that committed
+    /// it.
     pub fn grantable_pool(&self, now: Millis) -> u64 {
         self.pool_of(self.held_shares(now))
     }
 
-    /// Returns the units granted and maybe still in use, summed over members.
+    /// Returns the granted units that may still be in use, summed over all members.
     pub fn outstanding(&self, now: Millis) -> u64 {
         self.members.values().map(|member| member.granted(now)).sum()
     }
 
-    /// Returns the units counted as granted to `member` now: its newest grant, or a larger earlier one that may still be
-    /// held.
+    /// Returns the units counted as granted to `member` at `now`: its newest grant, or a larger earlier grant
+    /// that the member may still hold.
     pub fn granted_to(&self, now: Millis, member: &M) -> u64 {
         self.members.get(member).map_or(0, |member| member.granted(now))
     }
 
-    /// Answers a request that arrived now from `from`; the grant is taken to leave now.
+    /// Answers a request from `from` that arrived at `now`. The grant counts as sent at `now`.
     ///
     /// # Errors
-    /// If this member is not the allocator, if the requester is not alive here, or if the request was overtaken.
+    /// Returns [`Refusal::NotAllocator`] if this member is not the allocator, [`Refusal::NotAlive`] if the
+    /// requester is not alive in this view, and [`Refusal::Stale`] if a newer request of the same holder
+    /// arrived earlier.
     pub fn on_request(&mut self, now: Millis, from: &M, request: LeaseRequest) -> Result<Grant, Refusal> {
         self.expire(now);
         self.totals.advance(now, &mut self.members, &self.config);
@@ -136,7 +142,7 @@
         }
         let pool = self.pool_of(self.totals.shares);
         let demand = Demand { units: request.wanted, name: from.clone() };
-        // Without a lease of any length nobody takes part for long enough to be divided with.
+        // The requester has no entry among the demands only if the lease length is 0.
         let fair_share = self.totals.demands.fair_share(&demand, pool).unwrap_or(request.wanted.min(pool));
         let granted_to_others = self.totals.granted - granted;
         let units = fair_share.min(pool.saturating_sub(granted_to_others));
@@ -147,7 +153,7 @@
         Ok(Grant { sequence: request.sequence, units })
     }
 
-    /// Records a request, and returns the units that are counted as granted to the requester.
+    /// Records a request, and returns the units currently counted as granted to the requester.
     fn record_request(&mut self, now: Millis, from: &M, request: LeaseRequest) -> Result<u64, Refusal> {
         let requester = self.members.get_mut(from).filter(|member| member.is_alive());
         let requester = requester.ok_or(Refusal::NotAlive)?;
@@ -156,7 +162,8 @@
         }
         requester.record_request(now, request.sequence, request.wanted);
         if let Some(sent_at) = request.acknowledged.and_then(|sequence| requester.grant_sent_at(sequence)) {
-            // The holder keeps its share here for two leases from the grant's arrival.
+            // The holder keeps its share committed to this allocator until two leases after the grant
+            // arrived.
             let share_until = sent_at + 2 * self.config.drift_adjusted_lease_ms();
             requester.share_until = requester.share_until.max(share_until);
         }
@@ -164,7 +171,7 @@
         Ok(requester.contribution.granted)
     }
 
-    /// Returns the part of the pool that so many shares make.
+    /// Returns the part of the pool that `shares` shares amount to.
     fn pool_of(&self, shares: usize) -> u64 {
         let members = self.member_count();
         let pool = self.config.pool(members);
@@ -174,7 +181,7 @@
         (u128::from(pool) * shares as u128 / members.max(1) as u128) as u64
     }
 
-    /// Drops removed members that hold nothing more.
+    /// Drops removed members whose grants have all ended.
     fn expire(&mut self, now: Millis) {
         let Self { members, removed, totals, .. } = self;
         removed.retain(|name| {
--- a/crates/quota/src/contribution.rs
+++ b/crates/quota/src/contribution.rs
@@ -1,20 +1,21 @@
-//! What one member adds to an allocator's totals.
+//! [`Contribution`]: the part of an allocator's totals that comes from one member.
 
 use crate::config::Millis;
 use std::hash::{Hash, Hasher};
 
-/// What one member adds to the totals at one time.
+/// One member's part of the totals at one point in time.
 ///
-/// It follows from the member and the time of the totals, and is no part of the member's state: all are equal.
+/// The contribution is derived from the member and the time of the totals and is not part of the member's
+/// state, so any two contributions compare equal.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Contribution {
     /// Units counted as granted to the member.
     pub granted: u64,
-    /// Whether its share stays in the pool for a whole lease more.
-    pub shares: bool,
-    /// What it wants, if it takes part in the division of the pool.
+    /// Whether the member's share stays in the pool for at least another whole lease.
+    pub has_share: bool,
+    /// Units that the member wants, if it takes part in the division of the pool.
     pub demand: Option<u64>,
-    /// When this changes by time alone, if ever.
+    /// The next time at which the contribution changes by the passage of time alone, if any.
     pub due: Option<Millis>,
 }
 
--- a/crates/quota/src/demands.rs
+++ b/crates/quota/src/demands.rs
@@ -1,19 +1,20 @@
-//! What members want, in order, and the max-min fair share of one of them without iterating over all.
+//! A sorted collection of the members' demands that computes the max-min fair share of one demand without
+//! iterating over all of them.
 //!
-//! The demands lie sorted in chunks of bounded length, each with its sum. An insertion and a removal cost a search and
-//! the length of a chunk; a share costs the number of chunks.
+//! The demands are sorted into chunks of bounded length, each with its sum. Insertion and removal cost a
+//! search plus time linear in the length of a chunk; a fair share costs time linear in the number of chunks.
 
-/// A chunk that grows past this many demands is split in two.
+/// Maximum number of demands in a chunk. A chunk that grows beyond it is split in two.
 const MAX_CHUNK_LEN: usize = 128;
 
-/// What one member wants. Equal demands are ordered by name.
+/// The units that one member wants. Demands with equal units are ordered by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Demand<M> {
     pub units: u64,
     pub name: M,
 }
 
-/// Neighbours in the order, at least one.
+/// A non-empty run of consecutive demands in sort order.
 #[derive(Clone, Debug)]
 struct Chunk<M> {
     demands: Vec<Demand<M>>,
@@ -27,7 +28,7 @@
     }
 }
 
-/// A place in the order: how many demands lie before it, and their sum.
+/// A position in the sort order: the number of demands before it, and their sum.
 #[derive(Clone, Copy, Debug, Default)]
 struct Position {
     before: usize,
@@ -48,7 +49,7 @@
     }
 }
 
-/// All demands, the least first.
+/// All demands in ascending order.
 #[derive(Clone, Debug)]
 pub(crate) struct Demands<M> {
     chunks: Vec<Chunk<M>>,
@@ -56,12 +57,12 @@
 }
 
 impl<M: Ord + Clone> Demands<M> {
-    /// Returns no demands.
+    /// Returns an empty collection.
     pub fn new() -> Self {
         Self { chunks: Vec::new(), count: 0 }
     }
 
-    /// Adds a demand, which is not there yet.
+    /// Adds a demand, which must not be present yet.
     pub fn insert(&mut self, demand: Demand<M>) {
         self.count += 1;
         let index = self.chunk_of(&demand).min(self.chunks.len().saturating_sub(1));
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Removes a demand, if it is there.
+    /// Removes a demand, if it is present.
     pub fn remove(&mut self, demand: &Demand<M>) {
         let index = self.chunk_of(demand);
         let Some(chunk) = self.chunks.get_mut(index) else { return };
@@ -92,10 +93,11 @@
         }
     }
 
-    /// Returns the max-min fair share of `demand` in `pool`, or `None` if it is not there.
+    /// Returns the max-min fair share of `demand` in `pool`, or `None` if the demand is not present.
     ///
-    /// In their order, each demand gets itself or an equal part of what is left, whichever is less. Up to some place all
-    /// get what they want; from there on all get the same, and the last ones one unit more, so that nothing is left.
+    /// In ascending order, each demand receives the smaller of its own units and an equal part of what is
+    /// left. So all demands up to some position are met in full. All demands after it receive the same share,
+    /// and the last ones receive one unit more, so that the pool is used up.
     pub fn fair_share(&self, demand: &Demand<M>, pool: u64) -> Option<u64> {
         let position = self.position(demand)?;
         if self.is_met(position, demand.units, pool) {
@@ -108,19 +110,20 @@
         Some((left / rest) as u64 + u64::from(one_more))
     }
 
-    /// Returns the chunk in which a demand lies if it is there: the first that does not end before it.
+    /// Returns the index of the only chunk that can contain a demand: the first one whose last demand is not
+    /// below it.
     fn chunk_of(&self, demand: &Demand<M>) -> usize {
         self.chunks.partition_point(|chunk| chunk.demands.last().is_some_and(|last| last < demand))
     }
 
-    /// Returns whether a demand at that position is met in full, all before it being met: it is no more than an equal
-    /// part.
+    /// Returns whether a demand of `units` at `position` is met in full, provided that all demands before it
+    /// are. It is met if it does not exceed an equal part of the remaining pool.
     fn is_met(&self, position: Position, units: u64, pool: u64) -> bool {
         let rest = (self.count - position.before) as u128;
         position.sum + u128::from(units) * rest <= u128::from(pool)
     }
 
-    /// Returns the position of a demand, if it is there.
+    /// Returns the position of a demand, if it is present.
     fn position(&self, demand: &Demand<M>) -> Option<Position> {
         let index = self.chunk_of(demand);
         let chunk = self.chunks.get(index)?;
@@ -129,7 +132,7 @@
         Some(chunk_start.after_demands(&chunk.demands[..place]))
     }
 
-    /// Returns the position of the first demand that is not met in full; the end if all are.
+    /// Returns the position of the first demand that is not met in full, or the end if all demands are met.
     fn first_unmet(&self, pool: u64) -> Position {
         let mut position = Position::default();
         for chunk in &self.chunks {
--- a/crates/quota/src/fault.rs
+++ b/crates/quota/src/fault.rs
@@ -1,23 +1,25 @@
-//! Deliberate faults, for tests that have to show that they would notice.
+//! Deliberate faults that let tests prove that they detect a missing safety check.
 
-/// A guard that is left out on purpose. Only with the `test-faults` feature; [`Fault::None`] otherwise.
+/// A safety check to disable. It has an effect only with the `test-faults` feature.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// Every guard is in place.
+    /// All safety checks are enabled.
     #[default]
     None,
-    /// Without the limit of grants to the shares held: the allocator grants from the whole pool.
+    /// Disables the limit of grants to the held shares: the allocator grants from the whole pool.
     NoShareLimit,
-    /// Without counting a larger earlier grant that a lost reply leaves in use: the allocator counts the newest alone.
+    /// Disables the counting of a larger earlier grant that a lost reply leaves in use: the allocator counts
+    /// only the newest grant.
     NoEarlierGrantCount,
-    /// Without the commitment to one allocator at a time: the holder commits its share to every one that answers.
+    /// Disables the commitment to one allocator at a time: the holder commits its share to every allocator
+    /// that answers.
     NoExclusiveCommitment,
-    /// Without the end of a lease: the holder keeps the units of its newest lease.
+    /// Disables lease expiry: the holder keeps the units of its newest lease forever.
     NoLeaseExpiry,
 }
 
 impl Fault {
-    /// Returns whether `self` is `fault` and in force: never without the `test-faults` feature.
+    /// Returns whether `self` is `fault` and in effect. Always false without the `test-faults` feature.
     pub(crate) fn is(self, fault: Fault) -> bool {
         cfg!(feature = "test-faults") && self == fault
     }
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,10 +1,10 @@
-//! [`Holder`]: what one member may use of a fleet-wide budget.
+//! [`Holder`]: the part of a fleet-wide budget that one member may use.
 
 use crate::config::{Config, Millis};
 use crate::fault::Fault;
 use crate::messages::{Grant, LeaseRequest};
 
-/// A request that was sent and not answered yet.
+/// A request that was sent and has not been answered yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingRequest<M> {
     sequence: u64,
@@ -12,35 +12,39 @@
     sent_at: Millis,
 }
 
-/// The promise of this member's share to one allocator.
+/// The commitment of this member's share to one allocator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Commitment<M> {
     allocator: M,
-    /// Until when, by this member's clock.
+    /// The time at which the commitment ends, by this member's clock.
     until: Millis,
-    /// The request whose grant committed the share.
+    /// The sequence number of the request whose grant committed the share.
     sequence: u64,
 }
 
-/// One member's side of a fleet-wide limit: its guaranteed minimum, the units of its newest lease while the lease holds
-/// by its own clock, and the allocator to which its share is committed. `M` names allocators.
+/// One member's side of a fleet-wide limit: its guaranteed minimum, the units of its newest lease while that
+/// lease is valid by the member's own clock, and the allocator to which its share is committed. `M` is the
+/// type of allocator names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder<M> {
     config: Config,
     members: usize,
     last_sequence: u64,
     pending: Option<PendingRequest<M>>,
-    /// The units of the newest lease, and when it ends.
+    /// The units of the newest lease.
     leased: u64,
+    /// The time at which the newest lease ends, by this member's clock.
     lease_end: Millis,
     commitment: Option<Commitment<M>>,
-    /// The share is committed to nobody before then: what was promised before a restart is not known.
+    /// The earliest time at which the share may be committed: a commitment made before a restart is not
+    /// known.
     commit_from: Millis,
 }
 
 impl<M: Clone + PartialEq> Holder<M> {
-    /// Returns a holder that knows of `members` members (itself included) and holds no lease, started at `now`. Its
-    /// share may have been committed before a restart, so it commits it to nobody for two leases.
+    /// Returns a holder that started at `now`, knows of `members` members (itself included) and holds no
+    /// lease. Its share may have been committed before a restart, so the holder does not commit it for two
+    /// leases.
     pub fn new(config: Config, members: usize, now: Millis) -> Self {
         let commit_from = now + 2 * config.lease_ms;
         Self {
@@ -55,31 +59,37 @@
         }
     }
 
-    /// Returns a holder that never committed its share before (the first start of this member, as its own disk says):
-    /// it may commit it at once.
+    /// Returns a holder that has never committed its share and may do so at once. The caller knows from its
+    /// own disk that this is the first start of the member.
     pub fn first_start(config: Config, members: usize) -> Self {
         Self { commit_from: 0, ..Self::new(config, members, 0) }
     }
 
-    /// Sets the number of members in this holder's view; the guaranteed minimum follows it.
+    /// Sets the number of members in this holder's view, which determines the guaranteed minimum.
     pub fn set_members(&mut self, members: usize) {
         self.members = members.max(1);
     }
 
-    /// Returns the request to send now to allocator `to`. The answer to an earlier request is ignored from now on.
+    /// Returns the request to send at `now` to allocator `to`. Answers to earlier requests are ignored from
+    /// then on.
     pub fn request(&mut self, now: Millis, to: &M, wanted: u64) -> LeaseRequest {
         self.last_sequence += 1;
         let sequence = self.last_sequence;
         self.pending = Some(PendingRequest { sequence, to: to.clone(), sent_at: now });
-        let commitment = self.commitment.as_ref().filter(|held| held.allocator == *to && now < held.until);
-        LeaseRequest { sequence, wanted, acknowledged: commitment.map(|held| held.sequence) }
+        let commitment = self
+            .commitment
+            .as_ref()
+            .filter(|commitment| commitment.allocator == *to && now < commitment.until);
+        LeaseRequest { sequence, wanted, acknowledged: commitment.map(|commitment| commitment.sequence) }
     }
 
-    /// Takes a grant from `from`, received now, and returns whether it answered the pending request.
+    /// Applies a grant that was received from `from` at `now`, and returns whether it answered the pending
+    /// request.
     ///
-    /// The lease holds from when its request was sent, less the margin for drift, so that it ends here before it ends at
-    /// the allocator, which counts from when the request arrived. The share is committed to `from` for two leases from
-    /// now, unless it is still another's or this holder started less than two leases ago; the next request says so.
+    /// The lease is valid from the time its request was sent, less the margin for clock drift. So it ends
+    /// here before it ends at the allocator, which counts from the arrival of the request. The share is
+    /// committed to `from` for two leases from `now`, unless it is still committed to another allocator or
+    /// this holder started less than two leases ago. The next request acknowledges the commitment.
     pub fn on_grant(&mut self, now: Millis, from: &M, grant: Grant) -> bool {
         let answered =
             |pending: &mut PendingRequest<M>| pending.sequence == grant.sequence && pending.to == *from;
@@ -96,35 +106,39 @@
         true
     }
 
-    /// Returns what this member may use without a lease.
+    /// Returns the units that this member may use without a lease.
     pub fn guaranteed_minimum(&self) -> u64 {
         self.config.guaranteed_minimum(self.members)
     }
 
-    /// Returns the units of the lease, 0 once it has ended.
+    /// Returns the units of the newest lease, or 0 once it has ended.
     pub fn leased(&self, now: Millis) -> u64 {
-        let holds = now < self.lease_end || self.config.fault.is(Fault::NoLeaseExpiry);
-        if holds { self.leased } else { 0 }
+        let is_valid = now < self.lease_end || self.config.fault.is(Fault::NoLeaseExpiry);
+        if is_valid { self.leased } else { 0 }
     }
 
-    /// Returns when the lease ends by this member's clock; 0 when none was ever held.
+    /// Returns the time at which the newest lease ends, by this member's clock, or 0 if there never was a
+    /// lease.
     pub fn lease_end(&self) -> Millis {
         self.lease_end
     }
 
-    /// Returns the allocator to which this member's share is committed now, if any.
+    /// Returns the allocator to which this member's share is committed at `now`, if any.
     pub fn committed_to(&self, now: Millis) -> Option<&M> {
-        self.commitment.as_ref().filter(|held| now < held.until).map(|held| &held.allocator)
+        self.commitment
+            .as_ref()
+            .filter(|commitment| now < commitment.until)
+            .map(|commitment| &commitment.allocator)
     }
 
-    /// Returns the units that this member may use now.
+    /// Returns the units that this member may use at `now`.
     pub fn allowed(&self, now: Millis) -> u64 {
         self.guaranteed_minimum() + self.leased(now)
     }
 
     fn may_commit_to(&self, now: Millis, allocator: &M) -> bool {
         let is_free = match &self.commitment {
-            Some(held) => held.allocator == *allocator || held.until <= now,
+            Some(commitment) => commitment.allocator == *allocator || commitment.until <= now,
             None => true,
         };
         now >= self.commit_from && is_free
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,30 +1,32 @@
 //! Fleet-wide limits as leases of one budget.
 //!
-//! A budget (requests a second, or requests in flight) holds for a whole fleet of round servers. Every member always
-//! keeps a *guaranteed minimum*, `budget × floor_share / members`, that it may use without asking anyone. The rest, the
-//! *pool*, is made of one equal *share* per member. A member commits its share to one allocator at a time, and the
-//! allocator grants the shares that it holds as *leases* above the guaranteed minimum, by max-min fairness over what the
-//! requesters want.
+//! A budget (requests per second, or requests in flight) applies to a whole fleet of round servers. Every
+//! member always has a *guaranteed minimum*, `budget × floor_share / members`, that it may use without a
+//! request to another member. The rest, the *pool*, consists of one equal *share* per member. A member
+//! commits its share to one allocator at a time, and the allocator grants the shares that it holds as
+//! *leases* above the guaranteed minimum, by max-min fairness over the units that the requesters want.
 //!
-//! Both promises are timed so that the side that must stop first measures from the start of a round trip and the side
-//! that must keep its word measures from its end, as leader leases do:
+//! Leases and commitments are both timed like leader leases: the side that must stop first measures from the
+//! start of a round trip, and the side that must honour its promise measures from the end:
 //!
-//! - A holder uses a lease until `lease` after it *sent* its request; the allocator counts it until `lease` after the
-//!   request *arrived*.
-//! - An allocator counts a share as its own until two leases after it *sent* the grant that the holder acknowledged, and
-//!   grants from it only while it stays for a whole lease more. The holder keeps its share for that allocator until two
-//!   leases after it *received* that grant, and a new start commits its share to nobody for two leases.
+//! - A holder uses a lease until `lease` after it *sent* its request; the allocator counts it until `lease`
+//!   after the request *arrived*.
+//! - An allocator counts a share as its own until two leases after it *sent* the grant that the holder
+//!   acknowledged, and grants from the share only while at least a whole lease of that time is left. The
+//!   holder keeps its share committed to that allocator until two leases after it *received* the grant, and
+//!   commits no share during the first two leases after a restart.
 //!
-//! Delays, loss, cuts and crashes can then only make the fleet use less.
+//! As a consequence, delays, message loss, partitions and crashes can only make the fleet use less than the
+//! budget.
 //!
 //! # Invariants
-//! As long as the members agree on how many they are, the sum of guaranteed minimums and leases in use does not exceed
-//! the budget. `docs/design/fleet.md` derives this and says where it is weaker (views that disagree on the count, clocks
-//! that drift more than the margin).
+//! As long as the members agree on the number of members, the sum of guaranteed minimums and leases in use
+//! does not exceed the budget. `docs/design/fleet.md` derives this and describes where the bound is weaker
+//! (views that disagree on the count, clocks that drift more than the margin).
 //!
-//! Nothing here does I/O or reads a clock: time is handed in as [`Millis`] of a monotonic clock, members are any
-//! ordered name that changes when a member starts anew. [`Allocator`] and [`Holder`] are state machines; the daemon
-//! carries their messages.
+//! This crate does no I/O and reads no clock: callers pass the time as [`Millis`] of a monotonic clock.
+//! Members are identified by any ordered name that changes when a member restarts. [`Allocator`] and
+//! [`Holder`] are state machines; the daemon transports their messages.
 #![forbid(unsafe_code)]
 
 mod allocator;
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,52 +1,55 @@
-//! What holders and allocators tell each other, and what the failure detector tells an allocator.
+//! Messages between holders and allocators, and the liveness that a failure detector reports to an allocator.
 
-/// What the failure detector states of a member.
+/// The liveness of a member as reported by the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Liveness {
-    /// Answers.
+    /// The member answers probes.
     Alive,
-    /// Has not answered lately. It may be cut off and still serve its guaranteed minimum.
+    /// The member has not answered recent probes. It may be partitioned and still serve its guaranteed
+    /// minimum.
     Suspect,
-    /// Declared down. It may still serve if it was only cut off, so its guaranteed minimum is kept for it until it is
-    /// removed from the view.
+    /// The member was declared down. It may still be serving if it is only partitioned, so its guaranteed
+    /// minimum stays reserved until the member is removed from the view.
     Down,
 }
 
 /// A holder's request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LeaseRequest {
-    /// Grows with each request of one holder; the grant echoes it.
+    /// Sequence number that increases with each request of one holder. The grant echoes it.
     pub sequence: u64,
-    /// Units above its guaranteed minimum that the holder would use now.
+    /// Units above its guaranteed minimum that the holder could use now.
     pub wanted: u64,
-    /// The request whose grant committed the holder's share to this allocator, when it did: the allocator counts the
-    /// share as its own until two drift-adjusted leases after it sent that grant.
+    /// Sequence number of the request whose grant committed the holder's share to this allocator, if there is
+    /// such a commitment. The allocator counts the share as its own until two drift-adjusted leases after it
+    /// sent that grant.
     pub acknowledged: Option<u64>,
 }
 
-/// A lease, good for the configured time from the holder's request.
+/// A lease, valid for the configured duration from the time the holder sent its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Grant {
-    /// The request that this answers.
+    /// Sequence number of the request that this grant answers.
     pub sequence: u64,
-    /// Units above the guaranteed minimum.
+    /// Units granted above the guaranteed minimum.
     pub units: u64,
 }
 
-/// Why a request got no grant. The holder keeps its lease until it ends, and then its guaranteed minimum.
+/// The reason why a request was not granted. The holder keeps its current lease until that ends, and then
+/// falls back to its guaranteed minimum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// This member does not grant leases: another one that it sees alive has a lesser name.
+    /// This member does not grant leases, because it sees another member alive with a lower name.
     #[error("not the allocator")]
     NotAllocator,
-    /// The requester is not in this view, or is not alive in it.
+    /// The requester is missing from this view or not alive in it.
     #[error("requester is not alive in this view")]
     NotAlive,
-    /// The view holds `max_members` already.
+    /// The view already holds `max_members` members.
     #[error("view is full")]
     ViewFull,
-    /// A newer request of the same holder came first: this one was delayed, and its holder no longer waits for the
-    /// answer.
+    /// A newer request of the same holder arrived earlier. This request was delayed, and its holder no longer
+    /// waits for the answer.
     #[error("request overtaken by a newer one")]
     Stale,
 }
--- a/crates/quota/src/totals.rs
+++ b/crates/quota/src/totals.rs
@@ -1,7 +1,8 @@
-//! Totals over all members that a request needs, kept up to a time, so that a request does not iterate over the members.
+//! Running totals over all members, so that answering a request does not iterate over the members.
 //!
-//! Each total is a function of the members and of the time alone. A member's part of them is brought up to date when the
-//! member changes, and when its part changes by time alone: the next such time of each member lies in a queue.
+//! Each total is a function of the members and the time alone. A member's contribution is updated when the
+//! member changes, and when the contribution changes by the passage of time: a queue holds the next such time
+//! of each member.
 
 use crate::config::{Config, Millis};
 use crate::contribution::Contribution;
@@ -12,18 +13,19 @@
 
 /// The totals over all members.
 ///
-/// They follow from the members and the time, and are no part of an allocator's state: all are equal.
+/// The totals are derived from the members and the time and are not part of an allocator's state, so any two
+/// totals compare equal.
 #[derive(Clone, Debug)]
 pub(crate) struct Totals<M> {
-    /// The time they are at.
+    /// The time for which the totals are valid.
     at: Millis,
-    /// Units counted as granted.
+    /// Units counted as granted, over all members.
     pub granted: u64,
-    /// Shares that stay in the pool for a whole lease more.
+    /// Number of shares that stay in the pool for at least another whole lease.
     pub shares: usize,
-    /// What the members want that take part in the division of the pool.
+    /// Demands of the members that take part in the division of the pool.
     pub demands: Demands<M>,
-    /// When each member's part changes by time alone.
+    /// The next time at which each member's contribution changes by the passage of time alone.
     due: BTreeSet<(Millis, M)>,
 }
 
@@ -40,16 +42,17 @@
 }
 
 impl<M: Ord + Clone> Totals<M> {
-    /// Returns the totals of no members.
+    /// Returns the totals over an empty set of members.
     pub fn new() -> Self {
         Self { at: 0, granted: 0, shares: 0, demands: Demands::new(), due: BTreeSet::new() }
     }
 
-    /// Brings the totals to a time; should that lie before the time they are at, from the members anew.
+    /// Updates the totals to the time `now`. If `now` is earlier than the current time of the totals,
+    /// recomputes them from all members.
     pub fn advance(&mut self, now: Millis, members: &mut BTreeMap<M, Member>, config: &Config) {
-        let goes_back = now < self.at;
+        let clock_went_back = now < self.at;
         self.at = now;
-        if goes_back {
+        if clock_went_back {
             for (name, member) in members.iter_mut() {
                 self.refresh(name, member, config);
             }
@@ -62,13 +65,13 @@
         }
     }
 
-    /// Takes up what changed of a member.
+    /// Recomputes the contribution of a member that changed.
     pub fn refresh(&mut self, name: &M, member: &mut Member, config: &Config) {
         let new = member.contribution_at(self.at, config);
         self.replace(name, &mut member.contribution, new);
     }
 
-    /// Takes a member out.
+    /// Removes a member's contribution.
     pub fn remove(&mut self, name: &M, member: &mut Member) {
         self.replace(name, &mut member.contribution, Contribution::default());
     }
@@ -76,7 +79,7 @@
     fn replace(&mut self, name: &M, contribution: &mut Contribution, new: Contribution) {
         let old = std::mem::replace(contribution, new);
         self.granted = self.granted - old.granted + new.granted;
-        self.shares = self.shares - usize::from(old.shares) + usize::from(new.shares);
+        self.shares = self.shares - usize::from(old.has_share) + usize::from(new.has_share);
         if old.demand != new.demand {
             if let Some(units) = old.demand {
                 self.demands.remove(&Demand { units, name: name.clone() });
