--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -1,28 +1,28 @@
-//! Authentication of datagrams: each is `HMAC-SHA256(key, body) || body`.
+//! Authentication of datagrams. Each datagram is `HMAC-SHA256(key, body) || body`.
 
 use hmac::digest::InvalidLength;
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-/// The length of the tag in front of every datagram.
+/// Length in bytes of the tag at the front of every datagram.
 pub const TAG_BYTES: usize = 32;
 
-/// Makes and checks the tags of datagrams under one key.
+/// Creates and verifies the tags of datagrams under one key.
 #[derive(Clone)]
 pub(crate) struct DatagramAuth {
     mac: Hmac<Sha256>,
 }
 
 impl DatagramAuth {
-    /// Returns the authentication under a key.
+    /// Returns an authenticator for `key`.
     ///
     /// # Errors
-    /// If the key's length is not one for HMAC.
+    /// Returns [`InvalidLength`] if HMAC does not accept a key of this length.
     pub fn new(key: &[u8]) -> Result<DatagramAuth, InvalidLength> {
         Ok(DatagramAuth { mac: Hmac::<Sha256>::new_from_slice(key)? })
     }
 
-    /// Returns the datagram for a body: its tag and the body.
+    /// Returns the datagram for a body: the tag followed by the body.
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
         let mut mac = self.mac.clone();
         mac.update(body);
--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -2,24 +2,24 @@
 
 use std::net::SocketAddrV4;
 
-/// An operation that the SWIM state machine refused.
+/// An operation that the SWIM state machine rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// A member could not be asked to take this one in.
+    /// The join request to a seed member failed.
     #[error("membership: joining at {address}: {source}")]
     Join {
-        /// The member's address.
+        /// Address of the seed member.
         address: SocketAddrV4,
         /// The state machine's error.
         source: foca::Error,
     },
-    /// Members known from elsewhere could not be added.
+    /// Members known from another source could not be added.
     #[error("membership: adding known members: {source}")]
     Learn {
         /// The state machine's error.
         source: foca::Error,
     },
-    /// The others could not be told that this member leaves.
+    /// The announcement that this member leaves failed.
     #[error("membership: leaving: {source}")]
     Leave {
         /// The state machine's error.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,17 @@
-//! Membership among round servers: who is alive, suspect or down, by SWIM (the `foca` state machine), driven by the
-//! caller's clock and sockets.
+//! SWIM membership among round servers: tracks which members are alive, suspect or down. The protocol is
+//! implemented by the `foca` state machine, driven by the caller's clock and sockets.
 //!
-//! [`Membership`] does no I/O and reads no clock. The caller hands in datagrams as they arrive and the time of a
-//! monotonic clock in ms; it takes out datagrams to send, the time of the next timer, and [`ViewChange`]s. Every datagram
-//! carries an HMAC-SHA256 tag under the fleet's key; one without a valid tag is dropped and counted, so bytes from
-//! outside can neither forge a member nor declare one down.
+//! [`Membership`] does no I/O and reads no clock. The caller passes in datagrams as they arrive and the time
+//! of a monotonic clock in ms, and takes out datagrams to send, the time of the next timer, and
+//! [`ViewChange`]s. Every datagram carries an HMAC-SHA256 tag under the fleet's key. A datagram without a
+//! valid tag is dropped and counted, so a sender without the key can neither forge a member nor declare one
+//! down.
 //!
-//! A member is an address and a start ([`MemberId`]): the same address with a later start is a new member, and the old
-//! one is gone for good.
+//! A member is identified by an address and a start ([`MemberId`]): the same address with a later start is a
+//! new member, which replaces the old one permanently.
 //!
 //! # Invariants
-//! Memory is bounded by `max_members` for members and by a multiple of it for timers.
+//! The number of members is bounded by `max_members`, and the number of timers by a multiple of it.
 #![forbid(unsafe_code)]
 
 mod counters;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! Members, their states, and the changes of a view.
+//! Member identities, member states, and changes of a view.
 
 use foca::{Identity, State};
 use serde::{Deserialize, Serialize};
@@ -6,16 +6,18 @@
 
 /// The identity of one start of one round server.
 ///
-/// The same address with a later start is a new member, and the old one is gone for good. Its encoding is part of the
-/// datagrams: the order and the types of the fields stay.
+/// The same address with a later start is a new member, which replaces the old one permanently. The encoding
+/// of this type is part of the datagram format, so the order and the types of the fields must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Where its peer socket listens (UDP).
+    /// UDP address of the member's peer socket.
     pub address: SocketAddrV4,
-    /// When this start began, as the server counts starts (a wall-clock ms or a counter kept on disk): later is newer.
+    /// Start number chosen by the server (a wall-clock time in ms or a counter kept on disk). A higher number
+    /// is newer.
     pub start: u64,
-    /// How often this start was declared down while it was still running, and rejoined. Not the number that SWIM raises
-    /// to refute a suspicion, which the state machine keeps to itself.
+    /// Number of times this start was declared down while it was still running, and rejoined. It is not the
+    /// SWIM incarnation number that a member raises to refute a suspicion; that one is internal to the state
+    /// machine.
     pub incarnation: u16,
 }
 
@@ -38,11 +40,12 @@
 /// The state of a member in one view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Answers probes.
+    /// The member answers probes.
     Alive,
-    /// Missed a probe and its indirect probes; declared down after `suspect_to_down` unless it refutes.
+    /// The member missed a probe and its indirect probes. It is declared down after `suspect_to_down` unless
+    /// it refutes the suspicion.
     Suspect,
-    /// Declared down.
+    /// The member was declared down.
     Down,
 }
 
@@ -56,23 +59,23 @@
     }
 }
 
-/// A change of the view, in the order it happened.
+/// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewChange {
-    /// A member is up.
+    /// A member came up.
     Up(MemberId),
     /// A member was declared down.
     Down(MemberId),
-    /// A newer start (or a rejoin) took the place of an older one at the same address.
+    /// A newer start (or a rejoin) replaced an older one at the same address.
     Replaced {
-        /// The older one.
+        /// Identity that was replaced.
         old: MemberId,
-        /// The newer one.
+        /// Identity that replaces it.
         new: MemberId,
     },
-    /// This member is known by at least one other.
+    /// At least one other member knows this member.
     Active,
-    /// This member knows of no other that is up.
+    /// This member knows of no other member that is up.
     Idle,
     /// This member was declared down and rejoined under a new incarnation.
     Rejoined(MemberId),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! [`Membership`]: the SWIM state machine, its timers and its view.
+//! [`Membership`]: the SWIM state machine with its timers and its view.
 
 use crate::counters::Counters;
 use crate::datagram_auth::DatagramAuth;
@@ -11,9 +11,9 @@
 use rand_chacha::ChaCha8Rng;
 use std::net::SocketAddrV4;
 
-/// One member's membership.
+/// One member's participation in SWIM, and its view of the other members.
 ///
-/// It does no I/O and reads no clock; each call is given the time.
+/// It does no I/O and reads no clock; the caller passes the time to each call.
 pub struct Membership {
     swim: Foca<MemberId, PostcardCodec, ChaCha8Rng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<MemberId>,
@@ -25,10 +25,10 @@
 }
 
 impl Membership {
-    /// Returns a membership for the member `id`, started now, whose randomness comes from `seed`.
+    /// Returns a membership for the member `id`, started at `now`. All its randomness comes from `seed`.
     ///
     /// # Errors
-    /// For the first setting that is out of its range.
+    /// Returns a [`SettingsError`] for the first setting that is out of range.
     pub fn new(id: MemberId, settings: &Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.check()?;
         let auth = DatagramAuth::new(&settings.key);
@@ -45,15 +45,16 @@
         })
     }
 
-    /// Returns this member's identity, as others know it now.
+    /// Returns this member's identity as currently known to other members.
     pub fn id(&self) -> &MemberId {
         self.swim.identity()
     }
 
-    /// Asks the members at `seeds` to take this one in. Their start is not known; any will do.
+    /// Sends join requests to the members at `seeds`. Only their addresses matter: their starts are unknown
+    /// and are set to 0.
     ///
     /// # Errors
-    /// Of the SWIM state machine.
+    /// Returns [`MembershipError::Join`] if the SWIM state machine rejects a request.
     pub fn join(&mut self, now: Millis, seeds: &[SocketAddrV4]) -> Result<(), MembershipError> {
         self.advance_clock(now);
         for address in seeds.iter().copied() {
@@ -61,18 +62,19 @@
                 continue;
             }
             let seed = MemberId { address, start: 0, incarnation: 0 };
-            let announced = self.swim.announce(seed, &mut self.runtime);
-            announced.map_err(|source| MembershipError::Join { address, source })?;
+            let result = self.swim.announce(seed, &mut self.runtime);
+            result.map_err(|source| MembershipError::Join { address, source })?;
         }
         self.collect_effects();
         Ok(())
     }
 
-    /// Adds members known from elsewhere as alive, such as those of a registry's list or of a view kept on disk. Nobody
-    /// is told of them, and what SWIM hears of them later overrules it.
+    /// Adds members known from another source as alive, such as the members listed by a registry or a view
+    /// kept on disk. They are not announced to other members, and later SWIM updates about them take
+    /// precedence.
     ///
     /// # Errors
-    /// Of the SWIM state machine.
+    /// Returns [`MembershipError::Learn`] if the SWIM state machine rejects the members.
     pub fn learn(
         &mut self,
         now: Millis,
@@ -80,13 +82,14 @@
     ) -> Result<(), MembershipError> {
         self.advance_clock(now);
         let alive = members.into_iter().map(foca::Member::alive);
-        let applied = self.swim.apply_many(alive, false, &mut self.runtime);
-        applied.map_err(|source| MembershipError::Learn { source })?;
+        let result = self.swim.apply_many(alive, false, &mut self.runtime);
+        result.map_err(|source| MembershipError::Learn { source })?;
         self.collect_effects();
         Ok(())
     }
 
-    /// Handles a datagram that arrived now, and returns whether it was accepted; one that was not is counted.
+    /// Handles a datagram that arrived at `now`, and returns whether it was accepted. Rejected datagrams are
+    /// counted.
     pub fn on_datagram(&mut self, now: Millis, datagram: &[u8]) -> bool {
         self.advance_clock(now);
         let Some(body) = self.auth.open(datagram) else {
@@ -102,25 +105,25 @@
         accepted
     }
 
-    /// Fires the timers that are due by now.
+    /// Fires the timers that are due by `now`.
     pub fn tick(&mut self, now: Millis) {
         self.advance_clock(now);
         while let Some(timer) = self.timers.pop_due(self.now) {
             if self.is_refuted(&timer) {
                 continue;
             }
-            // A timer for a member no longer known is refused by SWIM, which changes nothing.
+            // The state machine rejects a timer for a member that it no longer knows. That has no effect.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
             self.collect_effects();
         }
     }
 
-    /// Returns when the next timer is due, if any.
+    /// Returns the due time of the next timer, if there is one.
     pub fn next_due(&self) -> Option<Millis> {
         self.timers.next_due()
     }
 
-    /// Removes and returns the datagrams to send, each with its tag, and the address that it is for.
+    /// Removes and returns the datagrams to send, tags included, each with its destination address.
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
         let mut datagrams = Vec::new();
         while let Some((to, body)) = self.runtime.to_send() {
@@ -137,30 +140,30 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the members that this view knows, with their states; this member is not among them.
+    /// Returns the members of this view with their states, without this member.
     pub fn members(&self) -> impl Iterator<Item = (&MemberId, MemberState)> {
         self.swim.iter_membership_state().map(|member| (member.id(), MemberState::from(member.state())))
     }
 
-    /// Returns the number of members up in this view (alive or suspect), this one not counted.
+    /// Returns the number of members that are up in this view (alive or suspect), without this member.
     pub fn up_count(&self) -> usize {
         self.swim.num_members()
     }
 
-    /// Returns what was counted since the start.
+    /// Returns the counts since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Tells the others that this member leaves, as on SIGTERM. The caller makes no other call after it but to take the
-    /// datagrams.
+    /// Announces to the other members that this member leaves, as on SIGTERM. The only call allowed
+    /// afterwards is [`Membership::take_datagrams`].
     ///
     /// # Errors
-    /// Of the SWIM state machine.
+    /// Returns [`MembershipError::Leave`] if the SWIM state machine rejects the announcement.
     pub fn leave(&mut self, now: Millis) -> Result<(), MembershipError> {
         self.advance_clock(now);
-        let left = self.swim.leave_cluster(&mut self.runtime);
-        left.map_err(|source| MembershipError::Leave { source })?;
+        let result = self.swim.leave_cluster(&mut self.runtime);
+        result.map_err(|source| MembershipError::Leave { source })?;
         self.collect_effects();
         Ok(())
     }
@@ -169,16 +172,17 @@
         self.now = self.now.max(now);
     }
 
-    /// Returns whether a suspicion that would now be confirmed was refuted meanwhile: its member is alive here, or
-    /// suspected again under a later number, which has a timer of its own. Handed to SWIM, such a timer changes nothing
-    /// in this view, and yet the member hears that it was declared down, and rejoins under a new incarnation.
+    /// Returns whether `timer` would confirm a suspicion that has been refuted in the meantime: the member is
+    /// alive in this view, or it is suspected again under a later SWIM incarnation number, which has its own
+    /// timer. If the state machine handled such a timer, this view would not change, but the member would be
+    /// notified that it was declared down and would rejoin under a new incarnation.
     fn is_refuted(&self, timer: &Timer<MemberId>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, incarnation, .. } = timer else { return false };
         let member = self.swim.iter_membership_state().find(|member| member.id() == member_id);
         member.is_some_and(|m| m.state() != State::Suspect || m.incarnation() != *incarnation)
     }
 
-    /// Moves what the state machine requested into timers and changes.
+    /// Moves the timers and notifications that the state machine emitted into `timers` and `changes`.
     fn collect_effects(&mut self) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             let due = self.now + after.as_millis() as Millis;
@@ -192,7 +196,7 @@
     }
 }
 
-/// Returns the change of the view that a notification means, if it means one.
+/// Returns the view change that corresponds to a notification, if there is one.
 fn view_change(notification: OwnedNotification<MemberId>) -> Option<ViewChange> {
     match notification {
         OwnedNotification::MemberUp(id) => Some(ViewChange::Up(id)),
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -5,11 +5,12 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Milliseconds of a monotonic clock; only differences mean anything.
+/// Milliseconds of a monotonic clock. Only differences are meaningful.
 pub type Millis = u64;
 
-/// The lengths that a fleet key may have, in bytes, and how an error states them.
+/// Allowed lengths of a fleet key, in bytes.
 const KEY_BYTES: RangeInclusive<u64> = 16..=1_024;
+/// The range [`KEY_BYTES`] as shown in error messages.
 const KEY_BYTES_TEXT: &str = "16 to 1024 bytes";
 
 /// The settings of the failure detector, with their ranges.
@@ -17,36 +18,37 @@
 pub struct Settings {
     /// Time between probes, ms (100 to 60,000).
     pub probe_period: Millis,
-    /// Time to wait for a direct answer before asking others to probe, ms (10 to `probe_period` / 2).
+    /// Time to wait for a direct answer before other members probe indirectly, ms (10 to `probe_period` / 2).
     pub probe_rtt: Millis,
-    /// Members asked to probe indirectly (1 to 10).
+    /// Number of members that probe indirectly (1 to 10).
     pub indirect_probes: usize,
-    /// Time from suspicion to down unless refuted, ms (100 to 600,000).
+    /// Time after which a suspect member is declared down unless it refutes, ms (100 to 600,000).
     pub suspect_to_down: Millis,
-    /// Time for which a down member is remembered, so that its messages are known as old, ms (1,000 to 86,400,000).
+    /// Time for which a down member is remembered so that its messages are recognised as stale, ms (1,000 to
+    /// 86,400,000).
     pub remove_down_after: Millis,
-    /// The most members in the view (2 to 100,000); more are not learned.
+    /// Maximum number of members in the view (2 to 100,000). Further members are not added.
     pub max_members: usize,
-    /// The largest datagram, tag included, bytes (512 to 65,000).
+    /// Maximum size of a datagram, tag included, bytes (512 to 65,000).
     pub max_datagram: usize,
-    /// The fleet's key for the tags, 16 to 1,024 bytes.
+    /// The fleet's key for the datagram tags, 16 to 1,024 bytes.
     pub key: Vec<u8>,
 }
 
-/// The error of a setting that is out of its range.
+/// A setting whose value is out of range.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("fleet setting `{key}` is {value}, wanted {range}")]
 pub struct SettingsError {
-    /// The setting.
+    /// Name of the setting.
     pub key: &'static str,
-    /// The value given.
+    /// Configured value, or for a key its length in bytes.
     pub value: u64,
-    /// The values allowed.
+    /// Allowed range.
     pub range: &'static str,
 }
 
 impl SettingsError {
-    /// Returns the error for a fleet key of that length.
+    /// Returns the error for a fleet key of `bytes` bytes.
     pub(crate) fn key_length(bytes: usize) -> SettingsError {
         SettingsError { key: "key", value: bytes as u64, range: KEY_BYTES_TEXT }
     }
@@ -56,15 +58,15 @@
     /// Checks every setting against its range.
     ///
     /// # Errors
-    /// For the first setting that is out of its range.
+    /// Returns a [`SettingsError`] for the first setting that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_range("probe_period", self.probe_period, 100..=60_000, "100 to 60000 ms")?;
-        let rtts = 10..=self.probe_period / 2;
-        check_range("probe_rtt", self.probe_rtt, rtts, "10 ms to half of probe_period")?;
+        let rtt_range = 10..=self.probe_period / 2;
+        check_range("probe_rtt", self.probe_rtt, rtt_range, "10 ms to half of probe_period")?;
         check_range("indirect_probes", self.indirect_probes as u64, 1..=10, "1 to 10")?;
         check_range("suspect_to_down", self.suspect_to_down, 100..=600_000, "100 to 600000 ms")?;
-        let removal = 1_000..=86_400_000;
-        check_range("remove_down_after", self.remove_down_after, removal, "1000 to 86400000 ms")?;
+        let removal_range = 1_000..=86_400_000;
+        check_range("remove_down_after", self.remove_down_after, removal_range, "1000 to 86400000 ms")?;
         check_range("max_members", self.max_members as u64, 2..=100_000, "2 to 100000")?;
         check_range("max_datagram", self.max_datagram as u64, 512..=65_000, "512 to 65000 bytes")?;
         if KEY_BYTES.contains(&(self.key.len() as u64)) {
@@ -74,19 +76,19 @@
         }
     }
 
-    /// Returns the time in ms within which, at p99, every member that hears the others has declared a dead member down,
-    /// in a view of `members` members.
+    /// Returns the time in ms within which, at p99, every member that receives the others' datagrams has
+    /// declared a dead member down, in a view of `members` members.
     ///
-    /// It is the sum of up to two probe periods until some member probes it (each of the others passes over it once a
-    /// round), the end of that period for the indirect probes, the suspicion, and `⌈log2 members⌉ + 1` periods for the
-    /// update to reach all by gossip when some of it is lost. Measured in `tests/swim.rs`; figures in
-    /// `docs/design/fleet.md`.
+    /// It is the sum of up to two probe periods until some member probes the dead one (each of the other
+    /// members probes it once per round), the rest of that period for the indirect probes, the suspicion
+    /// timeout, and `⌈log2 members⌉ + 1` periods for the update to reach all members by gossip when some
+    /// datagrams are lost. `tests/swim.rs` measures it; `docs/design/fleet.md` has the figures.
     pub fn detection_bound(&self, members: usize) -> Millis {
         let gossip_periods = u64::from((members.max(2) as u64).next_power_of_two().trailing_zeros()) + 1;
         self.suspect_to_down + self.probe_period * (3 + gossip_periods)
     }
 
-    /// Returns the most timers that may wait at once; SWIM keeps a few per member it probes or suspects.
+    /// Returns the maximum number of pending timers. SWIM keeps a few per member that it probes or suspects.
     pub(crate) fn max_timers(&self) -> usize {
         4 * self.max_members + 64
     }
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,11 +1,11 @@
-//! The timers that the SWIM state machine waits for.
+//! [`TimerQueue`]: the pending timers of the SWIM state machine.
 
 use crate::member::MemberId;
 use crate::settings::Millis;
 use foca::Timer;
 use std::collections::BTreeMap;
 
-/// Timers by the time at which they are due, and by the order in which they were added.
+/// Pending timers, ordered by due time and then by insertion.
 pub(crate) struct TimerQueue {
     timers: BTreeMap<(Millis, u64), Timer<MemberId>>,
     last_sequence: u64,
@@ -13,7 +13,7 @@
 }
 
 impl TimerQueue {
-    /// Returns an empty queue for so many timers.
+    /// Returns an empty queue for at most `capacity` timers.
     pub fn new(capacity: usize) -> TimerQueue {
         TimerQueue { timers: BTreeMap::new(), last_sequence: 0, capacity }
     }
@@ -35,7 +35,7 @@
         (due <= now).then(|| entry.remove())
     }
 
-    /// Returns when the next timer is due.
+    /// Returns the due time of the next timer, if there is one.
     pub fn next_due(&self) -> Option<Millis> {
         self.timers.keys().next().map(|(due, _)| *due)
     }
