--- a/crates/store/src/directory_lock.rs
+++ b/crates/store/src/directory_lock.rs
@@ -1,17 +1,18 @@
-//! The lock on a store's directory while a log is open.
+//! [`DirectoryLock`]: the lock that an open log holds on its directory.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
 use std::sync::Arc;
 
-/// The lock on a directory; released when it is dropped.
+/// The lock on a directory, released on drop.
 pub(crate) struct DirectoryLock(Arc<dyn Disk>);
 
 impl DirectoryLock {
     /// Locks the directory.
     ///
     /// # Errors
-    /// [`StoreError::Locked`] if another process has it locked.
+    /// Returns [`StoreError::Locked`] if another process has locked the directory, or another error if the
+    /// lock file can't be opened.
     pub fn acquire(disk: Arc<dyn Disk>) -> Result<DirectoryLock, StoreError> {
         disk.lock()?;
         Ok(DirectoryLock(disk))
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,82 +1,86 @@
-//! The interface to files. Everything above it does its I/O through [`Disk`], so that a test can put a faulty disk in
-//! place of the real one and cut the power at each operation in turn. A disk is one directory; names have no path.
+//! The interface to files. All I/O of this crate goes through [`Disk`], so that a test can replace the real
+//! disk by a faulty one and simulate a power failure at each operation in turn. A disk is a single directory;
+//! file names have no path.
 
 use crate::error::StoreError;
 use std::io;
 
 /// A directory of files.
 pub trait Disk: Send + Sync {
-    /// Returns the directory's name, for messages.
+    /// Returns the name of the directory for use in messages.
     fn name(&self) -> String;
     /// Locks the directory for this process, until [`Disk::unlock`] or until the disk is dropped.
     ///
     /// # Errors
-    /// [`StoreError::Locked`] if another process has it locked.
+    /// Returns [`StoreError::Locked`] if another process has locked the directory, or another error if the
+    /// lock file can't be opened.
     fn lock(&self) -> Result<(), StoreError>;
     /// Releases the lock.
     fn unlock(&self);
     /// Returns the names of all files.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Creates an empty file; one of that name is truncated.
+    /// Creates an empty file, or truncates an existing file of that name.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn create(&self, name: &str) -> io::Result<Box<dyn DiskFile>>;
     /// Opens an existing file for reading and writing.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn open(&self, name: &str) -> io::Result<Box<dyn DiskFile>>;
-    /// Renames a file, and replaces a file that has the new name. Durable only after [`Disk::sync_dir`].
+    /// Renames a file, replacing any file with the new name. The change is durable only after
+    /// [`Disk::sync_dir`].
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file. Durable only after [`Disk::sync_dir`].
+    /// Removes a file. The change is durable only after [`Disk::sync_dir`].
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Makes creations, renames and removals durable.
+    /// Makes all file creations, renames and removals durable.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn sync_dir(&self) -> io::Result<()>;
 }
 
 /// An open file.
 pub trait DiskFile: Send {
-    /// Writes some bytes from the front of `bytes` and returns how many.
+    /// Writes a prefix of `bytes` at `offset` and returns the number of bytes written.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<usize>;
-    /// Reads some bytes and returns how many, 0 at the end of the file.
+    /// Reads bytes at `offset` and returns the number of bytes read, which is 0 at the end of the file.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn read_at(&self, offset: u64, bytes: &mut [u8]) -> io::Result<usize>;
     /// Returns the file's length in bytes.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn size(&self) -> io::Result<u64>;
-    /// Truncates the file to that length in bytes.
+    /// Truncates the file to `len` bytes.
     ///
     /// # Errors
-    /// Those of the system.
+    /// Returns the error of the operating system.
     fn truncate(&mut self, len: u64) -> io::Result<()>;
     /// Makes the file's content and length durable.
     ///
     /// # Errors
-    /// Of the system. After one it is unknown what is durable of all that was written since the last success.
+    /// Returns the error of the operating system. After an error it is unknown which of the bytes written
+    /// since the last successful sync are durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Writes all bytes, in as many writes as it takes.
+/// Writes all bytes, with as many writes as needed.
 pub(crate) fn write_all(file: &mut dyn DiskFile, mut offset: u64, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match file.write_at(offset, bytes) {
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,62 +1,65 @@
-//! Errors of a store. Each names the file, what happened, and where it helps what to do.
+//! Errors of a store. Each message names the file and the failure and, where useful, what the operator can
+//! do.
 
 use std::fmt;
 use std::io;
 
-/// Why an operation on a store failed.
+/// The error of a failed operation on a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// An operation of the system failed.
+    /// An operating system call failed.
     #[error("{operation} {file}: {source}")]
     Io {
-        /// The operation.
+        /// The operation, as a verb for the message.
         operation: &'static str,
         /// The file or directory.
         file: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Another process has the directory locked.
+    /// Another process has locked the directory.
     #[error(
         "{directory} is in use by {holder}: two processes on one store would destroy it; stop the other one"
     )]
     Locked {
         /// The directory.
         directory: String,
-        /// The other process, as it names itself in the lock file.
+        /// The other process, as identified in the lock file.
         holder: String,
     },
-    /// Bytes that had been durable are not what was written. Nothing was changed.
+    /// Data that had been durable differs from what was written. The store was left unchanged.
     #[error(
-        "{file}: damaged at byte {offset}: {fault}; what follows is intact or unknown, so nothing is cut: restore \
-             the file from a copy, or move the store away and account for what it held"
+        "{file}: damaged at byte {offset}: {fault}; durable data may follow, so the file was not truncated: \
+             restore the file from a copy, or move the store away and account for the records it held"
     )]
     Damaged {
         /// The file.
         file: String,
-        /// The first byte that is wrong.
+        /// Offset of the first damaged byte.
         offset: u64,
-        /// What is wrong with it.
+        /// Description of the damage.
         fault: String,
     },
     /// A file that the log needs is missing.
-    #[error("records {expected} to {found} are missing before {file}: a file of the store was lost", found = found - 1)]
+    #[error(
+        "records {expected} to {last} are missing before {file}: a file of the store was lost", last = found - 1
+    )]
     Gap {
         /// The file after the gap.
         file: String,
-        /// The first record that is missing.
+        /// Number of the first missing record.
         expected: u64,
-        /// The first record that is there after the gap.
+        /// Number of the first record after the gap.
         found: u64,
     },
-    /// The file was written by a newer program.
-    #[error("{file}: format version {found} is not known here; this program reads up to {newest}")]
+    /// The file was written by a newer version of the program.
+    #[error("{file}: format version {found} is not supported; this program reads versions up to {newest}")]
     Version {
         /// The file.
         file: String,
-        /// Its version.
+        /// Format version of the file.
         found: u32,
-        /// The newest version that is read.
+        /// Newest version that this program reads.
         newest: u32,
     },
     /// The store belongs to another owner.
@@ -64,45 +67,45 @@
     Owner {
         /// The file.
         file: String,
-        /// The owner that the file names.
+        /// Owner named in the file.
         found: String,
-        /// The owner that opened it.
+        /// Owner that opened the store.
         expected: String,
     },
-    /// A record is longer than the options allow.
-    #[error("a record of {len} bytes is over the limit of {max}")]
+    /// A record is longer than the options allow, or a commit is longer than a frame can be.
+    #[error("a record or commit of {len} bytes exceeds the limit of {max} bytes")]
     TooLarge {
-        /// Its length.
+        /// Length of the record or commit, in bytes.
         len: usize,
-        /// The limit.
+        /// Maximum length, in bytes.
         max: usize,
     },
-    /// The disk is full. What was to be written is not there; the log can go on once there is room.
+    /// The disk is full. The data was not written; the log can continue once there is space.
     #[error("no space left for {file}")]
     NoSpace {
-        /// The file that was written to.
+        /// The file that was being written.
         file: String,
     },
-    /// An earlier error left it unknown what is durable, so nothing is reported durable any more until the store is opened
-    /// again.
-    #[error("the log is closed to writing since: {cause}")]
+    /// An earlier error left it unknown which data is durable, so nothing more is reported durable until the
+    /// store is opened again.
+    #[error("the log is closed to writing because of an earlier error: {cause}")]
     Poisoned {
         /// The earlier error.
         cause: String,
     },
-    /// The visitor of [`crate::Log::open`] did not accept a record.
+    /// The visitor rejected a record or a snapshot.
     #[error("{file}: record {number}: {reason}")]
     Rejected {
         /// The file.
         file: String,
-        /// The record's number.
+        /// Number of the record, or of the first record after the snapshot.
         number: u64,
         /// The visitor's reason.
         reason: ReplayRejection,
     },
 }
 
-/// The reason for which a replay visitor did not accept an item.
+/// The reason why a visitor rejected an item.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct ReplayRejection(String);
@@ -121,12 +124,13 @@
 }
 
 impl StoreError {
-    /// Returns a function that wraps an error of the system in [`StoreError::Io`], or in [`StoreError::NoSpace`] for a full
-    /// disk.
+    /// Returns a function that converts an I/O error into [`StoreError::Io`], or into [`StoreError::NoSpace`]
+    /// if the disk is full or a size limit was reached.
     pub(crate) fn io(operation: &'static str, file: &str) -> impl FnOnce(io::Error) -> StoreError {
         let file = file.to_owned();
         move |source| match source.kind() {
-            // Limits on a user's or a file's size can be lifted, as a full disk can be emptied.
+            // Quotas and file size limits count as a full disk: an operator can raise them, as they can free
+            // disk space.
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
                 StoreError::NoSpace { file }
             }
--- a/crates/store/src/format/file_header.rs
+++ b/crates/store/src/format/file_header.rs
@@ -1,19 +1,19 @@
-//! The header that begins each segment and each snapshot.
+//! The header at the start of each segment and each snapshot.
 
 use super::little_endian::{u32_at, u64_at};
 use crc32c::crc32c;
 
-/// The newest version of the format, and the one that is written.
+/// Newest supported version of the format, which is the version written to new files.
 pub const FORMAT_VERSION: u32 = 1;
-/// The length of a file's header.
+/// Length of a file header in bytes.
 pub const FILE_HEADER_BYTES: usize = 128;
-/// The longest name of an owner.
+/// Maximum length of an owner name in bytes.
 pub const MAX_OWNER_BYTES: usize = 79;
 
 const SEGMENT_MAGIC: &[u8; 8] = b"DLSPSEG\n";
 const SNAPSHOT_MAGIC: &[u8; 8] = b"DLSPSNP\n";
 
-/// What kind of file a header begins.
+/// The kind of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// A segment of the log.
@@ -22,12 +22,12 @@
     Snapshot,
 }
 
-/// Length and checksum of a snapshot's content.
+/// The length and checksum of a snapshot's content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ContentDigest {
     /// Length in bytes.
     pub len: u64,
-    /// CRC-32C.
+    /// CRC-32C of the content.
     pub checksum: u32,
 }
 
@@ -38,38 +38,40 @@
     }
 }
 
-/// A file's header.
+/// The header of a segment or snapshot file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FileHeader {
-    /// The kind of the file.
+    /// Kind of the file.
     pub kind: FileKind,
-    /// The version of the format.
+    /// Version of the format.
     pub version: u32,
-    /// In a segment, the number of its first record; in a snapshot, of the first record after it.
+    /// Number of the first record in a segment, or of the first record after a snapshot.
     pub base: u64,
-    /// When the file was made, Unix ms. It is for people; nothing is decided by it.
+    /// Creation time of the file, Unix ms. For information only; no decision depends on it.
     pub created_ms: u64,
-    /// The owner of the store.
+    /// Owner of the store.
     pub owner: String,
-    /// In a segment, what goes into the checksum of each frame, so that no payload can be made to look like a frame.
+    /// In a segment, the salt that is included in the checksum of each frame header, so that no payload can
+    /// be crafted to look like a frame.
     pub salt: u64,
-    /// In a snapshot, the digest of what follows the header.
+    /// In a snapshot, the digest of the content after the header.
     pub content: ContentDigest,
 }
 
-/// Why a file's header can't be decoded.
+/// The error of a file header that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
     /// The bytes are not a header, or are damaged.
     #[error("{0}")]
     Damaged(&'static str),
-    /// The header is of a version that is not known here.
-    #[error("format version {0} is not known here")]
+    /// The header has a format version that is not supported.
+    #[error("format version {0} is not supported")]
     Version(u32),
 }
 
 impl FileHeader {
-    /// Returns the header's bytes. A longer owner than [`MAX_OWNER_BYTES`] is cut; [`crate::Log::open`] accepts none.
+    /// Returns the encoded header. An owner name longer than [`MAX_OWNER_BYTES`] is truncated;
+    /// [`crate::Log::open`] does not accept such names.
     pub fn encode(&self) -> [u8; FILE_HEADER_BYTES] {
         let mut out = [0; FILE_HEADER_BYTES];
         out[..8].copy_from_slice(match self.kind {
@@ -97,26 +99,29 @@
     /// Decodes a header.
     ///
     /// # Errors
-    /// If the bytes do not begin with a header of a known version.
+    /// Returns [`HeaderError::Damaged`] if the bytes do not begin with an intact header, and
+    /// [`HeaderError::Version`] if its version is not supported.
     pub fn decode(bytes: &[u8]) -> Result<FileHeader, HeaderError> {
         if bytes.len() < FILE_HEADER_BYTES {
-            return Err(HeaderError::Damaged("the header is cut short"));
+            return Err(HeaderError::Damaged("the header is truncated"));
         }
         let kind = match &bytes[..8] {
             magic if magic == SEGMENT_MAGIC => FileKind::Segment,
             magic if magic == SNAPSHOT_MAGIC => FileKind::Snapshot,
-            _ => return Err(HeaderError::Damaged("this is no file of a store")),
+            _ => return Err(HeaderError::Damaged("not a segment or snapshot file: unknown magic bytes")),
         };
-        // The version is read before the checksum is compared: another version may sum otherwise.
+        // The version is checked before the checksum, because another version may compute the checksum
+        // differently.
         let version = u32_at(bytes, 8);
         if version > FORMAT_VERSION {
             return Err(HeaderError::Version(version));
         }
         if u32_at(bytes, 124) != crc32c(&bytes[..124]) || u32_at(bytes, 12) as usize != FILE_HEADER_BYTES {
-            return Err(HeaderError::Damaged("the header's checksum is wrong"));
+            return Err(HeaderError::Damaged("the header's checksum or length is wrong"));
         }
         let owner = bytes.get(33..33 + (bytes[32] as usize).min(MAX_OWNER_BYTES)).unwrap_or_default();
-        let owner = std::str::from_utf8(owner).map_err(|_| HeaderError::Damaged("the owner is no text"))?;
+        let owner = std::str::from_utf8(owner)
+            .map_err(|_| HeaderError::Damaged("the owner name is not valid UTF-8"))?;
         let (salt_or_len, checksum) = (u64_at(bytes, 112), u32_at(bytes, 120));
         let (salt, content) = match kind {
             FileKind::Segment => (salt_or_len, ContentDigest::default()),
--- a/crates/store/src/format/file_name.rs
+++ b/crates/store/src/format/file_name.rs
@@ -2,17 +2,18 @@
 
 use super::file_header::FileKind;
 
-/// Returns the name of the segment that begins with record `base`.
+/// Returns the name of the segment whose first record is `base`.
 pub fn segment_name(base: u64) -> String {
     format!("seg-{base:016x}.log")
 }
 
-/// Returns the name of the snapshot that stands for all records before `base`.
+/// Returns the name of the snapshot that replaces all records before `base`.
 pub fn snapshot_name(base: u64) -> String {
     format!("snap-{base:016x}.snp")
 }
 
-/// Returns the kind and the base record that a file's name states, or `None` if it is not the name of a store's file.
+/// Returns the kind and the base record encoded in a file name, or `None` if it is not the name of a store
+/// file.
 pub fn parse_file_name(name: &str) -> Option<(FileKind, u64)> {
     let segment = parse_base(name, "seg-", ".log").map(|base| (FileKind::Segment, base));
     segment.or_else(|| parse_base(name, "snap-", ".snp").map(|base| (FileKind::Snapshot, base)))
--- a/crates/store/src/format/frame.rs
+++ b/crates/store/src/format/frame.rs
@@ -1,35 +1,35 @@
-//! Frames and the records in them. A frame is one commit.
+//! Frames and the records in them. Each commit is one frame.
 
 use super::little_endian::{u32_at, u64_at};
 use crc32c::{crc32c, crc32c_append};
 
-/// The length of a frame's header.
+/// Length of a frame header in bytes.
 pub const FRAME_HEADER_BYTES: usize = 36;
-/// The length of what stands before each record: its length and its checksum.
+/// Length in bytes of the header before each record, which holds the record's length and checksum.
 pub const RECORD_HEADER_BYTES: usize = 8;
-/// The flag of a frame that was written when the store was closed cleanly.
+/// Flag of the frame that is written when the store is closed cleanly.
 pub const FLAG_CLOSED_CLEANLY: u32 = 1;
 
 const FRAME_MAGIC: &[u8; 4] = b"FRM1";
 
-/// A frame's header.
+/// The header of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
-    /// The length of its records in bytes, their headers included.
+    /// Length of the frame's records in bytes, including record headers.
     pub len: u32,
-    /// The number of its first record.
+    /// Number of the frame's first record.
     pub first: u64,
-    /// All records below this number were durable when the frame was written. So damage to one of them is not the
-    /// mark of a commit that a crash cut short.
+    /// All records below this number were durable when the frame was written. So a fault in one of them is
+    /// damage and not a commit that a crash interrupted.
     pub durable: u64,
-    /// How many records it has.
+    /// Number of records in the frame.
     pub count: u32,
-    /// See [`FLAG_CLOSED_CLEANLY`].
+    /// Flags; see [`FLAG_CLOSED_CLEANLY`].
     pub flags: u32,
 }
 
 impl FrameHeader {
-    /// Returns the header's bytes, in a segment with that salt.
+    /// Returns the encoded header for a segment with salt `salt`.
     pub fn encode(&self, salt: u64) -> [u8; FRAME_HEADER_BYTES] {
         let mut out = [0; FRAME_HEADER_BYTES];
         out[..4].copy_from_slice(FRAME_MAGIC);
@@ -43,7 +43,8 @@
         out
     }
 
-    /// Decodes a frame's header, or returns `None` if the bytes do not begin with one of a segment with that salt.
+    /// Decodes a frame header, or returns `None` if the bytes do not begin with a frame header of a segment
+    /// with salt `salt`.
     pub fn decode(bytes: &[u8], salt: u64) -> Option<FrameHeader> {
         if bytes.len() < FRAME_HEADER_BYTES || &bytes[..4] != FRAME_MAGIC {
             return None;
@@ -71,22 +72,23 @@
     crc32c_append(length_sum, payload)
 }
 
-/// Appends a record to `out`. Its number goes into the checksum: a record read at another place is none.
+/// Appends a record to `out`. The checksum includes the record number, so a record at the wrong position is
+/// not accepted.
 pub fn encode_record(out: &mut Vec<u8>, number: u64, payload: &[u8]) {
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     out.extend_from_slice(&record_checksum(number, payload).to_le_bytes());
     out.extend_from_slice(payload);
 }
 
-/// What was found in a frame where a record should be.
+/// The error of a position in a frame at which there is no intact record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("there is no intact record at byte {offset} of the frame's content")]
 pub struct DamagedRecord {
-    /// The place in the frame's content.
+    /// Offset in the frame's content.
     pub offset: usize,
 }
 
-/// Iterates over the records of a frame and their numbers; ends after the first that is damaged.
+/// Iterator over the numbers and payloads of a frame's records. It ends after the first damaged record.
 #[derive(Debug)]
 pub struct RecordIter<'a> {
     content: &'a [u8],
@@ -96,12 +98,12 @@
 }
 
 impl<'a> RecordIter<'a> {
-    /// Returns an iterator over the records of a frame, whose header `content` follows.
+    /// Returns an iterator over the records in `content`, the bytes that follow the frame header `header`.
     pub fn new(header: &FrameHeader, content: &'a [u8]) -> Self {
         RecordIter { content, position: 0, number: header.first, remaining: header.count }
     }
 
-    /// Returns the payload of the record at the present position, if it is intact.
+    /// Returns the payload of the record at the current position, if it is intact.
     fn payload(&self) -> Option<&'a [u8]> {
         let record_header = self.content.get(self.position..self.position + RECORD_HEADER_BYTES)?;
         let following = self.content.get(self.position + RECORD_HEADER_BYTES..)?;
@@ -123,7 +125,7 @@
 
     fn next(&mut self) -> Option<Self::Item> {
         if self.remaining == 0 {
-            // Bytes that belong to no record are an error as well, once.
+            // Excess bytes after the last record are also an error, reported once.
             return (self.position < self.content.len()).then(|| Err(self.fail()));
         }
         let Some(payload) = self.payload() else {
--- a/crates/store/src/format/mod.rs
+++ b/crates/store/src/format/mod.rs
@@ -1,7 +1,8 @@
-//! The bytes of a store's files, without I/O; `docs/formats/store.md` describes them.
+//! Encoding and decoding of a store's files, without I/O. `docs/formats/store.md` describes the format.
 //!
 //! # Invariants
-//! Decoding does not panic, whatever the bytes are. The bytes of one segment are not accepted as those of another.
+//! Decoding does not panic on any input. The bytes of one segment are not accepted as part of another
+//! segment.
 
 mod file_header;
 mod file_name;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,6 @@
-//! A crash-safe log of records. Records are bytes, numbered from 1 and kept in order. A record that was once reported
-//! durable is there after any crash, or opening the log fails and says which file is damaged where.
+//! A crash-safe log of records. Records are byte strings, numbered from 1 and kept in order. A record that
+//! was reported durable is still in the log after any crash; otherwise opening the log fails with an error
+//! that names the damaged file and the offset of the damage.
 //!
 //! ```
 //! use dunlinspread_store::{Log, Options, RealDisk, ReplayItem};
@@ -21,8 +22,8 @@
 //! # Ok::<(), dunlinspread_store::StoreError>(())
 //! ```
 //!
-//! [`Log`] is the log itself, for one owner that may wait for the disk. [`Writer`] runs it on a thread of its own and
-//! commits in groups, for owners that may not.
+//! [`Log`] is the log itself, for a single owner that may block on the disk. [`Writer`] runs a log on its own
+//! thread with group commit, for owners that must not block.
 #![forbid(unsafe_code)]
 
 mod atomic_file;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,8 +1,8 @@
-//! [`Log`]: commits, segments and snapshots, for one owner that may wait for the disk.
+//! [`Log`]: commits, segments and snapshots, for a single owner that may block on the disk.
 //!
 //! # Invariants
-//! A record is reported durable only once no crash can take it. After an error that leaves this unknown no record is
-//! reported durable any more.
+//! A record is reported durable only once no crash can lose it. After an error that leaves the durability of
+//! records unknown, no further record is reported durable.
 
 use crate::atomic_file::write_file_atomically;
 use crate::directory_lock::DirectoryLock;
@@ -20,45 +20,53 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// The longest commit, in bytes: its length has to fit a frame's header.
+/// Maximum length of a commit in bytes. The length must fit into the `u32` of a frame header.
 const MAX_COMMIT_BYTES: usize = u32::MAX as usize / 2;
 
 /// A log of records in a directory.
 pub struct Log {
-    /// The first field, so that the directory is unlocked before the segment is closed.
+    /// The lock on the directory. It is the first field so that the directory is unlocked before the segment
+    /// is closed.
     _lock: DirectoryLock,
     disk: Arc<dyn Disk>,
     options: Options,
     segments: Vec<BaseFile>,
-    /// The last of `segments`.
+    /// The last segment of `segments`, open for appending.
     tail: OpenSegment,
-    /// The file of the newest snapshot.
+    /// File name of the newest snapshot, if there is one.
     snapshot: Option<String>,
-    /// The number of the first record after that snapshot.
+    /// Number of the first record after the newest snapshot.
     first_record: u64,
-    /// The number of the next record.
+    /// Number that the next record gets.
     next_record: u64,
-    /// The error after which nothing is written any more.
+    /// The error that closed the log to writing, if there was one.
     poison_cause: Option<String>,
 }
 
 impl Log {
-    /// Opens the store on `disk`, a new one if nothing is there, and shows the visitor all that is in it.
+    /// Opens the store on `disk`, creating it if the directory is empty, and passes its whole content to the
+    /// visitor.
     ///
-    /// When this returns, all that was shown is durable, also what an earlier process wrote and never got to sync.
+    /// When this function returns, everything passed to the visitor is durable, including data that an
+    /// earlier process wrote but did not sync.
     ///
     /// # Errors
-    /// If another process has it locked, if it is another owner's or of a newer version, if it is damaged anywhere but
-    /// in what a crash may have left of the last commit, if the visitor rejects a record, or if the disk fails.
+    /// - [`StoreError::Locked`] if another process has locked the directory.
+    /// - [`StoreError::Owner`] if the store belongs to another owner, and [`StoreError::Version`] if it has a
+    ///   newer format.
+    /// - [`StoreError::Damaged`] or [`StoreError::Gap`] if the store is damaged or incomplete anywhere except
+    ///   in the remains of the last commit before a crash.
+    /// - [`StoreError::Rejected`] if the visitor rejects a record.
+    /// - [`StoreError::Io`] or [`StoreError::NoSpace`] if the disk fails.
     ///
     /// # Panics
-    /// If the owner's name is longer than [`MAX_OWNER_BYTES`].
+    /// Panics if the owner's name is longer than [`MAX_OWNER_BYTES`].
     pub fn open(
         disk: Arc<dyn Disk>,
         options: Options,
         mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), ReplayRejection>,
     ) -> Result<(Log, Recovery), StoreError> {
-        assert!(options.owner.len() <= MAX_OWNER_BYTES, "the owner's name is bounded by whoever reads it");
+        assert!(options.owner.len() <= MAX_OWNER_BYTES, "the caller limits the length of the owner's name");
         let lock = DirectoryLock::acquire(disk.clone())?;
         let recovered = replay(&*disk, &options.owner, &mut visit)?;
         let recovery = Recovery::of(&recovered);
@@ -86,11 +94,11 @@
         Ok((log, recovery))
     }
 
-    /// Shows the visitor a store without opening it: nothing is changed or locked, and what a running process has not
-    /// yet finished writing shows as a torn tail.
+    /// Passes the content of a store to the visitor without opening it: nothing is changed or locked. A
+    /// commit that a running process has not finished writing is reported as a torn tail.
     ///
     /// # Errors
-    /// As [`Log::open`].
+    /// Returns the errors of [`Log::open`], except [`StoreError::Locked`].
     pub fn read(
         disk: &dyn Disk,
         owner: &str,
@@ -100,11 +108,12 @@
         Ok(Recovery::of(&recovered))
     }
 
-    /// Shows the visitor the records with these numbers, all of which were reported durable. The store may be open and
-    /// written to meanwhile, by this process or another.
+    /// Passes the records with numbers in `range` to the visitor. All of them must have been reported
+    /// durable. The store may be open and written to at the same time, by this process or another.
     ///
     /// # Errors
-    /// If they are not all there, or if the visitor rejects one.
+    /// Returns [`StoreError::Gap`] if a record of the range is missing, [`StoreError::Rejected`] if the
+    /// visitor rejects one, and the errors of [`Log::read`] if a file can't be read or is damaged.
     pub fn read_range(
         disk: &dyn Disk,
         owner: &str,
@@ -114,26 +123,27 @@
         range_read::read_range(disk, owner, range, &mut visit)
     }
 
-    /// Returns the number that the next record gets.
+    /// Returns the number that the next record will get.
     pub fn next_record(&self) -> u64 {
         self.next_record
     }
 
-    /// Returns the error after which nothing is written any more, if there was one.
+    /// Returns the error that closed the log to writing, if there was one.
     pub fn poison_cause(&self) -> Option<&str> {
         self.poison_cause.as_deref()
     }
 
-    /// Returns how many segments there are.
+    /// Returns the number of segments.
     pub fn segment_count(&self) -> usize {
         self.segments.len()
     }
 
-    /// Writes records and makes them durable, all or none, and returns their numbers.
+    /// Writes records atomically, makes them durable, and returns their numbers.
     ///
     /// # Errors
-    /// [`StoreError::NoSpace`] and [`StoreError::TooLarge`]: none of them is there, and the log can go on. Any other:
-    /// it is unknown which are there, and the log is closed to writing.
+    /// After [`StoreError::NoSpace`] and [`StoreError::TooLarge`], none of the records is in the log, and the
+    /// log remains usable. After any other error it is unknown whether the records are in the log, and the
+    /// log is closed to writing.
     pub fn commit<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Result<Range<u64>, StoreError> {
         self.check_not_poisoned()?;
         self.check_lengths(records)?;
@@ -149,17 +159,18 @@
         Ok(first..self.next_record)
     }
 
-    /// Replaces all records before `before` by `content`, and removes the segments that hold only such.
+    /// Replaces all records before `before` by `content`, and removes the segments that hold only replaced
+    /// records.
     ///
     /// # Errors
-    /// As [`Log::commit`].
+    /// Returns the errors of [`Log::commit`], with the same meaning for the snapshot.
     ///
     /// # Panics
-    /// If there are no records up to `before` yet, or if a later snapshot was taken.
+    /// Panics if `before` is beyond the next record, or if a later snapshot was already taken.
     pub fn snapshot(&mut self, before: u64, content: &[u8]) -> Result<(), StoreError> {
         self.check_not_poisoned()?;
         let range = self.first_record..=self.next_record;
-        assert!(range.contains(&before), "a snapshot stands for records that are there");
+        assert!(range.contains(&before), "a snapshot replaces only records that are in the log");
         let header = FileHeader {
             kind: FileKind::Snapshot,
             version: FORMAT_VERSION,
@@ -178,10 +189,12 @@
         Ok(())
     }
 
-    /// Closes the store cleanly, so that damage found later is known to be damage.
+    /// Closes the store cleanly, so that a later fault at its end is recognised as damage and not as a torn
+    /// commit.
     ///
     /// # Errors
-    /// If that can't be written. The store is then as after a crash.
+    /// Returns the error of the disk if the closing frame can't be written, or [`StoreError::Poisoned`] if
+    /// the log is closed to writing. The store is then in the same state as after a crash.
     pub fn close(mut self) -> Result<(), StoreError> {
         self.check_not_poisoned()?;
         self.append_frame::<&[u8]>(&[], FLAG_CLOSED_CLEANLY)
@@ -217,10 +230,10 @@
         removed.map_err(|error| self.poison(error))
     }
 
-    /// Begins a new segment.
+    /// Starts a new segment.
     fn rotate(&mut self) -> Result<(), StoreError> {
         if self.tail.has_leftover() {
-            // In a segment that is not the last, leftovers would count as damage.
+            // In any segment but the last, bytes left by a failed write would count as damage.
             self.remove_leftover()?;
             let synced = self.tail.sync();
             synced.map_err(|error| self.poison(error))?;
@@ -232,7 +245,8 @@
         Ok(())
     }
 
-    /// Removes what the newest snapshot stands for. What can't be removed now is removed at the next opening.
+    /// Removes the files that the newest snapshot replaces. Files that can't be removed now are removed when
+    /// the store is next opened.
     fn remove_before_snapshot(&mut self, older_snapshot: Option<String>) {
         let needed_from = self.segments.partition_point(|s| s.base <= self.first_record).saturating_sub(1);
         let segments = self.segments.drain(..needed_from).map(|segment| segment.name);
@@ -241,7 +255,7 @@
         }
     }
 
-    /// Closes the log to writing because of `error`, and returns it.
+    /// Closes the log to writing because of `error`, and returns the error.
     fn poison(&mut self, error: StoreError) -> StoreError {
         self.poison_cause.get_or_insert_with(|| error.to_string());
         error
@@ -255,13 +269,13 @@
     }
 }
 
-/// Removes the files that a replay found to be obsolete.
+/// Removes the files that a replay has identified as obsolete.
 fn remove_obsolete(disk: &dyn Disk, names: &[String]) -> Result<(), StoreError> {
-    // A process that was killed may have renamed a file and not synced the directory. Before anything is removed because
-    // of a file that is seen, that file's name has to be durable.
+    // A killed process may have renamed a file without syncing the directory. The name of that file must be
+    // durable before other files are removed because it exists.
     disk.sync_dir().map_err(StoreError::io("syncing directory", &disk.name()))?;
     for name in names {
-        // What can't be removed now is tried again at the next opening.
+        // A file that can't be removed now is removed when the store is next opened.
         let _ = disk.remove(name);
     }
     Ok(())
--- a/crates/store/src/open_segment.rs
+++ b/crates/store/src/open_segment.rs
@@ -1,4 +1,4 @@
-//! The segment that the log appends to.
+//! [`OpenSegment`]: the segment that the log appends to.
 
 use crate::atomic_file::write_file_atomically;
 use crate::disk::{Disk, DiskFile, read_up_to, write_all};
@@ -11,9 +11,9 @@
 use crate::recovery::SegmentEnd;
 use crate::store_files::damaged;
 
-/// What is kept of the frame buffer between commits, in bytes.
+/// Capacity of the frame buffer that is kept between commits, in bytes.
 const BUFFER_KEPT_BYTES: usize = 1 << 20;
-/// The multiplier that makes each segment's salt another one (2^64 divided by the golden ratio).
+/// Multiplier that gives each segment a different salt (2^64 divided by the golden ratio).
 const SALT_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The last segment of a log, open for appending.
@@ -21,9 +21,9 @@
     file: Box<dyn DiskFile>,
     name: String,
     salt: u64,
-    /// Where the next frame goes.
+    /// Offset at which the next frame is written.
     end: u64,
-    /// Whether a failed write may have left bytes behind `end`.
+    /// Whether a failed write may have left bytes after `end`.
     has_leftover: bool,
     buffer: Vec<u8>,
 }
@@ -32,9 +32,10 @@
     /// Creates a segment whose first record gets the number `base`.
     ///
     /// # Errors
-    /// Of the disk.
+    /// Returns [`StoreError::Io`] or [`StoreError::NoSpace`] if the disk fails.
     pub fn create(disk: &dyn Disk, options: &Options, base: u64) -> Result<OpenSegment, StoreError> {
-        // Bytes of a removed segment that turn up in a new one's blocks have another salt and mean nothing there.
+        // Blocks of a removed segment may reappear in a new one. They have another salt, so they are not read
+        // as frames.
         let salt = options.salt ^ base.wrapping_mul(SALT_MULTIPLIER);
         let header = FileHeader {
             kind: FileKind::Segment,
@@ -50,13 +51,14 @@
         Ok(OpenSegment::at(file, name, salt, FILE_HEADER_BYTES as u64))
     }
 
-    /// Opens a segment that was there, makes its intact part durable, and removes what is behind it.
+    /// Opens an existing segment, makes its intact part durable, and removes the bytes after it.
     ///
-    /// After a failed sync the system may show bytes that are on no disk; so what was found is written anew rather
-    /// than synced once more.
+    /// After a failed sync the operating system may return bytes that are not on the disk, so the intact part
+    /// is rewritten instead of being synced again.
     ///
     /// # Errors
-    /// Of the disk, or if the file is shorter than it was when it was scanned.
+    /// Returns [`StoreError::Io`] if the disk fails, or [`StoreError::Damaged`] if the file is shorter than
+    /// it was during the scan.
     pub fn recover(disk: &dyn Disk, name: &str, end: &SegmentEnd) -> Result<OpenSegment, StoreError> {
         let mut file = disk.open(name).map_err(StoreError::io("opening", name))?;
         if !end.closed_cleanly {
@@ -74,18 +76,18 @@
         self.end
     }
 
-    /// Returns whether a failed write may have left bytes behind the last frame.
+    /// Returns whether a failed write may have left bytes after the last frame.
     pub fn has_leftover(&self) -> bool {
         self.has_leftover
     }
 
-    /// Removes what a failed write left, so that it is not taken for a later frame.
+    /// Removes the bytes that a failed write left, so that they are not read as a later frame.
     ///
     /// # Errors
-    /// Of the disk. The leftover may still be there.
+    /// Returns the error of the disk. The bytes may still be there.
     pub fn remove_leftover(&mut self) -> Result<(), StoreError> {
         if self.has_leftover {
-            self.file.truncate(self.end).map_err(StoreError::io("cutting", &self.name))?;
+            self.file.truncate(self.end).map_err(StoreError::io("truncating", &self.name))?;
             self.has_leftover = false;
         }
         Ok(())
@@ -94,7 +96,7 @@
     /// Makes the segment durable.
     ///
     /// # Errors
-    /// Of the disk.
+    /// Returns the error of the disk.
     pub fn sync(&mut self) -> Result<(), StoreError> {
         self.file.sync().map_err(StoreError::io("syncing", &self.name))
     }
@@ -102,7 +104,7 @@
     /// Writes one frame and makes it durable.
     ///
     /// # Errors
-    /// [`StoreError::NoSpace`]: the frame is not there. Any other: it is unknown whether it is.
+    /// After [`StoreError::NoSpace`] the frame is not in the segment. After any other error that is unknown.
     pub fn append_frame<R: AsRef<[u8]>>(
         &mut self,
         first: u64,
@@ -118,13 +120,13 @@
         if let Err(error) = written.map_err(StoreError::io("writing", &self.name)) {
             self.has_leftover = true;
             if let StoreError::NoSpace { .. } = error {
-                // Makes room for others. If it fails, it is done before the next frame.
+                // Frees the space. If this fails, it is retried before the next frame.
                 let _ = self.remove_leftover();
             }
             return Err(error);
         }
-        // Not `StoreError::io`: after a failed sync, also for want of space, the system may count as written what
-        // never was.
+        // Not `StoreError::io`: after any failed sync, even for lack of space, the operating system may treat
+        // data as written that never reached the disk.
         let sync_error = |source| StoreError::Io { operation: "syncing", file: self.name.clone(), source };
         self.file.sync().map_err(sync_error)?;
         self.end += len;
@@ -132,7 +134,7 @@
     }
 }
 
-/// Replaces the buffer's content by a frame.
+/// Replaces the content of `buffer` by an encoded frame.
 fn encode_frame<R: AsRef<[u8]>>(buffer: &mut Vec<u8>, salt: u64, first: u64, records: &[R], flags: u32) {
     buffer.clear();
     buffer.resize(FRAME_HEADER_BYTES, 0);
@@ -161,9 +163,10 @@
         return Err(damaged(name, filled as u64, "the file became shorter while it was read"));
     }
     match write_file_atomically(disk, name, &[&intact]) {
-        // A full disk does not keep the store from being opened: it is what has to be looked at.
+        // A full disk must not prevent the store from being opened, because it has to be inspected in that
+        // situation.
         Err(StoreError::NoSpace { .. }) => {
-            file.truncate(intact_bytes).map_err(StoreError::io("cutting", name))?;
+            file.truncate(intact_bytes).map_err(StoreError::io("truncating", name))?;
             let sync_error = |source| StoreError::Io { operation: "syncing", file: name.to_owned(), source };
             file.sync().map_err(sync_error)?;
             Ok(file)
--- a/crates/store/src/options.rs
+++ b/crates/store/src/options.rs
@@ -3,20 +3,20 @@
 /// The settings of a log.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The owner of the store. A store of another owner is refused.
+    /// Owner of the store. Opening a store of another owner fails.
     pub owner: String,
-    /// The size from which a segment is followed by a new one, in bytes. Recovery holds one segment in memory.
+    /// Size in bytes at which a new segment is started. Recovery holds one segment in memory.
     pub segment_bytes: u64,
-    /// The longest record, in bytes.
+    /// Maximum length of a record, in bytes.
     pub max_record: usize,
-    /// What goes into the checksums, unknown to those whose bytes are stored.
+    /// Salt of the checksums. It is unknown to those whose data is stored, so that they can't forge frames.
     pub salt: u64,
-    /// The time that new files bear, Unix ms; for people only.
+    /// Creation time written to new files, Unix ms. For information only.
     pub now_ms: u64,
 }
 
 impl Options {
-    /// Returns the defaults: segments of 16 MiB, records of 1 MiB at most, a random salt.
+    /// Returns the default settings: segments of 16 MiB, records of at most 1 MiB, and a random salt.
     pub fn new(owner: &str) -> Options {
         use std::hash::{BuildHasher as _, RandomState};
         let salt = RandomState::new().hash_one(owner);
--- a/crates/store/src/range_read.rs
+++ b/crates/store/src/range_read.rs
@@ -1,4 +1,4 @@
-//! Reading of a range of durable records, beside a log that may be open and written to.
+//! Reads a range of durable records from a store that may be open and written to at the same time.
 
 use crate::disk::{Disk, read_file};
 use crate::error::{ReplayRejection, StoreError};
@@ -8,10 +8,11 @@
 use crate::store_files::{StoreFiles, checked_header, damaged};
 use std::ops::Range;
 
-/// The visitor of single records.
+/// The visitor of records, called with each record's number and payload.
 pub(crate) type RecordVisitor<'a> = dyn FnMut(u64, &[u8]) -> Result<(), ReplayRejection> + 'a;
 
-/// Shows the visitor the records with numbers in the range, which have to be durable and still there.
+/// Passes the records with numbers in `range` to the visitor. They must be durable and not yet replaced by a
+/// snapshot.
 ///
 /// # Errors
 /// See [`crate::Log::read_range`].
@@ -24,7 +25,7 @@
     let mut segments = StoreFiles::list(disk)?.segments;
     segments.retain(|segment| segment.base < range.end);
     let first = segments.partition_point(|segment| segment.base <= range.start).saturating_sub(1);
-    // One that begins after the first record asked for shows as a gap at once.
+    // If the first segment begins after the first requested record, the loop reports a gap immediately.
     let mut next_record = segments.get(first).map_or(range.start, |s| s.base.min(range.start));
     let mut last_file = disk.name();
     for segment in segments.drain(first..) {
@@ -40,7 +41,8 @@
     Ok(())
 }
 
-/// Shows the visitor a segment's records in the range, and returns the number of the record after the segment.
+/// Passes a segment's records in `range` to the visitor, and returns the number of the record after the
+/// segment.
 fn read_segment(
     disk: &dyn Disk,
     owner: &str,
@@ -58,7 +60,7 @@
         }
         visit(number, payload).map_err(|reason| StoreError::Rejected { file: name.clone(), number, reason })
     })?;
-    // Behind what was asked for lies a frame that may be in the course of being written.
+    // A fault after the requested range may be a frame that is currently being written.
     if let Some(fault) = fault.filter(|_| scan.next_record() < range.end) {
         return Err(damaged(name, fault.offset, fault.description));
     }
--- a/crates/store/src/real_disk.rs
+++ b/crates/store/src/real_disk.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The file that is locked while a store is open.
+/// Name of the file that is locked while a store is open.
 const LOCK_FILE: &str = "LOCK";
 
 /// A directory of the file system.
@@ -17,18 +17,18 @@
 pub struct RealDisk {
     path: PathBuf,
     directory: File,
-    /// Held open while this process has the directory locked.
+    /// The lock file, held open while this process has the directory locked.
     lock_file: Mutex<Option<File>>,
 }
 
 impl RealDisk {
-    /// Opens the directory at `path`, and creates it if it is not there.
+    /// Opens the directory at `path`, and creates it if it does not exist.
     ///
     /// # Errors
-    /// If it can't be created or opened.
+    /// Returns [`StoreError::Io`] or [`StoreError::NoSpace`] if the directory can't be created or opened.
     pub fn new(path: &Path) -> Result<RealDisk, StoreError> {
         let name = path.display().to_string();
-        std::fs::create_dir_all(path).map_err(StoreError::io("making directory", &name))?;
+        std::fs::create_dir_all(path).map_err(StoreError::io("creating directory", &name))?;
         let directory = File::open(path).map_err(StoreError::io("opening directory", &name))?;
         Ok(RealDisk { path: path.to_owned(), directory, lock_file: Mutex::new(None) })
     }
@@ -57,8 +57,9 @@
             let holder = if holder.trim().is_empty() { "another process" } else { holder.trim() };
             return Err(StoreError::Locked { directory: self.name(), holder: holder.to_owned() });
         }
-        // The text is for people; the lock is the system's and ends with the process, however that ends. So errors of
-        // writing it, as on a full disk, do not keep the store from being opened.
+        // The text is informational. The lock itself belongs to the operating system, which releases it
+        // however the process ends. So a failure to write the text, such as on a full disk, must not prevent
+        // the store from being opened.
         let _ = file.set_len(0);
         let _ = write!(file, "process {}", std::process::id());
         *self.lock_file() = Some(file);
@@ -72,7 +73,7 @@
     fn list(&self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in std::fs::read_dir(&self.path)? {
-            // A name that is no text is none of the store's.
+            // All of the store's file names are valid UTF-8, so other names are skipped.
             names.extend(entry?.file_name().into_string().ok().filter(|n| n != LOCK_FILE));
         }
         Ok(names)
@@ -120,7 +121,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        // The length counts as content: without it the bytes can't be read back.
+        // `sync_data` also syncs the file length, which is needed to read the data back.
         self.0.sync_data()
     }
 }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,11 +1,11 @@
-//! What reading a store back yields: items for the visitor, and a report for the owner.
+//! The results of reading a store: items for the visitor, and a report for the owner.
 
 use crate::error::ReplayRejection;
 
-/// What a replay shows its visitor, in order.
+/// An item that a replay passes to its visitor. Items come in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplayItem<'a> {
-    /// The content of the newest snapshot, which stands for all records before that number.
+    /// The content of the newest snapshot, which replaces all records before the given number.
     Snapshot(u64, &'a [u8]),
     /// A record's number and its payload.
     Record(u64, &'a [u8]),
@@ -14,31 +14,32 @@
 /// The visitor of a replay.
 pub(crate) type Visitor<'a> = dyn FnMut(ReplayItem<'_>) -> Result<(), ReplayRejection> + 'a;
 
-/// What a crash left of a commit at the end of the log. It is cut off.
+/// The remains of an incomplete commit that a crash left at the end of the log. Opening the log discards
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// The file.
+    /// Name of the segment file.
     pub file: String,
-    /// Where the incomplete commit begins.
+    /// Offset at which the incomplete commit begins.
     pub offset: u64,
-    /// How many bytes of it there are.
+    /// Length of the remains, in bytes.
     pub bytes: u64,
 }
 
-/// What opening a store found.
+/// The report on a store that was opened or read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// The number that the next record gets.
+    /// Number that the next record will get.
     pub next_record: u64,
-    /// The number of the first record after the newest snapshot, `None` without a snapshot.
+    /// Number of the first record after the newest snapshot, or `None` without a snapshot.
     pub snapshot_before: Option<u64>,
-    /// How many records there are after the snapshot.
+    /// Number of records after the newest snapshot.
     pub records: u64,
-    /// Bytes read.
+    /// Number of bytes read.
     pub bytes_read: u64,
     /// Whether the store was closed cleanly.
     pub closed_cleanly: bool,
-    /// What a crash left of the last commit.
+    /// The remains of a commit that a crash interrupted, if there are any.
     pub torn_tail: Option<TornTail>,
 }
 
@@ -59,40 +60,40 @@
 /// A file of the store, and the record number in its name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BaseFile {
-    /// In a segment the number of its first record, in a snapshot of the first record after it.
+    /// Number of the first record in a segment, or of the first record after a snapshot.
     pub base: u64,
     pub name: String,
 }
 
-/// The state of a log as a replay found it.
+/// The state of a log as read by a replay.
 #[derive(Debug)]
 pub(crate) struct RecoveredLog {
-    /// The number of the first record after the newest snapshot, 1 without a snapshot.
+    /// Number of the first record after the newest snapshot, or 1 without a snapshot.
     pub first_record: u64,
-    /// The file of the newest snapshot.
+    /// File name of the newest snapshot, if there is one.
     pub snapshot: Option<String>,
-    /// The segments that are needed, in order.
+    /// The segments that are still needed, in order.
     pub segments: Vec<BaseFile>,
     /// The end of the last segment, if there is a segment.
     pub end: Option<SegmentEnd>,
-    /// The number of the next record.
+    /// Number that the next record will get.
     pub next_record: u64,
-    /// Records shown to the visitor.
+    /// Number of records passed to the visitor.
     pub records: u64,
-    /// Bytes read.
+    /// Number of bytes read.
     pub bytes_read: u64,
-    /// Files that are no longer needed, or that were never completed.
+    /// Files that are no longer needed or were never completed.
     pub obsolete: Vec<String>,
 }
 
 /// The end of the last segment.
 #[derive(Clone, Debug)]
 pub(crate) struct SegmentEnd {
-    /// Where its intact part ends.
+    /// Length of the intact part of the segment, in bytes.
     pub intact_bytes: u64,
-    /// The length of the file.
+    /// Length of the file, in bytes.
     pub file_bytes: u64,
-    /// The salt of its checksums.
+    /// Salt of the segment's checksums.
     pub salt: u64,
     /// Whether the store was closed cleanly.
     pub closed_cleanly: bool,
--- a/crates/store/src/replay.rs
+++ b/crates/store/src/replay.rs
@@ -1,14 +1,15 @@
-//! Reading a whole store back.
+//! Replays a whole store.
 //!
 //! # Invariants
-//! No record that had been durable is passed over: a gap, a foreign file or a damaged byte in what was durable ends
-//! the replay with an error that names the file and the offset. Only what a crash may have left of the last commit is
-//! cut, and that is reported.
+//! No durable record is skipped: a gap, a file of another store or a damaged byte in durable data ends the
+//! replay with an error that names the file and the offset. Only the remains of a last commit that a crash
+//! interrupted are discarded, and they are reported.
 //!
-//! The two are told apart by what frames state: a frame is written only once the one before it is durable, and states
-//! so. A fault with a later frame behind it that knew the faulty place as durable is damage; one without is the end of
-//! what was committed. A last commit that was acknowledged and then damaged before anything else was written can't be
-//! told from a torn one, except after a clean close, which leaves a frame of its own.
+//! Damage and a torn commit are distinguished by the frames: a frame is written only once the previous frame
+//! is durable, and it records the number up to which records were durable. A fault is damage if a later frame
+//! records the faulty position as durable. Otherwise it marks the end of the committed data. A last commit
+//! that was acknowledged and then damaged before anything else was written can't be distinguished from a torn
+//! commit, except after a clean close, which writes a frame of its own.
 
 use crate::disk::{Disk, read_file};
 use crate::error::StoreError;
@@ -17,7 +18,8 @@
 use crate::segment_scan::SegmentScan;
 use crate::store_files::{StoreFiles, checked_header, damaged};
 
-/// Shows the visitor the newest snapshot and every record after it, in order. Nothing is changed on the disk.
+/// Passes the newest snapshot and every record after it to the visitor, in order. Nothing is changed on the
+/// disk.
 ///
 /// # Errors
 /// See [`crate::Log::open`].
@@ -40,7 +42,8 @@
     if let Some(newest) = snapshots.pop() {
         replay_snapshot(disk, owner, newest, &mut recovered, visit)?;
     }
-    // Older snapshots and segments that end before the first record were about to be removed.
+    // Older snapshots, and segments that end before the first record, remain if a crash prevented their
+    // removal.
     let needed_from = segments.partition_point(|s| s.base <= recovered.first_record).saturating_sub(1);
     let obsolete = snapshots.into_iter().chain(segments.drain(..needed_from));
     recovered.obsolete.extend(obsolete.map(|file| file.name));
@@ -53,7 +56,7 @@
         replay_segment(disk, owner, segment, index + 1 == count, &mut recovered, visit)?;
     }
     if recovered.next_record < recovered.first_record {
-        // The snapshot was taken of records that were durable.
+        // The snapshot covers only records that were durable, so the segments must reach it.
         return Err(StoreError::Gap {
             file: segments.pop().map_or_else(String::new, |last| last.name),
             expected: recovered.next_record,
@@ -76,7 +79,7 @@
     let header = checked_header(&bytes, &name, FileKind::Snapshot, base, owner)?;
     let content = &bytes[FILE_HEADER_BYTES..];
     if ContentDigest::of(content) != header.content {
-        let fault = "the snapshot's content is not what was written";
+        let fault = "the checksum or the length of the snapshot's content does not match the header";
         return Err(damaged(&name, FILE_HEADER_BYTES as u64, fault));
     }
     visit(ReplayItem::Snapshot(base, content)).map_err(|reason| StoreError::Rejected {
@@ -91,7 +94,7 @@
     Ok(())
 }
 
-/// Checks that no segment is missing before the first one that is there.
+/// Checks that no segment is missing before the first existing one.
 fn check_first_segment(first: Option<&BaseFile>, recovered: &RecoveredLog) -> Result<(), StoreError> {
     match (first, &recovered.snapshot) {
         (None, Some(snapshot)) => {
@@ -132,7 +135,8 @@
             reason,
         })
     })?;
-    // Only the end of the last segment may have been cut short: the next one is begun when all before is durable.
+    // Only the last segment can be incomplete: a new segment is started only when all earlier records are
+    // durable.
     if let Some(fault) = fault.filter(|_| !is_last || scan.fault_was_durable()) {
         return Err(damaged(name, fault.offset, fault.description));
     }
--- a/crates/store/src/segment_scan.rs
+++ b/crates/store/src/segment_scan.rs
@@ -1,19 +1,19 @@
-//! Reading of one segment's bytes, frame by frame.
+//! Reads the bytes of one segment, frame by frame.
 
 use crate::error::StoreError;
 use crate::format::{
     DamagedRecord, FILE_HEADER_BYTES, FLAG_CLOSED_CLEANLY, FRAME_HEADER_BYTES, FrameHeader, RecordIter,
 };
 
-/// The first byte of a frame.
+/// First byte of every frame.
 const FRAME_FIRST_BYTE: u8 = b'F';
 
-/// Where a segment's bytes are no longer what a commit writes.
+/// The first position in a segment at which there is no intact frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ScanFault {
-    /// The place in the segment.
+    /// Offset in the segment.
     pub offset: u64,
-    /// What is wrong there.
+    /// Description of the fault.
     pub description: &'static str,
 }
 
@@ -28,12 +28,12 @@
 }
 
 impl<'a> SegmentScan<'a> {
-    /// Returns a scan over a segment's bytes that begins behind the file's header, with record `base`.
+    /// Returns a scan over a segment's bytes that begins after the file header, with record `base`.
     pub fn new(bytes: &'a [u8], base: u64, salt: u64) -> SegmentScan<'a> {
         SegmentScan { bytes, salt, position: FILE_HEADER_BYTES, next_record: base, closed_cleanly: false }
     }
 
-    /// Returns where the intact part ends, as far as it was scanned.
+    /// Returns the length of the intact part scanned so far, in bytes.
     pub fn intact_bytes(&self) -> u64 {
         self.position as u64
     }
@@ -48,22 +48,23 @@
         self.closed_cleanly
     }
 
-    /// Shows the records of all intact frames, and returns the first fault if the segment does not end without one.
+    /// Passes the records of all intact frames to `visit`, and returns the first fault, or `None` if all
+    /// frames up to the end are intact.
     ///
     /// # Errors
-    /// Those of `show`, which end the scan.
+    /// Stops the scan at the first error of `visit` and returns it.
     pub fn run(
         &mut self,
-        mut show: impl FnMut(u64, &[u8]) -> Result<(), StoreError>,
+        mut visit: impl FnMut(u64, &[u8]) -> Result<(), StoreError>,
     ) -> Result<Option<ScanFault>, StoreError> {
         while self.position < self.bytes.len() {
-            // All or none: a frame is shown only once each of its records is known to be intact.
+            // Commits are atomic: the records of a frame are visited only if all of them are intact.
             let (header, content) = match self.intact_frame() {
                 Ok(frame) => frame,
                 Err(fault) => return Ok(Some(fault)),
             };
             for (number, payload) in RecordIter::new(&header, content).flatten() {
-                show(number, payload)?;
+                visit(number, payload)?;
             }
             self.closed_cleanly = header.flags & FLAG_CLOSED_CLEANLY != 0;
             self.next_record += u64::from(header.count);
@@ -72,24 +73,26 @@
         Ok(None)
     }
 
-    /// Returns the frame at the present position and its records' bytes.
+    /// Returns the header of the frame at the current position, and the bytes of its records.
     fn intact_frame(&self) -> Result<(FrameHeader, &'a [u8]), ScanFault> {
         let fault = |offset: usize, description| ScanFault { offset: offset as u64, description };
         let header = FrameHeader::decode(&self.bytes[self.position..], self.salt)
-            .ok_or(fault(self.position, "there is no frame here"))?;
+            .ok_or(fault(self.position, "no valid frame header"))?;
         if header.first != self.next_record {
-            return Err(fault(self.position, "this frame does not follow the one before it"));
+            return Err(fault(self.position, "the frame does not follow the previous frame"));
         }
         let start = self.position + FRAME_HEADER_BYTES;
         let content = self.bytes.get(start..start + header.len as usize);
-        let content = content.ok_or(fault(self.position, "this frame is cut short"))?;
+        let content = content.ok_or(fault(self.position, "the frame is truncated"))?;
         match RecordIter::new(&header, content).find_map(Result::err) {
-            Some(DamagedRecord { offset }) => Err(fault(start + offset, "this record's checksum is wrong")),
+            Some(DamagedRecord { offset }) => {
+                Err(fault(start + offset, "the record is truncated or its checksum does not match"))
+            }
             None => Ok((header, content)),
         }
     }
 
-    /// Returns whether a later frame shows that what is at the present position had been durable.
+    /// Returns whether a later frame proves that the data at the current position had been durable.
     pub fn fault_was_durable(&self) -> bool {
         let rest = &self.bytes[self.position..];
         let starts = 0..rest.len().saturating_sub(FRAME_HEADER_BYTES - 1);
--- a/crates/store/src/sim/disk.rs
+++ b/crates/store/src/sim/disk.rs
@@ -8,20 +8,20 @@
 use crate::error::StoreError;
 use std::io;
 
-/// What the disk is called in messages.
+/// Name of the disk in messages.
 const DISK_NAME: &str = "simulated disk";
 
-/// A simulated disk. Clones are the same disk.
+/// A simulated disk. Clones share the same state.
 #[derive(Clone)]
 pub struct SimDisk(SharedState);
 
 impl SimDisk {
-    /// Returns an empty disk without faults; all its randomness comes from `seed`.
+    /// Returns an empty disk without faults. All its randomness comes from `seed`.
     pub fn new(seed: u64) -> SimDisk {
         SimDisk(SharedState::new(seed))
     }
 
-    /// Sets what goes wrong from now on; operations and syncs are counted from 0 again.
+    /// Sets the faults from now on, and resets the counts of operations and syncs to 0.
     pub fn set_faults(&self, faults: Faults) {
         let mut state = self.0.lock();
         state.faults = faults;
@@ -39,22 +39,23 @@
         self.0.lock().syncs
     }
 
-    /// Returns whether the power was cut.
+    /// Returns whether the power is off.
     pub fn is_powered_off(&self) -> bool {
         self.0.lock().powered_off
     }
 
-    /// Ends the process while the machine goes on: nothing is lost, synced or not. Faults are over.
+    /// Restarts the process while the machine stays up: no data is lost, synced or not. Clears the faults.
     pub fn restart_process(&self) {
         self.0.lock().restart_process();
     }
 
-    /// Cuts the power and restores it: of what was not synced, some is there and some is not. Faults are over.
+    /// Turns the power off and on again: some of the unsynced changes survive and some are lost. Clears the
+    /// faults.
     pub fn power_cycle(&self) {
         self.0.lock().power_cycle();
     }
 
-    /// Returns a file's bytes as processes see them now.
+    /// Returns the current content of a file as processes see it.
     pub fn file_bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.0.lock();
         let inode = state.names.visible().get(name)?;
--- a/crates/store/src/sim/faults.rs
+++ b/crates/store/src/sim/faults.rs
@@ -1,16 +1,16 @@
-//! The faults of a simulated disk.
+//! [`Faults`]: the faults of a simulated disk.
 
-/// What goes wrong on a simulated disk.
+/// The faults that a simulated disk injects.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// The operation at which the power is cut, counted from 0; it and all after it fail.
+    /// Index of the operation at which the power fails, counted from 0. It and all later operations fail.
     pub crash_at: Option<u64>,
-    /// The syncs that fail, of files and of the directory, counted from 0.
+    /// Indices of the syncs that fail, counted from 0 over files and the directory.
     pub failing_syncs: Vec<u64>,
-    /// The bytes that fit, of all files.
+    /// Capacity of the disk in bytes, over all files.
     pub capacity_bytes: Option<u64>,
     /// Whether truncating a file fails.
     pub failing_truncates: bool,
-    /// Whether some writes and reads transfer only a part.
+    /// Whether some writes and reads transfer only part of the bytes.
     pub short_transfers: bool,
 }
--- a/crates/store/src/sim/file.rs
+++ b/crates/store/src/sim/file.rs
@@ -1,11 +1,11 @@
-//! An open file of a simulated disk.
+//! [`SimFile`]: an open file of a simulated disk.
 
 use super::names::InodeIndex;
 use super::state::SharedState;
 use crate::disk::DiskFile;
 use std::io;
 
-/// The share of a file's pending changes that a failed sync still makes durable.
+/// Probability that a failed sync still makes a part of the pending changes durable.
 const PERSISTED_SHARE_OF_FAILED_SYNC: f64 = 0.5;
 
 /// An open file of a simulated disk.
@@ -70,11 +70,13 @@
         let state = &mut *guard;
         let inode = &mut state.inodes[self.inode];
         if fails {
-            // The system drops its record of what was to be written: it is visible, and no later sync persists it.
+            // The operating system marks the pending data as clean: it stays visible, and no later sync
+            // persists it.
             inode.persist_pending(PERSISTED_SHARE_OF_FAILED_SYNC, &mut state.rng);
             return Err(io::Error::other("input/output error"));
         }
-        // Not what is visible: what an earlier sync failed to persist stays missing.
+        // Only pending changes are persisted, not all visible data: changes that an earlier sync failed to
+        // persist stay lost.
         inode.persist_pending(1.0, &mut state.rng);
         Ok(())
     }
--- a/crates/store/src/sim/inode.rs
+++ b/crates/store/src/sim/inode.rs
@@ -1,18 +1,18 @@
-//! The content of one file of a simulated disk.
+//! [`Inode`]: the content of one file of a simulated disk.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// What a disk writes whole or not at all, in bytes.
+/// Size in bytes of the unit that a disk writes atomically.
 const SECTOR_BYTES: usize = 512;
 
-/// A change of content that was not synced yet.
+/// A change of content that has not been synced yet.
 enum ContentChange {
     Write { offset: usize, data: Vec<u8> },
     Truncate { len: usize },
 }
 
-/// A file's content, with and without what was not synced.
+/// A file's content, with and without the unsynced changes.
 #[derive(Default)]
 pub(super) struct Inode {
     durable: Vec<u8>,
@@ -21,7 +21,7 @@
 }
 
 impl Inode {
-    /// Returns a file with durable content.
+    /// Returns a file whose content is durable.
     pub fn durable(bytes: &[u8]) -> Inode {
         Inode { durable: bytes.to_vec(), visible: bytes.to_vec(), pending: Vec::new() }
     }
@@ -31,20 +31,20 @@
         &self.visible
     }
 
-    /// Writes bytes that are not durable yet.
+    /// Writes bytes, which are not durable until they are persisted.
     pub fn write(&mut self, offset: usize, data: &[u8]) {
         write_bytes(&mut self.visible, offset, data);
         self.pending.push(ContentChange::Write { offset, data: data.to_vec() });
     }
 
-    /// Truncates the file, not durably yet.
+    /// Truncates the file, which is not durable until it is persisted.
     pub fn truncate(&mut self, len: usize) {
         self.visible.truncate(len);
         self.pending.push(ContentChange::Truncate { len });
     }
 
-    /// Makes each part of the pending changes durable with probability `persisted_share`, and forgets the others. What
-    /// is visible stays as it is.
+    /// Makes each part of the pending changes durable with probability `persisted_share`, and discards the
+    /// other parts. The visible content does not change.
     pub fn persist_pending(&mut self, persisted_share: f64, rng: &mut ChaCha8Rng) {
         for change in std::mem::take(&mut self.pending) {
             match change {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Shows what is durable, as after a power cycle.
+    /// Resets the visible content to the durable content, as after a power cycle.
     pub fn reload(&mut self) {
         self.visible = self.durable.clone();
     }
@@ -75,7 +75,7 @@
             }
             from = to;
         }
-        // The length may have become durable and the bytes not.
+        // The length may become durable without the bytes.
         let end = offset + data.len();
         if rng.random_bool(persisted_share) && self.durable.len() < end {
             self.durable.resize(end, 0);
--- a/crates/store/src/sim/mod.rs
+++ b/crates/store/src/sim/mod.rs
@@ -1,8 +1,8 @@
-//! A disk in memory that fails as disks do, from a seed.
+//! An in-memory disk that reproduces the failures of real disks, seeded for repeatable runs.
 //!
-//! The power is cut at any operation, and of what was not synced a part is kept, by sectors and in any order; names that
-//! were not synced come and go; writes are short; the disk is full; a sync fails, and what it covered is visible from
-//! then on but is on no disk.
+//! Simulated faults: the power fails at any operation, and unsynced data survives in part, by sector and in
+//! any order; unsynced names survive or disappear; writes are short; the disk is full; a sync fails, and the
+//! data it covered stays visible but does not reach the disk.
 
 mod disk;
 mod faults;
--- a/crates/store/src/sim/names.rs
+++ b/crates/store/src/sim/names.rs
@@ -1,23 +1,23 @@
-//! The directory of a simulated disk.
+//! [`Names`]: the directory of a simulated disk.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::io;
 
-/// The position of a file's content in the table of inodes.
+/// Index of a file's content in the table of inodes.
 pub(super) type InodeIndex = usize;
 
 type NameTable = BTreeMap<String, InodeIndex>;
 
-/// A change of names that was not synced yet.
+/// A change of names that has not been synced yet.
 enum NameChange {
     Link { name: String, inode: InodeIndex },
     Rename { from: String, to: String },
     Remove { name: String },
 }
 
-/// The names of files, with and without what was not synced.
+/// The names of files, with and without the unsynced changes.
 #[derive(Default)]
 pub(super) struct Names {
     visible: NameTable,
@@ -31,7 +31,7 @@
         &self.visible
     }
 
-    /// Gives a file a name, not durably yet.
+    /// Gives a file a name, which is not durable until the directory is synced.
     pub fn link(&mut self, name: &str, inode: InodeIndex) {
         self.visible.insert(name.to_owned(), inode);
         self.pending.push(NameChange::Link { name: name.to_owned(), inode });
@@ -43,7 +43,7 @@
         self.durable.insert(name.to_owned(), inode);
     }
 
-    /// Renames a file, not durably yet.
+    /// Renames a file, which is not durable until the directory is synced.
     pub fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         let inode = self.visible.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.visible.insert(to.to_owned(), inode);
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// Removes a name, not durably yet.
+    /// Removes a name, which is not durable until the directory is synced.
     pub fn remove(&mut self, name: &str) -> io::Result<()> {
         self.visible.remove(name).ok_or(io::ErrorKind::NotFound)?;
         self.pending.push(NameChange::Remove { name: name.to_owned() });
@@ -70,7 +70,8 @@
         self.durable = self.visible.clone();
     }
 
-    /// Makes each pending change durable with probability `persisted_share`, and shows what is durable.
+    /// Makes each pending change durable with probability `persisted_share`, discards the others, and resets
+    /// the visible names to the durable ones.
     pub fn power_cycle(&mut self, persisted_share: f64, rng: &mut ChaCha8Rng) {
         let mut all_applied = self.durable.clone();
         for change in self.pending.drain(..) {
@@ -87,7 +88,7 @@
     }
 }
 
-/// Applies a change; `renamed` is the file that a rename names.
+/// Applies a change. `renamed` is the file that a rename moves, if it exists.
 fn apply(names: &mut NameTable, change: &NameChange, renamed: Option<InodeIndex>) {
     match change {
         NameChange::Link { name, inode } => drop(names.insert(name.clone(), *inode)),
--- a/crates/store/src/sim/state.rs
+++ b/crates/store/src/sim/state.rs
@@ -8,9 +8,10 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How often a transfer is short, where that is among the faults.
+/// Probability that a transfer is short if [`Faults::short_transfers`] is set.
 const SHORT_TRANSFER_PROBABILITY: f64 = 0.3;
-/// The shares of pending changes that a power cycle persists: now and then nothing or everything was written already.
+/// Shares of pending changes that a power cycle persists, one of which is chosen at random. They include the
+/// cases that nothing or everything was already written.
 const PERSISTED_SHARES: [f64; 5] = [0.0, 0.5, 0.5, 0.9, 1.0];
 
 /// The state of a simulated disk.
@@ -19,15 +20,15 @@
     pub names: Names,
     pub faults: Faults,
     pub rng: ChaCha8Rng,
-    /// Operations since the faults were set.
+    /// Number of operations since the faults were set.
     pub operations: u64,
-    /// Syncs since the faults were set.
+    /// Number of syncs since the faults were set.
     pub syncs: u64,
     pub powered_off: bool,
     pub locked: bool,
 }
 
-/// A state that a disk and its open files share.
+/// The state shared by a disk and its open files.
 #[derive(Clone)]
 pub(super) struct SharedState(Arc<Mutex<State>>);
 
@@ -56,7 +57,7 @@
     /// Counts an operation.
     ///
     /// # Errors
-    /// If the power is cut.
+    /// Returns an error if the power is off.
     pub fn begin_operation(&mut self) -> io::Result<()> {
         self.powered_off |= self.faults.crash_at == Some(self.operations);
         self.operations += 1;
@@ -75,12 +76,12 @@
         self.inodes.len() - 1
     }
 
-    /// Returns the bytes of all files.
+    /// Returns the total size of all files, in bytes.
     pub fn used_bytes(&self) -> u64 {
         self.names.visible().values().map(|inode| self.inodes[*inode].visible().len() as u64).sum()
     }
 
-    /// Returns how much of a transfer of `len` bytes is carried out.
+    /// Returns the number of bytes that a transfer of `len` bytes actually moves.
     pub fn transfer_length(&mut self, len: usize) -> usize {
         let may_be_short = self.faults.short_transfers && len > 1;
         if may_be_short && self.rng.random_bool(SHORT_TRANSFER_PROBABILITY) {
@@ -90,14 +91,14 @@
         }
     }
 
-    /// Ends all processes that use the disk, and all faults.
+    /// Ends all processes that use the disk, and clears the faults.
     pub fn restart_process(&mut self) {
         self.faults = Faults::default();
         self.powered_off = false;
         self.locked = false;
     }
 
-    /// Loses some of what was not synced.
+    /// Loses some of the unsynced changes, and restarts the process.
     pub fn power_cycle(&mut self) {
         let persisted_share = PERSISTED_SHARES[self.rng.random_range(0..PERSISTED_SHARES.len())];
         self.names.power_cycle(persisted_share, &mut self.rng);
--- a/crates/store/src/store_files.rs
+++ b/crates/store/src/store_files.rs
@@ -1,27 +1,27 @@
-//! The files of a store's directory, and the checks that each file's header has to pass.
+//! The files in a store's directory, and the checks of their headers.
 
 use crate::disk::Disk;
 use crate::error::StoreError;
 use crate::format::{FORMAT_VERSION, FileHeader, FileKind, HeaderError, parse_file_name};
 use crate::recovery::BaseFile;
 
-/// The extension of files that were being written.
+/// Extension of files that are not completely written.
 const TEMPORARY_EXTENSION: &str = ".tmp";
 
-/// The files of a store. Segments and snapshots are in order of their bases.
+/// The files of a store. Segments and snapshots are sorted by base record.
 #[derive(Debug)]
 pub(crate) struct StoreFiles {
     pub segments: Vec<BaseFile>,
     pub snapshots: Vec<BaseFile>,
-    /// Files that were written before a crash and never renamed; nothing was claimed of them.
+    /// Files that a crash left before they were renamed. Their content was never reported durable.
     pub temporary: Vec<String>,
 }
 
 impl StoreFiles {
-    /// Lists a directory. Files that are not the store's are left out.
+    /// Lists the store's files in a directory. Other files are ignored.
     ///
     /// # Errors
-    /// Of the disk.
+    /// Returns [`StoreError::Io`] if the directory can't be listed.
     pub fn list(disk: &dyn Disk) -> Result<StoreFiles, StoreError> {
         let names = disk.list().map_err(StoreError::io("listing", &disk.name()))?;
         let mut files = StoreFiles { segments: Vec::new(), snapshots: Vec::new(), temporary: Vec::new() };
@@ -44,10 +44,12 @@
     StoreError::Damaged { file: file.to_owned(), offset, fault: fault.into() }
 }
 
-/// Decodes a file's header, and checks it against the file's name and the owner.
+/// Decodes a file's header and checks it against the file name and the owner.
 ///
 /// # Errors
-/// If it is damaged, of a newer version, of another owner, or of another file.
+/// Returns [`StoreError::Damaged`] if the header is damaged or does not match the file name,
+/// [`StoreError::Version`] if the format is newer, and [`StoreError::Owner`] if the file belongs to another
+/// owner.
 pub(crate) fn checked_header(
     bytes: &[u8],
     name: &str,
@@ -69,7 +71,11 @@
         });
     }
     if header.kind != kind || header.base != base {
-        return Err(damaged(name, 16, "the file's name is not that of its content"));
+        return Err(damaged(
+            name,
+            16,
+            "the kind or the base record of the header does not match the file name",
+        ));
     }
     Ok(header)
 }
--- a/crates/store/src/writer/command.rs
+++ b/crates/store/src/writer/command.rs
@@ -1,16 +1,16 @@
-//! What a writer's thread is sent.
+//! Commands to a writer's thread.
 
 /// A command to a writer's thread.
 pub(super) enum Command {
-    /// Write a record.
+    /// Writes a record.
     Append {
-        /// The generation in which the owner appended it.
+        /// Generation in which the owner appended the record.
         generation: u64,
         ticket: u64,
         record: Vec<u8>,
     },
-    /// Replace all records before `before` by `content`.
+    /// Replaces all records before `before` by `content`.
     Snapshot { before: u64, content: Vec<u8> },
-    /// Write what waits, and close the log cleanly.
+    /// Commits the queued records, and closes the log cleanly.
     Close,
 }
--- a/crates/store/src/writer/commit_thread.rs
+++ b/crates/store/src/writer/commit_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that commits what was appended.
+//! [`CommitThread`]: the thread that commits appended records.
 
 use super::command::Command;
 use super::gauges::Counters;
@@ -10,21 +10,22 @@
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::Instant;
 
-/// The state of the thread.
+/// The state of the commit thread.
 pub(super) struct CommitThread {
     log: Log,
     options: WriterOptions,
     counters: Arc<Counters>,
     on_progress: Box<dyn FnMut(Progress) + Send>,
-    /// Goes up with each failure. Appends of an earlier generation were made before the owner knew of it.
+    /// Counter that increases with each failed commit. Appends of an earlier generation were made before the
+    /// owner received the report of the failure.
     generation: u64,
     batch: Vec<Vec<u8>>,
     batch_bytes: usize,
-    /// The ticket of the last record in the batch.
+    /// Ticket of the last record in the batch.
     last_ticket: u64,
 }
 
-/// Whether the thread goes on after a command.
+/// Whether the thread continues after a command.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
@@ -50,10 +51,11 @@
         }
     }
 
-    /// Executes commands until [`Command::Close`] or until the owner's end is dropped, and closes the log.
+    /// Executes commands until [`Command::Close`] arrives or the owner drops the writer, and then closes the
+    /// log.
     ///
     /// # Errors
-    /// If the log could not be closed cleanly.
+    /// Returns the error of [`Log::close`] if the log can't be closed cleanly.
     pub fn run(mut self, commands: &Receiver<Command>) -> Result<(), StoreError> {
         while let Ok(first) = commands.recv() {
             let flow = self.fill_batch(first, commands);
@@ -65,7 +67,7 @@
         self.log.close()
     }
 
-    /// Executes commands until the batch is full, or its time is up and nothing waits.
+    /// Executes commands until the batch is full, or its maximum delay has passed and the queue is empty.
     fn fill_batch(&mut self, first: Command, commands: &Receiver<Command>) -> Flow {
         let due = Instant::now() + self.options.max_batch_delay;
         let mut next = Some(first);
--- a/crates/store/src/writer/gauges.rs
+++ b/crates/store/src/writer/gauges.rs
@@ -1,24 +1,24 @@
-//! Figures of a writer, shared between its owner and its thread.
+//! Gauges and counters of a writer, shared between its owner and its thread.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The figures of a writer at one time.
+/// A snapshot of a writer's gauges and counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriterGauges {
-    /// Records that wait now.
+    /// Number of queued records.
     pub queued_records: usize,
-    /// Bytes of records that wait now.
+    /// Size of the queued records, in bytes.
     pub queued_bytes: usize,
-    /// Commits made.
+    /// Number of successful commits.
     pub commits: u64,
-    /// Records made durable.
+    /// Number of records made durable.
     pub records: u64,
-    /// Commits that failed.
+    /// Number of failed commits.
     pub failures: u64,
-    /// Appends handed back because the queue was full.
+    /// Number of appends rejected because the queue was full.
     pub overflows: u64,
-    /// How long the last commit took, µs.
+    /// Duration of the last successful commit, µs.
     pub last_commit_us: u64,
 }
 
@@ -35,29 +35,29 @@
 }
 
 impl Counters {
-    /// Returns the bytes of records that wait.
+    /// Returns the size of the queued records, in bytes.
     pub fn queued_bytes(&self) -> usize {
         self.queued_bytes.load(Ordering::Relaxed)
     }
 
-    /// Counts a record that begins to wait.
+    /// Counts a record that was added to the queue.
     pub fn enqueued(&self, bytes: usize) {
         self.queued_records.fetch_add(1, Ordering::Relaxed);
         self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    /// Counts records that no longer wait.
+    /// Counts records that left the queue.
     pub fn dequeued(&self, records: usize, bytes: usize) {
         self.queued_records.fetch_sub(records, Ordering::Relaxed);
         self.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
     }
 
-    /// Counts an append that was handed back.
+    /// Counts an append that was rejected because the queue was full.
     pub fn overflowed(&self) {
         self.overflows.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts a commit of so many records.
+    /// Counts a successful commit of `records` records.
     pub fn committed(&self, records: usize, took: Duration) {
         self.last_commit_us.store(took.as_micros() as u64, Ordering::Relaxed);
         self.commits.fetch_add(1, Ordering::Relaxed);
@@ -69,7 +69,7 @@
         self.failures.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the figures now.
+    /// Returns the current values.
     pub fn read(&self) -> WriterGauges {
         WriterGauges {
             queued_records: self.queued_records.load(Ordering::Relaxed),
--- a/crates/store/src/writer/handle.rs
+++ b/crates/store/src/writer/handle.rs
@@ -1,4 +1,4 @@
-//! [`Writer`]: the owner's end of group commit.
+//! [`Writer`]: the owner's handle for group commit.
 
 use super::command::Command;
 use super::commit_thread::CommitThread;
@@ -14,30 +14,31 @@
 use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
-/// What a panic of the writer's thread carried, as [`std::panic::catch_unwind`] returns it.
+/// The payload of a panic on the writer's thread, as returned by [`std::panic::catch_unwind`].
 pub type PanicPayload = Box<dyn Any + Send>;
 
-/// The owner's end of a thread that commits records in groups.
+/// The owner's handle for a thread that commits records in groups.
 ///
-/// The thread ends when this is dropped or closed; what waits then is still written.
+/// The thread ends when the writer is dropped or closed; queued records are still committed.
 pub struct Writer {
     commands: SyncSender<Command>,
     counters: Arc<Counters>,
     options: WriterOptions,
     last_ticket: u64,
-    /// Goes up with each failure that the owner has seen.
+    /// Generation that the owner last resumed with.
     generation: u64,
     thread: Option<JoinHandle<Result<(), StoreError>>>,
 }
 
 impl Writer {
-    /// Starts the thread. It calls `on_progress`, which may block: that delays commits and nothing else.
+    /// Starts the thread. It reports through `on_progress`, which may block; blocking only delays commits.
     ///
-    /// If the thread panics, it calls `on_panic` with the payload, and ends: nothing is reported or written any more, the
-    /// log is not marked as closed cleanly, and it is unknown of what was not reported whether it is there.
+    /// If the thread panics, it calls `on_panic` with the payload and ends. Nothing more is reported or
+    /// written, the log is not marked as closed cleanly, and it is unknown whether records that were not
+    /// reported are in the log.
     ///
     /// # Errors
-    /// If the thread can't be started.
+    /// Returns the operating system's error if the thread can't be started.
     pub fn start(
         log: Log,
         options: WriterOptions,
@@ -49,7 +50,7 @@
         let worker = CommitThread::new(log, options, counters.clone(), Box::new(on_progress));
         let thread = std::thread::Builder::new().name("store".to_owned());
         let thread = thread.spawn(move || {
-            // What the thread owned is dropped by the panic, so that nobody sees it half changed.
+            // The panic drops everything that the thread owns, so no inconsistent state remains visible.
             catch_unwind(AssertUnwindSafe(move || worker.run(&receiver))).unwrap_or_else(|payload| {
                 on_panic(payload);
                 Err(StoreError::Poisoned { cause: "the writer's thread panicked".to_owned() })
@@ -58,10 +59,11 @@
         Ok(Writer { commands, counters, options, last_ticket: 0, generation: 0, thread: Some(thread) })
     }
 
-    /// Hands a record to the thread and returns its ticket. Tickets go up by one from 1.
+    /// Queues a record for the thread and returns its ticket. Tickets are consecutive numbers that start at
+    /// 1.
     ///
     /// # Errors
-    /// With the record, if the queue is full.
+    /// Returns the record if the queue is full or the thread has ended.
     pub fn append(&mut self, record: Vec<u8>) -> Result<u64, Vec<u8>> {
         let len = record.len();
         let queued_bytes = self.counters.queued_bytes();
@@ -69,7 +71,7 @@
             self.counters.overflowed();
             return Err(record);
         }
-        // Counted before it is sent: the thread takes it off again as soon as it has it.
+        // Count the record before sending it, because the thread may dequeue it immediately.
         self.counters.enqueued(len);
         let ticket = self.last_ticket + 1;
         let command = Command::Append { generation: self.generation, ticket, record };
@@ -87,27 +89,28 @@
         }
     }
 
-    /// Has what is appended from now on written again, after a [`Progress::Failed`] with that generation.
+    /// Resumes writing for records appended from now on, after a [`Progress::Failed`] with `generation`.
     pub fn resume(&mut self, generation: u64) {
         self.generation = self.generation.max(generation);
     }
 
-    /// Requests a snapshot, and returns whether there was room in the queue for the request.
+    /// Requests a snapshot, and returns whether the request could be queued.
     pub fn snapshot(&mut self, before: u64, content: Vec<u8>) -> bool {
         self.commands.try_send(Command::Snapshot { before, content }).is_ok()
     }
 
-    /// Returns the figures now.
+    /// Returns the current gauges and counters.
     pub fn gauges(&self) -> WriterGauges {
         self.counters.read()
     }
 
-    /// Writes what waits, closes the store cleanly and ends the thread. This waits for the disk.
+    /// Commits the queued records, closes the store cleanly and ends the thread. Blocks on the disk.
     ///
     /// # Errors
-    /// If the store could not be closed cleanly.
+    /// Returns the error of [`Log::close`] if the store can't be closed cleanly, or [`StoreError::Poisoned`]
+    /// if the thread panicked.
     pub fn close(mut self) -> Result<(), StoreError> {
-        // This waits while the queue is full; the thread goes on reading it.
+        // `send` blocks while the queue is full; the thread continues to drain it.
         let _ = self.commands.send(Command::Close);
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -1,9 +1,9 @@
-//! Group commit on a thread of its own: whoever appends does not wait for the disk.
+//! Group commit on a dedicated thread, so that callers append without blocking on the disk.
 //!
 //! # Invariants
-//! The queue is bounded in records and bytes; what does not fit is handed back. The fate of each record is reported
-//! exactly once and in order. After a failure nothing more is written until the owner has seen it, so that no later
-//! record overtakes one that failed.
+//! The queue is bounded in records and bytes; records that do not fit are returned to the caller. The outcome
+//! of each record is reported exactly once and in order. After a failure nothing more is written until the
+//! owner has acknowledged it, so that no later record overtakes a failed one.
 
 mod command;
 mod commit_thread;
--- a/crates/store/src/writer/options.rs
+++ b/crates/store/src/writer/options.rs
@@ -5,20 +5,21 @@
 /// The settings of a [`crate::Writer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriterOptions {
-    /// How many records may wait.
+    /// Maximum number of queued records.
     pub queue_records: usize,
-    /// How many bytes of records may wait.
+    /// Maximum size of the queued records, in bytes.
     pub queue_bytes: usize,
-    /// How long a commit waits for more records after its first one; zero to commit at once.
+    /// Maximum time that a commit waits for more records after its first one. Zero commits immediately.
     pub max_batch_delay: Duration,
-    /// The records of one commit at most.
+    /// Maximum number of records in one commit.
     pub batch_records: usize,
-    /// The bytes of records from which a commit is made without waiting for more.
+    /// Size of a batch in bytes at which it is committed without waiting for more records.
     pub batch_bytes: usize,
 }
 
 impl Default for WriterOptions {
-    /// 4,096 records and 4 MiB may wait; commits are made at once, of some 1 MiB at most.
+    /// Returns the default options: up to 4,096 records and 4 MiB queued, and immediate commits of about 1
+    /// MiB at most.
     fn default() -> Self {
         WriterOptions {
             queue_records: 4096,
--- a/crates/store/src/writer/progress.rs
+++ b/crates/store/src/writer/progress.rs
@@ -1,21 +1,22 @@
-//! What a writer reports to its owner.
+//! Reports of a writer to its owner.
 
 use crate::error::StoreError;
 use std::sync::Arc;
 
-/// Why a record or a snapshot was not written.
+/// The reason why records or a snapshot were not written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// The disk is full. It is not there, and may be appended again.
+    /// The disk is full. Nothing was written, and the write may be retried.
     NoSpace,
-    /// An earlier record failed, and this one was not attempted. It is not there.
+    /// An earlier record failed, so this record was not attempted and is not in the log.
     NotAttempted,
-    /// The disk failed, with this error. It is unknown whether it is there, and nothing more is written.
+    /// The write failed with the given error. It is unknown whether the data was written, and nothing more is
+    /// written.
     Poisoned(Arc<str>),
 }
 
 impl WriteFailure {
-    /// Returns the failure that an error of the log means.
+    /// Returns the failure that corresponds to an error of the log.
     pub(super) fn of(error: &StoreError) -> WriteFailure {
         match error {
             StoreError::NoSpace { .. } => WriteFailure::NoSpace,
@@ -24,32 +25,32 @@
     }
 }
 
-/// A report to the owner, made on the writer's thread.
+/// A report to the owner, delivered on the writer's thread.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// All records up to this ticket that were not reported before are durable.
+    /// All records up to the given ticket that were not reported earlier are durable.
     Durable {
-        /// The last ticket.
+        /// Ticket of the last durable record.
         through: u64,
-        /// The number that the store's next record gets.
+        /// Number that the store's next record will get.
         next: u64,
     },
-    /// Records were not written. Nothing more is until [`crate::Writer::resume`].
+    /// Records were not written. Nothing more is written until [`crate::Writer::resume`] is called.
     Failed {
-        /// The first ticket.
+        /// Ticket of the first failed record.
         from: u64,
-        /// The last ticket.
+        /// Ticket of the last failed record.
         through: u64,
-        /// Why.
+        /// Reason for the failure.
         reason: WriteFailure,
-        /// The generation to resume with.
+        /// Generation to pass to [`crate::Writer::resume`].
         generation: u64,
     },
-    /// The snapshot of all records before a number was taken, or failed.
+    /// A snapshot was taken or failed.
     Snapshot {
-        /// That number.
+        /// Number of the first record that the snapshot does not replace.
         before: u64,
-        /// Why it was not taken; `None` if it was.
+        /// Reason for the failure, or `None` if the snapshot was taken.
         failure: Option<WriteFailure>,
     },
 }
