--- a/crates/store/src/segment_scan.rs
+++ b/crates/store/src/segment_scan.rs
@@ -86,7 +86,7 @@
         let content = content.ok_or(fault(self.position, "the frame is truncated"))?;
         match RecordIter::new(&header, content).find_map(Result::err) {
             Some(DamagedRecord { offset }) => {
-                Err(fault(start + offset, "the record is truncated or its checksum does not match"))
+                Err(fault(start + offset, "the record's length or checksum is wrong"))
             }
             None => Ok((header, content)),
         }
