--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -1,6 +1,6 @@
-//! Members on a simulated network in one process, on one seed: datagrams lost and delayed, members killed and
-//! restarted, datagrams without a valid tag. The failure detector has to declare a killed member down within its stated
-//! bound, and not to declare down a member that answers.
+//! Runs members on a simulated network in one process, from one seed. Datagrams are lost and delayed, members
+//! are killed and restarted, and some datagrams have no valid tag. The failure detector must declare a killed
+//! member down within its documented bound, and must not declare down a member that answers.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A number from the environment, or `default` when it is unset or not a number.
+/// Returns a number from an environment variable, or `default` if it is unset or not a number.
 fn setting<T: std::str::FromStr>(name: &str, default: T) -> T {
     std::env::var(name).ok().and_then(|s| s.parse().ok()).unwrap_or(default)
 }
@@ -41,7 +41,7 @@
     in_flight: BTreeMap<(Millis, u64), (SocketAddrV4, Vec<u8>)>,
     sequence: u64,
     loss: f64,
-    /// The changes that each slot saw, and when.
+    /// The view changes observed by each slot, with their times.
     seen: Vec<Vec<(Millis, ViewChange)>>,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Runs until `until`, event by event.
+    /// Processes all events up to the time `until`.
     fn run(&mut self, until: Millis) {
         loop {
             let next_arrival = self.in_flight.keys().next().map(|(due, _)| *due);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether every live member sees `id` down or no longer knows it.
+    /// Returns whether every running member sees `id` down or no longer knows it.
     fn all_see_down(&self, id: &MemberId) -> bool {
         self.members.iter().flatten().all(|m| {
             m.members()
@@ -154,17 +154,17 @@
         let slot = rng.random_range(0..8);
         let killed_at = network.now;
         let id = network.kill(slot);
-        let mut found = None;
+        let mut detected_after = None;
         while network.now < killed_at + 4 * bound {
             network.run(network.now + 10);
             if network.all_see_down(&id) {
-                found = Some(network.now - killed_at);
+                detected_after = Some(network.now - killed_at);
                 break;
             }
         }
-        let took =
-            found.unwrap_or_else(|| panic!("seed {seed}: {id:?} still seen up after {} ms", 4 * bound));
-        times.record(took).expect("in bounds");
+        let detection_time = detected_after
+            .unwrap_or_else(|| panic!("seed {seed}: {id:?} still seen up after {} ms", 4 * bound));
+        times.record(detection_time).expect("in bounds");
         network.start(slot);
         network.run(network.now + 3_000);
     }
@@ -196,8 +196,9 @@
         network.seen.iter().flatten().filter(|(_, change)| matches!(change, ViewChange::Rejoined(_))).count();
     println!("false downs: {}, rejoins without a down: {rejoins}", downs.len());
     assert!(downs.is_empty(), "seed {seed}: members that answered were declared down: {downs:?}");
-    // A suspicion that was refuted is over: its member hears of no verdict later, and keeps its name.
-    assert_eq!(rejoins, 0, "seed {seed}: members that nobody declared down rejoined");
+    // A refuted suspicion has no further effect: the member is not notified later that it is down, and keeps
+    // its identity.
+    assert_eq!(rejoins, 0, "seed {seed}: members rejoined that no other member had declared down");
 }
 
 #[test]
@@ -212,7 +213,7 @@
         let junk: Vec<u8> = (0..length).map(|_| rng.random()).collect();
         assert!(!member.on_datagram(2_000, &junk));
     }
-    // A datagram of a member with one byte changed after its tag.
+    // A datagram from a member, with one byte changed after the tag was computed.
     let mut other =
         Membership::new(MemberId { address: addr(9), start: 1, incarnation: 0 }, &settings(), 1, 0)
             .expect("valid settings");
@@ -227,8 +228,8 @@
     assert_eq!(member.up_count(), 2);
 }
 
-/// A member that learned of others elsewhere has them in its view without a datagram, tells nobody, and declares down
-/// those that do not answer.
+/// A member that learns of other members from another source has them in its view without receiving a
+/// datagram, does not announce them, and declares down those that do not answer.
 #[test]
 fn learned_members_that_do_not_answer_are_declared_down() {
     let seed = 5;
--- a/crates/quota/tests/fleet_bound.rs
+++ b/crates/quota/tests/fleet_bound.rs
@@ -1,6 +1,7 @@
-//! A whole fleet of holders and allocators in one process, on one seed: messages lost, delayed past a lease, cut in
-//! groups and one way, members crashed and started anew, clocks that drift within the margin. At every millisecond
-//! the units that members may use add up to at most the budget; on quiet stretches they reach what is wanted.
+//! Simulates a whole fleet of holders and allocators in one process, from one seed. Messages are lost or
+//! delayed past a lease, groups of members are partitioned in both directions or in one, members crash and
+//! restart, and clocks drift within the margin. At every millisecond the units that the members may use must
+//! not exceed the budget. While no faults are injected, the members must get nearly the units that they want.
 
 mod simulation;
 
@@ -20,7 +21,7 @@
     }
 }
 
-/// Units that were served and units that were wanted.
+/// Units that the members used, and units that they wanted.
 #[derive(Clone, Copy, Debug, Default)]
 struct Service {
     served: u64,
@@ -33,16 +34,16 @@
     }
 }
 
-/// What a run served while no fault was injected.
+/// The service of a simulation while no faults are injected.
 #[derive(Clone, Copy, Debug, Default)]
 struct QuietService {
-    /// Summed over the quiet last fifth, from three leases on.
+    /// Sum over the last fifth of the run, which has no faults, without its first three leases.
     total: Service,
-    /// At the last ms.
+    /// Service at the last ms of the run.
     last: Service,
 }
 
-/// The members could use more than the budget.
+/// The error that the members could use more than the budget.
 #[derive(Debug, thiserror::Error)]
 #[error("seed {seed}: at {at_ms} ms members may use {allowed} of a budget of {} ({config:?})", config.budget)]
 struct BudgetExceeded {
@@ -52,7 +53,7 @@
     config: Config,
 }
 
-/// Injects one fault, or ends one.
+/// Starts or ends one random fault.
 fn inject_fault(fleet: &mut Fleet, rng: &mut ChaCha8Rng, real: Millis, slots: usize) {
     match rng.random_range(0..5) {
         0 => {
@@ -95,8 +96,14 @@
     }
 }
 
-/// Plays `length` ms on one seed, with faults in all but the last fifth, and checks the bound at every ms.
-fn play(seed: u64, slots: usize, length: Millis, fault: Fault) -> Result<QuietService, BudgetExceeded> {
+/// Simulates `length` ms from one seed, with faults in all but the last fifth, and checks the bound at every
+/// ms.
+fn run_simulation(
+    seed: u64,
+    slots: usize,
+    length: Millis,
+    fault: Fault,
+) -> Result<QuietService, BudgetExceeded> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let config = config(&mut rng, fault);
     config.check().expect("settings within their ranges");
@@ -136,27 +143,35 @@
     for seed in base..base + seeds {
         println!("seed {seed}");
         let slots = 2 + (seed as usize % 9);
-        let quiet = play(seed, slots, 30_000, Fault::None).unwrap();
+        let quiet = run_simulation(seed, slots, 30_000, Fault::None).unwrap();
         let Service { served, wanted } = quiet.total;
-        // Once quiet, the fleet serves nearly what it wants within the budget: the bound is not kept by granting
-        // nothing.
+        // Without faults, the fleet uses nearly all the units that it wants within the budget. So the bound
+        // is not merely kept by granting nothing.
         println!(
-            "seed {seed}: {slots} members, served {:.3} of what was wanted when quiet",
+            "seed {seed}: {slots} members, used {:.3} of the wanted units without faults",
             served as f64 / wanted.max(1) as f64
         );
-        assert!(quiet.total.is_at_least_percent(85), "seed {seed}: served {served} of {wanted} when quiet");
+        assert!(
+            quiet.total.is_at_least_percent(85),
+            "seed {seed}: used {served} of {wanted} wanted units without faults"
+        );
         let Service { served, wanted } = quiet.last;
-        assert!(quiet.last.is_at_least_percent(97), "seed {seed}: at the end served {served} of {wanted}");
+        assert!(
+            quiet.last.is_at_least_percent(97),
+            "seed {seed}: used {served} of {wanted} wanted units at the end"
+        );
     }
 }
 
-/// Each guard left out is detected by the same simulation within a few hundred seeds: the simulation can fail.
+/// The same simulation detects each disabled safety check within a few hundred seeds, which proves that it
+/// can fail.
 #[test]
 fn each_guard_left_out_is_detected() {
     for fault in [Fault::NoShareLimit, Fault::NoEarlierGrantCount, Fault::NoExclusiveCommitment] {
-        let detected = (1..=400u64).find_map(|seed| play(seed, 2 + (seed as usize % 9), 30_000, fault).err());
+        let detected =
+            (1..=400u64).find_map(|seed| run_simulation(seed, 2 + (seed as usize % 9), 30_000, fault).err());
         match detected {
-            Some(how) => println!("{fault:?} detected: {how}"),
+            Some(error) => println!("{fault:?} detected: {error}"),
             None => panic!("{fault:?} was not detected in 400 seeds"),
         }
     }
--- a/crates/quota/tests/grants.rs
+++ b/crates/quota/tests/grants.rs
@@ -1,5 +1,6 @@
-//! The allocator answers each request as the reference computation does that iterates over all members: the same grant or
-//! refusal, and the same totals, after any events in any order, with any demands, times that go back, and each fault.
+//! Compares the allocator with a reference computation that iterates over all members. Both must give the
+//! same grant or refusal for each request and the same totals, after random events in any order, with any
+//! demands, clocks that go back, and each fault.
 
 mod reference;
 
@@ -7,18 +8,18 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Events on one seed.
+/// Number of events per seed.
 const EVENTS: usize = 1_500;
 
 const FAULTS: [Fault; 3] = [Fault::None, Fault::NoEarlierGrantCount, Fault::NoShareLimit];
 
-/// The allocator and the reference computation on the same events.
+/// The allocator and the reference computation, which receive the same events.
 struct Pair {
     rng: ChaCha8Rng,
     now: Millis,
     members: u64,
     lease: Millis,
-    /// The largest demand, which says how far the pool reaches.
+    /// The largest possible demand, which determines how many demands the pool can meet.
     max_wanted: u64,
     sequence: u64,
     optimized: Allocator<u64>,
@@ -30,7 +31,8 @@
     fn new(seed: u64, fault: Fault) -> Pair {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let members = [1, 3, 20, 200, 600][rng.random_range(0..5)];
-        // Of a few ms as well, so that events often fall on the very ms at which something ends.
+        // Some leases last only a few ms, so that events often fall exactly on the ms at which a lease or
+        // share ends.
         let lease = if rng.random_bool(0.5) { rng.random_range(1..8) } else { rng.random_range(100..3_000) };
         let config = Config {
             budget: rng.random_range(1..100_000),
@@ -58,7 +60,8 @@
         self.rng.random_range(0..self.members)
     }
 
-    /// Advances the time, mostly by little, now and then past a lease; seldom it goes back.
+    /// Advances the time, mostly by a small step and sometimes past a lease. In rare cases the time goes
+    /// back.
     fn pass_time(&mut self) {
         let step = match self.rng.random_range(0..200) {
             0 => self.lease * 3,
@@ -101,7 +104,8 @@
 
     fn request(&mut self) {
         let from = self.any_member();
-        // Equal demands are frequent, so that their order by name counts; some requests are late.
+        // Equal demands are frequent, so that their order by name matters. Some requests have an old sequence
+        // number.
         let wanted = match self.rng.random_range(0..4) {
             0 => self.max_wanted / 2,
             _ => self.rng.random_range(0..=self.max_wanted),
@@ -131,8 +135,8 @@
     }
 }
 
-/// Plays one seed, and returns how many grants of more than nothing there were.
-fn play(seed: u64, fault: Fault) -> usize {
+/// Runs one seed, and returns the number of grants of more than 0 units.
+fn run_seed(seed: u64, fault: Fault) -> usize {
     let mut pair = Pair::new(seed, fault);
     for member in 0..pair.members {
         let _ = pair.optimized.update_member(pair.now, member, Liveness::Alive);
@@ -153,10 +157,10 @@
     for seed in base..base + seeds {
         for fault in FAULTS {
             println!("seed {seed}, {fault:?}");
-            granted += play(seed, fault);
+            granted += run_seed(seed, fault);
         }
     }
-    // The comparison is one of grants, not of refusals alone.
-    println!("{granted} grants of more than nothing");
+    // The comparison must cover grants and not only refusals.
+    println!("{granted} grants of more than 0 units");
     assert!(granted as u64 > seeds * 500, "{granted} grants on {seeds} seeds");
 }
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,11 +1,12 @@
-//! The leasing of a budget as a model, over the real `Allocator` and `Holder`: two members, each may ask either of the
-//! two allocators at any time (views that disagree in every way), messages are held any time or lost, a member
-//! crashes and starts anew under a new name. In every state reached, what the members may use is within the budget.
+//! Model checks the leasing of a budget with the real `Allocator` and `Holder`. Each of two members may send
+//! requests to either of the two allocators at any time (which covers all disagreements between views),
+//! messages are delayed arbitrarily or lost, and a member crashes and restarts under a new name. In every
+//! reachable state, the units that the members may use must be within the budget.
 
 use dunlinspread_quota::{Allocator, Config, Fault, Grant, Holder, LeaseRequest, Liveness, Millis};
 use stateright::{Checker, Model, Property};
 
-/// A member's slot and its start.
+/// A member's slot and its number of restarts.
 type Name = (u8, u8);
 
 const SLOTS: u8 = 2;
@@ -30,7 +31,8 @@
     members: Vec<Member>,
     flight: Vec<Message>,
     crashes: u8,
-    /// Whether each slot has sent a request in this tick: one a tick keeps the sequence numbers finite.
+    /// Whether each slot has sent a request in this tick. One request per tick keeps the sequence numbers
+    /// finite.
     requested: [bool; SLOTS as usize],
 }
 
@@ -45,15 +47,15 @@
 
 struct Leasing {
     fault: Fault,
-    /// Time steps played.
+    /// Number of time steps to explore.
     horizon: Millis,
-    /// Crashes allowed.
+    /// Maximum number of crashes.
     crashes: u8,
-    /// How long a grant holds, in time steps.
+    /// Duration of a lease, in time steps.
     lease: Millis,
 }
 
-/// A number from the environment, or `default` when it is unset or not a number.
+/// Returns a number from an environment variable, or `default` if it is unset or not a number.
 fn setting(name: &str, default: Millis) -> Millis {
     std::env::var(name).ok().and_then(|s| s.parse().ok()).unwrap_or(default)
 }
@@ -101,7 +103,8 @@
         let mut members: Vec<Member> = names.iter().map(|name| self.fresh(*name, &names, 0)).collect();
         let cold =
             World { now: 0, members: members.clone(), flight: Vec::new(), crashes: 0, requested: [false; 2] };
-        // Warm: both have committed their shares to the first and hold its leases, as after two rounds with no fault.
+        // In the warm state, both members have committed their shares to the first one and hold its leases,
+        // as after two rounds without faults.
         let first = names[0];
         for _ in 0..2 {
             for slot in 0..SLOTS as usize {
@@ -211,7 +214,7 @@
 fn explore(fault: Fault, lease: Millis, horizon: Millis) -> impl Checker<Leasing> {
     let checker = Leasing { fault, horizon, crashes: 1, lease }.checker().threads(4).spawn_dfs().join();
     println!(
-        "{fault:?}, lease {lease}, horizon {horizon}: {} states in all, {} different",
+        "{fault:?}, lease {lease}, horizon {horizon}: {} states in total, {} unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -223,20 +226,25 @@
     explore(Fault::None, lease(), horizon()).assert_properties();
 }
 
-/// The model can fail: each guard left out is found, with the lease and horizon that let it show.
+/// The model checker finds each disabled safety check, given a lease and horizon that expose it. So the check
+/// can fail.
 #[test]
 fn granting_from_the_whole_pool_is_found() {
     let checker = explore(Fault::NoShareLimit, lease(), horizon());
-    assert!(checker.discovery("within the budget").is_some(), "granting from the whole pool was not found");
+    assert!(
+        checker.discovery("within the budget").is_some(),
+        "granting from the whole pool was not detected"
+    );
 }
 
 #[test]
 fn using_a_lease_past_its_end_is_found() {
     let checker = explore(Fault::NoLeaseExpiry, 1, 1);
-    assert!(checker.discovery("within the budget").is_some(), "a lease used past its end was not found");
+    assert!(checker.discovery("within the budget").is_some(), "a lease used past its end was not detected");
 }
 
-/// For trying the guards that need a longer horizon: `QUOTA_MODEL_FAULT=NoEarlierGrantCount|NoExclusiveCommitment`.
+/// Checks the faults that need a longer horizon to show:
+/// `QUOTA_MODEL_FAULT=NoEarlierGrantCount|NoExclusiveCommitment`.
 #[test]
 #[ignore]
 fn the_fault_named_is_found() {
@@ -247,5 +255,5 @@
         _ => Fault::NoShareLimit,
     };
     let checker = explore(fault, lease(), horizon());
-    assert!(checker.discovery("within the budget").is_some(), "{fault:?} was not found");
+    assert!(checker.discovery("within the budget").is_some(), "{fault:?} was not detected");
 }
--- a/crates/quota/tests/reference/mod.rs
+++ b/crates/quota/tests/reference/mod.rs
@@ -1,18 +1,19 @@
 //! The reference computation of grants: it iterates over all members and sorts them for each request.
 //!
-//! It repeats the computation of the crate on purpose, without its totals and its ordered demands, so that the test can
-//! compare the two grant by grant. The two are to be kept apart: code that both use would be compared with itself.
+//! It deliberately duplicates the computation of the crate, without the running totals and sorted demands, so
+//! that the test can compare the two grant by grant. They must not share code, because shared code would be
+//! compared with itself.
 
 use std::collections::BTreeMap;
 
 use dunlinspread_quota::{Config, Fault, Grant, LeaseRequest, Liveness, Millis, Refusal};
 
-/// `Fault::is`, which the crate keeps to itself; tests have the faults compiled in.
+/// Replacement for `Fault::is`, which is private to the crate. Tests always have the faults compiled in.
 fn is(fault: Fault, other: Fault) -> bool {
     fault == other
 }
 
-/// How many grants sent to one member are remembered for its acknowledgements.
+/// Number of grants to one member that are remembered to match its acknowledgements.
 const REMEMBERED_GRANTS: usize = 4;
 
 /// Units granted to one member and counted until `until`.
@@ -31,22 +32,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Member {
     liveness: Liveness,
-    /// Left the view; counted for what it may still hold, not among the members.
+    /// Whether the member has left the view. A removed member's grants are still counted until they end, but
+    /// it is not counted as a member.
     removed: bool,
     wanted: u64,
-    /// The newest grant.
     newest_grant: CountedGrant,
-    /// The largest earlier grant that may still be in force: a reply lost on the way leaves the holder with it.
-    /// Guards against counting less than the holder may use.
+    /// The largest earlier grant that may still be in effect, because the reply that replaced it was lost. It
+    /// ensures that no fewer units are counted than the holder may use.
     earlier_grant: CountedGrant,
-    /// The newest grants sent, by request, and when they left: an acknowledgement may name one before the newest when
-    /// the newest was held up on the way. Guards against a share dropping out for one late message.
+    /// The newest grants sent, as pairs of sequence number and send time. An acknowledgement may name an
+    /// earlier grant when the newest was delayed; remembering several keeps one late message from dropping
+    /// the member's share.
     sent_grants: [(u64, Millis); REMEMBERED_GRANTS],
-    /// The member's share is in this pool until then.
+    /// The time until which the member's share is in this pool.
     share_until: Millis,
-    /// When its newest request arrived.
+    /// Arrival time of the member's newest request.
     requested_at: Millis,
-    /// The number of its newest request.
+    /// Sequence number of the member's newest request.
     last_sequence: u64,
 }
 
@@ -63,8 +65,9 @@
         }
     }
 
-    /// Records a new grant. Of the grants before it, one that is larger and may still be held is kept as the earlier
-    /// grant, with its own end: never a later one, or it would outlive every grant that it stands for.
+    /// Records a new grant. A previous grant that is larger and may still be held is kept as the earlier
+    /// grant, with its own end. A later end would make the earlier grant outlive every grant that it
+    /// represents.
     fn record_grant(&mut self, now: Millis, units: u64, until: Millis) {
         let mut earlier_grant = CountedGrant::default();
         for earlier in [self.newest_grant, self.earlier_grant] {
@@ -96,7 +99,7 @@
         Self { config, me, members }
     }
 
-    /// Takes up what the failure detector now states of `member`.
+    /// Sets the liveness that the failure detector reports for `member`.
     pub fn update_member(&mut self, now: Millis, member: M, liveness: Liveness) -> Result<(), Refusal> {
         if member == self.me {
             return Ok(());
@@ -119,7 +122,7 @@
         Ok(())
     }
 
-    /// Removes `member` from the view for good.
+    /// Removes `member` from the view permanently.
     pub fn remove_member(&mut self, now: Millis, member: &M) {
         if *member == self.me {
             return;
@@ -136,7 +139,7 @@
         self.members.values().filter(|m| !m.removed).count()
     }
 
-    /// Returns the member that this view takes for the allocator: the least name among those alive.
+    /// Returns the allocator according to this view: the member with the lowest name among those alive.
     pub fn allocator(&self) -> &M {
         self.members
             .iter()
@@ -145,12 +148,12 @@
             .unwrap_or(&self.me)
     }
 
-    /// Returns whether this member is the allocator now.
+    /// Returns whether this member is currently the allocator.
     pub fn is_allocator(&self) -> bool {
         *self.allocator() == self.me
     }
 
-    /// Returns the number of shares committed to this allocator for a whole lease from now.
+    /// Returns the number of shares committed to this allocator for at least a whole lease from `now`.
     pub fn held_shares(&self, now: Millis) -> usize {
         let lease = self.config.lease_ms;
         self.members.values().filter(|m| !m.removed && m.share_until >= now + lease).count()
@@ -166,26 +169,26 @@
             as u64
     }
 
-    /// Returns the units granted and maybe still in use, summed over members.
+    /// Returns the granted units that may still be in use, summed over all members.
     pub fn outstanding(&self, now: Millis) -> u64 {
         self.members.values().map(|m| m.granted(now)).sum()
     }
 
-    /// Returns the units counted as granted to `member` now.
+    /// Returns the units counted as granted to `member` at `now`.
     pub fn granted_to(&self, now: Millis, member: &M) -> u64 {
         self.members.get(member).map(|m| m.granted(now)).unwrap_or(0)
     }
 
-    /// Returns the number of the request that was granted last to a member; 0 if none was.
+    /// Returns the sequence number of the request of `member` that was granted last, or 0 if there was none.
     pub fn newest_granted_request(&self, member: &M) -> u64 {
         self.members.get(member).map_or(0, |m| m.sent_grants[0].0)
     }
 
-    /// Answers a request that arrived now from `from`; the grant is taken to leave now.
+    /// Answers a request from `from` that arrived at `now`. The grant counts as sent at `now`.
     pub fn on_request(&mut self, now: Millis, from: &M, request: LeaseRequest) -> Result<Grant, Refusal> {
         self.expire(now);
         let is_allocator = self.is_allocator();
-        let short = self.config.drift_adjusted_lease_ms();
+        let drift_adjusted_lease = self.config.drift_adjusted_lease_ms();
         let Some(requester) = self.members.get_mut(from) else { return Err(Refusal::NotAlive) };
         if requester.removed || requester.liveness != Liveness::Alive {
             return Err(Refusal::NotAlive);
@@ -202,14 +205,15 @@
                 .iter()
                 .find(|(sequence, _)| *sequence == acknowledged && acknowledged != 0)
         {
-            // The holder keeps its share here for two leases from the grant's arrival.
-            requester.share_until = requester.share_until.max(sent + 2 * short);
+            // The holder keeps its share committed to this allocator until two leases after the grant
+            // arrived.
+            requester.share_until = requester.share_until.max(sent + 2 * drift_adjusted_lease);
         }
         if !is_allocator {
             return Err(Refusal::NotAllocator);
         }
         let pool = self.grantable_pool(now);
-        let fair = self.fair_share(now, from, pool);
+        let fair_share = self.fair_share(now, from, pool);
         let fault = self.config.fault;
         let others: u64 = self
             .members
@@ -217,7 +221,7 @@
             .filter(|(name, _)| *name != from)
             .map(|(_, m)| m.granted_under(now, fault))
             .sum();
-        let units = fair.min(pool.saturating_sub(others));
+        let units = fair_share.min(pool.saturating_sub(others));
         let until = now + self.config.lease_ms;
         if let Some(requester) = self.members.get_mut(from) {
             requester.record_grant(now, units, until);
@@ -227,10 +231,11 @@
         Ok(Grant { sequence: request.sequence, units })
     }
 
-    /// Returns the max-min fair share of `of` in `pool`, over the demands of members alive.
+    /// Returns the max-min fair share of member `of` in `pool`, over the demands of the members that are
+    /// alive.
     fn fair_share(&self, now: Millis, of: &M, pool: u64) -> u64 {
         let lease = self.config.lease_ms;
-        let mut wants: Vec<(u64, &M)> = self
+        let mut demands: Vec<(u64, &M)> = self
             .members
             .iter()
             .filter(|(name, m)| {
@@ -238,21 +243,21 @@
             })
             .map(|(name, m)| (m.wanted, name))
             .collect();
-        wants.sort();
+        demands.sort();
         let mut left = pool;
-        let mut count = wants.len() as u64;
-        for (want, name) in wants {
-            let give = want.min(left / count.max(1));
+        let mut count = demands.len() as u64;
+        for (demand, name) in demands {
+            let share = demand.min(left / count.max(1));
             if name == of {
-                return give;
+                return share;
             }
-            left -= give;
+            left -= share;
             count -= 1;
         }
         0
     }
 
-    /// Drops removed members that hold nothing more.
+    /// Drops removed members whose grants have all ended.
     fn expire(&mut self, now: Millis) {
         self.members.retain(|_, m| !(m.removed && m.granted(now) == 0));
     }
--- a/crates/quota/tests/simulation/mod.rs
+++ b/crates/quota/tests/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet of holders and allocators: messages under way, cuts, restarts and clocks that drift.
+//! A simulated fleet of holders and allocators, with messages in flight, partitions, restarts and clock
+//! drift.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,10 +7,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A member's name for one start: its slot and how many times it started.
+/// A member's name for one start: its slot and its number of restarts.
 pub type Name = (usize, u32);
 
-/// A message under way: sender, receiver and content.
+/// A message in flight: sender, receiver and content.
 enum Message {
     Request(Name, Name, LeaseRequest),
     Grant(Name, Name, Grant),
@@ -18,11 +19,11 @@
 /// One member, with its own clock.
 pub struct Member {
     name: Name,
-    /// Whether it runs.
+    /// Whether the member is running.
     pub up: bool,
-    /// Parts per million its clock runs fast (negative: slow).
+    /// Rate by which the member's clock runs fast, in parts per million (negative: slow).
     skew_ppm: i64,
-    /// Units it wants above its guaranteed minimum.
+    /// Units that the member wants above its guaranteed minimum.
     pub wanted: u64,
     holder: Holder<Name>,
     allocator: Allocator<Name>,
@@ -30,7 +31,7 @@
 }
 
 impl Member {
-    /// Returns what its clock shows at the real time.
+    /// Returns the time that the member's clock shows at the real time `real`.
     fn clock(&self, real: Millis) -> Millis {
         (real as i64 + real as i64 * self.skew_ppm / 1_000_000) as Millis
     }
@@ -42,23 +43,23 @@
     config: Config,
     /// The members, by slot.
     pub members: Vec<Member>,
-    /// Messages in flight: when they arrive (real ms).
+    /// Messages in flight, by arrival time in real ms.
     flight: BTreeMap<Millis, VecDeque<Message>>,
-    /// The group of each slot.
+    /// The partition group of each slot.
     pub group: Vec<usize>,
-    /// Whether messages between groups are lost.
+    /// Whether the groups are partitioned, so that messages between them are lost.
     pub cut: bool,
-    /// Whether a cut lets messages from a lower to a higher group pass.
+    /// Whether a partition lets messages from a lower to a higher group pass.
     pub one_way: bool,
-    /// Share of messages lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// Share of messages held for one to three leases.
+    /// Probability that a message is delayed by one to three leases.
     pub late: f64,
     max_delay: Millis,
 }
 
 impl Fleet {
-    /// Returns a fleet of so many members, all up, that know each other.
+    /// Returns a fleet of `slots` members that are all up and know each other.
     pub fn new(seed: u64, slots: usize, config: Config) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let half_drift = config.clock_drift_ppm as i64 / 2;
@@ -101,7 +102,8 @@
         self.one_way && self.group[from] < self.group[to]
     }
 
-    /// The view of `slot` as a failure detector would give it, right away: whom it reaches and who is up.
+    /// Updates the view of `slot` as an immediate failure detector would: a member is alive if it is up and
+    /// reachable.
     pub fn update_views(&mut self, real: Millis, slot: usize) {
         let names: Vec<(Name, bool)> =
             (0..self.members.len()).map(|other| (self.members[other].name, self.members[other].up)).collect();
@@ -119,7 +121,7 @@
         if !self.passes(from, to) || self.rng.random_bool(self.loss) {
             return;
         }
-        // One message in fifty waits far longer than a lease: late answers must not count.
+        // One message in fifty is delayed by up to three leases, because late answers must have no effect.
         let delay = if self.rng.random_bool(self.late) {
             self.rng.random_range(self.config.lease_ms..self.config.lease_ms * 3)
         } else {
@@ -128,7 +130,7 @@
         self.flight.entry(real + delay).or_default().push_back(message);
     }
 
-    /// Delivers what arrives at the real time, and sends the requests that are due.
+    /// Delivers the messages that arrive by the real time `real`, and sends the requests that are due.
     pub fn step(&mut self, real: Millis) {
         while let Some(entry) = self.flight.first_entry() {
             if *entry.key() > real {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Returns the units that the members use: no more than they have a use for.
+    /// Returns the units that the members use: the allowed units, limited to the units that they can use.
     pub fn in_use(&self, real: Millis) -> u64 {
         self.members
             .iter()
@@ -190,7 +192,7 @@
             .sum()
     }
 
-    /// Returns what the members want, guaranteed minimums included, up to the budget: the most they could be served.
+    /// Returns the units that the members want, including guaranteed minimums, limited to the budget.
     pub fn wanted(&self) -> u64 {
         self.members.iter().map(|m| m.useful_units()).sum::<u64>().min(self.config.budget)
     }
@@ -200,7 +202,7 @@
         self.members.iter().filter(|m| m.up).map(|m| m.holder.allowed(m.clock(real))).sum()
     }
 
-    /// Restarts `slot` under a new name; every view replaces the old name at once.
+    /// Restarts `slot` under a new name. Every view replaces the old name immediately.
     pub fn restart(&mut self, real: Millis, slot: usize) {
         let old = self.members[slot].name;
         let name = (slot, old.1 + 1);
@@ -221,7 +223,7 @@
 }
 
 impl Member {
-    /// Returns the units that the member has a use for.
+    /// Returns the units that the member can use.
     pub fn useful_units(&self) -> u64 {
         self.holder.guaranteed_minimum() + self.wanted
     }
--- a/crates/store/benches/commit.rs
+++ b/crates/store/benches/commit.rs
@@ -1,6 +1,6 @@
-//! Appends a second and commit latency with 1, 16 and 256 waiting, against one sync a record and against `redb`, on the
-//! disk of the folder that `STORE_BENCH_DIR` names; and recovery of a log of small records. Prints a table; the figures
-//! are in `docs/measurements/store.md`.
+//! Measures appends per second and commit latency with 1, 16 and 256 records in flight, compared with one
+//! sync per record and with `redb`, on the disk of the directory `STORE_BENCH_DIR`. Also measures recovery of
+//! a log of small records. Prints a table; the figures are in `docs/measurements/store.md`.
 
 use dunlinspread_store::{Log, Options, Progress, RealDisk, Writer, WriterOptions};
 use hdrhistogram::Histogram;
@@ -11,17 +11,17 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// The length of a record.
+/// Length of a record in bytes.
 const RECORD_BYTES: usize = 100;
 const TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
 
-/// Returns how long each row is measured.
+/// Returns the measurement time of each table row.
 fn row_duration() -> Duration {
     let seconds = std::env::var("STORE_BENCH_SECONDS").ok().and_then(|s| s.parse().ok()).unwrap_or(3.0);
     Duration::from_secs_f64(seconds)
 }
 
-/// Returns a new folder on the disk that is measured.
+/// Creates a temporary directory on the measured disk.
 fn folder() -> tempfile::TempDir {
     let base = std::env::var("STORE_BENCH_DIR").unwrap_or_else(|_| env!("CARGO_TARGET_TMPDIR").to_owned());
     tempfile::tempdir_in(base).expect("a folder")
@@ -40,7 +40,7 @@
     println!("{name:<22} {waiting:>7} {rate:>12.0} {:>9} {:>9} {:>9}", at(50.0), at(99.0), latency.max());
 }
 
-/// Measures group commit with so many records in flight.
+/// Measures group commit with `waiting` records in flight.
 fn group_commit(waiting: usize) {
     let folder = folder();
     let (sender, reports) = channel();
@@ -65,7 +65,7 @@
     writer.close().expect("closes");
 }
 
-/// Measures one sync a record, with so many records that wait for their turn.
+/// Measures one sync per record, with `waiting` records queued.
 fn sync_each(waiting: usize) {
     let folder = folder();
     let mut log = open(folder.path());
@@ -81,7 +81,7 @@
     print_row("one sync a record", waiting, count, began.elapsed(), &latency);
 }
 
-/// Measures `redb`, with one transaction for all records that wait.
+/// Measures `redb`, with one transaction for each batch of `waiting` records.
 fn embedded_database(waiting: usize) {
     let folder = folder();
     let database = Database::create(folder.path().join("records")).expect("a database");
@@ -102,14 +102,14 @@
     print_row("redb", waiting, count, began.elapsed(), &latency);
 }
 
-/// Returns a figure of this process's memory, by its name in `/proc/self/status`.
+/// Returns a memory value of this process in kB, by its key in `/proc/self/status`.
 fn memory_kb(key: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with(key));
     line.and_then(|l| l.split_whitespace().nth(1)).and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-/// Measures opening a log of so many records.
+/// Measures opening a log of `records` records.
 fn recovery(records: u64) {
     let folder = folder();
     let mut log = open(folder.path());
@@ -120,7 +120,7 @@
     drop(log);
     let (before, began, mut seen) = (memory_kb("VmRSS"), Instant::now(), 0u64);
     let disk = Arc::new(RealDisk::new(folder.path()).expect("a disk"));
-    let (_log, found) = Log::open(disk, Options::new("bench"), |_| {
+    let (_log, report) = Log::open(disk, Options::new("bench"), |_| {
         seen += 1;
         Ok(())
     })
@@ -128,7 +128,7 @@
     let took = began.elapsed().as_secs_f64();
     println!(
         "recovery of {seen} records of 32 bytes, {} MB: {took:.2} s, {:.0} ns a record, memory {} kB more at its end",
-        found.bytes_read >> 20,
+        report.bytes_read >> 20,
         took * 1e9 / seen as f64,
         memory_kb("VmRSS").saturating_sub(before)
     );
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,12 +1,13 @@
-//! A scenario on the simulated disk, with the power cut at every operation in turn, each sync failing in turn, and the
-//! disk full at every size. What was reported durable has to be there; what was not may be there only whole and at its
-//! place. Seeds are in the messages.
+//! Runs a scenario on the simulated disk, with a power failure at every operation in turn, with each sync
+//! failing in turn, and with a disk that is full at many different sizes. Records reported durable must
+//! survive. Other records may survive only as whole commits and at their position. Failure messages include
+//! the seed.
 
 use dunlinspread_store::sim::{Faults, SimDisk};
 use dunlinspread_store::{Log, Options, ReplayItem, StoreError};
 use std::sync::Arc;
 
-/// The record of that number; each attempt to write it makes another one.
+/// Returns the record with number `number`. Its content differs for each attempt to write it.
 fn record(number: u64, attempt: u32) -> Vec<u8> {
     let len = (number * 37 % 300) as usize;
     let mut bytes = format!("{number}/{attempt}:").into_bytes();
@@ -23,14 +24,14 @@
     Options { segment_bytes: 1500, salt: 7, ..Options::new("n3") }
 }
 
-/// What the store has to hold, and what it may hold.
+/// The records that the store must contain, and those that it may contain.
 #[derive(Clone, Default)]
 struct Model {
     /// Records reported durable, from number 1.
     acknowledged: Vec<Vec<u8>>,
-    /// The batch on which the last commit ended in an error that leaves its fate open.
+    /// The batch of the last commit, if it failed with an error that leaves the outcome unknown.
     uncertain: Vec<Vec<u8>>,
-    /// Up to here a snapshot may stand for the records.
+    /// The highest record number before which a snapshot may have replaced the records.
     snapshot_limit: u64,
     attempts: u32,
 }
@@ -50,7 +51,8 @@
                 Ok(())
             }
             Err(e) => {
-                // With no space it is certain that nothing is there, unless the power goes before the next commit.
+                // After `NoSpace` none of the batch is in the log, unless the power fails before the next
+                // commit.
                 self.uncertain = batch;
                 Err(e)
             }
@@ -62,7 +64,8 @@
         log.snapshot(before, &snapshot_content(before))
     }
 
-    /// Opens the store and compares; what was found beyond the acknowledged counts as such from now on.
+    /// Opens the store and compares it with the model. Records that survived without an acknowledgement count
+    /// as acknowledged from then on.
     fn open(&mut self, disk: &SimDisk, context: &str) -> Result<Log, StoreError> {
         let mut seen: Vec<Vec<u8>> = Vec::new();
         let mut first_record = 1;
@@ -83,17 +86,21 @@
             }
             Ok(())
         })?;
-        assert!(first_record <= self.snapshot_limit.max(1), "{context}: a snapshot nobody took");
+        assert!(first_record <= self.snapshot_limit.max(1), "{context}: a snapshot that was never taken");
         let next = first_record + seen.len() as u64;
         assert_eq!((recovery.next_record, log.next_record()), (next, next), "{context}");
-        assert!(next >= self.next(), "{context}: {} durable, {next} the next", self.acknowledged.len());
+        assert!(
+            next >= self.next(),
+            "{context}: {} records durable, but the next is {next}",
+            self.acknowledged.len()
+        );
         let all: Vec<_> = self.acknowledged.iter().chain(&self.uncertain).cloned().collect();
         let found = first_record as usize - 1..next as usize - 1;
         assert_eq!(all.get(found.clone()), Some(&seen[..]), "{context}: records {found:?}");
-        // A commit is there whole or not at all.
+        // Commits are atomic.
         assert!(
             next == self.next() || next as usize == all.len() + 1,
-            "{context}: a part of a commit is there"
+            "{context}: only part of a commit survived"
         );
         self.acknowledged = all[..next as usize - 1].to_vec();
         self.uncertain.clear();
@@ -105,7 +112,8 @@
     before.to_le_bytes().repeat(100)
 }
 
-/// Commits of many sizes over several segments, snapshots, a close and an opening. Ends at the first error.
+/// Runs commits of many sizes over several segments, takes snapshots, and closes and reopens the store. Stops
+/// at the first error.
 fn scenario(disk: &SimDisk, model: &mut Model, context: &str) -> Result<(), StoreError> {
     let mut log = model.open(disk, context)?;
     for count in [1, 3, 7, 1, 12, 2] {
@@ -126,7 +134,7 @@
     Ok(())
 }
 
-/// Without faults: how many operations and syncs the scenario has.
+/// Returns the number of operations and syncs of the scenario without faults.
 fn count_operations(seed: u64) -> (u64, u64) {
     let disk = SimDisk::new(seed);
     scenario(&disk, &mut Model::default(), "without faults").expect("no fault");
@@ -138,7 +146,8 @@
     let (operations, _) = count_operations(0);
     assert!(operations > 80, "{operations}");
     for seed in 0..24 {
-        // Short writes make more operations of it; each has its turn as far as the scenario goes.
+        // Short writes increase the number of operations. The loop covers each one until the scenario
+        // completes.
         let mut at = 0;
         loop {
             let context = format!("seed {seed}, power cut at operation {at}");
@@ -148,9 +157,9 @@
                 short_transfers: seed % 2 == 1,
                 ..Faults::default()
             });
-            let ended = scenario(&disk, &mut model, &context);
+            let result = scenario(&disk, &mut model, &context);
             if !disk.is_powered_off() {
-                ended.expect("nothing failed");
+                result.expect("nothing failed");
                 break;
             }
             if seed % 3 == 0 {
@@ -158,14 +167,15 @@
             } else {
                 disk.power_cycle()
             }
-            // It ends again while it recovers, and this time the power goes for sure.
+            // The process stops again during recovery, this time always with a power failure.
             disk.set_faults(Faults { crash_at: Some(seed % 16), ..Faults::default() });
             drop(model.open(&disk, &context));
             disk.power_cycle();
             let mut log = model.open(&disk, &context).expect(&context);
             model.commit(&mut log, 3).expect(&context);
             drop(log);
-            // Killed, not powered off: what the next process is shown has to last.
+            // The process is killed without a power failure. Records that the next process reads must be
+            // durable.
             disk.restart_process();
             drop(model.open(&disk, &context).expect(&context));
             disk.power_cycle();
@@ -183,10 +193,13 @@
         let context = format!("seed {seed}, sync {at} fails");
         let (disk, mut model) = (SimDisk::new(seed * 1000 + at), Model::default());
         disk.set_faults(Faults { failing_syncs: vec![at], ..Faults::default() });
-        let Err(e) = scenario(&disk, &mut model, &context) else { panic!("{context}: not noticed") };
+        let Err(e) = scenario(&disk, &mut model, &context) else {
+            panic!("{context}: the failed sync was not detected")
+        };
         assert!(matches!(e, StoreError::Io { .. }), "{context}: {e}");
         if seed % 2 == 0 {
-            // Only the process is started anew: it may be shown what is on no disk, and has to bring it there.
+            // Only the process restarts. It may read data that is not on the disk, and must make that data
+            // durable.
             disk.set_faults(Faults::default());
             disk.restart_process();
             drop(model.open(&disk, &context).expect(&context));
@@ -208,14 +221,14 @@
     model.commit(&mut log, 2).expect("good");
     disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     assert!(matches!(model.commit(&mut log, 2), Err(StoreError::Io { .. })));
-    // The disk is well again; the log can't know what it lost.
+    // The disk works again, but the log can't know which data it lost.
     assert!(matches!(log.commit(&[b"more"]), Err(StoreError::Poisoned { .. })));
     assert!(matches!(log.snapshot(2, b"s"), Err(StoreError::Poisoned { .. })));
     assert!(log.poison_cause().is_some_and(|cause| cause.contains("syncing")), "{:?}", log.poison_cause());
     assert!(matches!(log.close(), Err(StoreError::Poisoned { .. })));
 }
 
-/// Commits until the disk is full and beyond, and counts the commits that found no space.
+/// Continues to commit after the disk is full, and counts the commits that fail with `NoSpace`.
 fn commit_on_a_full_disk(
     disk: &SimDisk,
     faults: &Faults,
@@ -225,7 +238,7 @@
     context: &str,
 ) {
     for count in (1..14).cycle().take(60) {
-        // What a failed commit left can't always be removed at once.
+        // Sometimes the bytes left by a failed commit can't be removed immediately.
         disk.set_faults(Faults { failing_truncates: *no_space % 2 == 0, ..faults.clone() });
         let committed = model.commit(log, count);
         disk.set_faults(faults.clone());
@@ -237,7 +250,7 @@
     }
 }
 
-/// Commits once there is room again.
+/// Commits after space has become available again.
 fn commit_with_room_again(disk: &SimDisk, model: &mut Model, log: &mut Log, context: &str) {
     disk.set_faults(Faults::default());
     for count in [1, 2, 9, 9] {
@@ -246,7 +259,8 @@
     model.uncertain.clear();
 }
 
-/// At every size of the disk: commits fail without harm, and go on once there is room.
+/// On a full disk of any size, commits fail without damage to the store and succeed again once there is
+/// space.
 #[test]
 fn commits_resume_once_a_full_disk_has_room() {
     let mut no_space = 0;
@@ -267,7 +281,8 @@
             }
         };
         commit_on_a_full_disk(&disk, &faults, &mut model, &mut log, &mut no_space, &context);
-        // Room again in service, a power cut while the disk is full, or only the process ends.
+        // Either space becomes available while the log is open, or the disk stays full until a power failure
+        // or a restart of the process.
         let process_ends = capacity % 3 == 2;
         if capacity % 3 == 0 {
             commit_with_room_again(&disk, &mut model, &mut log, &context);
@@ -283,7 +298,7 @@
     assert!(no_space > 1000, "{no_space}");
 }
 
-/// Any range of what is there can be read while the store is open; what is not there is an error.
+/// Every range of existing records can be read while the store is open. Missing records are an error.
 #[test]
 fn every_durable_range_is_read_while_the_log_is_open() {
     let disk = SimDisk::new(1);
@@ -308,6 +323,9 @@
     }
     assert!(matches!(read(1, next + 1), Err(StoreError::Gap { .. })));
     model.snapshot(&mut log, next - 3).expect("a snapshot");
-    assert!(matches!(read(1, next), Err(StoreError::Gap { .. })), "the first are gone");
+    assert!(
+        matches!(read(1, next), Err(StoreError::Gap { .. })),
+        "the first records are replaced by the snapshot"
+    );
     assert_eq!(read(next - 3, next).expect("the last are there").len(), 3);
 }
--- a/crates/store/tests/damage.rs
+++ b/crates/store/tests/damage.rs
@@ -1,5 +1,5 @@
-//! Damaged, missing, foreign and newer files: refused with their name, never read past. And files of older versions,
-//! which are read.
+//! Stores with damaged or missing files, files of another owner, or files of a newer version are refused with
+//! an error that names the file. Stores of older versions are read.
 
 use dunlinspread_store::format::{FileHeader, FrameHeader, RecordIter};
 use dunlinspread_store::sim::SimDisk;
@@ -12,7 +12,7 @@
     Options { segment_bytes: 700, salt: 7, ..Options::new("n3") }
 }
 
-/// A store with records 1 to 30 over several segments, and the records.
+/// Returns a store with records 1 to 30 in several segments, and the records.
 fn filled(close: bool) -> (SimDisk, Vec<Vec<u8>>) {
     let disk = SimDisk::new(1);
     let (mut log, _) = Log::open(Arc::new(disk.clone()), options(), |_| Ok(())).expect("opens");
@@ -37,7 +37,7 @@
     Ok(seen)
 }
 
-/// Every byte of a store that was closed in good order, changed in turn: refused, or nothing is lost.
+/// Changes each byte of a cleanly closed store in turn. The store must be refused, or no record may be lost.
 #[test]
 fn every_damaged_byte_is_refused_or_harmless() {
     let (disk, records) = filled(true);
@@ -64,7 +64,7 @@
             }
         }
     }
-    // Only the mark of the good close itself can be lost.
+    // Only damage to the frame of the clean close is harmless.
     assert_eq!(harmless, dunlinspread_store::format::FRAME_HEADER_BYTES);
     assert!(refused > 2000, "{refused}");
 }
@@ -80,7 +80,9 @@
     let mut bytes = disk.file_bytes(&name).expect("it is there");
     bytes[200] ^= 1;
     disk.insert_durable(&name, &bytes);
-    let Err(StoreError::Damaged { file, offset, .. }) = open(&disk) else { panic!("not noticed") };
+    let Err(StoreError::Damaged { file, offset, .. }) = open(&disk) else {
+        panic!("the damage was not detected")
+    };
     assert_eq!(file, name);
     assert!((128..=200).contains(&offset), "{offset}");
 }
@@ -129,7 +131,7 @@
     assert!(matches!(e, StoreError::Version { found: 9, newest: 1, .. }), "{e}");
 }
 
-/// Two processes on one directory: the second is told who has it.
+/// The error of a second process on the same directory names the process that holds the lock.
 #[test]
 fn a_locked_directory_is_refused_with_its_holder() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -144,12 +146,12 @@
     open().expect("free again");
 }
 
-/// The stores in `tests/data`, one for each version there was, are read.
+/// Reads the stores in `tests/data`, one for each format version that has existed.
 #[test]
 fn every_version_is_read() {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     for version in 1..=dunlinspread_store::format::FORMAT_VERSION {
-        // Opened in a copy: a store that is open may be written to.
+        // Opens a copy, because opening a store may write to it.
         let folder = tempfile::tempdir().expect("a folder");
         for file in std::fs::read_dir(data.join(format!("v{version}"))).expect("a store of that version") {
             let file = file.expect("a file");
@@ -170,7 +172,7 @@
     }
 }
 
-/// Writes the store of the present version into `tests/data`: run by hand when a version is made.
+/// Writes a store of the current version to `tests/data`. Run manually when a format version is added.
 #[test]
 #[ignore = "writes the file that every_version_is_read reads"]
 fn write_this_version() {
@@ -187,7 +189,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the bytes, they are read or refused.
+    /// Arbitrary bytes are either decoded or refused.
     #[test]
     fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600), count in 0u32..9) {
         let _ = FileHeader::decode(&bytes);
@@ -196,7 +198,7 @@
         let _ = RecordIter::new(&frame, &bytes).count();
     }
 
-    /// Arbitrary bytes behind the last commit are cut, and cost no record.
+    /// Arbitrary bytes after the last commit are discarded without losing a record.
     #[test]
     fn arbitrary_bytes_behind_the_last_commit_are_cut(tail in proptest::collection::vec(any::<u8>(), 1..400)) {
         let (disk, records) = filled(false);
@@ -206,7 +208,7 @@
         prop_assert_eq!(open(&disk).expect("opens"), records);
     }
 
-    /// A record that is made to look like frames changes nothing: its writer does not know the salt.
+    /// A record crafted to look like a frame is not read as one, because its author does not know the salt.
     #[test]
     fn a_payload_that_looks_like_a_frame_is_not_read_as_one(salt in any::<u64>(), durable in 1u64..99, cut in 1usize..60) {
         let forged = FrameHeader { len: 0, first: 2, durable, count: 0, flags: 0 };
@@ -217,7 +219,7 @@
         drop(log);
         let name = disk.list().expect("a list").pop().expect("a segment");
         let bytes = disk.file_bytes(&name).expect("it is there");
-        // The last commit is torn behind what it carries.
+        // Tears the last commit, whose payload contains the forged frame.
         disk.insert_durable(&name, &bytes[..bytes.len() - cut]);
         prop_assert_eq!(open(&disk).expect("opens"), vec![b"first".to_vec()]);
     }
--- a/crates/store/tests/earlier_program.rs
+++ b/crates/store/tests/earlier_program.rs
@@ -1,7 +1,8 @@
-//! Stores that the program wrote at commit e2c31e1, before its code was rearranged: every record is still read.
+//! Every record is still read from stores that the program wrote at commit e2c31e1, before its code was
+//! restructured.
 //!
-//! `tests/fixtures` holds a store that was closed and one whose last commit is torn. Both have three segments, which
-//! begin with records 1, 12 and 20, and a snapshot that stands for records 1 to 9.
+//! `tests/fixtures` holds a cleanly closed store and a store whose last commit is torn. Both have three
+//! segments, which begin with records 1, 12 and 20, and a snapshot that replaces records 1 to 9.
 
 use dunlinspread_store::{Disk, Log, Options, RealDisk, Recovery, ReplayItem, StoreError, TornTail};
 use std::ops::Range;
@@ -10,13 +11,15 @@
 
 const OWNER: &str = "n3";
 const LAST_SEGMENT: &str = "seg-0000000000000014.log";
-/// Where the torn commit begins in the last segment, and how many bytes of it there are.
+/// Offset of the torn commit in the last segment.
 const TORN_OFFSET: u64 = 947;
+/// Length of the torn commit's remains, in bytes.
 const TORN_BYTES: u64 = 651;
 const SNAPSHOT_BEFORE: u64 = 10;
 const SNAPSHOT_CONTENT: &[u8] = b"the sum of records 1 to 9";
 
-/// Returns the record of that number, as the earlier program was given it: empty, short, binary and long ones.
+/// Returns the record with number `number` as written by the earlier program. Records are empty, short,
+/// binary or long.
 fn record(number: u64) -> Vec<u8> {
     match number % 5 {
         0 => Vec::new(),
@@ -31,7 +34,7 @@
     numbers.map(|number| (number, record(number))).collect()
 }
 
-/// Copies a fixture, since opening a store may write to it.
+/// Copies a fixture, because opening a store may write to it.
 fn copy_of(fixture: &str) -> (tempfile::TempDir, Arc<RealDisk>) {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(fixture);
     let folder = tempfile::tempdir().expect("a folder");
@@ -43,7 +46,7 @@
     (folder, Arc::new(disk))
 }
 
-/// Collects what a visitor is shown.
+/// Collects the items passed to a visitor.
 #[derive(Default)]
 struct Replayed {
     snapshot: Option<(u64, Vec<u8>)>,
@@ -91,7 +94,7 @@
     assert_eq!((recovery.next_record, log.next_record(), log.segment_count()), (31, 31, 3));
     assert_eq!((recovery.snapshot_before, recovery.records), (Some(SNAPSHOT_BEFORE), 21));
     assert_eq!((recovery.closed_cleanly, recovery.torn_tail), (true, None));
-    // The first segment still holds the records that the snapshot stands for.
+    // The first segment still holds the records that the snapshot replaces.
     assert_eq!(read_range(&*disk, 1..31).expect("all are there"), expected(1..31));
 }
 
@@ -105,7 +108,7 @@
     assert_eq!(recovery.torn_tail, Some(torn));
     assert_eq!(read_range(&*disk, 1..28).expect("all are there"), expected(1..28));
 
-    // The log goes on where the torn commit began.
+    // The log continues where the torn commit began.
     let batch: Vec<_> = (28..33).map(record).collect();
     assert_eq!(log.commit(&batch).expect("commits"), 28..33);
     log.close().expect("closes");
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -1,5 +1,5 @@
-//! Group commit: every record's fate is reported once and in order, nothing overtakes a failure, and the queue is
-//! bounded.
+//! Group commit reports the outcome of every record once and in order, writes no record after a failed one
+//! until the owner resumes, and bounds its queue.
 
 use dunlinspread_store::sim::{Faults, SimDisk};
 use dunlinspread_store::{
@@ -62,7 +62,7 @@
     }
     let failed = |n, reason| Progress::Failed { from: n, through: n, reason, generation: 1 };
     assert_eq!(reports.recv(), Ok(failed(2, WriteFailure::NoSpace)));
-    // There would be room for these now; they were sent before anyone knew of the failure.
+    // There is space for these records now, but they were appended before the owner resumed.
     disk.set_faults(Faults::default());
     assert_eq!(reports.recv(), Ok(failed(3, WriteFailure::NotAttempted)));
     assert_eq!(reports.recv(), Ok(failed(4, WriteFailure::NotAttempted)));
@@ -80,14 +80,14 @@
     disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     writer.append(b"doubtful".to_vec()).expect("room");
     let Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), generation, .. }) = reports.recv() else {
-        panic!("not noticed")
+        panic!("the failed sync was not reported")
     };
     writer.resume(generation);
     writer.append(b"later".to_vec()).expect("room");
     assert!(matches!(reports.recv(), Ok(Progress::Failed { reason: WriteFailure::Poisoned(_), .. })));
     assert!(writer.snapshot(1, Vec::new()));
     let Ok(Progress::Snapshot { failure: Some(WriteFailure::Poisoned(_)), .. }) = reports.recv() else {
-        panic!("claimed")
+        panic!("the snapshot was reported as taken")
     };
     assert!(writer.close().is_err());
 }
@@ -96,7 +96,7 @@
 fn records_over_the_queue_limits_are_handed_back() {
     let disk = SimDisk::new(1);
     let (log, _) = Log::open(Arc::new(disk.clone()), Options::new("n3"), |_| Ok(())).expect("opens");
-    // The thread is held at its first report, so what is appended after that waits.
+    // The thread blocks in its first report, so records appended afterwards stay queued.
     let (report_sender, reports) = channel();
     let (release, gate) = channel::<()>();
     let options = WriterOptions { queue_records: 3, queue_bytes: 40, ..WriterOptions::default() };
@@ -130,8 +130,8 @@
     assert_eq!(records(&disk), [b"one".to_vec(), b"two".to_vec()]);
 }
 
-/// A panic of the thread is passed on with its message, and what was reported before it is there; the log is not marked as
-/// closed cleanly.
+/// A panic of the thread is passed to `on_panic` with its message. Records reported before it survive, and
+/// the log is not marked as closed cleanly.
 #[test]
 fn a_panic_of_the_thread_is_passed_on_and_loses_nothing_that_was_reported() {
     let disk = SimDisk::new(1);
@@ -153,8 +153,10 @@
     }
     assert_eq!(panics.recv(), Ok(Some("a fault at 3".to_owned())));
     assert_eq!(reports.iter().collect::<Vec<_>>(), [1, 2]);
-    assert_eq!(writer.append(vec![4]), Err(vec![4]), "nobody is there to write it");
-    let Err(StoreError::Poisoned { cause }) = writer.close() else { panic!("claimed to be closed cleanly") };
+    assert_eq!(writer.append(vec![4]), Err(vec![4]), "the thread has ended");
+    let Err(StoreError::Poisoned { cause }) = writer.close() else {
+        panic!("the close was reported as clean")
+    };
     assert_eq!(cause, "the writer's thread panicked");
     disk.power_cycle();
     assert_eq!(records(&disk), [vec![1], vec![2], vec![3]]);
