--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -35,7 +35,7 @@
         Self { config, me, members, removed: BTreeSet::new(), totals }
     }
 
-    /// Returns the settings in force.
+    /// Returns the settings of the limit.
     pub fn config(&self) -> &Config {
         &self.config
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -10,7 +10,7 @@
     /// An operating system call failed.
     #[error("{operation} {file}: {source}")]
     Io {
-        /// The operation, as a verb for the message.
+        /// The failed operation, such as `syncing`.
         operation: &'static str,
         /// The file or directory.
         file: String,
@@ -42,7 +42,8 @@
     },
     /// A file that the log needs is missing.
     #[error(
-        "records {expected} to {last} are missing before {file}: a file of the store was lost", last = found - 1
+        "records {expected} to {last} are missing before {file}: a file of the store was lost",
+        last = found - 1
     )]
     Gap {
         /// The file after the gap.
--- a/crates/store/src/format/file_header.rs
+++ b/crates/store/src/format/file_header.rs
@@ -25,7 +25,7 @@
 /// The length and checksum of a snapshot's content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ContentDigest {
-    /// Length in bytes.
+    /// Length of the content in bytes.
     pub len: u64,
     /// CRC-32C of the content.
     pub checksum: u32,
@@ -61,7 +61,7 @@
 /// The error of a file header that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// The bytes are not a header, or are damaged.
+    /// The bytes are not a header, or the header is damaged.
     #[error("{0}")]
     Damaged(&'static str),
     /// The header has a format version that is not supported.
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,6 +1,6 @@
 //! A crash-safe log of records. Records are byte strings, numbered from 1 and kept in order. A record that
 //! was reported durable is still in the log after any crash; otherwise opening the log fails with an error
-//! that names the damaged file and the offset of the damage.
+//! that names the file and where it is damaged or incomplete.
 //!
 //! ```
 //! use dunlinspread_store::{Log, Options, RealDisk, ReplayItem};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -66,7 +66,7 @@
         options: Options,
         mut visit: impl FnMut(ReplayItem<'_>) -> Result<(), ReplayRejection>,
     ) -> Result<(Log, Recovery), StoreError> {
-        assert!(options.owner.len() <= MAX_OWNER_BYTES, "the caller limits the length of the owner's name");
+        assert!(options.owner.len() <= MAX_OWNER_BYTES, "the owner's name exceeds MAX_OWNER_BYTES");
         let lock = DirectoryLock::acquire(disk.clone())?;
         let recovered = replay(&*disk, &options.owner, &mut visit)?;
         let recovery = Recovery::of(&recovered);
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// A file of the store, and the record number in its name.
+/// A segment or snapshot file, and the record number in its name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BaseFile {
     /// Number of the first record in a segment, or of the first record after a snapshot.
--- a/crates/store/src/segment_scan.rs
+++ b/crates/store/src/segment_scan.rs
@@ -77,7 +77,7 @@
     fn intact_frame(&self) -> Result<(FrameHeader, &'a [u8]), ScanFault> {
         let fault = |offset: usize, description| ScanFault { offset: offset as u64, description };
         let header = FrameHeader::decode(&self.bytes[self.position..], self.salt)
-            .ok_or(fault(self.position, "no valid frame header"))?;
+            .ok_or(fault(self.position, "there is no valid frame header"))?;
         if header.first != self.next_record {
             return Err(fault(self.position, "the frame does not follow the previous frame"));
         }
@@ -85,9 +85,7 @@
         let content = self.bytes.get(start..start + header.len as usize);
         let content = content.ok_or(fault(self.position, "the frame is truncated"))?;
         match RecordIter::new(&header, content).find_map(Result::err) {
-            Some(DamagedRecord { offset }) => {
-                Err(fault(start + offset, "the record's length or checksum is wrong"))
-            }
+            Some(DamagedRecord { offset }) => Err(fault(start + offset, "the record's checksum is wrong")),
             None => Ok((header, content)),
         }
     }
--- a/crates/store/src/sim/disk.rs
+++ b/crates/store/src/sim/disk.rs
@@ -62,14 +62,14 @@
         Some(state.inodes[*inode].visible().to_vec())
     }
 
-    /// Creates or replaces a file, durably.
+    /// Creates or replaces a file and makes the change durable.
     pub fn insert_durable(&self, name: &str, bytes: &[u8]) {
         let mut state = self.0.lock();
         let inode = state.add_inode(Inode::durable(bytes));
         state.names.link_durable(name, inode);
     }
 
-    /// Removes a file, durably.
+    /// Removes a file and makes the removal durable.
     pub fn remove_durable(&self, name: &str) {
         self.0.lock().names.remove_durable(name);
     }
--- a/crates/store/src/sim/names.rs
+++ b/crates/store/src/sim/names.rs
@@ -37,7 +37,7 @@
         self.pending.push(NameChange::Link { name: name.to_owned(), inode });
     }
 
-    /// Gives a file a name, durably.
+    /// Gives a file a name and makes the name durable.
     pub fn link_durable(&mut self, name: &str, inode: InodeIndex) {
         self.visible.insert(name.to_owned(), inode);
         self.durable.insert(name.to_owned(), inode);
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// Removes a name, durably.
+    /// Removes a name and makes the removal durable.
     pub fn remove_durable(&mut self, name: &str) {
         self.visible.remove(name);
         self.durable.remove(name);
--- a/crates/store/src/writer/handle.rs
+++ b/crates/store/src/writer/handle.rs
@@ -59,8 +59,7 @@
         Ok(Writer { commands, counters, options, last_ticket: 0, generation: 0, thread: Some(thread) })
     }
 
-    /// Queues a record for the thread and returns its ticket. Tickets are consecutive numbers that start at
-    /// 1.
+    /// Queues a record for the thread and returns its ticket. Tickets are numbered consecutively from 1.
     ///
     /// # Errors
     /// Returns the record if the queue is full or the thread has ended.
--- a/crates/store/src/writer/options.rs
+++ b/crates/store/src/writer/options.rs
@@ -18,8 +18,8 @@
 }
 
 impl Default for WriterOptions {
-    /// Returns the default options: up to 4,096 records and 4 MiB queued, and immediate commits of about 1
-    /// MiB at most.
+    /// Returns the default options: a queue of up to 4,096 records and 4 MiB, and immediate commits of at
+    /// most about 1 MiB.
     fn default() -> Self {
         WriterOptions {
             queue_records: 4096,
