--- a/crates/ledger/src/account_name.rs
+++ b/crates/ledger/src/account_name.rs
@@ -1,65 +1,65 @@
-//! Names of tenants' accounts. They come from outside and stand on bills, in file names and in tables, so only plain
-//! characters are allowed.
+//! Account names of tenants. They come from clients and appear in bills, file names and tables, so only a
+//! restricted set of ASCII characters is allowed.
 
 use std::fmt;
 
-/// The account of requests that name none.
+/// Name of the account that is billed for requests without an account name.
 pub const UNATTRIBUTED: &str = "unattributed";
-/// The longest name, in bytes.
+/// Maximum length of an account name, in bytes.
 pub const MAX_ACCOUNT_NAME_BYTES: usize = 64;
 
-/// Why a text is not the name of an account.
+/// The reason why a string is not a valid account name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AccountNameError {
-    /// It is empty.
-    #[error("an account's name can't be empty")]
+    /// The name is empty.
+    #[error("account name is empty")]
     Empty,
-    /// It is longer than [`MAX_ACCOUNT_NAME_BYTES`].
-    #[error("an account's name is at most {MAX_ACCOUNT_NAME_BYTES} bytes")]
+    /// The name is longer than [`MAX_ACCOUNT_NAME_BYTES`].
+    #[error("account name is longer than {MAX_ACCOUNT_NAME_BYTES} bytes")]
     TooLong,
-    /// It has a character that is not allowed where it stands.
+    /// The name contains a character that is not allowed at its position.
     #[error(
-        "an account's name has letters, digits, `.`, `_`, `-` and `:` only, and begins with a letter or digit"
+        "account name must consist of letters, digits, `.`, `_`, `-` and `:`, and begin with a letter or digit"
     )]
     Character,
-    /// It is [`UNATTRIBUTED`], the account of requests that name none.
-    #[error("`{UNATTRIBUTED}` is the account of those who name none")]
+    /// The name is [`UNATTRIBUTED`], which is reserved for requests without an account name.
+    #[error("account name `{UNATTRIBUTED}` is reserved for requests without an account name")]
     Reserved,
 }
 
-/// The name of a tenant's account.
+/// The validated name of a tenant's account.
 ///
 /// # Invariants
-/// It is [`UNATTRIBUTED`], or it has 1 to [`MAX_ACCOUNT_NAME_BYTES`] letters, digits, `.`, `_`, `-` and `:` and begins
-/// with a letter or digit.
+/// The name is [`UNATTRIBUTED`], or it consists of 1 to [`MAX_ACCOUNT_NAME_BYTES`] letters, digits, `.`, `_`,
+/// `-` and `:`, and begins with a letter or digit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AccountName<'a>(&'a str);
 
 impl AccountName<'static> {
-    /// Returns the account of requests that name none.
+    /// Returns the account that is billed for requests without an account name.
     pub fn unattributed() -> AccountName<'static> {
         AccountName(UNATTRIBUTED)
     }
 }
 
 impl<'a> AccountName<'a> {
-    /// Checks a name that a request states.
+    /// Validates the account name of a request.
     ///
     /// # Errors
-    /// If it is not the name of an account.
+    /// Returns an [`AccountNameError`] if the name is not a valid account name.
     pub fn parse(name: &'a str) -> Result<AccountName<'a>, AccountNameError> {
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-:".contains(&byte);
         match name.as_bytes() {
             [] => Err(AccountNameError::Empty),
-            all if all.len() > MAX_ACCOUNT_NAME_BYTES => Err(AccountNameError::TooLong),
+            bytes if bytes.len() > MAX_ACCOUNT_NAME_BYTES => Err(AccountNameError::TooLong),
             [first, ..] if !first.is_ascii_alphanumeric() => Err(AccountNameError::Character),
-            all if !all.iter().all(|byte| is_allowed(*byte)) => Err(AccountNameError::Character),
+            bytes if !bytes.iter().all(|byte| is_allowed(*byte)) => Err(AccountNameError::Character),
             _ if name == UNATTRIBUTED => Err(AccountNameError::Reserved),
             _ => Ok(AccountName(name)),
         }
     }
 
-    /// Returns the name.
+    /// Returns the name as a string.
     pub fn as_str(&self) -> &'a str {
         self.0
     }
--- a/crates/ledger/src/accumulator/action.rs
+++ b/crates/ledger/src/accumulator/action.rs
@@ -1,128 +1,133 @@
-//! What the accumulator takes in and gives out.
+//! Input and output types of the accumulator.
 
 use crate::account_name::AccountName;
 use crate::line::LineError;
 use crate::outcome::Outcome;
 
-/// The usage of one request, as it is billed.
+/// The billed usage of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageRecord<'a> {
-    /// 1 for a reply; 0 for further usage of a request billed before.
+    /// Number of requests: 1 for a reply, 0 for additional usage of a request that was already billed.
     pub requests: u64,
-    /// The tenant's account.
+    /// Account of the tenant.
     pub account: AccountName<'a>,
-    /// The class, by position.
+    /// Position of the request's class in the list of classes.
     pub class: u16,
-    /// What became of the request.
+    /// Outcome of the request.
     pub outcome: Outcome,
-    /// Time in the worker pool, µs.
+    /// Time spent in the worker pool, in µs.
     pub pool_us: u64,
-    /// Bytes of the request's body.
+    /// Size of the request body, in bytes.
     pub bytes_in: u64,
-    /// Bytes of the result.
+    /// Size of the result, in bytes.
     pub bytes_out: u64,
 }
 
-/// Whether a reply may be sent.
+/// The decision when a reply may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyDecision {
-    /// At once.
+    /// The reply may be sent immediately.
     SendNow,
-    /// Once an [`Action::Release`] of this mark or a later one is given.
+    /// The reply is held until an [`Action::Release`] with this mark or a later one.
     HoldUntil(u64),
 }
 
-/// What the owner of an accumulator has to do, in the order in which actions are given.
+/// An action that the owner of an accumulator has to carry out. Actions are carried out in the order of the
+/// list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Append this record to the store, after all before it.
+    /// Append this record to the store, after all records of earlier actions.
     Append(Vec<u8>),
-    /// Let the store write again after a failure; the records follow again, from the first that failed.
+    /// Resume writing to the store after a failure. The records are appended again by later actions,
+    /// beginning with the first one that failed.
     Resume,
-    /// Send the replies held up to this mark.
+    /// Send all held replies with this mark or an earlier one.
     Release(u64),
-    /// Admit or reject new requests.
+    /// Admit new requests if true, reject them if false.
     AcceptRequests(bool),
-    /// The close line with this number is durable.
+    /// Reports that the close line with this number is durable.
     PeriodsClosed(u64),
-    /// An entry given to [`UsageAccumulator::append_entry`](super::UsageAccumulator::append_entry) is durable.
+    /// Reports that a line appended by
+    /// [`UsageAccumulator::append_entry`](super::UsageAccumulator::append_entry) is durable.
     EntryDurable {
-        /// The tag it was given with.
+        /// Tag passed to `append_entry`.
         tag: u64,
-        /// Its line's number.
+        /// Number of the line.
         number: u64,
     },
-    /// Log this.
+    /// Log this notice.
     Notify(Notice),
 }
 
-/// A condition that operators should know of.
+/// A condition that is reported to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The store does not take lines, for this reason.
+    /// The store cannot write lines; the value is the reason.
     StoreFailing(String),
-    /// The store takes lines again.
+    /// The store writes lines again.
     StoreRecovered {
-        /// Requests that are in no line.
+        /// Number of requests that were not recorded in any usage line.
         unbilled: u64,
     },
-    /// The start before was not closed cleanly, and replies may be in no line.
+    /// The previous run of the server was not shut down cleanly; the usage of some sent replies may be
+    /// missing from the ledger.
     UncleanShutdown {
-        /// Such replies at most; none if nothing bounds them.
+        /// Maximum number of these replies; `None` if the number is not bounded.
         at_most: Option<u64>,
     },
-    /// Periods that ended while the server was down are closed now.
+    /// Periods that ended while the server was down have been closed at startup.
     ClosedLate {
-        /// The first ms of the first of them, Unix ms.
+        /// Start of the first of these periods, in Unix ms.
         from: u64,
-        /// The first ms after them, Unix ms.
+        /// End (exclusive) of the last of these periods, in Unix ms.
         to: u64,
     },
-    /// The clock is behind the ledger's time by so many ms; that time stands still until the clock has passed it.
+    /// The clock is behind the ledger's time by this number of ms. The ledger's time does not advance until
+    /// the clock has caught up.
     ClockBehind(u64),
 }
 
-/// Why an entry was not appended; nothing was changed.
+/// The reason why a line was not appended. The ledger is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryRejected {
-    /// The store fails.
-    #[error("the store does not take lines now")]
+    /// The store is failing.
+    #[error("the store cannot write lines at present")]
     StoreFailing,
-    /// Too many records wait for the store.
-    #[error("{0} records wait for the store, and no more may")]
+    /// The maximum number of records is already waiting for the store.
+    #[error("the record queue is full: {0} records are waiting for the store")]
     QueueFull(usize),
-    /// The entry contradicts the lines before it, or could not be read again.
+    /// The line contradicts earlier lines, or its encoding would not be accepted when the ledger is read.
     #[error(transparent)]
     Invalid(#[from] LineError),
 }
 
-/// Why periods were not closed early; nothing was changed.
+/// The reason why periods were not closed early. The ledger is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseRejected {
-    /// The store fails.
-    #[error("the store does not take lines now")]
+    /// The store is failing.
+    #[error("the store cannot write lines at present")]
     StoreFailing,
-    /// All up to now is closed already.
-    #[error("all up to {closed_to} is closed already")]
+    /// All time up to the present is already closed.
+    #[error("all periods up to {closed_to} are already closed")]
     NothingOpen {
-        /// All before this time is closed, Unix ms.
+        /// End (exclusive) of the closed periods, in Unix ms.
         closed_to: u64,
     },
 }
 
-/// Figures for the log and the metrics.
+/// Gauges for the log and the metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LedgerGauges {
-    /// Open aggregates.
+    /// Number of open aggregates.
     pub cells: usize,
-    /// Bytes of open aggregates and of records that are not durable.
+    /// Memory used by open aggregates and by records that are not durable yet, in bytes.
     pub bytes: usize,
-    /// Records made and not yet durable.
+    /// Number of records that are not durable yet.
     pub records: usize,
-    /// Requests billed and not yet durable.
+    /// Number of billed requests whose usage is not durable yet.
     pub at_risk: u64,
-    /// Requests in no line, since the start.
+    /// Number of requests since startup that were not recorded in any usage line.
     pub unbilled: u64,
-    /// Times that aggregates were written early for want of room.
+    /// Number of times that aggregates were written early because the table was full.
     pub spills: u64,
 }
--- a/crates/ledger/src/accumulator/mod.rs
+++ b/crates/ledger/src/accumulator/mod.rs
@@ -1,8 +1,9 @@
-//! The state machine between the replies and the store: it decides what is written when, and when a reply may be sent.
+//! The state machine between replies and the store. It decides which lines are written when, and when a reply
+//! may be sent.
 //!
-//! [`UsageAccumulator`] takes the usage of each final reply, aggregates it, makes lines of it, closes periods, and keeps
-//! going while the store is slow, full or gone. It does no I/O and reads no clock: time comes with each call, and what
-//! is to be done goes out as [`Action`]s.
+//! [`UsageAccumulator`] aggregates the usage of each final reply, creates lines from the aggregates, closes
+//! periods, and continues to work while the store is slow, full or unavailable. It performs no I/O and reads
+//! no clock: the time is passed with each call, and [`Action`]s describe the work for the caller.
 
 mod action;
 mod line_sequence;
@@ -26,35 +27,37 @@
 use release_marks::ReleaseMarks;
 use unbilled::UnbilledRequests;
 
-/// The state machine of one ledger.
+/// The accumulator of one ledger: a state machine that turns the usage of replies into lines.
 ///
 /// # Invariants
-/// - In strict mode a reply is released once its line is durable, unless the store fails under
+/// - In strict mode a reply is released only after its line is durable, unless the store fails under
 ///   [`FailurePolicy::Continue`].
-/// - In interval mode the replies sent before their line is durable are at most those that the start line states.
-/// - Each request is counted once: in a usage line, or in an unbilled line.
-/// - Periods are closed in order, none is skipped, and no line is added to a closed one, wherever the clock goes.
+/// - In interval mode the number of replies sent before their line is durable never exceeds the limit in the
+///   start line.
+/// - Each request is counted exactly once: in a usage line or in an unbilled line.
+/// - Periods are closed in order without gaps, and no line is added to a closed period, even if the clock
+///   jumps.
 ///
 /// # Panics
-/// Its methods panic if the accumulator itself makes a line that contradicts those before it.
+/// The methods panic if the accumulator itself creates a line that contradicts earlier lines.
 #[derive(Debug)]
 pub struct UsageAccumulator {
     settings: LedgerSettings,
     lines: LineSequence,
     table: UsageTable,
     marks: ReleaseMarks,
-    /// Requests in the table or in records that are not durable.
+    /// Number of requests in the table or in records that are not durable yet.
     at_risk: u64,
-    store_fails: bool,
+    store_is_failing: bool,
     accepts_requests: bool,
     unbilled: UnbilledRequests,
-    /// When the table is written next in interval mode, Unix ms.
+    /// Due time of the next write of the table in interval mode, in Unix ms.
     next_flush_ms: u64,
     spills: u64,
 }
 
 impl UsageAccumulator {
-    /// Returns an accumulator that goes on from what reading the store found, and appends the first lines of its start.
+    /// Returns an accumulator that continues the recovered ledger, and appends the lines of the new start.
     pub fn start(
         now_ms: u64,
         settings: LedgerSettings,
@@ -71,7 +74,7 @@
             lines,
             marks: ReleaseMarks::default(),
             at_risk: 0,
-            store_fails: false,
+            store_is_failing: false,
             accepts_requests: true,
             unbilled: UnbilledRequests::default(),
             next_flush_ms: 0,
@@ -79,12 +82,12 @@
         }
     }
 
-    /// Returns the state that the lines made so far imply.
+    /// Returns the ledger state after all lines created so far.
     pub fn state(&self) -> &LedgerState {
         &self.lines.state
     }
 
-    /// Returns the present figures.
+    /// Returns the current gauges.
     pub fn gauges(&self) -> LedgerGauges {
         LedgerGauges {
             cells: self.table.len(),
@@ -101,7 +104,7 @@
         self.accepts_requests
     }
 
-    /// Bills the usage of a final reply, and returns whether the reply may be sent.
+    /// Bills the usage of a final reply, and returns when the reply may be sent.
     pub fn bill(&mut self, now_ms: u64, usage: &UsageRecord<'_>, actions: &mut Vec<Action>) -> ReplyDecision {
         let rejected_by_ledger = !self.accepts_requests && usage.outcome == Outcome::Rejected;
         if rejected_by_ledger || !self.aggregate(now_ms, usage, actions) {
@@ -109,13 +112,14 @@
             return ReplyDecision::SendNow;
         }
         self.at_risk += usage.requests;
-        if usage.requests == 0 || !self.reply_waits() {
+        if usage.requests == 0 || !self.reply_must_wait() {
             return ReplyDecision::SendNow;
         }
-        ReplyDecision::HoldUntil(self.marks.give())
+        ReplyDecision::HoldUntil(self.marks.next_mark())
     }
 
-    /// Adds usage to the open aggregates; returns whether there was room, if need be after writing them early.
+    /// Adds usage to the open aggregates, and writes them early if the table is full. Returns false if there
+    /// is still no room.
     fn aggregate(&mut self, now_ms: u64, usage: &UsageRecord<'_>, actions: &mut Vec<Action>) -> bool {
         let key = UsageKey {
             period: self.lines.open_period(now_ms),
@@ -136,11 +140,12 @@
         self.table.add(key, &amount)
     }
 
-    /// Writes all aggregates early for want of room; they are merged when the period is exported.
+    /// Writes all aggregates early because the table is full. Usage lines of the same period are merged when
+    /// it is exported.
     fn spill(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         self.spills += 1;
-        // While replies wait for their lines, the admitted requests bound the records. They do not only where the store
-        // fails and replies are sent all the same.
+        // While replies wait for their lines, the number of admitted requests bounds the number of records.
+        // This bound is only missing while the store is failing and replies are sent without waiting for it.
         let requests_bound_records = !self.continues_without_store();
         if requests_bound_records || self.lines.queue.len() < self.settings.records {
             self.flush(now_ms);
@@ -148,20 +153,20 @@
         }
     }
 
-    /// Returns whether the store fails and replies are sent all the same.
+    /// Returns whether the store is failing and replies are sent without waiting for it.
     fn continues_without_store(&self) -> bool {
-        self.store_fails && self.settings.on_failure == FailurePolicy::Continue
+        self.store_is_failing && self.settings.on_failure == FailurePolicy::Continue
     }
 
-    /// Returns whether the reply to the request billed last has to wait for its line.
-    fn reply_waits(&self) -> bool {
+    /// Returns whether the reply to the most recently billed request has to wait until its line is durable.
+    fn reply_must_wait(&self) -> bool {
         self.at_risk > self.settings.mode.max_at_risk() && !self.continues_without_store()
     }
 
-    /// Writes the aggregates if the store is idle and, in interval mode, they are due or waited for. Called after one or
-    /// more replies were billed.
+    /// Writes the aggregates if the store is idle and, in interval mode, if the interval has elapsed or the
+    /// limit of replies sent early has been reached. Called after one or more replies have been billed.
     pub fn flush_if_due(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        if self.table.is_empty() || !self.lines.queue.store_is_idle() || self.store_fails {
+        if self.table.is_empty() || !self.lines.queue.store_is_idle() || self.store_is_failing {
             return;
         }
         if let DurabilityMode::Interval { every_ms, .. } = self.settings.mode {
@@ -174,22 +179,22 @@
         self.hand_over_records(actions);
     }
 
-    /// Advances the time: closes periods that are over, and retries a failed store. Called at the interval of commits,
-    /// or a few times a second.
+    /// Advances the time: closes periods that have ended, and retries a failing store. Called once per commit
+    /// interval, or a few times per second.
     pub fn tick(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
-        if self.store_fails {
+        if self.store_is_failing {
             self.retry_store(actions);
             return;
         }
         self.flush_if_due(now_ms, actions);
         let past_grace_ms = self.lines.time(now_ms).saturating_sub(self.settings.grace_ms);
-        let ended_by = past_grace_ms - past_grace_ms % self.lines.state.period_ms();
-        if ended_by > self.lines.state.closed_to {
-            self.close_periods(now_ms, ended_by, actions);
+        let closable_to = past_grace_ms - past_grace_ms % self.lines.state.period_ms();
+        if closable_to > self.lines.state.closed_to {
+            self.close_periods(now_ms, closable_to, actions);
         }
     }
 
-    /// Lets the store try the oldest record again, once it has reported on each record that it had.
+    /// Retries the oldest record after the store has reported the result of every record handed over to it.
     fn retry_store(&mut self, actions: &mut Vec<Action>) {
         if self.lines.queue.store_is_idle() && self.lines.queue.len() > 0 {
             actions.push(Action::Resume);
@@ -197,12 +202,14 @@
         }
     }
 
-    /// Closes all periods up to now before their time; the rest of the open one goes on as a period of its own.
+    /// Closes all periods up to the current time, including the open one. The rest of the open period becomes
+    /// a separate period.
     ///
     /// # Errors
-    /// If the store fails or nothing is open; nothing was changed.
+    /// Returns [`CloseRejected::StoreFailing`] if the store is failing, or [`CloseRejected::NothingOpen`] if
+    /// all time up to the present is closed. The ledger is unchanged in both cases.
     pub fn close_early(&mut self, now_ms: u64, actions: &mut Vec<Action>) -> Result<(), CloseRejected> {
-        if self.store_fails {
+        if self.store_is_failing {
             return Err(CloseRejected::StoreFailing);
         }
         let (closed_to, time_ms) = (self.lines.state.closed_to, self.lines.time(now_ms));
@@ -213,7 +220,7 @@
         Ok(())
     }
 
-    /// Closes the periods up to a time; what was billed in them is written before.
+    /// Closes the periods up to a time, after writing the usage billed in them.
     fn close_periods(&mut self, now_ms: u64, to: u64, actions: &mut Vec<Action>) {
         self.flush(now_ms);
         let close = Close { from: self.lines.state.closed_to, to, late: false };
@@ -221,11 +228,13 @@
         self.hand_over_records(actions);
     }
 
-    /// Appends a line made by others; [`Action::EntryDurable`] tells with this tag that it is durable. A correction is
-    /// entered in the period that is open now.
+    /// Appends a line that was not created by the accumulator. [`Action::EntryDurable`] with this tag reports
+    /// that the line is durable. A correction is entered in the currently open period.
     ///
     /// # Errors
-    /// If it contradicts the lines before it, the store fails or too much waits for it; nothing was changed.
+    /// Returns [`EntryRejected::Invalid`] if the line contradicts earlier lines,
+    /// [`EntryRejected::StoreFailing`] if the store is failing, or [`EntryRejected::QueueFull`] if too many
+    /// records are waiting for it. The ledger is unchanged in all cases.
     pub fn append_entry(
         &mut self,
         now_ms: u64,
@@ -237,7 +246,7 @@
             correction.period = self.lines.open_period(now_ms);
         }
         self.lines.check(now_ms, &kind)?;
-        if self.store_fails {
+        if self.store_is_failing {
             return Err(EntryRejected::StoreFailing);
         }
         let waiting = self.lines.queue.len();
@@ -249,19 +258,19 @@
         Ok(())
     }
 
-    /// Writes all that waits, before a clean shutdown.
+    /// Writes all open aggregates and waiting records before a clean shutdown.
     pub fn finish(&mut self, now_ms: u64, actions: &mut Vec<Action>) {
         self.flush(now_ms);
         self.hand_over_records(actions);
     }
 
-    /// Takes note that the store made the oldest `count` records durable.
+    /// Records that the oldest `count` records are durable in the store.
     pub fn on_durable(&mut self, now_ms: u64, count: usize, actions: &mut Vec<Action>) {
         for _ in 0..count {
             let Some(record) = self.lines.queue.pop_durable() else { break };
             self.on_record_durable(&record, actions);
         }
-        if std::mem::take(&mut self.store_fails) {
+        if std::mem::take(&mut self.store_is_failing) {
             self.on_store_recovered(now_ms, actions);
         }
         self.flush_if_due(now_ms, actions);
@@ -285,11 +294,11 @@
         self.hand_over_records(actions);
     }
 
-    /// Takes note that the store did not write `count` of the records that it has, from the oldest on. They wait for the
-    /// next [`UsageAccumulator::tick`]; the store fails until one of them is durable.
+    /// Records that the store failed to write the `count` oldest records handed over to it. They are retried
+    /// by the next [`UsageAccumulator::tick`], and the store counts as failing until one of them is durable.
     pub fn on_failed(&mut self, reason: &str, count: usize, actions: &mut Vec<Action>) {
         self.lines.queue.take_back(count);
-        if !std::mem::replace(&mut self.store_fails, true) {
+        if !std::mem::replace(&mut self.store_is_failing, true) {
             actions.push(Action::Notify(Notice::StoreFailing(reason.to_owned())));
         }
         match self.settings.on_failure {
@@ -298,12 +307,12 @@
                     actions.push(Action::AcceptRequests(false));
                 }
             }
-            // Their usage stays on its way to the store; the replies do not wait for it.
+            // The usage of these replies is still written to the store later; the replies do not wait for it.
             FailurePolicy::Continue => self.marks.release_all(actions),
         }
     }
 
-    /// Makes records of all aggregates.
+    /// Creates records from all aggregates.
     fn flush(&mut self, now_ms: u64) {
         if self.table.is_empty() {
             return;
@@ -319,13 +328,13 @@
             let requests = usage.entries.iter().map(|entry| entry.amount.requests).sum();
             self.lines.append_record(now_ms, LineKind::Usage(usage), requests, OnDurable::Nothing);
         }
-        // Only the last of them releases replies: a reply may be billed in any of the records.
-        self.lines.queue.set_last_release_mark(self.marks.last_given());
+        // Only the last record releases replies, because the usage of a reply may be in any of the records.
+        self.lines.queue.set_last_release_mark(self.marks.last_mark());
     }
 
-    /// Hands the store the records that it does not have, unless it fails.
+    /// Hands over all waiting records to the store, unless the store is failing.
     fn hand_over_records(&mut self, actions: &mut Vec<Action>) {
-        if !self.store_fails {
+        if !self.store_is_failing {
             self.lines.queue.hand_over_all(actions);
         }
     }
--- a/crates/ledger/src/accumulator/recovery.rs
+++ b/crates/ledger/src/accumulator/recovery.rs
@@ -1,4 +1,4 @@
-//! The first lines of a start: what it states of itself, and of the start before it.
+//! The lines that are written at startup: the start line, and lines about the time since the previous run.
 
 use super::action::{Action, Notice};
 use super::line_sequence::LineSequence;
@@ -7,25 +7,25 @@
 use crate::line::{Close, LineKind, Start, Unbilled};
 use crate::state::LedgerState;
 
-/// What reading the store found.
+/// The result of reading a ledger from its store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveredLedger {
-    /// The state that all lines in the store imply.
+    /// Ledger state after all lines in the store.
     pub state: LedgerState,
-    /// The number of the next line.
+    /// Number of the next line.
     pub next_line: u64,
-    /// Whether the store was closed cleanly.
+    /// Whether the store was closed cleanly by the previous run.
     pub closed_cleanly: bool,
 }
 
 impl Default for RecoveredLedger {
-    /// Returns what an empty store has.
+    /// Returns the result of reading an empty store.
     fn default() -> RecoveredLedger {
         RecoveredLedger { state: LedgerState::default(), next_line: 1, closed_cleanly: true }
     }
 }
 
-/// Appends the lines that a start begins with.
+/// Appends the lines that are written at startup.
 pub(super) fn append_first_lines(
     lines: &mut LineSequence,
     now_ms: u64,
@@ -54,7 +54,7 @@
 fn start_line(now_ms: u64, settings: &LedgerSettings, before: &LedgerState) -> Start {
     let after_last_start = before.start.as_ref().map_or(0, |start| start.start) + 1;
     Start {
-        // With the time in it, it is unique also if the store before was lost.
+        // Based on the current time, the id is unique even if the previous store was lost.
         start: now_ms.max(after_last_start),
         period_ms: settings.period_ms.max(1),
         classes: settings.classes.clone(),
@@ -63,7 +63,8 @@
     }
 }
 
-/// Returns the line that counts the replies that the start before may have sent without a line.
+/// Returns the unbilled line for the replies that the previous run may have sent without a durable line;
+/// `None` if there can be none.
 fn unclean_shutdown_line(now_ms: u64, before: &LedgerState, closed_cleanly: bool) -> Option<Unbilled> {
     let last = before.start.as_ref()?;
     if closed_cleanly || (last.at_risk == 0 && !last.continues_on_failure) {
@@ -79,7 +80,8 @@
     })
 }
 
-/// Returns the line that closes the periods that ended while the server was down, whatever the grace.
+/// Returns the line that closes the periods that ended while the server was down, without waiting for the
+/// grace time; `None` if no period ended.
 fn late_close_line(lines: &LineSequence, now_ms: u64) -> Option<Close> {
     let time_ms = lines.time(now_ms);
     let (from, to) = (lines.state.closed_to, time_ms - time_ms % lines.state.period_ms());
--- a/crates/ledger/src/accumulator/release_marks.rs
+++ b/crates/ledger/src/accumulator/release_marks.rs
@@ -1,30 +1,31 @@
-//! Marks of held replies: which have been given, and up to which replies were released.
+//! Marks that identify held replies in the order in which they were billed, and the progress of their
+//! release.
 
 use super::action::Action;
 
-/// The marks of held replies.
+/// The marks assigned to held replies, and the mark up to which replies have been released.
 ///
 /// # Invariants
-/// Marks rise by one; none is released twice.
+/// Marks increase by one, and no mark is released twice.
 #[derive(Debug, Default)]
 pub(super) struct ReleaseMarks {
-    last_given: u64,
+    last_assigned: u64,
     last_released: u64,
 }
 
 impl ReleaseMarks {
-    /// Gives the next mark to a reply that is held.
-    pub(super) fn give(&mut self) -> u64 {
-        self.last_given += 1;
-        self.last_given
+    /// Assigns the next mark to a held reply, and returns the mark.
+    pub(super) fn next_mark(&mut self) -> u64 {
+        self.last_assigned += 1;
+        self.last_assigned
     }
 
-    /// Returns the last mark that was given.
-    pub(super) fn last_given(&self) -> u64 {
-        self.last_given
+    /// Returns the most recently assigned mark; 0 if there is none.
+    pub(super) fn last_mark(&self) -> u64 {
+        self.last_assigned
     }
 
-    /// Releases the replies up to this mark that are still held.
+    /// Releases all replies up to this mark that are still held.
     pub(super) fn release(&mut self, mark: u64, actions: &mut Vec<Action>) {
         if mark > self.last_released {
             self.last_released = mark;
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Releases all replies that are held.
+    /// Releases all held replies.
     pub(super) fn release_all(&mut self, actions: &mut Vec<Action>) {
-        self.release(self.last_given, actions);
+        self.release(self.last_assigned, actions);
     }
 }
--- a/crates/ledger/src/accumulator/settings.rs
+++ b/crates/ledger/src/accumulator/settings.rs
@@ -1,21 +1,23 @@
 //! Settings of the accumulator.
 
-/// When a reply may be sent, relative to its line becoming durable.
+/// Rule for when a reply may be sent relative to the time at which its line becomes durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DurabilityMode {
-    /// Once its line is durable.
+    /// A reply is sent after its line is durable.
     Strict,
-    /// At once; lines are committed at an interval, and the replies sent before their line is durable are bounded.
+    /// A reply is sent immediately. Lines are committed at an interval, and the number of replies sent before
+    /// their line is durable is bounded.
     Interval {
-        /// Between commits, ms.
+        /// Interval between commits, in ms.
         every_ms: u64,
-        /// Replies sent before their line is durable, at most; further ones wait. 0 counts as 1.
+        /// Maximum number of replies sent before their line is durable; further replies wait. 0 counts as 1.
         at_risk: u64,
     },
 }
 
 impl DurabilityMode {
-    /// Returns the replies that may be sent before their line is durable: 0 in strict mode, else at least 1.
+    /// Returns the maximum number of replies sent before their line is durable: 0 in strict mode, otherwise
+    /// at least 1.
     pub fn max_at_risk(self) -> u64 {
         match self {
             DurabilityMode::Strict => 0,
@@ -24,31 +26,32 @@
     }
 }
 
-/// What happens while the store fails.
+/// Policy for requests and replies while the store is failing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailurePolicy {
-    /// New requests are rejected, and replies wait.
+    /// New requests are rejected, and replies wait for the store.
     Reject,
-    /// Replies are sent; usage that fits in no line is counted and recorded once the store recovers.
+    /// Replies are sent. Requests whose usage cannot be kept in memory are counted, and the count is recorded
+    /// once the store recovers.
     Continue,
 }
 
-/// How a ledger is kept.
+/// Settings of a ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LedgerSettings {
-    /// The length of a period, ms.
+    /// Length of a period, in ms.
     pub period_ms: u64,
-    /// How long after its end a period is closed, ms.
+    /// Delay between the end of a period and its close, in ms.
     pub grace_ms: u64,
-    /// When a reply may be sent.
+    /// Rule for when a reply may be sent.
     pub mode: DurabilityMode,
-    /// What happens while the store fails.
+    /// Policy while the store is failing.
     pub on_failure: FailurePolicy,
-    /// The classes' names, by position.
+    /// Names of the classes, by position.
     pub classes: Vec<String>,
-    /// Open aggregates at most.
+    /// Maximum number of open aggregates.
     pub cells: usize,
-    /// Records made and not yet durable at most, while the store fails and replies are sent all the same; usage stays in
-    /// the table beyond.
+    /// Maximum number of records that are not durable while the store is failing and replies are sent without
+    /// waiting for it. Beyond this limit, usage stays in the table.
     pub records: usize,
 }
--- a/crates/ledger/src/accumulator/unbilled.rs
+++ b/crates/ledger/src/accumulator/unbilled.rs
@@ -1,19 +1,20 @@
-//! The count of requests that fit in no line.
+//! Count of the requests whose usage could not be recorded in any line.
 
 use crate::line::Unbilled;
 
-/// Requests that fit in no line: those that no unbilled line counts yet, and all since the start.
+/// Counts of requests whose usage could not be recorded in any line.
 #[derive(Debug, Default)]
 pub(super) struct UnbilledRequests {
-    /// Not yet in an unbilled line.
+    /// Number of requests that are not counted in an unbilled line yet.
     pending: u64,
-    /// When the first of those was counted, Unix ms.
+    /// Ledger time at which the first pending request was counted, in Unix ms.
     since_ms: u64,
+    /// Number of requests since startup.
     total: u64,
 }
 
 impl UnbilledRequests {
-    /// Counts requests at the ledger's time.
+    /// Adds requests at this ledger time, in Unix ms.
     pub(super) fn count(&mut self, time_ms: u64, requests: u64) {
         if self.pending == 0 {
             self.since_ms = time_ms;
@@ -22,17 +23,18 @@
         self.total += requests;
     }
 
-    /// Returns the requests that no unbilled line counts yet.
+    /// Returns the number of requests that are not counted in an unbilled line yet.
     pub(super) fn pending(&self) -> u64 {
         self.pending
     }
 
-    /// Returns all requests counted since the start.
+    /// Returns the number of requests counted since startup.
     pub(super) fn total(&self) -> u64 {
         self.total
     }
 
-    /// Returns the content of the line that counts what is pending, if anything is; nothing is pending afterwards.
+    /// Returns the content of an unbilled line for the pending requests, and resets their count; `None` if no
+    /// requests are pending.
     pub(super) fn take(&mut self, time_ms: u64) -> Option<Unbilled> {
         if self.pending == 0 {
             return None;
--- a/crates/ledger/src/batch/build.rs
+++ b/crates/ledger/src/batch/build.rs
@@ -1,4 +1,4 @@
-//! Building a batch from the lines up to its close.
+//! Builds a batch from the lines up to its close line.
 
 use super::content::{Batch, CorrectionItem, UsageItem};
 use crate::line::{Close, Correction, Line, LineKind, Unbilled};
@@ -7,48 +7,50 @@
 use crate::totals::{NetUsage, UsageGroup, totals};
 use dunlinspread_store::StoreError;
 
-/// What identifies a batch, and what its content is built from.
+/// Identity of a batch, and the inputs from which its content is built.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchPlan<'a> {
-    /// The server.
+    /// Name of the server.
     pub server: &'a str,
-    /// The id of its ledger.
+    /// Id of the server's ledger.
     pub ledger_id: u64,
-    /// The ledger's state before the first line that is shown.
+    /// Ledger state before the first line passed to the visitor.
     pub before: &'a LedgerState,
-    /// The number of the close line.
+    /// Number of the close line.
     pub close: u64,
-    /// Which batch of that close, from 0.
+    /// Index of the batch among the batches of this close, from 0.
     pub part: u64,
-    /// Items of a batch at most.
+    /// Maximum number of usage items in a batch.
     pub items: usize,
-    /// Totals held at a time.
+    /// Approximate maximum number of totals held in memory at a time.
     pub cells: usize,
-    /// The batch's number.
+    /// Number of the batch.
     pub number: u64,
-    /// The digest of the batch before.
+    /// Digest of the previous batch.
     pub previous: &'a [u8],
 }
 
-/// Builds a batch from the lines up to its close; none if the close has no such part.
+/// Builds a batch from the lines up to its close line. Returns `None` if the close has no part with this
+/// index.
 ///
-/// `show_lines` shows the lines from `plan.before` on, which must not be after the close before. It is called several
-/// times, and has to show the same each time.
+/// `visit_lines` passes the lines that follow the state `plan.before` to a visitor. The first of them must
+/// not come after the previous close line. The function is called several times, and must pass the same lines
+/// each time.
 ///
 /// # Errors
-/// Of `show_lines`.
+/// Returns the [`StoreError`] of `visit_lines` if it fails.
 pub fn build(
     plan: &BatchPlan<'_>,
-    mut show_lines: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
+    mut visit_lines: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
 ) -> Result<Option<Batch>, StoreError> {
     let mut closes = Closes::default();
-    show_lines(&mut |number, line| closes.add(plan.close, number, line))?;
+    visit_lines(&mut |number, line| closes.add(plan.close, number, line))?;
     let Closes { close: Some(close), previous_close } = closes else { return Ok(None) };
-    let Some(Part { items, last }) = collect_items(plan, &close, &mut show_lines)? else { return Ok(None) };
+    let Some(Part { items, last }) = collect_items(plan, &close, &mut visit_lines)? else { return Ok(None) };
     let mut additions = Additions::new(plan, &close, previous_close);
-    // What operators entered, which is seldom and small, goes with the last part.
+    // Corrections and unbilled lines are rare and small, so all of them go into the last part.
     if last {
-        show_lines(&mut |number, line| additions.add(number, line))?;
+        visit_lines(&mut |number, line| additions.add(number, line))?;
     }
     let Additions { corrections, unbilled, .. } = additions;
     Ok(Some(Batch {
@@ -65,7 +67,7 @@
     }))
 }
 
-/// The close of a batch, and the number of the close line before it; 0 if none was shown.
+/// The close of a batch and the number of the previous close line, which is 0 if no such line was visited.
 #[derive(Default)]
 struct Closes {
     close: Option<Close>,
@@ -73,42 +75,44 @@
 }
 
 impl Closes {
-    fn add(&mut self, wanted: u64, number: u64, line: &Line) {
+    fn add(&mut self, close_line: u64, number: u64, line: &Line) {
         let Some(LineKind::Close(close)) = &line.kind else { return };
-        if number == wanted {
+        if number == close_line {
             self.close = Some(close.clone());
-        } else if number < wanted {
+        } else if number < close_line {
             self.previous_close = number;
         }
     }
 }
 
-/// The usage of one batch of a close.
+/// The usage items of one batch of a close.
 struct Part {
     items: Vec<UsageItem>,
+    /// Whether this is the last part of the close.
     last: bool,
 }
 
-/// Returns the usage of the batch; none if the close has no such part. A close without usage has one part.
+/// Returns the usage items of the batch; `None` if the close has no part with this index. A close without
+/// usage has one empty part.
 fn collect_items(
     plan: &BatchPlan<'_>,
     close: &Close,
-    show_lines: &mut impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
+    visit_lines: &mut impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
 ) -> Result<Option<Part>, StoreError> {
     let classes = plan.before.start.as_ref().map_or(Vec::new(), |start| start.classes.clone());
     let part = plan.part as usize;
-    let wanted = part * plan.items..(part + 1) * plan.items;
+    let item_range = part * plan.items..(part + 1) * plan.items;
     let (mut count, mut items) = (0, Vec::new());
-    let show_lines_before_close = |show: &mut dyn FnMut(u64, &Line)| {
-        show_lines(&mut |number, line| {
+    let visit_lines_before_close = |visit: &mut dyn FnMut(u64, &Line)| {
+        visit_lines(&mut |number, line| {
             if number < plan.close {
-                show(number, line);
+                visit(number, line);
             }
         })
     };
     let is_closed_by = |period: u64| (close.from..close.to).contains(&period);
-    totals(&classes, plan.cells, show_lines_before_close, is_closed_by, |group, net| {
-        if wanted.contains(&count) {
+    totals(&classes, plan.cells, visit_lines_before_close, is_closed_by, |group, net| {
+        if item_range.contains(&count) {
             items.push(usage_item(group, &net));
         }
         count += 1;
@@ -135,13 +139,13 @@
     number.clamp(i128::from(i64::MIN), i128::from(i64::MAX)) as i64
 }
 
-/// What goes with the last batch of a close beside the usage: corrections of its periods, and the unbilled lines since
-/// the close before.
+/// Content of the last batch of a close in addition to usage: the corrections entered in its periods, and the
+/// unbilled lines since the previous close.
 struct Additions<'a> {
     plan: &'a BatchPlan<'a>,
     close: &'a Close,
     previous_close: u64,
-    /// The start of the line that is shown.
+    /// Id of the start that wrote the current line.
     start: u64,
     corrections: Vec<CorrectionItem>,
     unbilled: Vec<Unbilled>,
@@ -156,22 +160,22 @@
     fn add(&mut self, number: u64, line: &Line) {
         match &line.kind {
             Some(LineKind::Start(start)) => self.start = start.start,
-            Some(LineKind::Correction(correction)) if self.has_correction(number, correction) => {
+            Some(LineKind::Correction(correction)) if self.includes_correction(number, correction) => {
                 let line = LineId { server: self.plan.server.to_owned(), start: self.start, number };
                 self.corrections.push(correction_item(line, correction));
             }
-            Some(LineKind::Unbilled(unbilled)) if self.has_unbilled(number) => {
+            Some(LineKind::Unbilled(unbilled)) if self.includes_unbilled(number) => {
                 self.unbilled.push(unbilled.clone());
             }
             _ => {}
         }
     }
 
-    fn has_correction(&self, number: u64, correction: &Correction) -> bool {
+    fn includes_correction(&self, number: u64, correction: &Correction) -> bool {
         number < self.plan.close && (self.close.from..self.close.to).contains(&correction.period)
     }
 
-    fn has_unbilled(&self, number: u64) -> bool {
+    fn includes_unbilled(&self, number: u64) -> bool {
         number > self.previous_close && number < self.plan.close
     }
 }
--- a/crates/ledger/src/batch/mod.rs
+++ b/crates/ledger/src/batch/mod.rs
@@ -1,7 +1,8 @@
 //! Batches: the export of closed periods.
 //!
-//! A batch's content follows from the lines up to the close, its number and its size alone. Built again after a crash it
-//! is the same to the byte, which its digest shows.
+//! The content of a batch depends only on the lines up to its close line, the batch's number and its maximum
+//! size. A batch that is rebuilt after a crash is therefore identical to the byte, which is verified by its
+//! digest.
 
 mod build;
 mod content;
--- a/crates/ledger/src/batch_receiver.rs
+++ b/crates/ledger/src/batch_receiver.rs
@@ -1,6 +1,7 @@
-//! A collector that keeps batches as files in a directory, for an export to a folder and as the base of other collectors.
+//! A collector that stores batches as files in a directory. It serves exports to a directory and is the basis
+//! of other collectors.
 //!
-//! What was acknowledged is there after any crash, and nothing is overwritten.
+//! Acknowledged batches survive any crash, and no batch is ever overwritten.
 
 use crate::batch::{Batch, Digest, digest};
 use crate::export_protocol::{CollectorReply, ExportCollector, OfferDecision};
@@ -9,52 +10,54 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Why a receiver could not do what was asked.
+/// An error of a [`BatchReceiver`].
 #[derive(Debug, thiserror::Error)]
 pub enum BatchReceiverError {
-    /// The bytes are no batch.
-    #[error("this is no batch: {0}")]
+    /// The bytes are not a valid batch.
+    #[error("invalid batch: {0}")]
     InvalidBatch(#[from] LineError),
-    /// The folder failed. Nothing was acknowledged; the receiver has to be opened again unless the disk was full.
-    #[error("the collector's folder: {0}")]
+    /// An operation on the directory failed, and nothing was acknowledged. Unless the disk was full, the
+    /// receiver has to be opened again.
+    #[error("collector directory: {0}")]
     Store(#[from] StoreError),
-    /// A file in the folder is not what was acknowledged.
+    /// A file in the directory is missing or differs from the acknowledged batch.
     #[error("{file}: {damage}")]
     Damaged {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What is wrong with it.
+        /// Kind of damage.
         damage: Damage,
     },
 }
 
-/// How a file differs from what was acknowledged.
+/// The way in which a file differs from the acknowledged batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// It is missing.
-    #[error("is missing, and later ones are there")]
+    /// The file is missing.
+    #[error("the file is missing, but later batches exist")]
     Missing,
-    /// It holds something else than its name says.
-    #[error("is not the batch that its name says")]
+    /// The content of the file does not match its name.
+    #[error("the content is not the batch given by the file name")]
     OtherContent,
-    /// It does not follow the batch before.
-    #[error("does not follow the batch before it")]
+    /// The batch does not refer to the previous batch.
+    #[error("the batch does not follow the previous batch")]
     OutOfOrder,
 }
 
-/// A ledger that batches come from: the server and the ledger's id.
+/// The ledger from which batches originate: the name of the server and the id of the ledger.
 pub type BatchSource = (String, u64);
 
-/// A collector over a folder.
+/// A collector that stores batches in a directory.
 ///
 /// # Invariants
-/// The folder is locked while the receiver is there. The files of a source have the numbers 1 to its watermark.
+/// The directory is locked while the receiver exists. The files of a source have the numbers 1 to its
+/// watermark.
 pub struct BatchReceiver {
     disk: Arc<dyn Disk>,
     sources: BTreeMap<BatchSource, ExportCollector>,
 }
 
-/// A batch's file as it was read.
+/// The name and content of a batch file.
 struct BatchFile {
     name: String,
     bytes: Vec<u8>,
@@ -72,7 +75,7 @@
     Some(((parts.next()?.to_owned(), ledger_id), number))
 }
 
-/// Returns the watermark of a source whose files have these numbers.
+/// Returns the watermark of a source whose files have these numbers. Fails if a number is missing.
 fn watermark(source: &BatchSource, numbers: &BTreeSet<u64>) -> Result<u64, BatchReceiverError> {
     let watermark = numbers.len() as u64;
     if numbers.last() == Some(&watermark) {
@@ -83,10 +86,11 @@
 }
 
 impl BatchReceiver {
-    /// Opens the folder and finds out how far each source is.
+    /// Opens the directory and determines the watermark of each source.
     ///
     /// # Errors
-    /// If it can't be read, another process has it open, or what is in it is not in order.
+    /// Returns [`BatchReceiverError::Store`] if the directory cannot be read or is locked by another process,
+    /// or [`BatchReceiverError::Damaged`] if a batch is missing or damaged.
     pub fn open(disk: Arc<dyn Disk>) -> Result<BatchReceiver, BatchReceiverError> {
         disk.lock()?;
         let mut receiver = BatchReceiver { disk, sources: BTreeMap::new() };
@@ -98,26 +102,27 @@
         Ok(receiver)
     }
 
-    /// Returns the numbers of the batches that are there, by source.
+    /// Returns the numbers of the stored batches, by source.
     fn list(&self) -> Result<BTreeMap<BatchSource, BTreeSet<u64>>, BatchReceiverError> {
         let failed = |source| StoreError::Io { operation: "listing", file: self.disk.name(), source };
-        // A name that a killed process gave and did not sync may not last.
+        // A file renamed by a process that was killed before the directory was synced may not survive a power
+        // failure.
         self.disk.sync_dir().map_err(failed)?;
         let names = self.disk.list().map_err(failed)?;
-        let mut found: BTreeMap<BatchSource, BTreeSet<u64>> = BTreeMap::new();
+        let mut numbers: BTreeMap<BatchSource, BTreeSet<u64>> = BTreeMap::new();
         for (source, number) in names.iter().filter_map(|name| parse_file_name(name)) {
-            found.entry(source).or_default().insert(number);
+            numbers.entry(source).or_default().insert(number);
         }
-        Ok(found)
+        Ok(numbers)
     }
 
-    /// Returns the digest of a batch that is there.
+    /// Returns the digest of a stored batch.
     fn stored_digest(&self, source: &BatchSource, number: u64) -> Result<Digest, BatchReceiverError> {
         let file = self.read_file(source, number)?;
-        let is_named = |batch: Batch| {
+        let matches_name = |batch: Batch| {
             (batch.server.as_str(), batch.ledger_id, batch.number) == (&source.0, source.1, number)
         };
-        if !Batch::parse(&file.bytes).is_ok_and(is_named) {
+        if !Batch::parse(&file.bytes).is_ok_and(matches_name) {
             return Err(BatchReceiverError::Damaged { file: file.name, damage: Damage::OtherContent });
         }
         Ok(digest(&file.bytes))
@@ -139,7 +144,7 @@
         Ok(BatchFile { name, bytes })
     }
 
-    /// Returns how far a source is.
+    /// Returns the watermark of a source.
     pub fn watermark(&self, server: &str, ledger_id: u64) -> CollectorReply {
         self.collector(&(server.to_owned(), ledger_id)).reply(OfferDecision::Duplicate)
     }
@@ -148,21 +153,23 @@
         self.sources.get(source).cloned().unwrap_or_default()
     }
 
-    /// Returns all sources, and how far each is.
+    /// Returns all sources with their watermarks.
     pub fn sources(&self) -> impl Iterator<Item = (&BatchSource, CollectorReply)> {
         self.sources.iter().map(|(source, collector)| (source, collector.reply(OfferDecision::Duplicate)))
     }
 
-    /// Decides on a batch that is offered, stores it if it is new, and returns the reply. When this returns, what the
-    /// reply acknowledges is durable.
+    /// Decides about an offered batch, stores it if it is new, and returns the reply. All batches
+    /// acknowledged by the reply are durable when this function returns.
     ///
     /// # Errors
-    /// If the bytes are no batch, or the folder fails; nothing is acknowledged then.
+    /// Returns [`BatchReceiverError::InvalidBatch`] if the bytes are not a valid batch, or
+    /// [`BatchReceiverError::Store`] if the batch cannot be stored. Nothing is acknowledged in either case.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<(OfferDecision, CollectorReply), BatchReceiverError> {
         let batch = Batch::parse(bytes)?;
         let digest = digest(bytes);
         let source = (batch.server, batch.ledger_id);
-        // One that can't be read any more counts as another content: a fault is better than an overwrite.
+        // A stored batch that can no longer be read is treated as a conflict, because reporting a fault is
+        // better than overwriting the batch.
         let stored_digest = |number| Some(self.stored_digest(&source, number).unwrap_or([0; 32]));
         let collector = self.collector(&source);
         let decision = collector.on_offer(batch.number, &digest, &batch.previous, stored_digest);
@@ -173,14 +180,16 @@
         Ok((decision, self.collector(&source).reply(decision)))
     }
 
-    /// Shows every batch of a source, in order.
+    /// Passes every batch of a source to `on_batch`, in order.
     ///
     /// # Errors
-    /// If one is not what was acknowledged.
+    /// Returns [`BatchReceiverError::Store`] if a file cannot be read, [`BatchReceiverError::InvalidBatch`]
+    /// if its content is not a batch, or [`BatchReceiverError::Damaged`] if it does not follow the previous
+    /// batch.
     pub fn read(
         &self,
         source: &BatchSource,
-        mut show: impl FnMut(Batch, Digest),
+        mut on_batch: impl FnMut(Batch, Digest),
     ) -> Result<(), BatchReceiverError> {
         let mut previous = Vec::new();
         for number in 1..=self.watermark(&source.0, source.1).watermark {
@@ -191,7 +200,7 @@
             }
             let digest = digest(&file.bytes);
             previous = digest.to_vec();
-            show(batch, digest);
+            on_batch(batch, digest);
         }
         Ok(())
     }
--- a/crates/ledger/src/digest_comparison.rs
+++ b/crates/ledger/src/digest_comparison.rs
@@ -1,51 +1,51 @@
 //! Comparison of the digests of exported batches among servers.
 //!
-//! Each server tells others which digest each batch has, its own batches and those it was told of. A batch with two
-//! digests, or a server that knows less of its own ledger than others do, shows that a ledger was restored from an old
-//! copy, was lost, or is written by two processes. The comparison decides nothing; mismatches are reported to
-//! operators. Who talks to whom is up to the owner.
+//! Each server sends the digests of its own batches, and of the batches reported to it, to other servers. If
+//! a batch has two digests, or other servers know later batches of a ledger than its own server, the ledger
+//! was restored from an old copy, was lost, or is written by two processes. The comparison only reports
+//! mismatches to operators and changes nothing else. The caller chooses which servers exchange digests.
 
 use prost::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// Ledgers that are remembered at most; further ones are ignored.
+/// Maximum number of ledgers whose claims are kept; claims about further ledgers are ignored.
 pub const MAX_LEDGERS: usize = 256;
-/// Batches that are remembered of each ledger at most; the oldest go first.
+/// Maximum number of batches kept per ledger; the batches with the lowest numbers are dropped first.
 pub const MAX_BATCHES: usize = 32;
-/// Mismatches that are remembered and reported at most.
+/// Maximum number of mismatches that are kept and reported.
 pub const MAX_REPORTED: usize = 1024;
 
-/// The digest of a batch of a ledger.
+/// A claim that a batch of a ledger has a certain digest.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DigestClaim {
-    /// The server.
+    /// Name of the server that owns the ledger.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// The id of its ledger.
+    /// Id of the ledger.
     #[prost(uint64, tag = "2")]
     pub ledger_id: u64,
-    /// The batch's number.
+    /// Number of the batch.
     #[prost(uint64, tag = "3")]
     pub batch: u64,
-    /// Its digest.
+    /// Digest of the batch.
     #[prost(bytes = "vec", tag = "4")]
     pub digest: Vec<u8>,
-    /// The first ms of the periods in it.
+    /// Start of the batch's periods, in Unix ms.
     #[prost(uint64, tag = "5")]
     pub from: u64,
-    /// The first ms after them.
+    /// End (exclusive) of the batch's periods, in Unix ms.
     #[prost(uint64, tag = "6")]
     pub to: u64,
 }
 
-/// What one server tells another.
+/// The claims that one server sends to another.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DigestClaims {
-    /// The server that tells.
+    /// Name of the server that sends the claims.
     #[prost(string, tag = "1")]
     pub reporter: String,
-    /// What it knows.
+    /// Claims known to this server.
     #[prost(message, repeated, tag = "2")]
     pub claims: Vec<DigestClaim>,
 }
@@ -55,27 +55,27 @@
 pub enum DigestMismatch {
     /// A batch has two digests.
     DifferentDigests {
-        /// The server whose batch it is.
+        /// Name of the server that owns the ledger.
         server: String,
-        /// The batch's number.
+        /// Number of the batch.
         batch: u64,
-        /// The servers that reported the digest known before, and the other one.
+        /// Names of the servers that reported the first digest and the second digest.
         reporters: (String, String),
     },
-    /// Another server knows a later batch of this server's own ledger than this one ever made.
+    /// Another server knows a later batch of this server's ledger than the last one that this server created.
     Ahead {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u64,
-        /// The last that is known here.
+        /// Number of the last batch known to this server.
         known: u64,
-        /// The server that reported it.
+        /// Name of the server that reported the batch.
         reporter: String,
     },
-    /// Another server knows another ledger of this server.
+    /// Another server knows a ledger of this server with another id.
     OtherLedger {
-        /// That ledger's id.
+        /// Id of the other ledger.
         ledger_id: u64,
-        /// The server that reported it.
+        /// Name of the server that reported the ledger.
         reporter: String,
     },
 }
@@ -84,40 +84,40 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             DigestMismatch::DifferentDigests { server, batch, reporters: (first, second) } => {
-                write!(f, "batch {batch} of {server} has one content by {first} and another by {second}")
+                write!(f, "batch {batch} of {server}: the digests reported by {first} and {second} differ")
             }
             DigestMismatch::Ahead { batch, known, reporter } => write!(
                 f,
-                "{reporter} knows batch {batch} of this ledger, which knows {known}: \
-                 it is an old copy, or another runs beside it"
+                "{reporter} reports batch {batch} of this ledger, whose last batch is {known}: \
+                 the ledger was restored from an old copy, or another process writes it"
             ),
             DigestMismatch::OtherLedger { ledger_id, reporter } => write!(
                 f,
-                "{reporter} knows a ledger of this server begun at {ledger_id}: it was lost, or lies elsewhere"
+                "{reporter} reports another ledger of this server, {ledger_id}: it was lost or moved"
             ),
         }
     }
 }
 
-/// A claim and the server that reported it first.
+/// A claim and the name of the server that reported it first.
 struct KnownClaim {
     claim: DigestClaim,
     reporter: String,
 }
 
-/// What a server knows of the batches of all ledgers.
+/// The comparison of the digests that one server knows for the batches of all ledgers.
 pub struct DigestComparison {
     server: String,
     ledger_id: u64,
-    /// The last batch that this server made.
+    /// Number of the last batch created by this server.
     last_own_batch: u64,
-    /// By server and ledger id, then by batch.
+    /// First claim about each batch, by server and ledger id, then by batch number.
     known: BTreeMap<(String, u64), BTreeMap<u64, KnownClaim>>,
     reported: BTreeSet<DigestMismatch>,
 }
 
 impl DigestComparison {
-    /// Returns the comparison of a server that knows its own ledger up to this batch.
+    /// Returns the comparison for a server whose own ledger has batches up to this number.
     pub fn new(server: &str, ledger_id: u64, last_own_batch: u64) -> DigestComparison {
         DigestComparison {
             server: server.to_owned(),
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Takes in a batch that this server made and whose line is durable; returns the mismatches not reported before.
+    /// Adds a batch that this server created and whose line is durable. Returns the mismatches not reported
+    /// before.
     pub fn add_own_batch(&mut self, batch: u64, digest: &[u8], span: Range<u64>) -> Vec<DigestMismatch> {
         self.last_own_batch = self.last_own_batch.max(batch);
         let claim = DigestClaim {
@@ -142,19 +143,19 @@
         self.add_claims(&DigestClaims { reporter: self.server.clone(), claims: vec![claim] })
     }
 
-    /// Takes in what another server tells; returns the mismatches not reported before.
+    /// Adds the claims of another server. Returns the mismatches not reported before.
     pub fn add_claims(&mut self, reported: &DigestClaims) -> Vec<DigestMismatch> {
         let mut mismatches = Vec::new();
         for claim in &reported.claims {
             mismatches.extend(self.compare_with_own_ledger(claim, &reported.reporter));
-            mismatches.extend(self.compare_and_remember(claim, &reported.reporter));
+            mismatches.extend(self.compare_with_first_claim(claim, &reported.reporter));
         }
         mismatches
             .retain(|mismatch| self.reported.len() < MAX_REPORTED && self.reported.insert(mismatch.clone()));
         mismatches
     }
 
-    /// Returns the mismatch of a claim about this server with what it knows of itself.
+    /// Returns the mismatch between a claim about this server and its own ledger, if there is one.
     fn compare_with_own_ledger(&self, claim: &DigestClaim, reporter: &str) -> Option<DigestMismatch> {
         if claim.server != self.server {
             return None;
@@ -167,8 +168,9 @@
         (batch > known).then_some(DigestMismatch::Ahead { batch, known, reporter })
     }
 
-    /// Returns the mismatch of a claim with an earlier one about the same batch; remembers the first of each batch.
-    fn compare_and_remember(&mut self, claim: &DigestClaim, reporter: &str) -> Option<DigestMismatch> {
+    /// Returns the mismatch between a claim and the first claim about the same batch, if there is one. The
+    /// first claim about each batch is kept.
+    fn compare_with_first_claim(&mut self, claim: &DigestClaim, reporter: &str) -> Option<DigestMismatch> {
         let ledger = (claim.server.clone(), claim.ledger_id);
         if !self.known.contains_key(&ledger) && self.known.len() >= MAX_LEDGERS {
             return None;
@@ -190,7 +192,7 @@
         None
     }
 
-    /// Returns what this server tells others.
+    /// Returns the claims that this server sends to others.
     pub fn claims(&self) -> DigestClaims {
         let known = self.known.values().flat_map(BTreeMap::values);
         DigestClaims {
@@ -199,12 +201,12 @@
         }
     }
 
-    /// Returns the ledgers that are remembered.
+    /// Returns the number of ledgers whose claims are kept.
     pub fn known_ledgers(&self) -> usize {
         self.known.len()
     }
 
-    /// Returns the mismatches that were reported and are remembered.
+    /// Returns the number of mismatches that were reported and are kept.
     pub fn reported_mismatches(&self) -> usize {
         self.reported.len()
     }
--- a/crates/ledger/src/export_protocol.rs
+++ b/crates/ledger/src/export_protocol.rs
@@ -1,85 +1,88 @@
-//! Exactly-once export of batches over a connection that loses, duplicates and reorders messages: both ends as state
-//! machines.
+//! Exactly-once export of batches over a connection that may lose, duplicate and reorder messages. Both ends
+//! are implemented as state machines.
 //!
-//! The sender offers one batch at a time until it is acknowledged. The collector accepts batches in the order of their
-//! numbers and acknowledges by a watermark, so that a batch offered twice is counted once. A number that comes with
-//! another content is a fault at both ends; nothing is overwritten.
+//! The sender offers one batch at a time until it is acknowledged. The collector accepts batches in the order
+//! of their numbers and acknowledges by a watermark, so that a batch offered twice is counted once. Two
+//! different batches with the same number are reported as a fault at both ends; nothing is overwritten.
 //!
-//! A crash may take from each end whatever it has not made durable first: from the sender its acknowledgements, from the
-//! collector its watermark. `tests/export_protocol_model.rs` checks these functions by exploring every state.
+//! A crash loses everything that an end has not made durable: acknowledgements at the sender, the watermark
+//! at the collector. `tests/export_protocol_model.rs` checks these functions by exploring all reachable
+//! states.
 
 use crate::batch::Digest;
 
-/// The collector's reply to an offer, or to a question for its watermark.
+/// The collector's reply to an offered batch or to a watermark request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CollectorReply {
-    /// All batches up to this number are accepted for good.
+    /// Number up to which all batches are durably accepted.
     pub watermark: u64,
-    /// The digest of that batch, so that a sender notices if it is not the one that it sent.
+    /// Digest of the batch at the watermark, by which the sender detects that it is not the batch that it
+    /// sent.
     pub digest: Digest,
-    /// Whether the batch that was offered is not the one accepted under its number.
+    /// Whether the offered batch conflicts with the accepted batches.
     pub conflict: bool,
 }
 
-/// A fault that sending again does not mend; an operator has to look.
+/// A fault that retries cannot resolve and that requires an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, thiserror::Error)]
 pub enum ExportFault {
-    /// The collector has another batch under this number.
-    #[error("the collector has another content under number {0}: nothing was overwritten")]
+    /// The collector has a different batch with this number.
+    #[error("the collector has a different batch {0}; nothing was overwritten")]
     Conflict(u64),
-    /// The collector has fewer batches than it acknowledged.
-    #[error("the collector acknowledged {acknowledged} batches and now has {watermark}: it lost some")]
+    /// The collector has fewer batches than it has acknowledged.
+    #[error("the collector lost batches: it acknowledged {acknowledged} and now has {watermark}")]
     BatchesLost {
-        /// Batches acknowledged before.
+        /// Number of batches acknowledged earlier.
         acknowledged: u64,
-        /// Batches that it has.
+        /// Number of batches that the collector has now.
         watermark: u64,
     },
-    /// The collector has batches that were never sent from here.
-    #[error("the collector has {0} batches, more than were ever prepared here")]
+    /// The collector has batches that this sender never sent.
+    #[error("the collector has {0} batches, more than this server ever prepared")]
     CollectorAhead(u64),
 }
 
-/// What the sender has to do next.
+/// The next action of the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SenderAction {
     /// Send the batch with this number.
     Send(u64),
-    /// Make durable that this batch is acknowledged; then call [`ExportSender::acknowledgement_recorded`].
+    /// Make the acknowledgement of this batch durable, then call [`ExportSender::acknowledgement_recorded`].
     RecordAcknowledgement(u64),
-    /// Wait for a batch to be prepared.
+    /// Wait until a batch is prepared.
     Idle,
-    /// Stop, and report this.
+    /// Stop, and report this fault.
     Fault(ExportFault),
 }
 
-/// A batch was given to a sender that has one.
+/// The error of a batch being prepared while another batch is not acknowledged yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("batch {0} is prepared and not acknowledged yet: a sender takes one batch at a time")]
+#[error("batch {0} is not acknowledged yet; only one batch can be prepared at a time")]
 pub struct BatchPending(pub u64);
 
-/// The sending end. It is made of what is durable after each start.
+/// The sending end. After a restart it is recreated from its durable state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ExportSender {
-    /// Batches whose acknowledgement is durable.
+    /// Number of batches whose acknowledgement is durable.
     acknowledged: u64,
-    /// The digest of the next batch, if that is prepared durably.
+    /// Digest of the next batch, if it is durably prepared.
     prepared: Option<Digest>,
-    /// That batch is acknowledged, which is not durable yet.
+    /// Whether the prepared batch is acknowledged, but the acknowledgement is not durable yet.
     acknowledgement_pending: bool,
     fault: Option<ExportFault>,
 }
 
 impl ExportSender {
-    /// Returns a sender whose first `acknowledged` batches are acknowledged and whose next one is prepared or not.
+    /// Returns a sender whose first `acknowledged` batches are acknowledged. `prepared` is the digest of the
+    /// next batch, if it is durably prepared.
     pub fn new(acknowledged: u64, prepared: Option<Digest>) -> ExportSender {
         ExportSender { acknowledged, prepared, acknowledgement_pending: false, fault: None }
     }
 
-    /// Takes note that the next batch is prepared durably.
+    /// Records that the next batch is durably prepared.
     ///
     /// # Errors
-    /// If there is one already; nothing was changed.
+    /// Returns [`BatchPending`] if a batch is already prepared. The sender is unchanged in this case.
     pub fn batch_prepared(&mut self, digest: Digest) -> Result<(), BatchPending> {
         if self.prepared.is_some() {
             return Err(BatchPending(self.acknowledged + 1));
@@ -88,7 +91,7 @@
         Ok(())
     }
 
-    /// Returns what has to be done now. Called again without a reply in between, it returns the same.
+    /// Returns the next action. Repeated calls without an event in between return the same action.
     pub fn next(&self) -> SenderAction {
         let next_batch = self.acknowledged + 1;
         match (self.fault, &self.prepared) {
@@ -101,16 +104,16 @@
         }
     }
 
-    /// Takes in a reply to any of the sendings.
+    /// Handles a reply to any of the offers sent so far.
     pub fn on_reply(&mut self, reply: &CollectorReply) {
         let Some(digest) = self.prepared else {
-            // A late reply to a batch whose acknowledgement was recorded since.
+            // This is a late reply to a batch whose acknowledgement has already been recorded.
             return;
         };
         let offered = self.acknowledged + 1;
         if reply.conflict {
-            // A late reply may speak of an earlier number, which was acknowledged without a conflict; then its watermark
-            // is below what is offered as well. An operator has to look either way.
+            // A late reply may concern an earlier batch, which was acknowledged without a conflict; its
+            // watermark is then also below the offered number. An operator is required in either case.
             self.fault = Some(ExportFault::Conflict(offered));
         } else if reply.watermark == offered {
             if reply.digest == digest {
@@ -121,10 +124,10 @@
         } else if reply.watermark > offered {
             self.fault = Some(ExportFault::CollectorAhead(reply.watermark));
         }
-        // A lower watermark is a late reply to an earlier sending: the batch is sent again.
+        // A lower watermark comes from a late reply to an earlier offer; the batch is sent again.
     }
 
-    /// Takes in the collector's watermark, asked for on a new connection, on which no late reply can come.
+    /// Handles the collector's watermark, requested on a new connection, where no late replies can arrive.
     pub fn on_watermark(&mut self, reply: &CollectorReply) {
         if reply.watermark < self.acknowledged {
             let (acknowledged, watermark) = (self.acknowledged, reply.watermark);
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Takes note that the acknowledgement is durable.
+    /// Records that the acknowledgement of the prepared batch is durable.
     pub fn acknowledgement_recorded(&mut self) {
         if std::mem::take(&mut self.acknowledgement_pending) {
             self.acknowledged += 1;
@@ -142,42 +145,45 @@
         }
     }
 
-    /// Returns the batches whose acknowledgement is durable.
+    /// Returns the number of batches whose acknowledgement is durable.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
     }
 }
 
-/// What a collector has to do with an offer.
+/// The collector's decision about an offered batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferDecision {
-    /// Make the batch durable together with the new watermark, in one step; then call [`ExportCollector::batch_accepted`]
-    /// and reply.
+    /// Make the batch and the new watermark durable in one atomic step, then call
+    /// [`ExportCollector::batch_accepted`] and reply.
     Accept,
-    /// The batch is there already: only reply.
+    /// The batch has already been accepted: only reply.
     Duplicate,
-    /// A batch before it is missing: only reply, with the watermark as it is.
+    /// An earlier batch is missing: only reply, with the watermark unchanged.
     OutOfOrder,
-    /// Another batch is there under its number, or it does not follow the one before: reply with a conflict.
+    /// A different batch was accepted with this number, or the batch does not follow the previous one: reply
+    /// with a conflict.
     Conflict,
 }
 
-/// The collecting end for one server's ledger. It is made of what is durable after each start.
+/// The collecting end for one server's ledger. After a restart it is recreated from its durable state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExportCollector {
+    /// Number up to which all batches are durably accepted.
     watermark: u64,
-    /// The digest of the batch at the watermark.
+    /// Digest of the batch at the watermark.
     digest: Digest,
 }
 
 impl ExportCollector {
-    /// Returns a collector that has accepted all batches up to `watermark`, the last with that digest.
+    /// Returns a collector that has accepted all batches up to `watermark`, the last of which has this
+    /// digest.
     pub fn new(watermark: u64, digest: Digest) -> ExportCollector {
         ExportCollector { watermark, digest }
     }
 
-    /// Returns what to do with an offer. `stored_digest` returns the digest of a batch accepted before, if it is still
-    /// known.
+    /// Returns the decision about an offered batch. `stored_digest` returns the digest of an accepted batch,
+    /// if it is still known.
     pub fn on_offer(
         &self,
         number: u64,
@@ -196,14 +202,15 @@
             };
         }
         let known = if number == self.watermark { Some(self.digest) } else { stored_digest(number) };
-        // A batch so old that nothing is known of it was acknowledged, and its sender went on.
+        // A batch whose digest is no longer known was acknowledged, and its sender has proceeded to later
+        // batches.
         match known {
             Some(known) if known != *digest => OfferDecision::Conflict,
             _ => OfferDecision::Duplicate,
         }
     }
 
-    /// Returns whether a batch that names this digest as that of the one before follows the batch at the watermark.
+    /// Returns whether a batch with this previous digest follows the batch at the watermark.
     fn is_followed_by(&self, previous: &[u8]) -> bool {
         match self.watermark {
             0 => previous.is_empty(),
@@ -211,13 +218,13 @@
         }
     }
 
-    /// Takes note that the next batch is accepted durably.
+    /// Records that the next batch is durably accepted.
     pub fn batch_accepted(&mut self, digest: Digest) {
         self.watermark += 1;
         self.digest = digest;
     }
 
-    /// Returns the reply to an offer that was decided so.
+    /// Returns the reply to an offer with this decision.
     pub fn reply(&self, decision: OfferDecision) -> CollectorReply {
         CollectorReply {
             watermark: self.watermark,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,14 +1,15 @@
-//! The usage ledger: what each tenant used, by class, outcome and period, as an append-only sequence of lines.
+//! The usage ledger: the usage of each tenant by class, outcome and period, as an append-only sequence of
+//! lines.
 //!
-//! Lines are never changed; a correction is a line of its own. Closed periods are exported in numbered batches, each
-//! counted exactly once by the collector. The crate opens no connections and knows no protocol beyond
-//! [`export_protocol`]; its lines are kept in a `dunlinspread-store`.
+//! Lines are never changed; a correction is a separate line. Closed periods are exported in numbered batches,
+//! each of which the collector counts exactly once. The crate opens no connections and implements no protocol
+//! other than [`export_protocol`]. Lines are stored in a `dunlinspread-store`.
 //!
-//! - [`UsageAccumulator`] decides which lines are written when, and when a reply may be sent;
-//! - [`LedgerState`] is the state that the lines so far imply for the next one;
-//! - [`totals`] adds up lines; [`batch`] builds the batches of a closed period from them;
-//! - [`BatchReceiver`] is a collector that keeps batches in a directory;
-//! - [`reconcile`] and [`digest_comparison`] compare what several servers exported.
+//! - [`UsageAccumulator`] decides which lines are written when, and when a reply may be sent.
+//! - [`LedgerState`] is the state after a number of lines, against which the next line is checked.
+//! - [`totals`] computes totals from lines, and [`batch`] builds the batches of closed periods from them.
+//! - [`BatchReceiver`] is a collector that stores batches in a directory.
+//! - [`reconcile`] and [`digest_comparison`] compare the exports of several servers.
 #![forbid(unsafe_code)]
 
 mod account_name;
--- a/crates/ledger/src/line.rs
+++ b/crates/ledger/src/line.rs
@@ -1,19 +1,21 @@
-//! The lines of a ledger as they are stored: one record for each line, a `prost` message.
+//! The lines of a ledger as they are stored. Each line is one record that contains a `prost` message.
 //!
-//! `docs/formats/ledger.proto` has the same as text, and a test holds the two together. The names of fields here may
-//! differ from those there; their tags and types do not.
+//! `docs/formats/ledger.proto` describes the same format, and a test verifies that both agree. Field names
+//! may differ between the two; tags and types do not.
 
 use crate::line_id::LineId;
 use crate::outcome::Outcome;
 use prost::Message;
 
-/// A line. Its [`LineId`] is the server, the start of the last [`Start`] line and its own number in the store.
+/// A line. Its [`LineId`] consists of the server's name, the id of the last [`Start`] line, and the line's
+/// number in the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct Line {
-    /// The ledger's time when the line was made, Unix ms; never less than that of the line before.
+    /// Ledger time at which the line was created, in Unix ms; never earlier than the time of the previous
+    /// line.
     #[prost(uint64, tag = "1")]
     pub at_ms: u64,
-    /// The content.
+    /// Content of the line.
     #[prost(oneof = "LineKind", tags = "2, 3, 4, 5, 6, 7")]
     pub kind: Option<LineKind>,
 }
@@ -21,43 +23,44 @@
 /// The content of a line.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum LineKind {
-    /// A server began to write.
+    /// A server started writing the ledger.
     #[prost(message, tag = "2")]
     Start(Start),
-    /// Usage of a period.
+    /// Usage in one period.
     #[prost(message, tag = "3")]
     Usage(Usage),
     /// A correction of an earlier line.
     #[prost(message, tag = "4")]
     Correction(Correction),
-    /// Periods are closed.
+    /// Periods were closed.
     #[prost(message, tag = "5")]
     Close(Close),
     /// A batch was prepared or acknowledged.
     #[prost(message, tag = "6")]
     Export(Export),
-    /// Usage that is in no line.
+    /// Usage is, or may be, missing from the usage lines.
     #[prost(message, tag = "7")]
     Unbilled(Unbilled),
 }
 
-/// The first line of each start.
+/// The first line after each start of a server.
 #[derive(Clone, PartialEq, Message)]
 pub struct Start {
-    /// The start's id: greater than that of any start before it and, with the time in it, unique also if the store before
-    /// was lost.
+    /// Id of the start. It is greater than the id of any earlier start and, being based on the time, unique
+    /// even if the previous store was lost.
     #[prost(uint64, tag = "1")]
     pub start: u64,
-    /// The length of periods from now on, ms.
+    /// Length of the periods that follow, in ms.
     #[prost(uint64, tag = "2")]
     pub period_ms: u64,
-    /// The classes' names; usage names classes by position.
+    /// Names of the classes; usage entries refer to classes by their position here.
     #[prost(string, repeated, tag = "3")]
     pub classes: Vec<String>,
-    /// In interval mode, the replies that may be sent before their line is durable, at most; 0 in strict mode.
+    /// Maximum number of replies that may be sent before their line is durable in interval mode; 0 in strict
+    /// mode.
     #[prost(uint64, tag = "4")]
     pub at_risk: u64,
-    /// Whether replies are sent while the store fails, with no bound on their number.
+    /// Whether replies are sent while the store is failing, without a bound on their number.
     #[prost(bool, tag = "5")]
     pub continues_on_failure: bool,
 }
@@ -65,13 +68,14 @@
 /// Usage in one period.
 #[derive(Clone, PartialEq, Message)]
 pub struct Usage {
-    /// The period, by its first ms.
+    /// Start of the period, in Unix ms.
     #[prost(uint64, tag = "1")]
     pub period: u64,
-    /// What was used, each combination of tenant, class and outcome once.
+    /// Usage entries, at most one per combination of tenant, class and outcome.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<Entry>,
-    /// The period in which it was used, if that was closed before this line was written.
+    /// Start of the period in which the usage occurred, if that period was closed before this line was
+    /// written.
     #[prost(uint64, optional, tag = "3")]
     pub original_period: Option<u64>,
 }
@@ -79,16 +83,16 @@
 /// Usage by one tenant in one class with one outcome.
 #[derive(Clone, PartialEq, Message)]
 pub struct Entry {
-    /// The tenant's account.
+    /// Account of the tenant.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// The class, by position in the last [`Start`].
+    /// Position of the class in the last [`Start`] line.
     #[prost(uint32, tag = "2")]
     pub class: u32,
-    /// The outcome's number.
+    /// Number of the [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "3")]
     pub outcome: i32,
-    /// What was used.
+    /// Amount of usage.
     #[prost(message, required, tag = "4")]
     pub amount: Amount,
 }
@@ -96,22 +100,22 @@
 /// An amount of usage.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Amount {
-    /// Requests.
+    /// Number of requests.
     #[prost(uint64, tag = "1")]
     pub requests: u64,
-    /// Time in the worker pool, µs.
+    /// Time spent in the worker pool, in µs.
     #[prost(uint64, tag = "2")]
     pub pool_us: u64,
-    /// Bytes of requests' bodies.
+    /// Total size of the request bodies, in bytes.
     #[prost(uint64, tag = "3")]
     pub bytes_in: u64,
-    /// Bytes of results.
+    /// Total size of the results, in bytes.
     #[prost(uint64, tag = "4")]
     pub bytes_out: u64,
 }
 
 impl Amount {
-    /// Adds another amount; a sum beyond the range stays at its end.
+    /// Adds another amount. Sums saturate at the maximum value.
     pub fn add(&mut self, other: &Amount) {
         self.requests = self.requests.saturating_add(other.requests);
         self.pool_us = self.pool_us.saturating_add(other.pool_us);
@@ -120,109 +124,112 @@
     }
 }
 
-/// A correction of an earlier line, as a difference.
+/// A correction of an earlier line, given as a difference.
 #[derive(Clone, PartialEq, Message)]
 pub struct Correction {
-    /// The period that is open as the correction is entered, by its first ms.
+    /// Start of the period that is open when the correction is entered, in Unix ms.
     #[prost(uint64, tag = "1")]
     pub period: u64,
-    /// The line that is corrected.
+    /// Id of the corrected line.
     #[prost(message, required, tag = "2")]
     pub corrects: LineId,
-    /// The tenant's account.
+    /// Account of the tenant.
     #[prost(string, tag = "3")]
     pub tenant: String,
-    /// The class, by name.
+    /// Name of the class.
     #[prost(string, tag = "4")]
     pub class: String,
-    /// The outcome's number.
+    /// Number of the [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "5")]
     pub outcome: i32,
-    /// Requests, more or fewer.
+    /// Difference in the number of requests.
     #[prost(sint64, tag = "6")]
     pub requests: i64,
-    /// Time in the worker pool, µs, more or less.
+    /// Difference in the time spent in the worker pool, in µs.
     #[prost(sint64, tag = "7")]
     pub pool_us: i64,
-    /// The reason, in an operator's words.
+    /// Reason given by the operator.
     #[prost(string, tag = "8")]
     pub reason: String,
-    /// An idempotency token: a correction with a token that is there already is not entered again.
+    /// Idempotency token: a correction whose token is already in the ledger is not entered again.
     #[prost(string, tag = "9")]
     pub token: String,
 }
 
-/// Periods are closed: no later line belongs to them.
+/// The close of one or more periods: no later line belongs to them.
 #[derive(Clone, PartialEq, Message)]
 pub struct Close {
-    /// The first period closed, by its first ms.
+    /// Start of the first closed period, in Unix ms.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// The first ms that is not closed.
+    /// End (exclusive) of the last closed period, in Unix ms.
     #[prost(uint64, tag = "2")]
     pub to: u64,
-    /// Whether the server was down when they ended; it closes them with what it knows.
+    /// Whether the server was down when the periods ended. They are closed with the usage known to the
+    /// server.
     #[prost(bool, tag = "3")]
     pub late: bool,
 }
 
-/// A batch was prepared or acknowledged.
+/// The preparation or acknowledgement of a batch.
 #[derive(Clone, PartialEq, Message)]
 pub struct Export {
-    /// The batch's number, from 1.
+    /// Number of the batch, from 1.
     #[prost(uint64, tag = "1")]
     pub batch: u64,
-    /// The digest of its content.
+    /// Digest of the batch.
     #[prost(bytes = "vec", tag = "2")]
     pub digest: Vec<u8>,
-    /// The number of the close line whose periods it holds.
+    /// Number of the close line whose periods the batch contains.
     #[prost(uint64, tag = "3")]
     pub close: u64,
-    /// Whether it is the last batch of that close.
+    /// Whether this is the last batch of the close.
     #[prost(bool, tag = "4")]
     pub last: bool,
-    /// Items of a batch of that close at most; the content follows from this and the lines up to the close.
+    /// Maximum number of items per batch of the close. The content of the batch is determined by this limit
+    /// and the lines up to the close.
     #[prost(uint64, tag = "5")]
     pub lines: u64,
-    /// Whether the collector has it for good; else it is prepared.
+    /// Whether the collector acknowledged the batch; if false, the batch is prepared.
     #[prost(bool, tag = "6")]
     pub acknowledged: bool,
 }
 
-/// Usage that is, or may be, in no line.
+/// A record of usage that is, or may be, missing from the usage lines.
 #[derive(Clone, PartialEq, Message)]
 pub struct Unbilled {
-    /// Requests known to be in no line.
+    /// Number of requests known to be missing from the usage lines.
     #[prost(uint64, tag = "1")]
     pub requests: u64,
-    /// Further requests that may be in no line, at most; they can't be counted any more.
+    /// Maximum number of further requests that may be missing; their exact number can no longer be
+    /// determined.
     #[prost(uint64, tag = "2")]
     pub at_most: u64,
-    /// Whether nothing bounds their number.
+    /// Whether the number of further missing requests is unbounded.
     #[prost(bool, tag = "3")]
     pub unbounded: bool,
-    /// The time of the first of them, Unix ms.
+    /// Earliest time of the missing requests, in Unix ms.
     #[prost(uint64, tag = "4")]
     pub from_ms: u64,
-    /// The time of the last of them, Unix ms.
+    /// Latest time of the missing requests, in Unix ms.
     #[prost(uint64, tag = "5")]
     pub to_ms: u64,
-    /// The reason.
+    /// Reason why the usage is missing.
     #[prost(string, tag = "6")]
     pub reason: String,
 }
 
-/// Why a line, a batch or an operator's request is not valid.
+/// The reason why a line, a batch or an operator's request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// The bytes are no message.
-    #[error("the line can't be read: {0}")]
+    /// The bytes cannot be decoded.
+    #[error("cannot be decoded: {0}")]
     Encoding(String),
-    /// The line is of a kind not known here.
-    #[error("the line is of a kind that this program does not know: it was written by a newer one")]
+    /// The kind of the line or request is unknown.
+    #[error("unknown kind, written by a newer version of this program")]
     UnknownKind,
-    /// The content contradicts itself or the lines before it.
-    #[error("the line can't be true: {0}")]
+    /// The content contradicts itself or earlier lines.
+    #[error("invalid content: {0}")]
     Invalid(&'static str),
 }
 
@@ -233,22 +240,23 @@
 }
 
 impl Line {
-    /// Reads a record.
+    /// Decodes and validates a line from its record.
     ///
     /// # Errors
-    /// If this program can't have written it.
+    /// Returns [`LineError::Encoding`] if the record cannot be decoded, [`LineError::UnknownKind`] if the
+    /// line has no known kind, or [`LineError::Invalid`] if its content contradicts itself.
     pub fn parse(bytes: &[u8]) -> Result<Line, LineError> {
         let line = Line::decode(bytes)?;
         match &line.kind {
             None => Err(LineError::UnknownKind),
             Some(LineKind::Usage(usage)) if !usage.entries.iter().all(|e| Outcome::is_billed(e.outcome)) => {
-                Err(LineError::Invalid("an entry has no outcome"))
+                Err(LineError::Invalid("a usage entry has no valid outcome"))
             }
             Some(LineKind::Start(start)) if start.period_ms == 0 => {
-                Err(LineError::Invalid("periods have no length"))
+                Err(LineError::Invalid("the period length is 0"))
             }
             Some(LineKind::Close(close)) if close.from >= close.to => {
-                Err(LineError::Invalid("no period is closed"))
+                Err(LineError::Invalid("the closed time span is empty"))
             }
             Some(_) => Ok(line),
         }
--- a/crates/ledger/src/line_id.rs
+++ b/crates/ledger/src/line_id.rs
@@ -1,23 +1,23 @@
-//! The id of a line, and its text.
+//! The id of a line and its text form.
 
 use prost::Message;
 
-/// The id of a line: the store's owner, the start that wrote it, and its number in the store.
+/// The id of a line: the server, the start that wrote the line, and the line's number in the store.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Message)]
 pub struct LineId {
-    /// The server.
+    /// Name of the server that owns the store.
     #[prost(string, tag = "1")]
     pub server: String,
-    /// The start, by [`Start::start`](crate::Start::start).
+    /// Id of the start that wrote the line; see [`Start::start`](crate::Start::start).
     #[prost(uint64, tag = "2")]
     pub start: u64,
-    /// The number in the store.
+    /// Number of the line in the store.
     #[prost(uint64, tag = "3")]
     pub number: u64,
 }
 
 impl LineId {
-    /// Reads an id from its text; none if it is not of the form `SERVER/START/NUMBER`.
+    /// Parses an id from its text form; returns `None` if the text is not of the form `SERVER/START/NUMBER`.
     pub fn parse(text: &str) -> Option<LineId> {
         let mut parts = text.rsplitn(3, '/');
         let (number, start, server) = (parts.next()?, parts.next()?, parts.next()?);
@@ -28,7 +28,7 @@
     }
 }
 
-/// The text of a line's id: `SERVER/START/NUMBER`.
+/// Displays a line id in its text form, `SERVER/START/NUMBER`.
 pub struct LineIdText<'a>(pub &'a LineId);
 
 impl std::fmt::Display for LineIdText<'_> {
--- a/crates/ledger/src/operator_request.rs
+++ b/crates/ledger/src/operator_request.rs
@@ -1,46 +1,47 @@
 //! Requests of operators to a server that has a ledger open.
 //!
-//! A request is a file in the ledger's folder [`REQUESTS_FOLDER`], written atomically, and is answered by a file beside
-//! it. The file's name holds the request's idempotency token.
+//! A request is a file in [`REQUESTS_FOLDER`] below the ledger's directory. It is written atomically and is
+//! answered by another file in the same directory. The file name contains the request's idempotency token.
 
 use crate::account_name::{AccountName, UNATTRIBUTED};
 use crate::line::{Correction, LineError};
 use crate::outcome::Outcome;
 use prost::Message;
 
-/// The folder of requests, within that of the ledger.
+/// Name of the directory for requests, below the ledger's directory.
 pub const REQUESTS_FOLDER: &str = "requests";
 
-/// The longest reason of a correction, in bytes.
+/// Maximum length of the reason of a correction, in bytes.
 const MAX_REASON_BYTES: usize = 1000;
 
 const REQUEST_SUFFIX: &str = ".request";
 const ANSWER_SUFFIX: &str = ".answer";
 
-/// A request as it stands in a file.
+/// The content of a request file.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestFile {
-    /// The request.
+    /// Request of the operator.
     #[prost(oneof = "OperatorRequest", tags = "1, 2")]
     pub request: Option<OperatorRequest>,
 }
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum OperatorRequest {
-    /// Enter this correction; its period is set as it is entered.
+    /// Enter this correction. Its period is set when it is entered.
     #[prost(message, tag = "1")]
     Correct(Correction),
-    /// Close all periods up to now. The number is the time of the request, Unix ms.
+    /// Close all periods up to the present. The value is the time of the request, in Unix ms.
     #[prost(uint64, tag = "2")]
     Close(u64),
 }
 
 impl RequestFile {
-    /// Reads a request from a file's bytes.
+    /// Decodes and validates a request from the content of its file.
     ///
     /// # Errors
-    /// If they hold no request, or a correction that can't be entered.
+    /// Returns [`LineError::Encoding`] if the bytes cannot be decoded, [`LineError::UnknownKind`] if they
+    /// contain no known request, or [`LineError::Invalid`] if they contain an invalid correction.
     pub fn parse(bytes: &[u8]) -> Result<OperatorRequest, LineError> {
         let request = RequestFile::decode(bytes)?.request.ok_or(LineError::UnknownKind)?;
         if let OperatorRequest::Correct(correction) = &request {
@@ -49,12 +50,12 @@
         Ok(request)
     }
 
-    /// Returns the names of a request's file and of its answer's.
+    /// Returns the names of the request file and the answer file for this token.
     pub fn file_names(token: &str) -> (String, String) {
         (format!("{token}{REQUEST_SUFFIX}"), format!("{token}{ANSWER_SUFFIX}"))
     }
 
-    /// Returns the token in the name of a request's file; none if it is not such a name.
+    /// Returns the token in the name of a request file; `None` if the name is not that of a request file.
     pub fn token(file_name: &str) -> Option<&str> {
         let token = file_name.strip_suffix(REQUEST_SUFFIX)?;
         let is_token = !token.is_empty() && token.bytes().all(|byte| byte.is_ascii_alphanumeric());
@@ -62,23 +63,23 @@
     }
 }
 
-/// Checks what every correction must have.
+/// Checks the tenant, outcome, reason and amounts of a correction.
 fn check_correction(correction: &Correction) -> Result<(), LineError> {
     let is_account = correction.tenant == UNATTRIBUTED || AccountName::parse(&correction.tenant).is_ok();
     if !is_account {
-        return Err(LineError::Invalid("the society is no account's name"));
+        return Err(LineError::Invalid("the tenant is not a valid account name"));
     }
     if !Outcome::is_billed(correction.outcome) {
-        return Err(LineError::Invalid("there is no such outcome"));
+        return Err(LineError::Invalid("the outcome is unknown"));
     }
     if correction.reason.trim().is_empty() {
-        return Err(LineError::Invalid("a correction needs a reason"));
+        return Err(LineError::Invalid("the correction has no reason"));
     }
     if correction.reason.len() > MAX_REASON_BYTES {
         return Err(LineError::Invalid("the reason is too long"));
     }
     if correction.requests == 0 && correction.pool_us == 0 {
-        return Err(LineError::Invalid("it changes nothing"));
+        return Err(LineError::Invalid("the correction changes neither requests nor worker pool time"));
     }
     Ok(())
 }
--- a/crates/ledger/src/outcome.rs
+++ b/crates/ledger/src/outcome.rs
@@ -1,22 +1,22 @@
-//! What became of a request, as it is billed.
+//! The billed outcome of a request.
 
-/// The outcome of a request. Its number is stored; its word stands in exports and reports.
+/// The outcome of a request. Its number is stored; its name is used in exports and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum Outcome {
-    /// Not stated; never written.
+    /// Missing or unknown outcome; never written.
     Unknown = 0,
     /// Completed within the latency objective.
     Completed = 1,
-    /// Completed after it.
+    /// Completed after the latency objective.
     CompletedLate = 2,
-    /// Completed without an upstream call that belongs to it.
+    /// Completed without one of its upstream calls.
     Degraded = 3,
     /// Rejected without being run.
     Rejected = 4,
     /// Answered with an error.
     Failed = 5,
-    /// Cancelled by its caller; no reply was due any more.
+    /// Cancelled by its caller, so that no reply was required any more.
     Cancelled = 6,
 }
 
@@ -31,7 +31,7 @@
         Outcome::Cancelled,
     ];
 
-    /// Returns the word that stands in exports, reports and options.
+    /// Returns the name of the outcome in exports, reports and options.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Unknown => "unknown",
@@ -44,17 +44,17 @@
         }
     }
 
-    /// Returns the outcome of a word, if it is one that is billed.
-    pub fn parse(word: &str) -> Option<Outcome> {
-        Outcome::ALL.into_iter().find(|outcome| outcome.as_str() == word)
+    /// Returns the billed outcome with this name, if there is one.
+    pub fn parse(name: &str) -> Option<Outcome> {
+        Outcome::ALL.into_iter().find(|outcome| outcome.as_str() == name)
     }
 
-    /// Returns the outcome of a stored number, [`Outcome::Unknown`] for a number of none.
+    /// Returns the outcome with this stored number, or [`Outcome::Unknown`] if there is none.
     pub fn from_stored(number: i32) -> Outcome {
         Outcome::try_from(number).unwrap_or(Outcome::Unknown)
     }
 
-    /// Returns whether a stored number is that of an outcome that is billed.
+    /// Returns whether this stored number belongs to a billed outcome.
     pub fn is_billed(number: i32) -> bool {
         Outcome::ALL.iter().any(|outcome| *outcome as i32 == number)
     }
--- a/crates/ledger/src/reconcile/discrepancy.rs
+++ b/crates/ledger/src/reconcile/discrepancy.rs
@@ -1,66 +1,66 @@
-//! What does not fit in the exports of several servers.
+//! Discrepancies found in the exports of several servers.
 
 use crate::line_id::{LineId, LineIdText};
 use std::fmt;
 
-/// Something that does not fit.
+/// A discrepancy found by a reconciliation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Discrepancy {
-    /// A server began a new ledger: the one before was lost, or is elsewhere.
+    /// A server began a new ledger, so the previous one was lost or is in another place.
     NewLedger {
-        /// The server.
+        /// Name of the server.
         server: String,
-        /// The ids of its ledgers, oldest first.
+        /// Ids of the server's ledgers, oldest first.
         ledger_ids: Vec<u64>,
     },
-    /// A server closed a period as one that ended while it was down, yet it was listed then.
+    /// A server closed periods as having ended while it was down, although it was listed at that time.
     ClosedLateWhileListed {
-        /// The close line.
-        by: LineId,
-        /// The span closed, Unix ms.
+        /// Id of the close line.
+        close_line: LineId,
+        /// Start and end (exclusive) of the closed time span, in Unix ms.
         span: (u64, u64),
     },
-    /// Usage in a period in which the server was not listed at all.
-    UsedWhileNotListed {
-        /// The line that closed the period.
-        by: LineId,
-        /// The period, by its first ms.
+    /// A server reported usage in a period in which it was not listed at all.
+    UsageWhileNotListed {
+        /// Id of the line that closed the period.
+        close_line: LineId,
+        /// Start of the period, in Unix ms.
         period: u64,
-        /// Requests.
+        /// Number of requests.
         requests: i64,
     },
-    /// Requests that are, or may be, in no line.
+    /// Requests are, or may be, missing from the usage lines.
     Unbilled {
-        /// The line that closed the span that they fall in.
-        by: LineId,
-        /// Requests known to be in no line.
+        /// Id of the line that closed the time span of these requests.
+        close_line: LineId,
+        /// Number of requests known to be missing from the usage lines.
         requests: u64,
-        /// Further requests that may be in no line, at most; none if nothing bounds them.
+        /// Maximum number of further requests that may be missing; `None` if the number is not bounded.
         at_most: Option<u64>,
     },
-    /// Corrections take more than there was.
-    BelowZero {
-        /// The tenant's account.
+    /// Corrections reduce the total of a tenant below zero.
+    NegativeTotal {
+        /// Account of the tenant.
         tenant: String,
-        /// The period in which the corrections were entered, by its first ms.
+        /// Start of the period in which the corrections were entered, in Unix ms.
         period: u64,
-        /// What is left.
+        /// Total number of requests, which is negative.
         requests: i64,
     },
-    /// A correction names a server of which nothing was exported.
-    CorrectsUnknown {
-        /// The correction.
+    /// A correction refers to a server without any exported batch.
+    CorrectsUnknownServer {
+        /// Id of the correction line.
         line: LineId,
-        /// The line that it names.
+        /// Id of the line to which it refers.
         corrects: LineId,
     },
-    /// Two closes of one server overlap, or leave a gap.
-    SpansDoNotMeet {
-        /// The later close line.
-        by: LineId,
-        /// Where the one before ended, Unix ms.
+    /// Two successive closes of one ledger overlap or leave a gap.
+    NonContiguousCloses {
+        /// Id of the later close line.
+        close_line: LineId,
+        /// End of the earlier close, in Unix ms.
         before_to: u64,
-        /// Where this one begins, Unix ms.
+        /// Start of the later close, in Unix ms.
         from: u64,
     },
 }
@@ -71,33 +71,46 @@
         match self {
             Discrepancy::NewLedger { server, ledger_ids } => write!(
                 f,
-                "{server} has {} ledgers, begun at {ledger_ids:?}: account for what the older ones held",
+                "{server} has {} ledgers {ledger_ids:?}: check whether usage of the older ones is missing",
                 ledger_ids.len()
             ),
-            Discrepancy::ClosedLateWhileListed { by, span: (from, to) } => {
-                write!(f, "line {} closed {from} to {to} late, yet the server was listed then", id(by))
+            Discrepancy::ClosedLateWhileListed { close_line, span: (from, to) } => {
+                write!(
+                    f,
+                    "line {} closed {from} to {to} late, although the server was listed at that time",
+                    id(close_line)
+                )
             }
-            Discrepancy::UsedWhileNotListed { by, period, requests } => write!(
+            Discrepancy::UsageWhileNotListed { close_line, period, requests } => write!(
                 f,
                 "line {} has {requests} requests in period {period}, in which the server was not listed",
-                id(by)
+                id(close_line)
             ),
-            Discrepancy::Unbilled { by, requests, at_most } => {
+            Discrepancy::Unbilled { close_line, requests, at_most } => {
                 let more = at_most.map_or("any number".to_owned(), |count| count.to_string());
                 write!(
                     f,
-                    "before line {}: {requests} requests are in no line, and possibly {more} more",
-                    id(by)
+                    "before line {}: {requests} requests are missing from the ledger, and possibly {more} more",
+                    id(close_line)
                 )
             }
-            Discrepancy::BelowZero { tenant, period, requests } => {
-                write!(f, "{tenant} comes to {requests} requests in period {period}")
+            Discrepancy::NegativeTotal { tenant, period, requests } => {
+                write!(f, "{tenant} has a total of {requests} requests in period {period}")
             }
-            Discrepancy::CorrectsUnknown { line, corrects } => {
-                write!(f, "line {} corrects {}, of whose ledger nothing is here", id(line), id(corrects))
+            Discrepancy::CorrectsUnknownServer { line, corrects } => {
+                write!(
+                    f,
+                    "line {} corrects {}, but no batch of that server was exported",
+                    id(line),
+                    id(corrects)
+                )
             }
-            Discrepancy::SpansDoNotMeet { by, before_to, from } => {
-                write!(f, "line {} closes from {from} on, the close before ended at {before_to}", id(by))
+            Discrepancy::NonContiguousCloses { close_line, before_to, from } => {
+                write!(
+                    f,
+                    "line {} closes from {from}, but the previous close ended at {before_to}",
+                    id(close_line)
+                )
             }
         }
     }
--- a/crates/ledger/src/reconcile/mod.rs
+++ b/crates/ledger/src/reconcile/mod.rs
@@ -1,5 +1,6 @@
-//! Reconciliation: adds up what several servers exported and compares it with a record of which servers were listed
-//! when. It reports what adds up, which servers are still awaited, and what does not fit, by the lines concerned.
+//! Reconciliation of the exports of several servers. It computes totals over all servers and compares the
+//! exports with a record of the times at which servers were listed. The report contains the totals, the
+//! servers whose closes are still awaited, and discrepancies with the ids of the lines concerned.
 
 mod discrepancy;
 
@@ -10,25 +11,26 @@
 use crate::outcome::Outcome;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The spans of Unix ms in which each server was listed as taking requests; a span ends with the last report seen.
+/// The time spans, in Unix ms, in which each server was listed as accepting requests. A span ends with the
+/// last report received.
 pub type ListedSpans = BTreeMap<String, Vec<(u64, u64)>>;
 
-/// How long after its last report a server's listing lapses, ms; until then it counts as listed.
+/// Time in ms after its last report until which a server still counts as listed.
 const LISTING_LAPSE_MS: u64 = 3000;
 
 /// The total of one tenant in one period over all servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AccountTotals {
-    /// Requests by outcome.
+    /// Number of requests by outcome.
     pub requests: BTreeMap<Outcome, i64>,
-    /// Time in the worker pool, µs.
+    /// Time spent in the worker pool, in µs.
     pub pool_us: i64,
-    /// Requests that each server contributes.
+    /// Number of requests by server.
     pub servers: BTreeMap<String, i64>,
 }
 
 impl AccountTotals {
-    /// Returns the requests of all outcomes.
+    /// Returns the number of requests with any outcome.
     pub fn total(&self) -> i64 {
         self.requests.values().sum()
     }
@@ -43,31 +45,31 @@
 /// The result of a reconciliation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReconciliationReport {
-    /// Totals by period and tenant.
+    /// Totals by start of the period and tenant.
     pub accounts: BTreeMap<(u64, String), AccountTotals>,
-    /// Servers that were listed in a period and have not closed it yet, by period.
+    /// Servers that were listed in a period but have not closed it yet, by start of the period.
     pub awaited: BTreeMap<u64, BTreeSet<String>>,
-    /// What does not fit.
+    /// Discrepancies between the batches, or between batches and the listed time spans.
     pub discrepancies: Vec<Discrepancy>,
 }
 
-/// A correction and the line that it names.
+/// The ids of a correction line and of the line that it corrects.
 struct CorrectionRef {
     line: LineId,
     corrects: LineId,
 }
 
-/// Takes batches, in any order of sources, and makes a report of them.
+/// Creates a report from batches of several ledgers, which may be added in any order of ledgers.
 pub struct Reconciler<'a> {
     listed: &'a ListedSpans,
     report: ReconciliationReport,
-    /// The spans that each ledger closed, in order, by server and ledger id.
+    /// Time spans closed by each ledger, in order, by server and ledger id.
     closed: BTreeMap<(String, u64), Vec<(u64, u64)>>,
     corrections: Vec<CorrectionRef>,
 }
 
 impl<'a> Reconciler<'a> {
-    /// Returns a reconciler for servers that were listed in these spans.
+    /// Returns a reconciler for servers that were listed in these time spans.
     pub fn new(listed: &'a ListedSpans) -> Reconciler<'a> {
         Reconciler {
             listed,
@@ -77,22 +79,25 @@
         }
     }
 
-    /// Adds a batch. Those of one ledger are added in the order of their numbers.
+    /// Adds a batch. The batches of one ledger must be added in the order of their numbers.
     pub fn add_batch(&mut self, batch: &Batch) {
-        // A start line's own time is not in the batch; the ledger's id is that of its first start.
-        let by = LineId { server: batch.server.clone(), start: batch.ledger_id, number: batch.close_line };
-        self.add_close(batch, &by);
-        self.add_usage(batch, &by);
+        // The batch does not contain the id of the start that wrote the close line. The id of the ledger,
+        // which is the id of its first start, is used instead.
+        let close_line =
+            LineId { server: batch.server.clone(), start: batch.ledger_id, number: batch.close_line };
+        self.add_close(batch, &close_line);
+        self.add_usage(batch, &close_line);
         self.add_corrections(batch);
         for unbilled in &batch.unbilled {
             let at_most = (!unbilled.unbounded).then_some(unbilled.at_most);
-            let (by, requests) = (by.clone(), unbilled.requests);
-            self.report.discrepancies.push(Discrepancy::Unbilled { by, requests, at_most });
+            let (close_line, requests) = (close_line.clone(), unbilled.requests);
+            self.report.discrepancies.push(Discrepancy::Unbilled { close_line, requests, at_most });
         }
     }
 
-    /// Takes note of the span of a batch's close, and checks it with the first batch of that close.
-    fn add_close(&mut self, batch: &Batch, by: &LineId) {
+    /// Records the time span of a batch's close, and checks the span when the first batch of the close is
+    /// added.
+    fn add_close(&mut self, batch: &Batch, close_line: &LineId) {
         let span = (batch.close.from, batch.close.to);
         let spans = self.closed.entry((batch.server.clone(), batch.ledger_id)).or_default();
         let before = spans.last().copied();
@@ -101,16 +106,16 @@
         }
         spans.push(span);
         if let Some((_, before_to)) = before.filter(|(_, before_to)| *before_to != span.0) {
-            let (by, from) = (by.clone(), span.0);
-            self.report.discrepancies.push(Discrepancy::SpansDoNotMeet { by, before_to, from });
+            let (close_line, from) = (close_line.clone(), span.0);
+            self.report.discrepancies.push(Discrepancy::NonContiguousCloses { close_line, before_to, from });
         }
         if batch.close.late && self.was_listed_at(&batch.server, span.1) {
-            let by = by.clone();
-            self.report.discrepancies.push(Discrepancy::ClosedLateWhileListed { by, span });
+            let close_line = close_line.clone();
+            self.report.discrepancies.push(Discrepancy::ClosedLateWhileListed { close_line, span });
         }
     }
 
-    fn add_usage(&mut self, batch: &Batch, by: &LineId) {
+    fn add_usage(&mut self, batch: &Batch, close_line: &LineId) {
         let mut not_listed: BTreeMap<u64, i64> = BTreeMap::new();
         for item in &batch.items {
             self.add_item(&batch.server, item);
@@ -120,8 +125,8 @@
             }
         }
         for (period, requests) in not_listed {
-            let by = by.clone();
-            self.report.discrepancies.push(Discrepancy::UsedWhileNotListed { by, period, requests });
+            let close_line = close_line.clone();
+            self.report.discrepancies.push(Discrepancy::UsageWhileNotListed { close_line, period, requests });
         }
     }
 
@@ -151,8 +156,8 @@
         self.listed_spans(server).iter().any(|(first, last)| *first < time_ms && *last >= time_ms)
     }
 
-    /// Returns the report once all batches are added. `period_ms` is the length of the periods by which awaited servers
-    /// are told.
+    /// Returns the report after all batches have been added. `period_ms` is the length of the periods for
+    /// which awaited servers are reported.
     pub fn finish(mut self, period_ms: u64, now_ms: u64) -> ReconciliationReport {
         self.find_new_ledgers();
         self.find_unknown_corrections();
@@ -175,7 +180,7 @@
     fn find_unknown_corrections(&mut self) {
         for CorrectionRef { line, corrects } in std::mem::take(&mut self.corrections) {
             if !self.closed.keys().any(|(server, _)| *server == corrects.server) {
-                self.report.discrepancies.push(Discrepancy::CorrectsUnknown { line, corrects });
+                self.report.discrepancies.push(Discrepancy::CorrectsUnknownServer { line, corrects });
             }
         }
     }
@@ -185,13 +190,13 @@
             let requests = account.total();
             if requests < 0 {
                 let (tenant, period) = (tenant.clone(), *period);
-                self.report.discrepancies.push(Discrepancy::BelowZero { tenant, period, requests });
+                self.report.discrepancies.push(Discrepancy::NegativeTotal { tenant, period, requests });
             }
         }
     }
 
-    /// A server is awaited in each period that is over, in which it was listed, and up to whose end its closes do not
-    /// reach.
+    /// Finds the awaited servers. A server is awaited in each period that has ended, in which it was listed,
+    /// and whose end is not reached by its closes.
     fn find_awaited_servers(&mut self, period_ms: u64, now_ms: u64) {
         for (server, spans) in self.listed {
             for (from, to) in spans {
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Returns whether the closes of one of a server's ledgers begin before this time and reach up to it.
+    /// Returns whether the closes of any ledger of the server begin before this time and reach it.
     fn has_closed(&self, server: &str, time_ms: u64) -> bool {
         let ledgers = self.closed.iter().filter(|((owner, _), _)| owner == server);
         ledgers.map(|(_, spans)| spans).any(|spans| {
--- a/crates/ledger/src/totals.rs
+++ b/crates/ledger/src/totals.rs
@@ -1,7 +1,7 @@
-//! Adding up lines in bounded memory, whatever the number of tenants.
+//! Totals of lines, computed in bounded memory for any number of tenants.
 //!
-//! The lines are read as often as it takes, each time for the tenants that come next in the order of names. So the order
-//! of the result follows from the lines alone, and a batch built a second time is the same to the byte.
+//! The lines are read in as many passes as necessary, each for the next tenants in the order of their names.
+//! The order of the result therefore depends only on the lines, and a rebuilt batch is identical to the byte.
 
 use crate::line::{Amount, Correction, Line, LineKind, Usage};
 use crate::outcome::Outcome;
@@ -9,37 +9,37 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Shows the lines with these numbers of a server's ledger, which may be in use.
+/// Passes the lines with these numbers of a server's ledger to `visit`. The ledger may be in use.
 ///
 /// # Errors
-/// If they are not all there, or one is not valid.
+/// Returns a [`StoreError`] if a line is missing, unreadable or invalid.
 pub fn read_lines(
     disk: &dyn Disk,
     server: &str,
     numbers: Range<u64>,
-    show: &mut dyn FnMut(u64, &Line),
+    visit: &mut dyn FnMut(u64, &Line),
 ) -> Result<(), StoreError> {
     Log::read_range(disk, server, numbers, |number, bytes| {
-        show(number, &Line::parse(bytes).map_err(ReplayRejection::new)?);
+        visit(number, &Line::parse(bytes).map_err(ReplayRejection::new)?);
         Ok(())
     })
 }
 
-/// Amounts less corrections; they can be below zero.
+/// Amounts of usage including corrections, which may be negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetUsage {
-    /// Requests.
+    /// Number of requests.
     pub requests: i128,
-    /// Time in the worker pool, µs.
+    /// Time spent in the worker pool, in µs.
     pub pool_us: i128,
-    /// Bytes of requests' bodies.
+    /// Total size of the request bodies, in bytes.
     pub bytes_in: i128,
-    /// Bytes of results.
+    /// Total size of the results, in bytes.
     pub bytes_out: i128,
 }
 
 impl NetUsage {
-    /// Adds usage.
+    /// Adds an amount of usage.
     pub fn add(&mut self, amount: &Amount) {
         self.requests += i128::from(amount.requests);
         self.pool_us += i128::from(amount.pool_us);
@@ -47,80 +47,82 @@
         self.bytes_out += i128::from(amount.bytes_out);
     }
 
-    /// Adds a correction.
+    /// Adds the difference given by a correction.
     pub fn correct(&mut self, correction: &Correction) {
         self.requests += i128::from(correction.requests);
         self.pool_us += i128::from(correction.pool_us);
     }
 }
 
-/// What usage is added up by. The order of its fields is the order of totals.
+/// The key by which usage is grouped. The order of its fields determines the order of the totals.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageGroup {
-    /// The tenant's account.
+    /// Account of the tenant.
     pub tenant: String,
-    /// The period, by its first ms.
+    /// Start of the period, in Unix ms.
     pub period: u64,
-    /// The period in which it was used, if that was closed before it was entered.
+    /// Start of the period in which the usage occurred, if that period was closed before the usage was
+    /// entered.
     pub original_period: Option<u64>,
-    /// The class, by name.
+    /// Name of the class.
     pub class: String,
-    /// The outcome.
+    /// Outcome of the requests.
     pub outcome: Outcome,
 }
 
-/// Adds up the usage in the lines that `show_lines` shows, in order and with their numbers, for the periods that
+/// Computes the totals of usage in the lines that `visit_lines` visits, for the periods that
 /// `includes_period` accepts.
 ///
-/// `on_total` is given each total once, in the order of groups. About `cells` totals are held at a time, more only if
-/// one tenant alone has more. `classes` are the names of classes before the first start line that is shown.
-/// `show_lines` is called once or more; it has to show the same each time.
+/// `visit_lines` passes lines with their numbers to a visitor, in order. It is called one or more times, and
+/// must pass the same lines each time. `on_total` is called once for each total, in the order of the groups.
+/// About `cells` totals are held in memory at a time, and more only if a single tenant has more. `classes`
+/// are the names of the classes before the first visited start line.
 ///
 /// # Errors
-/// Of `show_lines`.
+/// Returns the [`StoreError`] of `visit_lines` if it fails.
 pub fn totals(
     classes: &[String],
     cells: usize,
-    mut show_lines: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
+    mut visit_lines: impl FnMut(&mut dyn FnMut(u64, &Line)) -> Result<(), StoreError>,
     includes_period: impl Fn(u64) -> bool,
     mut on_total: impl FnMut(UsageGroup, NetUsage),
 ) -> Result<(), StoreError> {
-    let mut done_up_to: Option<String> = None;
+    let mut last_completed: Option<String> = None;
     loop {
-        let mut pass = Pass::new(cells, done_up_to.as_deref());
+        let mut pass = Pass::new(cells, last_completed.as_deref());
         let mut classes = classes.to_vec();
-        show_lines(&mut |_, line| match &line.kind {
+        visit_lines(&mut |_, line| match &line.kind {
             Some(LineKind::Start(start)) => classes.clone_from(&start.classes),
             Some(LineKind::Usage(usage)) if includes_period(usage.period) => pass.add(usage, &classes),
             _ => {}
         })?;
-        let Pass { totals, before, .. } = pass;
-        done_up_to = totals.last_key_value().map(|(group, _)| group.tenant.clone());
+        let Pass { totals, next_tenant, .. } = pass;
+        last_completed = totals.last_key_value().map(|(group, _)| group.tenant.clone());
         totals.into_iter().for_each(|(group, net)| on_total(group, net));
-        if before.is_none() {
+        if next_tenant.is_none() {
             return Ok(());
         }
     }
 }
 
-/// One reading of the lines: the totals of the first tenants that are not done, as many as fit.
+/// One pass over the lines: it computes the totals of as many of the next tenants as fit in memory.
 struct Pass<'a> {
     cells: usize,
-    /// Tenants up to this name were added up in earlier passes.
-    done_up_to: Option<&'a str>,
-    /// Tenants from this name on do not fit in this pass; none if all fit.
-    before: Option<String>,
+    /// Last tenant whose totals were computed in an earlier pass.
+    last_completed: Option<&'a str>,
+    /// First tenant that is left to a later pass; `None` if all tenants fit in this pass.
+    next_tenant: Option<String>,
     totals: BTreeMap<UsageGroup, NetUsage>,
 }
 
 impl<'a> Pass<'a> {
-    fn new(cells: usize, done_up_to: Option<&'a str>) -> Pass<'a> {
-        Pass { cells, done_up_to, before: None, totals: BTreeMap::new() }
+    fn new(cells: usize, last_completed: Option<&'a str>) -> Pass<'a> {
+        Pass { cells, last_completed, next_tenant: None, totals: BTreeMap::new() }
     }
 
     fn includes(&self, tenant: &str) -> bool {
-        self.done_up_to.is_none_or(|done| tenant > done)
-            && self.before.as_deref().is_none_or(|before| tenant < before)
+        self.last_completed.is_none_or(|completed| tenant > completed)
+            && self.next_tenant.as_deref().is_none_or(|next| tenant < next)
     }
 
     fn add(&mut self, usage: &Usage, classes: &[String]) {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Leaves the last tenant to a later pass, unless it is the only one.
+    /// Leaves the last tenant to a later pass, unless it is the only tenant in this pass.
     fn drop_last_tenant(&mut self) {
         let tenant_of =
             |entry: Option<(&UsageGroup, &NetUsage)>| entry.map(|(group, _)| group.tenant.clone());
@@ -153,6 +155,6 @@
         while self.totals.last_key_value().is_some_and(|(group, _)| group.tenant == last) {
             self.totals.pop_last();
         }
-        self.before = Some(last);
+        self.next_tenant = Some(last);
     }
 }
--- a/crates/ledger/src/usage_table.rs
+++ b/crates/ledger/src/usage_table.rs
@@ -1,32 +1,32 @@
 //! Open aggregates: amounts by period, tenant, class and outcome, in bounded memory.
 //!
-//! Tenants' names come from outside, so the hash is keyed at random. Each name is stored once, in one string; a cell
-//! points to it, and is found by one hash of its whole key. `docs/measurements/ledger.md` compares this with the maps of
-//! the standard library.
+//! Tenant names come from clients, so the hash uses a random key. Each name is stored once in a common
+//! string, to which cells refer. A cell is found by a single hash of its whole key.
+//! `docs/measurements/ledger.md` compares this table with the maps of the standard library.
 
 use crate::line::Amount;
 use crate::outcome::Outcome;
 use std::hash::{BuildHasher, Hasher, RandomState};
 
-/// The smallest number of slots; numbers of slots are powers of two.
+/// Minimum number of slots in an index; the number of slots is always a power of two.
 const MIN_SLOTS: usize = 16;
-/// Cells of a table at most.
+/// Upper limit for the maximum number of cells of a table.
 const MAX_CELLS: usize = 1 << 28;
 
 /// The key of an aggregate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UsageKey<'a> {
-    /// The period, by its first ms.
+    /// Start of the period, in Unix ms.
     pub period: u64,
-    /// The tenant's account.
+    /// Account of the tenant.
     pub tenant: &'a str,
-    /// The class, by position.
+    /// Position of the class in the list of classes.
     pub class: u16,
-    /// The outcome.
+    /// Outcome of the requests.
     pub outcome: Outcome,
 }
 
-/// An aggregate.
+/// An aggregate: the total amount for one key.
 #[derive(Clone, Copy)]
 struct Cell {
     period: u64,
@@ -36,32 +36,32 @@
     amount: Amount,
 }
 
-/// Where a name stands in the string of names, in bytes.
+/// The position of a name in the common string of names, in bytes.
 #[derive(Clone, Copy)]
 struct NameSpan {
     offset: u32,
     len: u16,
 }
 
-/// A slot of the index of cells.
+/// A slot of the cell index.
 #[derive(Clone, Copy, Default)]
 struct CellSlot {
-    /// The position in `cells`, plus one; 0 is free.
+    /// Position in `cells` plus one; 0 if the slot is free.
     cell_plus_one: u32,
-    /// The upper half of the cell's hash: the cell is looked at only if that matches.
+    /// Upper half of the cell's hash. The cell's key is compared only if this half matches.
     hash_part: u32,
 }
 
 /// The table of open aggregates.
 ///
 /// # Invariants
-/// Both indices use open addressing with linear probing and are at most three quarters full. A name is at most
-/// `u16::MAX` bytes long, and all names together at most `u32::MAX`.
+/// Both indices use open addressing with linear probing, with a load factor of at most three quarters. A name
+/// is at most `u16::MAX` bytes long, and all names together at most `u32::MAX` bytes.
 pub struct UsageTable {
     hash_key: RandomState,
     names: String,
     name_spans: Vec<NameSpan>,
-    /// Positions in `name_spans`, plus one; 0 is free.
+    /// Index of names: positions in `name_spans` plus one; 0 for a free slot.
     name_slots: Vec<u32>,
     cells: Vec<Cell>,
     cell_slots: Vec<CellSlot>,
@@ -75,7 +75,7 @@
 }
 
 impl UsageTable {
-    /// Returns an empty table for at most that many cells.
+    /// Returns an empty table for at most `max_cells` cells.
     pub fn new(max_cells: usize) -> UsageTable {
         UsageTable {
             hash_key: RandomState::new(),
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Adds an amount to a cell. Returns false, and adds nothing, if that cell would be new and the table is full.
+    /// Adds an amount to the cell of a key. Returns false without adding it if the cell does not exist and
+    /// the table is full.
     pub fn add(&mut self, key: UsageKey<'_>, amount: &Amount) -> bool {
         let hash = self.cell_hash(&key);
         if let Some(cell) = self.find_cell(&key, hash) {
@@ -102,17 +103,17 @@
         true
     }
 
-    /// Returns the cells.
+    /// Returns the number of cells.
     pub fn len(&self) -> usize {
         self.cells.len()
     }
 
-    /// Returns whether there are no cells.
+    /// Returns whether the table has no cells.
     pub fn is_empty(&self) -> bool {
         self.cells.is_empty()
     }
 
-    /// Returns the bytes allocated.
+    /// Returns the allocated memory, in bytes.
     pub fn bytes(&self) -> usize {
         self.names.capacity()
             + self.name_spans.capacity() * size_of::<NameSpan>()
@@ -121,8 +122,8 @@
             + self.cells.capacity() * size_of::<Cell>()
     }
 
-    /// Gives all cells in the order of their keys. The table is empty afterwards, and keeps no more memory than
-    /// `kept_cells` cells need.
+    /// Passes all cells to `on_cell` in the order of their keys, and empties the table. The table keeps at
+    /// most the memory needed for `kept_cells` cells.
     pub fn drain(&mut self, kept_cells: usize, mut on_cell: impl FnMut(UsageKey<'_>, &Amount)) {
         let mut order: Vec<u32> = (0..self.cells.len() as u32).collect();
         order.sort_unstable_by_key(|cell| self.key(*cell as usize));
@@ -150,7 +151,7 @@
         &self.names[offset..offset + span.len as usize]
     }
 
-    /// Returns where a name stands, after adding it if it is new.
+    /// Returns the position of a name in the common string, and adds the name if it is new.
     fn find_or_add_name(&mut self, name: &str) -> NameSpan {
         let mask = self.name_slots.len() - 1;
         let mut slot = self.hash_key.hash_one(name) as usize & mask;
