--- a/crates/ledger/src/digest_comparison.rs
+++ b/crates/ledger/src/digest_comparison.rs
@@ -93,7 +93,7 @@
             ),
             DigestMismatch::OtherLedger { ledger_id, reporter } => write!(
                 f,
-                "{reporter} reports another ledger of this server, {ledger_id}: it was lost or moved"
+                "{reporter} reports a ledger of this server begun at {ledger_id}: it was lost or moved"
             ),
         }
     }
--- a/crates/ledger/src/reconcile/discrepancy.rs
+++ b/crates/ledger/src/reconcile/discrepancy.rs
@@ -71,7 +71,7 @@
         match self {
             Discrepancy::NewLedger { server, ledger_ids } => write!(
                 f,
-                "{server} has {} ledgers {ledger_ids:?}: check whether usage of the older ones is missing",
+                "{server} has {} ledgers, begun at {ledger_ids:?}: check the older ones for missing usage",
                 ledger_ids.len()
             ),
             Discrepancy::ClosedLateWhileListed { close_line, span: (from, to) } => {
@@ -90,7 +90,7 @@
                 let more = at_most.map_or("any number".to_owned(), |count| count.to_string());
                 write!(
                     f,
-                    "before line {}: {requests} requests are missing from the ledger, and possibly {more} more",
+                    "before line {}: {requests} requests are in no usage line, and possibly {more} more",
                     id(close_line)
                 )
             }
--- a/crates/ledger/tests/account_name.rs
+++ b/crates/ledger/tests/account_name.rs
@@ -1,15 +1,15 @@
-//! Names of accounts are bounded and hold plain characters only.
+//! Account names have a bounded length and contain only a restricted set of ASCII characters.
 
 use dunlinspread_ledger::{AccountName, AccountNameError, MAX_ACCOUNT_NAME_BYTES};
 
 #[test]
 fn names_are_bounded_and_plain() {
     let longest = "a".repeat(MAX_ACCOUNT_NAME_BYTES);
-    for good in ["kochi-7", "A", "0.x_y:z", longest.as_str()] {
-        assert_eq!(AccountName::parse(good).map(|a| a.as_str()), Ok(good));
+    for name in ["kochi-7", "A", "0.x_y:z", longest.as_str()] {
+        assert_eq!(AccountName::parse(name).map(|account| account.as_str()), Ok(name));
     }
     let longer = "a".repeat(MAX_ACCOUNT_NAME_BYTES + 1);
-    let bad = [
+    let invalid_names = [
         ("", AccountNameError::Empty),
         (longer.as_str(), AccountNameError::TooLong),
         ("-a", AccountNameError::Character),
@@ -19,7 +19,7 @@
         ("a\0", AccountNameError::Character),
         ("unattributed", AccountNameError::Reserved),
     ];
-    for (name, why) in bad {
-        assert_eq!(AccountName::parse(name), Err(why), "{name:?}");
+    for (name, error) in invalid_names {
+        assert_eq!(AccountName::parse(name), Err(error), "{name:?}");
     }
 }
--- a/crates/ledger/tests/accumulator.rs
+++ b/crates/ledger/tests/accumulator.rs
@@ -1,5 +1,6 @@
-//! The accumulator against a store that loses, fails and recovers, in any order of events: no reply is sent before its
-//! line is durable (or more than the stated number), nothing is counted twice or dropped, periods close in order.
+//! The accumulator with a simulated store that loses records, fails and recovers, for random sequences of
+//! events. No reply is sent before its line is durable, or no more than the configured number in interval
+//! mode; no request is counted twice or dropped; and periods close in order.
 
 use dunlinspread_ledger::{
     AccountName, Action, DurabilityMode, FailurePolicy, LedgerSettings, LedgerState, Line, LineKind, Notice,
@@ -22,28 +23,29 @@
     }
 }
 
-/// A server's ledger with a store in memory, and the true count of its replies.
+/// The ledger of a server with a store in memory, and the actual counts of its replies.
 struct World {
     settings: LedgerSettings,
     /// Durable records.
     store: Vec<Vec<u8>>,
-    /// With the store, not durable.
+    /// Records handed over to the store that are not durable yet.
     pending: VecDeque<Vec<u8>>,
-    /// The store takes nothing until it is told to resume.
+    /// Whether the store writes nothing until it receives [`Action::Resume`].
     stopped: bool,
     accumulator: UsageAccumulator,
     now: u64,
-    /// Marks of replies that are held.
+    /// Marks of held replies.
     held: Vec<u64>,
+    /// Number of replies billed since the first start.
     billed: u64,
-    /// Replies sent, of all starts.
-    out: u64,
-    /// Replies that were held when a server was killed.
-    cut: u64,
-    notes: Vec<Notice>,
+    /// Number of replies sent since the first start.
+    sent: u64,
+    /// Number of replies that were held when a server crashed.
+    held_at_crash: u64,
+    notices: Vec<Notice>,
 }
 
-fn open(store: &[Vec<u8>]) -> LedgerState {
+fn read_state(store: &[Vec<u8>]) -> LedgerState {
     let mut state = LedgerState::default();
     for (record, number) in store.iter().zip(1..) {
         let line = Line::parse(record).expect("a line");
@@ -66,15 +68,15 @@
             now,
             held: Vec::new(),
             billed: 0,
-            out: 0,
-            cut: 0,
-            notes: Vec::new(),
+            sent: 0,
+            held_at_crash: 0,
+            notices: Vec::new(),
         };
-        world.carry_out(actions);
+        world.execute(actions);
         world
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Append(record) => self.pending.push_back(record),
@@ -82,9 +84,9 @@
                 Action::Release(mark) => {
                     let before = self.held.len();
                     self.held.retain(|held| *held > mark);
-                    self.out += (before - self.held.len()) as u64;
+                    self.sent += (before - self.held.len()) as u64;
                 }
-                Action::Notify(note) => self.notes.push(note),
+                Action::Notify(notice) => self.notices.push(notice),
                 Action::AcceptRequests(_) | Action::PeriodsClosed(_) | Action::EntryDurable { .. } => {}
             }
         }
@@ -97,12 +99,12 @@
         let used =
             UsageRecord { requests: 1, account, class, outcome, pool_us: 10, bytes_in: 1, bytes_out: 2 };
         match self.accumulator.bill(self.now, &used, &mut actions) {
-            ReplyDecision::SendNow => self.out += 1,
+            ReplyDecision::SendNow => self.sent += 1,
             ReplyDecision::HoldUntil(mark) => self.held.push(mark),
         }
         self.billed += 1;
         self.accumulator.flush_if_due(self.now, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn sync(&mut self, count: usize) {
@@ -115,7 +117,7 @@
         if count > 0 {
             self.accumulator.on_durable(self.now, count, &mut actions);
         }
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn fail(&mut self) {
@@ -125,38 +127,39 @@
             self.stopped = true;
             self.accumulator.on_failed("no space", count, &mut actions);
         }
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn tick(&mut self, ms: u64) {
         self.now += ms;
         let mut actions = Vec::new();
         self.accumulator.tick(self.now, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    /// The process dies; `kept` of what the store was still writing got there. It starts again with its clock moved.
-    fn crash(&mut self, kept: usize, moved: i64) {
+    /// Crashes the process: the store keeps the first `kept` of the pending records. The process restarts
+    /// with its clock changed by `clock_change` ms.
+    fn crash(&mut self, kept: usize, clock_change: i64) {
         if !self.stopped {
             let kept = kept.min(self.pending.len());
             self.store.extend(self.pending.drain(..kept));
         }
         self.pending.clear();
-        self.cut += self.held.drain(..).count() as u64;
-        self.now = self.now.saturating_add_signed(moved);
+        self.held_at_crash += self.held.drain(..).count() as u64;
+        self.now = self.now.saturating_add_signed(clock_change);
         self.restart(false);
     }
 
     fn restart(&mut self, closed_cleanly: bool) {
-        let (state, mut actions) = (open(&self.store), Vec::new());
+        let (state, mut actions) = (read_state(&self.store), Vec::new());
         let next_line = self.store.len() as u64 + 1;
         let recovered = RecoveredLedger { state, next_line, closed_cleanly };
         self.stopped = false;
         self.accumulator = UsageAccumulator::start(self.now, self.settings.clone(), recovered, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    /// Requests in durable lines, and those that lines say are in none.
+    /// Returns the number of requests in durable usage lines, and the number in durable unbilled lines.
     fn durable(&self) -> (u64, u64) {
         let (mut billed, mut unbilled) = (0, 0);
         for record in &self.store {
@@ -171,13 +174,13 @@
         (billed, unbilled)
     }
 
-    /// Brings all to the disk.
-    fn settle(&mut self) {
+    /// Makes all usage durable, and checks that all replies are released.
+    fn make_all_durable(&mut self) {
         for _ in 0..100 {
             self.tick(20);
             self.sync(usize::MAX);
         }
-        assert!(self.held.is_empty(), "replies are held for ever");
+        assert!(self.held.is_empty(), "replies are never released");
         assert_eq!(self.accumulator.gauges().at_risk, 0);
     }
 }
@@ -198,7 +201,7 @@
         6 => (1usize..4).prop_map(Step::Sync),
         1 => Just(Step::Fail),
         3 => (1u64..400).prop_map(Step::Tick),
-        crash => (0usize..4, -3000i64..5000).prop_map(|(kept, moved)| Step::Crash(kept, moved)),
+        crash => (0usize..4, -3000i64..5000).prop_map(|(kept, clock_change)| Step::Crash(kept, clock_change)),
     ];
     proptest::collection::vec(step, 0..300)
 }
@@ -206,13 +209,13 @@
 fn play(world: &mut World, steps: Vec<Step>, check: impl Fn(&World)) {
     for step in steps {
         match step {
-            // While it refuses, only what it has already taken on comes to an end.
+            // While the accumulator rejects new requests, only requests admitted earlier would be billed.
             Step::Bill(s, c, o) if world.accumulator.accepts_requests() => world.bill(s, c, o),
             Step::Bill(..) => {}
             Step::Sync(count) => world.sync(count),
             Step::Fail => world.fail(),
             Step::Tick(ms) => world.tick(ms),
-            Step::Crash(kept, moved) => world.crash(kept, moved),
+            Step::Crash(kept, clock_change) => world.crash(kept, clock_change),
         }
         check(world);
     }
@@ -226,20 +229,29 @@
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, cells));
         play(&mut world, steps, |w| {
             let (billed, _) = w.durable();
-            assert!(billed >= w.out, "{} replies are sent, {billed} in lines", w.out);
-            assert!(billed <= w.billed, "more is billed than was answered");
+            assert!(billed >= w.sent, "{} replies are sent, {billed} requests are in lines", w.sent);
+            assert!(billed <= w.billed, "more requests are billed than were answered");
         });
-        world.settle();
+        world.make_all_durable();
         let (billed, unbilled) = world.durable();
         prop_assert_eq!(unbilled, 0);
-        // What was held when a server died may have got there or not; each at most once.
-        prop_assert!(billed >= world.out && billed <= world.out + world.cut, "{billed} {} {}", world.out, world.cut);
-        let unclean = world.notes.iter().any(|n| matches!(n, Notice::UncleanShutdown { .. }));
+        // A reply that was held when the server crashed may have been billed or not, but at most once.
+        prop_assert!(
+            billed >= world.sent && billed <= world.sent + world.held_at_crash,
+            "{billed} {} {}",
+            world.sent,
+            world.held_at_crash
+        );
+        let unclean = world.notices.iter().any(|n| matches!(n, Notice::UncleanShutdown { .. }));
         prop_assert!(!unclean);
     }
 
     #[test]
-    fn interval_mode_risks_no_more_than_configured(steps in steps(true), cells in 1usize..12, at_risk in 1u64..9) {
+    fn interval_mode_risks_no_more_than_configured(
+        steps in steps(true),
+        cells in 1usize..12,
+        at_risk in 1u64..9,
+    ) {
         let mode = DurabilityMode::Interval { every_ms: 150, at_risk };
         let mut world = World::new(settings(mode, FailurePolicy::Reject, cells));
         let mut crashes = 0;
@@ -247,38 +259,44 @@
             crashes += u64::from(matches!(step, Step::Crash(..)));
             play(&mut world, vec![step], |w| {
                 let (billed, _) = w.durable();
-                assert!(w.out <= billed + at_risk * (crashes + 1), "{} out, {billed} billed", w.out);
+                assert!(w.sent <= billed + at_risk * (crashes + 1), "{} sent, {billed} billed", w.sent);
             });
         }
-        world.settle();
+        world.make_all_durable();
         let (billed, unbilled) = world.durable();
         prop_assert_eq!(unbilled, 0);
-        prop_assert!(billed <= world.out + world.cut);
-        prop_assert!(world.out <= billed + crashes * at_risk, "{} out, {billed} billed", world.out);
+        prop_assert!(billed <= world.sent + world.held_at_crash);
+        prop_assert!(world.sent <= billed + crashes * at_risk, "{} sent, {billed} billed", world.sent);
     }
 
-    /// Without a crash, every reply is in a line or in the count of those that are in none.
+    /// Without a crash, every reply is counted either in a usage line or in an unbilled line.
     #[test]
     fn continuing_on_failure_counts_unbilled_requests(steps in steps(false), cells in 1usize..12) {
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Continue, cells));
         play(&mut world, steps, |w| assert!(w.accumulator.accepts_requests()));
-        world.settle();
+        world.make_all_durable();
         let (billed, unbilled) = world.durable();
         prop_assert_eq!(billed + unbilled, world.billed);
-        prop_assert_eq!(world.out, world.billed);
+        prop_assert_eq!(world.sent, world.billed);
     }
 
-    /// Whatever the clock does across restarts: closes follow one another without a gap, and no usage lies in a closed
-    /// period (the state's own checks), and all that is over is closed in the end.
+    /// For any change of the clock across restarts, closes follow one another without gaps and no usage is
+    /// added to a closed period, which `LedgerState::apply` checks. All periods that have ended are closed in
+    /// the end.
     #[test]
     fn periods_close_in_order_whatever_the_clock(steps in steps(true)) {
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 8));
         play(&mut world, steps, |_| {});
-        world.settle();
+        world.make_all_durable();
         world.tick(2 * PERIOD + 200);
         world.sync(usize::MAX);
-        let state = open(&world.store);
-        prop_assert!(state.closed_to + PERIOD + 100 > state.latest_ms, "{} {}", state.closed_to, state.latest_ms);
+        let state = read_state(&world.store);
+        prop_assert!(
+            state.closed_to + PERIOD + 100 > state.latest_ms,
+            "{} {}",
+            state.closed_to,
+            state.latest_ms
+        );
     }
 }
 
@@ -294,14 +312,18 @@
         world.bill(1, 0, 0);
     }
     assert_eq!(
-        (world.out, world.held.len(), world.pending.len()),
+        (world.sent, world.held.len(), world.pending.len()),
         (0, 5, 1),
-        "one record is out, the rest waits"
+        "one record is handed over, the others wait"
     );
     world.sync(1);
-    assert_eq!((world.out, world.held.len(), world.pending.len()), (1, 4, 1), "the rest goes in one");
+    assert_eq!(
+        (world.sent, world.held.len(), world.pending.len()),
+        (1, 4, 1),
+        "the other replies share one record"
+    );
     world.sync(1);
-    assert_eq!((world.out, world.held.len(), world.pending.len()), (5, 0, 0));
+    assert_eq!((world.sent, world.held.len(), world.pending.len()), (5, 0, 0));
     assert_eq!(world.durable(), (5, 0));
 }
 
@@ -329,7 +351,7 @@
     world.sync(9);
     assert!(kinds(&world).iter().any(|k| matches!(k, LineKind::Close(c)
         if (c.from, c.to, c.late) == (10_000_000, 10_005_000, true))));
-    assert!(world.notes.contains(&Notice::ClosedLate { from: 10_000_000, to: 10_005_000 }));
+    assert!(world.notices.contains(&Notice::ClosedLate { from: 10_000_000, to: 10_005_000 }));
 }
 
 #[test]
@@ -342,7 +364,7 @@
     world.sync(9);
     world.bill(1, 0, 0);
     world.sync(9);
-    assert!(world.notes.iter().any(|n| matches!(n, Notice::ClockBehind(_))));
+    assert!(world.notices.iter().any(|n| matches!(n, Notice::ClockBehind(_))));
     let Some(LineKind::Usage(usage)) = kinds(&world).pop() else { panic!("not billed") };
     assert_eq!(usage.period, 10_001_000);
 }
@@ -353,16 +375,17 @@
     let mut world = World::new(settings(mode, FailurePolicy::Reject, 100));
     world.sync(9);
     world.bill(1, 0, 0);
-    assert_eq!(world.out, 1);
+    assert_eq!(world.sent, 1);
     world.crash(0, 10);
     world.sync(9);
-    let said = |k: &LineKind| matches!(k, LineKind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
-    assert!(kinds(&world).iter().any(said));
-    // A clean shutdown leaves none.
+    let is_unbilled_line =
+        |k: &LineKind| matches!(k, LineKind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
+    assert!(kinds(&world).iter().any(is_unbilled_line));
+    // A restart after a clean shutdown does not write an unbilled line.
     let before = world.store.len();
     world.restart(true);
     world.sync(9);
-    assert!(!kinds(&world)[before..].iter().any(said));
+    assert!(!kinds(&world)[before..].iter().any(is_unbilled_line));
 }
 
 #[test]
@@ -374,13 +397,13 @@
         world.fail();
         let continues_on_failure = on_failure == FailurePolicy::Continue;
         assert_eq!(
-            (world.accumulator.accepts_requests(), world.out),
+            (world.accumulator.accepts_requests(), world.sent),
             (continues_on_failure, u64::from(continues_on_failure))
         );
-        // Room again: the same line is written, once.
+        // The store recovers: the same line is written, once.
         world.tick(10);
         world.sync(9);
         assert!(world.accumulator.accepts_requests());
-        assert_eq!((world.durable(), world.out), ((1, 0), 1));
+        assert_eq!((world.durable(), world.sent), ((1, 0), 1));
     }
 }
--- a/crates/ledger/tests/batch_receiver.rs
+++ b/crates/ledger/tests/batch_receiver.rs
@@ -1,4 +1,5 @@
-//! The collector's folder: whatever dies when, what was acknowledged is there once and unchanged.
+//! The collector's directory: whenever the process or the machine crashes, each acknowledged batch is stored
+//! once and unchanged.
 
 use dunlinspread_ledger::batch::Batch;
 use dunlinspread_ledger::export_protocol::OfferDecision;
@@ -22,7 +23,7 @@
     }
 }
 
-/// The first `count` batches as bytes.
+/// Returns the first `count` batches in encoded form.
 fn chain(count: u64) -> Vec<Vec<u8>> {
     let (mut previous, mut all) = (Vec::new(), Vec::new());
     for number in 1..=count {
@@ -37,19 +38,20 @@
 fn batches_are_accepted_once_and_in_order() {
     let (disk, chain) = (SimDisk::new(1), chain(3));
     let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
-    let mut decision = |bytes: &[u8]| receiver.receive(bytes).expect("judged").0;
+    let mut decision = |bytes: &[u8]| receiver.receive(bytes).expect("a decision").0;
     assert_eq!(decision(&chain[1]), OfferDecision::OutOfOrder);
     assert_eq!(decision(&chain[0]), OfferDecision::Accept);
     assert_eq!(decision(&chain[0]), OfferDecision::Duplicate);
     assert_eq!(decision(&chain[1]), OfferDecision::Accept);
-    assert_eq!(decision(&chain[0]), OfferDecision::Duplicate, "an old one");
-    // Another content under a number that is taken, old or newest, or one that follows another batch.
+    assert_eq!(decision(&chain[0]), OfferDecision::Duplicate, "an old batch");
+    // A different batch with a number already accepted, old or newest, and one that follows a different
+    // batch.
     assert_eq!(decision(&batch(1, &[], 5).encode_with_digest().0), OfferDecision::Conflict);
     assert_eq!(decision(&batch(2, &[], 5).encode_with_digest().0), OfferDecision::Conflict);
     assert_eq!(decision(&batch(3, &[1; 32], 0).encode_with_digest().0), OfferDecision::Conflict);
     assert_eq!(decision(&chain[2]), OfferDecision::Accept);
     let mut numbers = Vec::new();
-    receiver.read(&("n1".to_owned(), 7), |b, _| numbers.push(b.number)).expect("in order");
+    receiver.read(&("n1".to_owned(), 7), |batch, _| numbers.push(batch.number)).expect("in order");
     assert_eq!(numbers, [1, 2, 3]);
     assert!(receiver.receive(b"nonsense").is_err());
 }
@@ -58,10 +60,10 @@
 fn what_was_acknowledged_outlasts_a_crash_at_every_operation() {
     let chain = chain(4);
     for seed in 0..40 {
-        for at in 0.. {
-            let disk = SimDisk::new(seed * 100 + at);
+        for operation in 0.. {
+            let disk = SimDisk::new(seed * 100 + operation);
             disk.set_faults(Faults {
-                crash_at: Some(at),
+                crash_at: Some(operation),
                 short_transfers: seed % 2 == 0,
                 ..Faults::default()
             });
@@ -85,14 +87,14 @@
             }
             let receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
             let watermark = receiver.watermark("n1", 7).watermark;
-            assert!(watermark >= acknowledged, "seed {seed}, operation {at}");
+            assert!(watermark >= acknowledged, "seed {seed}, operation {operation}");
             drop(receiver);
-            // What this process saw is there for the next one too.
+            // A batch that this process has read is also present for the next process.
             disk.power_cycle();
             let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
-            assert!(receiver.watermark("n1", 7).watermark >= watermark, "seed {seed}, operation {at}");
+            assert!(receiver.watermark("n1", 7).watermark >= watermark, "seed {seed}, operation {operation}");
             for bytes in &chain {
-                assert_ne!(receiver.receive(bytes).expect("judged").0, OfferDecision::Conflict);
+                assert_ne!(receiver.receive(bytes).expect("a decision").0, OfferDecision::Conflict);
             }
             assert_eq!(receiver.watermark("n1", 7).watermark, 4);
         }
@@ -104,16 +106,18 @@
     let (disk, chain) = (SimDisk::new(1), chain(3));
     let mut receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opens");
     for bytes in &chain {
-        receiver.receive(bytes).expect("taken");
+        receiver.receive(bytes).expect("accepted");
     }
     drop(receiver);
     let names = disk.list().expect("a list");
-    let bytes = disk.file_bytes(&names[1]).expect("it is there");
+    let bytes = disk.file_bytes(&names[1]).expect("the file exists");
     disk.remove_durable(&names[1]);
-    let e = BatchReceiver::open(Arc::new(disk.clone())).err().expect("refused");
-    assert!(e.to_string().contains(&names[1]), "{e}");
+    let error = BatchReceiver::open(Arc::new(disk.clone())).err().expect("an error");
+    assert!(error.to_string().contains(&names[1]), "{error}");
     disk.insert_durable(&names[1], &[&bytes[..], &[0x52, 0]].concat());
-    let receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("only the last is read when it opens");
-    let e = receiver.read(&("n1".to_owned(), 7), |_, _| {}).expect_err("the next does not follow it");
-    assert!(e.to_string().contains(&names[2]), "{e}");
+    let receiver = BatchReceiver::open(Arc::new(disk.clone())).expect("opening reads only the last file");
+    let error = receiver
+        .read(&("n1".to_owned(), 7), |_, _| {})
+        .expect_err("the next batch does not follow the changed one");
+    assert!(error.to_string().contains(&names[2]), "{error}");
 }
--- a/crates/ledger/tests/digest_comparison.rs
+++ b/crates/ledger/tests/digest_comparison.rs
@@ -1,4 +1,5 @@
-//! Servers that compare digests notice an old copy of a ledger and a lost one, in bounded memory.
+//! Servers that compare digests detect a ledger restored from an old copy and a lost ledger, in bounded
+//! memory.
 
 use dunlinspread_ledger::digest_comparison::{
     DigestClaim, DigestClaims, DigestComparison, DigestMismatch, MAX_BATCHES, MAX_LEDGERS, MAX_REPORTED,
@@ -21,21 +22,22 @@
     a.add_own_batch(1, &[1], 0..1);
     a.add_own_batch(2, &[2], 1..2);
     b.add_claims(&a.claims());
-    // Restored from when it had made one batch, it hears at once; and when it makes the second anew, all do.
-    let mut old = DigestComparison::new("a", 1, 1);
+    // The ledger is restored from a copy with one batch. Its server detects this from the first claims, and
+    // once it creates the second batch anew, the other servers detect it as well.
+    let mut restored = DigestComparison::new("a", 1, 1);
     let ahead = DigestMismatch::Ahead { batch: 2, known: 1, reporter: "b".to_owned() };
-    assert_eq!(old.add_claims(&b.claims()), [ahead]);
-    assert_eq!(old.add_claims(&b.claims()), [], "reported once");
+    assert_eq!(restored.add_claims(&b.claims()), [ahead]);
+    assert_eq!(restored.add_claims(&b.claims()), [], "reported once");
     let reporters = ("b".to_owned(), "a".to_owned());
     assert_eq!(
-        old.add_own_batch(2, &[9], 1..2),
+        restored.add_own_batch(2, &[9], 1..2),
         [DigestMismatch::DifferentDigests { server: "a".to_owned(), batch: 2, reporters }]
     );
-    let mut fresh = DigestComparison::new("a", 1, 1);
-    fresh.add_own_batch(2, &[9], 1..2);
+    let mut restored_again = DigestComparison::new("a", 1, 1);
+    restored_again.add_own_batch(2, &[9], 1..2);
     let reporters = ("a".to_owned(), "a".to_owned());
     assert_eq!(
-        b.add_claims(&fresh.claims()),
+        b.add_claims(&restored_again.claims()),
         [DigestMismatch::DifferentDigests { server: "a".to_owned(), batch: 2, reporters }]
     );
 }
@@ -45,9 +47,9 @@
     let (mut a, mut b) = (DigestComparison::new("a", 1, 0), DigestComparison::new("b", 2, 0));
     a.add_own_batch(1, &[1], 0..1);
     b.add_claims(&a.claims());
-    let mut new = DigestComparison::new("a", 7, 0);
+    let mut new_ledger = DigestComparison::new("a", 7, 0);
     assert_eq!(
-        new.add_claims(&b.claims()),
+        new_ledger.add_claims(&b.claims()),
         [DigestMismatch::OtherLedger { ledger_id: 1, reporter: "b".to_owned() }]
     );
 }
--- a/crates/ledger/tests/export_protocol_model.rs
+++ b/crates/ledger/tests/export_protocol_model.rs
@@ -1,6 +1,7 @@
-//! The export protocol as a model: a sender, a network that loses, duplicates and reorders, a collector, and crashes of
-//! both between any two steps, over the functions that the program uses. Every state is explored. A variant that
-//! acknowledges before it has made a batch durable has to be detected.
+//! A model of the export protocol, built on the functions that the server uses: a sender, a collector, a
+//! network that loses, duplicates and reorders messages, and crashes of both ends between any two steps. All
+//! reachable states are explored. The model must detect a variant that acknowledges a batch before it is
+//! durable.
 
 use dunlinspread_ledger::export_protocol::{
     CollectorReply, ExportCollector, ExportSender, OfferDecision, SenderAction,
@@ -8,12 +9,14 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Batches to export, messages in flight at once, crashes of each end.
+/// Number of batches to export.
 const BATCHES: u64 = 4;
+/// Maximum number of messages in flight when a message is sent.
 const MAX_IN_FLIGHT: usize = 5;
+/// Maximum number of crashes of each end.
 const CRASHES: u8 = 3;
 
-/// The digest of a batch.
+/// Returns the digest of a batch.
 fn digest(number: u64) -> [u8; 32] {
     [number as u8; 32]
 }
@@ -27,16 +30,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     sender: ExportSender,
-    /// What of the sender is durable: batches acknowledged, and whether the next is prepared.
+    /// Durable state of the sender: number of acknowledged batches, and whether the next one is prepared.
     sender_disk: (u64, bool),
-    /// None while it is down.
+    /// Running collector; `None` while it is down.
     collector: Option<ExportCollector>,
-    /// What of the collector is durable: each batch that was counted, in order.
+    /// Durable state of the collector: the numbers of all counted batches, in order.
     counted: Vec<u64>,
-    /// A broken collector replies before this is durable.
-    taking: Option<u64>,
-    /// A message stays until it is lost: it may arrive any number of times, in any order.
+    /// Batch that a faulty collector has acknowledged but not made durable yet.
+    pending_write: Option<u64>,
+    /// Messages in flight. A message stays until it is lost, so it may arrive any number of times and in any
+    /// order.
     network: BTreeSet<Message>,
+    /// Number of crashes of the sender and of the collector.
     crashes: (u8, u8),
 }
 
@@ -44,18 +49,18 @@
 enum Step {
     Prepare,
     Send,
-    Settle,
+    RecordAcknowledgement,
     Lose(Message),
     OfferArrives(u64),
     ReplyArrives(CollectorReply),
-    TakingIsDurable,
+    WriteBecomesDurable,
     SenderCrashes,
     CollectorCrashes,
     CollectorStarts,
 }
 
 struct ExportModel {
-    /// The collector replies before its batch is durable.
+    /// Whether the collector replies before its batch is durable.
     acknowledges_early: bool,
 }
 
@@ -75,7 +80,7 @@
             sender_disk: (0, false),
             collector: Some(ExportCollector::default()),
             counted: Vec::new(),
-            taking: None,
+            pending_write: None,
             network: BTreeSet::new(),
             crashes: (0, 0),
         }]
@@ -85,7 +90,7 @@
         match w.sender.next() {
             SenderAction::Idle if w.sender_disk.0 < BATCHES => steps.push(Step::Prepare),
             SenderAction::Send(_) if w.network.len() < MAX_IN_FLIGHT => steps.push(Step::Send),
-            SenderAction::RecordAcknowledgement(_) => steps.push(Step::Settle),
+            SenderAction::RecordAcknowledgement(_) => steps.push(Step::RecordAcknowledgement),
             _ => {}
         }
         for message in &w.network {
@@ -98,8 +103,8 @@
                 Message::Offer(_) => {}
             }
         }
-        if w.taking.is_some() {
-            steps.push(Step::TakingIsDurable);
+        if w.pending_write.is_some() {
+            steps.push(Step::WriteBecomesDurable);
         }
         if w.crashes.0 < CRASHES {
             steps.push(Step::SenderCrashes);
@@ -122,7 +127,7 @@
                 let SenderAction::Send(n) = w.sender.next() else { return None };
                 w.network.insert(Message::Offer(n));
             }
-            Step::Settle => {
+            Step::RecordAcknowledgement => {
                 w.sender_disk = (w.sender_disk.0 + 1, false);
                 w.sender.acknowledgement_recorded();
             }
@@ -130,13 +135,13 @@
             Step::OfferArrives(n) => {
                 let collector = w.collector.as_mut()?;
                 let previous = if n == 1 { Vec::new() } else { digest(n - 1).to_vec() };
-                let kept = |n: u64| w.counted.contains(&n).then(|| digest(n));
-                let decision = collector.on_offer(n, &digest(n), &previous, kept);
+                let stored_digest = |n: u64| w.counted.contains(&n).then(|| digest(n));
+                let decision = collector.on_offer(n, &digest(n), &previous, stored_digest);
                 if decision == OfferDecision::Accept {
                     collector.batch_accepted(digest(n));
                     if self.acknowledges_early {
-                        // One write at a time: the one before is done by now.
-                        w.counted.extend(w.taking.replace(n));
+                        // Only one write is pending at a time, so the previous write is durable by now.
+                        w.counted.extend(w.pending_write.replace(n));
                     } else {
                         w.counted.push(n);
                     }
@@ -145,7 +150,7 @@
                 w.network.insert(Message::Reply(reply));
             }
             Step::ReplyArrives(reply) => w.sender.on_reply(&reply),
-            Step::TakingIsDurable => w.counted.extend(w.taking.take()),
+            Step::WriteBecomesDurable => w.counted.extend(w.pending_write.take()),
             Step::SenderCrashes => {
                 let (acknowledged, prepared) = w.sender_disk;
                 w.sender = ExportSender::new(acknowledged, prepared.then(|| digest(acknowledged + 1)));
@@ -153,7 +158,7 @@
             }
             Step::CollectorCrashes => {
                 w.collector = None;
-                w.taking = None;
+                w.pending_write = None;
                 w.crashes.1 += 1;
             }
             Step::CollectorStarts => w.collector = Some(collector_from(&w.counted)),
@@ -163,58 +168,61 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("none is counted twice, and in order", |_, w: &World| {
+            Property::always("batches are counted once and in order", |_, w: &World| {
                 w.counted.iter().zip(1..).all(|(n, at)| *n == at)
             }),
-            Property::always("none that is settled is lost", |_, w: &World| {
-                w.taking.is_some() || w.counted.len() as u64 >= w.sender_disk.0
+            Property::always("no acknowledged batch is lost", |_, w: &World| {
+                w.pending_write.is_some() || w.counted.len() as u64 >= w.sender_disk.0
             }),
-            Property::always("no alarm without a cause", |_, w: &World| {
+            Property::always("no fault is reported without a cause", |_, w: &World| {
                 !matches!(w.sender.next(), SenderAction::Fault(_))
             }),
-            Property::sometimes("all are delivered", |_, w: &World| w.sender_disk.0 == BATCHES),
-            Property::sometimes("all are delivered after all the crashes", |_, w: &World| {
-                w.sender_disk.0 == BATCHES && w.crashes == (CRASHES, CRASHES)
-            }),
+            Property::sometimes("all batches are delivered", |_, w: &World| w.sender_disk.0 == BATCHES),
+            Property::sometimes(
+                "all batches are delivered after the maximum number of crashes",
+                |_, w: &World| w.sender_disk.0 == BATCHES && w.crashes == (CRASHES, CRASHES),
+            ),
             Property::always(
-                "a short run on a reliable network always gets through",
-                |model: &ExportModel, w: &World| model.gets_through(w),
+                "a reliable network always delivers all batches within a bounded number of steps",
+                |model: &ExportModel, w: &World| model.delivers_all_batches(w),
             ),
         ]
     }
 }
 
 impl ExportModel {
-    /// From this state on nothing more is lost and nobody crashes: is all delivered?
-    fn gets_through(&self, from: &World) -> bool {
+    /// Returns whether all batches are delivered from this state if no more messages are lost and neither end
+    /// crashes.
+    fn delivers_all_batches(&self, from: &World) -> bool {
         if self.acknowledges_early {
             return true;
         }
         let mut w = from.clone();
-        let go = |w: &mut World, step: Step| {
+        let apply = |w: &mut World, step: Step| {
             if let Some(next) = self.next_state(w, step) {
                 *w = next;
             }
         };
-        go(&mut w, Step::CollectorStarts);
+        apply(&mut w, Step::CollectorStarts);
         for _ in 0..40 * BATCHES {
             if w.sender_disk.0 == BATCHES {
                 return true;
             }
-            // What is still in flight arrives first: old messages may not mislead either end.
+            // Messages that are still in flight arrive first, because old messages must not mislead either
+            // end.
             match w.network.first().cloned() {
                 Some(Message::Offer(n)) => {
                     w.network.remove(&Message::Offer(n));
-                    go(&mut w, Step::OfferArrives(n));
+                    apply(&mut w, Step::OfferArrives(n));
                 }
                 Some(Message::Reply(reply)) => {
                     w.network.remove(&Message::Reply(reply));
-                    go(&mut w, Step::ReplyArrives(reply));
+                    apply(&mut w, Step::ReplyArrives(reply));
                 }
                 None => match w.sender.next() {
-                    SenderAction::Idle => go(&mut w, Step::Prepare),
-                    SenderAction::Send(_) => go(&mut w, Step::Send),
-                    SenderAction::RecordAcknowledgement(_) => go(&mut w, Step::Settle),
+                    SenderAction::Idle => apply(&mut w, Step::Prepare),
+                    SenderAction::Send(_) => apply(&mut w, Step::Send),
+                    SenderAction::RecordAcknowledgement(_) => apply(&mut w, Step::RecordAcknowledgement),
                     SenderAction::Fault(_) => return false,
                 },
             }
@@ -226,15 +234,15 @@
 #[test]
 fn every_batch_is_counted_once() {
     let checker = ExportModel { acknowledges_early: false }.checker().threads(4).spawn_bfs().join();
-    println!("states: {} in all, {} different", checker.state_count(), checker.unique_state_count());
+    println!("states: {} in total, {} unique", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000, "{}", checker.unique_state_count());
 }
 
-/// The model bites.
+/// The model detects a collector that acknowledges a batch before it is durable.
 #[test]
 fn acknowledging_before_it_is_durable_is_detected() {
     let checker = ExportModel { acknowledges_early: true }.checker().threads(4).spawn_bfs().join();
-    let found = checker.discovery("none that is settled is lost").expect("a counterexample");
-    println!("{} steps: {found}", found.clone().into_actions().len());
+    let counterexample = checker.discovery("no acknowledged batch is lost").expect("a counterexample");
+    println!("{} steps: {counterexample}", counterexample.clone().into_actions().len());
 }
--- a/crates/ledger/tests/formats.rs
+++ b/crates/ledger/tests/formats.rs
@@ -1,5 +1,5 @@
-//! The written form of the lines and the code hold together, arbitrary bytes are read or refused, and ledgers of older
-//! versions are read.
+//! Formats of the ledger: the written schema agrees with the code, arbitrary bytes are either decoded or
+//! rejected, and ledgers of older versions can be read.
 
 use dunlinspread_ledger::batch::{Batch, CorrectionItem, UsageItem};
 use dunlinspread_ledger::operator_request::RequestFile;
@@ -18,7 +18,7 @@
     LineId { server: "n1".to_owned(), start: 1_700_000_000_000, number }
 }
 
-/// One line of each kind, every field set, following from one another.
+/// Returns a valid sequence of lines with at least one of each kind and with every field set.
 fn lines() -> Vec<Line> {
     let amount = Amount { requests: 3, pool_us: 4, bytes_in: 5, bytes_out: 6 };
     let entry =
@@ -112,44 +112,44 @@
     }
 }
 
-/// Reads bytes by the written form; every field that it names has to be there, and no byte may be left over.
+/// Decodes bytes with the written schema. Every field of the schema must be set, and no byte may be unknown.
 fn read_as(pool: &DescriptorPool, name: &str, bytes: &[u8]) -> DynamicMessage {
-    let descriptor = pool.get_message_by_name(name).expect("it is written down");
-    let message = DynamicMessage::decode(descriptor, bytes).expect("it reads");
-    complete(&message);
+    let descriptor = pool.get_message_by_name(name).expect("in the schema");
+    let message = DynamicMessage::decode(descriptor, bytes).expect("decodable bytes");
+    assert_all_fields_set(&message);
     assert_eq!(message.encode_to_vec(), bytes, "{name}");
     message
 }
 
-fn complete(message: &DynamicMessage) {
+fn assert_all_fields_set(message: &DynamicMessage) {
     assert_eq!(message.unknown_fields().count(), 0, "{message:?}");
     for field in message.descriptor().fields().filter(|f| f.containing_oneof().is_none()) {
-        let set = message.has_field(&field);
-        // False is what a flag is when it is not written.
-        let flag = matches!(field.kind(), prost_reflect::Kind::Bool);
-        assert!(set || flag, "{} is not set", field.full_name());
+        let is_set = message.has_field(&field);
+        // A boolean field that is false is not encoded.
+        let is_bool = matches!(field.kind(), prost_reflect::Kind::Bool);
+        assert!(is_set || is_bool, "{} is not set", field.full_name());
     }
     let inner = message.fields().flat_map(|(_, value)| match value {
         Value::Message(m) => vec![m.clone()],
         Value::List(all) => all.iter().filter_map(|v| v.as_message().cloned()).collect(),
         _ => Vec::new(),
     });
-    inner.for_each(|m| complete(&m));
+    inner.for_each(|m| assert_all_fields_set(&m));
 }
 
 #[test]
 fn the_written_form_is_that_of_the_code() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/formats");
-    let files = protox::compile(["ledger.proto"], [folder]).expect("the written form compiles");
+    let files = protox::compile(["ledger.proto"], [folder]).expect("the schema compiles");
     let pool = DescriptorPool::from_file_descriptor_set(files).expect("descriptors");
     for line in lines() {
         read_as(&pool, "dunlinspread.ledger.Line", &line.encode_to_vec());
     }
     read_as(&pool, "dunlinspread.ledger.Batch", &batch().encode_to_vec());
-    let outcomes = pool.get_enum_by_name("dunlinspread.ledger.Outcome").expect("it is written down");
+    let outcomes = pool.get_enum_by_name("dunlinspread.ledger.Outcome").expect("in the schema");
     for outcome in Outcome::ALL {
-        let written = outcomes.get_value(outcome as i32).expect("written down");
-        assert_eq!(written.name().to_lowercase(), outcome.as_str());
+        let schema_value = outcomes.get_value(outcome as i32).expect("in the schema");
+        assert_eq!(schema_value.name().to_lowercase(), outcome.as_str());
     }
 }
 
@@ -157,7 +157,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/data/v{version}"))
 }
 
-/// The ledger in `tests/data`, written by version 1, has the lines that it was made of.
+/// The ledger in `tests/data`, which was written by version 1, contains the expected lines.
 #[test]
 fn every_version_is_read() {
     let (disk, mut seen, mut state) =
@@ -170,13 +170,13 @@
         }
         Ok(())
     })
-    .expect("it reads");
+    .expect("a readable ledger");
     assert_eq!(seen, lines());
     assert_eq!((state.last_exported_close, state.closed_to, state.last_batch), (5, 1_700_000_001_000, 1));
 }
 
 #[test]
-#[ignore = "writes the ledger that every_version_is_read reads; by hand, when a version is made"]
+#[ignore = "writes the ledger for every_version_is_read; run by hand for a new format version"]
 fn write_this_version() {
     let disk = Arc::new(RealDisk::new(&data(1)).expect("a disk"));
     let (mut log, _) = Log::open(disk, Options { salt: 7, ..Options::new("n1") }, |_| Ok(())).expect("opens");
@@ -185,14 +185,15 @@
     log.close().expect("closes");
 }
 
-/// How many inputs each of the readers is tried on: more for a long run, by `FUZZ_INPUTS`.
+/// Returns the number of inputs per property. `FUZZ_INPUTS` sets a greater number for a long run.
 fn inputs() -> u32 {
     std::env::var("FUZZ_INPUTS").ok().and_then(|n| n.parse().ok()).unwrap_or(20_000)
 }
 
-fn try_all(bytes: &[u8]) {
+fn decode_all(bytes: &[u8]) {
     if let Ok(line) = Line::parse(bytes) {
-        // What reads is taken or refused by the state, and written as it was understood.
+        // A decoded line is accepted or rejected by the state without a panic, and is unchanged when it is
+        // encoded and decoded again.
         let _ = LedgerState::default().apply(1, &line);
         assert_eq!(Line::parse(&line.encode_to_vec()), Ok(line));
     }
@@ -203,26 +204,32 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: inputs(), failure_persistence: None, ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: inputs(),
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    })]
 
     #[test]
     fn arbitrary_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        try_all(&bytes);
+        decode_all(&bytes);
     }
 
-    /// Good bytes with some changed get further in.
+    /// Valid encodings with a few changed bytes exercise more of the decoder than random bytes.
     #[test]
     fn changed_bytes_are_read_or_refused(
-        which in 0usize..8,
+        line_index in 0usize..8,
         changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
         cut in any::<prop::sample::Index>(),
     ) {
-        let mut bytes = lines().get(which).map_or_else(|| batch().encode_to_vec(), Message::encode_to_vec);
-        for (at, byte) in changes {
-            let at = at.index(bytes.len());
-            bytes[at] = byte;
+        let mut bytes = lines()
+            .get(line_index)
+            .map_or_else(|| batch().encode_to_vec(), Message::encode_to_vec);
+        for (index, byte) in changes {
+            let position = index.index(bytes.len());
+            bytes[position] = byte;
         }
         bytes.truncate(1 + cut.index(2 * bytes.len()));
-        try_all(&bytes);
+        decode_all(&bytes);
     }
 }
--- a/crates/ledger/tests/usage_table.rs
+++ b/crates/ledger/tests/usage_table.rs
@@ -1,4 +1,4 @@
-//! The table of open aggregates counts as a map does.
+//! The table of open aggregates is checked against a map from the standard library.
 
 use dunlinspread_ledger::{Amount, Outcome, UsageKey, UsageTable};
 
@@ -8,31 +8,32 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// It counts as a map does, and what does not fit changes nothing.
+    /// The table has the same totals as a map, and an addition rejected for lack of room changes nothing.
     #[test]
     fn the_table_counts_as_a_map_does(
         adds in proptest::collection::vec((0u64..3, 0u32..40, 0u16..4, 0usize..6, 1u64..100), 0..400),
-        most in 1usize..200,
+        max_cells in 1usize..200,
     ) {
-        let (mut table, mut map) = (UsageTable::new(most), BTreeMap::new());
+        let (mut table, mut map) = (UsageTable::new(max_cells), BTreeMap::new());
         for (period, tenant, class, outcome, requests) in adds {
             let tenant = format!("s{tenant}");
             let outcome = Outcome::ALL[outcome];
             let amount = Amount { requests, pool_us: requests * 3, bytes_in: 1, bytes_out: 2 };
-            let fits = table.add(UsageKey { period, tenant: &tenant, class, outcome }, &amount);
-            let full = map.len() >= most;
+            let added = table.add(UsageKey { period, tenant: &tenant, class, outcome }, &amount);
+            let full = map.len() >= max_cells;
             let entry = map.entry((period, tenant, class, outcome));
-            let known = matches!(entry, std::collections::btree_map::Entry::Occupied(_));
-            prop_assert_eq!(fits, known || !full);
-            if fits {
+            let exists = matches!(entry, std::collections::btree_map::Entry::Occupied(_));
+            prop_assert_eq!(added, exists || !full);
+            if added {
                 entry.or_insert_with(Amount::default).add(&amount);
             }
         }
         prop_assert_eq!(table.len(), map.len());
-        for again in 0..2 {
-            let mut seen = Vec::new();
-            table.drain(again * 1000, |k, a| seen.push(((k.period, k.tenant.to_owned(), k.class, k.outcome), *a)));
-            prop_assert_eq!(&seen, &map.clone().into_iter().collect::<Vec<_>>());
+        for round in 0..2 {
+            let mut drained = Vec::new();
+            table.drain(round * 1000, |key, amount|
+                drained.push(((key.period, key.tenant.to_owned(), key.class, key.outcome), *amount)));
+            prop_assert_eq!(&drained, &map.clone().into_iter().collect::<Vec<_>>());
             prop_assert!(table.is_empty());
             for ((period, tenant, class, outcome), amount) in &map {
                 let key = UsageKey { period: *period, tenant, class: *class, outcome: *outcome };
