--- a/crates/ledger/src/account_name.rs
+++ b/crates/ledger/src/account_name.rs
@@ -19,7 +19,7 @@
     TooLong,
     /// The name contains a character that is not allowed at its position.
     #[error(
-        "account name must begin with a letter or digit and only contain letters, digits, `.`, `_`, `-` and `:`"
+        "account name must begin with a letter or digit and contain only these and `.`, `_`, `-` and `:`"
     )]
     Character,
     /// The name is [`UNATTRIBUTED`], which is reserved for requests without an account name.
