--- a/crates/config-sync/src/net/client_settings.rs
+++ b/crates/config-sync/src/net/client_settings.rs
@@ -1,20 +1,21 @@
-//! How a subscriber is set up.
+//! Settings of a subscriber.
 
 use crate::message::Member;
 use crate::server::Server;
 use std::path::PathBuf;
 
-/// How a subscriber is set up.
+/// Settings of a subscriber.
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
-    /// Who it is; [`crate::message::Role::Subscriber`].
+    /// Identity of the subscriber; its role is [`crate::message::Role::Subscriber`].
     pub member: Member,
-    /// Whom it may watch: its zone's first, then its region's, then any.
+    /// Servers that the subscriber may connect to. It prefers servers of its zone, then of its region, then
+    /// any other.
     pub servers: Vec<Server>,
-    /// The fleet's key for the tags of frames, 16 to 1,024 bytes.
+    /// Fleet key that authenticates frames by their tags, 16 to 1,024 bytes.
     pub fleet_key: Vec<u8>,
-    /// Where the last good state is kept; without one, a restart begins with nothing.
+    /// Directory in which the last good state is stored. Without one, a restart begins without any state.
     pub state_directory: Option<PathBuf>,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
--- a/crates/config-sync/src/net/clock.rs
+++ b/crates/config-sync/src/net/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the tasks, and a timer that costs little to move.
+//! The monotonic clock of the tasks, and a timer that is cheap to postpone.
 
 use crate::resource::Millis;
 use async_io::Timer;
@@ -11,12 +11,12 @@
 }
 
 impl Clock {
-    /// Starts it, well after 0 so that an earlier time than now can be told.
+    /// Starts a clock whose time 0 is the present moment.
     pub(super) fn start() -> Clock {
         Clock { start: Instant::now() }
     }
 
-    /// Now.
+    /// Returns the time since the clock was started.
     pub(super) fn now(&self) -> Millis {
         self.start.elapsed().as_millis() as Millis
     }
@@ -26,13 +26,13 @@
     }
 }
 
-/// The time of day, Unix ms.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// A timer for the next time at which something is due. Moving the due time away, as each message does, leaves the timer
-/// as it is: it then rings too early, once, and is set anew.
+/// A timer for the next due time. Postponing the due time, as each message does, leaves the timer unchanged:
+/// it then fires once too early and is set again.
 pub(super) struct Alarm {
     clock: Clock,
     timer: Timer,
@@ -40,12 +40,12 @@
 }
 
 impl Alarm {
-    /// One that does not ring.
+    /// Creates an alarm that is not armed and doesn't fire.
     pub(super) fn new(clock: Clock) -> Alarm {
         Alarm { clock, timer: Timer::never(), armed_at: None }
     }
 
-    /// Rings at `due` at the latest.
+    /// Makes the alarm fire at `due` at the latest.
     pub(super) fn set(&mut self, due: Millis) {
         if self.armed_at.is_none_or(|armed_at| due < armed_at) {
             self.timer.set_at(self.clock.instant(due));
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Waits until it rings. May be dropped and called again.
-    pub(super) async fn rings(&mut self) {
+    /// Waits until the alarm fires. The future may be dropped and the method called again.
+    pub(super) async fn fired(&mut self) {
         (&mut self.timer).await;
         self.armed_at = None;
     }
--- a/crates/config-sync/src/net/link.rs
+++ b/crates/config-sync/src/net/link.rs
@@ -1,4 +1,4 @@
-//! The client's side of a connection: connects, sends and receives as the state machine asks.
+//! The client side of a connection: connects, sends and receives as the state machine requests.
 
 use super::socket::{ConnectionError, try_read, try_write};
 use crate::codec::{decode_to_client, encode_to_server};
@@ -14,17 +14,18 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-/// A server that leaves so many bytes unread is given up: requests are few and small.
+/// Unsent bytes above which the connection is closed. Requests are few and small, so the server has stopped
+/// reading.
 const MAX_UNSENT_BYTES: usize = 512 * 1024;
 
-/// What happens on a link.
+/// An event on a link.
 #[derive(Debug)]
 pub(super) enum LinkEvent {
-    /// The connection is made.
+    /// The connection is established.
     Connected,
-    /// It could not be made.
+    /// The connection could not be established.
     ConnectFailed(io::Error),
-    /// A message arrived.
+    /// A message was received.
     Received(ToClient),
     /// The connection ended.
     Disconnected(ConnectionError),
@@ -38,61 +39,62 @@
     Open(Box<OpenLink>),
 }
 
-/// A link, open or not.
+/// A client's link to a server, connected or not.
 pub(super) struct Link {
     key: FrameKey,
     state: State,
     traffic: Traffic,
 }
 
-/// Bytes over all connections of a link.
+/// Traffic counters over all connections of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Traffic {
     pub(super) bytes_in: u64,
     pub(super) bytes_out: u64,
-    /// Frames received and sent.
+    /// Number of frames received and sent.
     pub(super) frames: u64,
 }
 
 impl Link {
-    /// A link without a connection.
+    /// Creates a link without a connection.
     pub(super) fn new(key: FrameKey) -> Link {
         Link { key, state: State::Closed, traffic: Traffic::default() }
     }
 
-    /// Begins to connect, in place of any connection there was.
+    /// Starts to connect to a server; closes the current connection, if any.
     pub(super) fn connect(&mut self, server: &Server) {
         let address = server.address;
         self.state = State::Connecting(Box::pin(Async::<TcpStream>::connect(address)));
     }
 
-    /// Gives up the connection.
+    /// Closes the connection.
     pub(super) fn disconnect(&mut self) {
         self.state = State::Closed;
     }
 
-    /// Queues a message; without a connection it is dropped.
+    /// Queues a message for sending. Drops it if there is no connection.
     pub(super) fn send(&mut self, message: &ToServer) {
         let State::Open(open) = &mut self.state else { return };
         match self.key.seal(|out| encode_to_server(message, out)) {
             Ok(frame) => open.queue(frame),
-            Err(too_long) => open.failed = Some(io::Error::other(too_long).into()),
+            Err(too_long) => open.failure = Some(io::Error::other(too_long).into()),
         }
     }
 
-    /// Bytes so far.
+    /// Returns the traffic so far.
     pub(super) fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// The next event. May be dropped at any time and called again; nothing is lost. While messages are there it does not
-    /// wait: who calls it gives way to others.
+    /// Waits for the next event. The future may be dropped at any time and the method called again without
+    /// losing anything. It doesn't yield while received messages are available: the caller has to yield to
+    /// other tasks.
     pub(super) async fn next(&mut self) -> LinkEvent {
         match &mut self.state {
             State::Closed => pending().await,
             State::Connecting(connecting) => match connecting.await {
                 Ok(stream) => {
-                    // Without it small messages wait; that is all.
+                    // A failure is ignored: without TCP_NODELAY small messages are only delayed.
                     let _ = stream.get_ref().set_nodelay(true);
                     self.state = State::Open(Box::new(OpenLink::new(stream, self.key.clone())));
                     LinkEvent::Connected
@@ -117,10 +119,10 @@
     stream: Async<TcpStream>,
     decoder: FrameDecoder,
     unsent: VecDeque<Arc<[u8]>>,
-    /// Bytes of the first frame that were sent.
+    /// Number of bytes of the first unsent frame that were already sent.
     sent: usize,
     unsent_bytes: usize,
-    failed: Option<ConnectionError>,
+    failure: Option<ConnectionError>,
 }
 
 impl OpenLink {
@@ -131,7 +133,7 @@
             unsent: VecDeque::new(),
             sent: 0,
             unsent_bytes: 0,
-            failed: None,
+            failure: None,
         }
     }
 
@@ -139,21 +141,22 @@
         self.unsent_bytes += frame.len();
         self.unsent.push_back(frame);
         if self.unsent_bytes > MAX_UNSENT_BYTES {
-            self.failed = Some(ConnectionError::Unread(self.unsent_bytes));
+            self.failure = Some(ConnectionError::Unread(self.unsent_bytes));
         }
     }
 
     async fn next(&mut self, traffic: &mut Traffic) -> Result<ToClient, ConnectionError> {
         loop {
-            if let Some(failed) = self.failed.take() {
-                return Err(failed);
+            if let Some(failure) = self.failure.take() {
+                return Err(failure);
             }
             let flushed = self.flush(traffic);
             if let Some(payload) = self.decoder.next_payload()? {
                 traffic.frames += 1;
                 return Ok(decode_to_client(payload)?);
             }
-            // What the server said before it closed counts, also if it no longer reads.
+            // Read before reporting a failed write: messages that the server sent before it closed still
+            // count, even if it no longer reads.
             if let Some(count) = try_read(&self.stream, &mut self.decoder)? {
                 traffic.bytes_in += count as u64;
                 continue;
--- a/crates/config-sync/src/net/mod.rs
+++ b/crates/config-sync/src/net/mod.rs
@@ -1,6 +1,6 @@
-//! The tasks that own sockets, timers and files, and carry out what the state machines decide. They run on `async-io` and
-//! `async-executor`: a publisher or relay on a thread of its own, subscribers as futures, thousands of them on one
-//! executor if wanted.
+//! Tasks that own sockets, timers and files, and carry out the actions of the state machines. They run on
+//! `async-io` and `async-executor`. A publisher or relay has a thread of its own; subscribers are futures,
+//! and one executor can run thousands of them.
 
 mod client_settings;
 mod clock;
--- a/crates/config-sync/src/net/node.rs
+++ b/crates/config-sync/src/net/node.rs
@@ -1,9 +1,9 @@
-//! What publishers and relays have in common as processes: a listener, sessions, and a timer.
+//! The parts that the publisher's and the relay's threads share: a listener, sessions and a timer.
 
 use super::clock::{Alarm, Clock};
 use super::notify::LocalNotify;
 use super::sessions::{Outbox, Sessions};
-use super::socket::{ConnectionError, Turn, try_read, try_write};
+use super::socket::{ConnectionError, YieldBudget, try_read, try_write};
 use crate::codec::decode_to_server;
 use crate::fanout::{Fanout, FanoutEvent, SessionId};
 use crate::frame::{FrameDecoder, FrameKey};
@@ -19,58 +19,60 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the listener pauses when the system gives it no connection, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// A client that takes no byte for so long, while there is something to send, is gone.
-const WRITE_LIMIT: Duration = Duration::from_secs(10);
-/// How long a client that was told to go has to close.
-const LINGER: Duration = Duration::from_secs(1);
-/// Sockets open at once, also those that are on their way out.
+/// Delay before the listener accepts again after `accept` failed, for example because file descriptors ran
+/// out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time after which the connection to a client that reads nothing, although data is waiting for it, is
+/// closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that a client has to close its connection after the server has shut down its sending side.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of open sockets, including those being closed.
 const MAX_SOCKETS: usize = 4096;
-/// The least time between two ticks, ms.
-const LEAST_TICK_MS: Millis = 5;
+/// Minimum time between two ticks, ms.
+const MIN_TICK_INTERVAL_MS: Millis = 5;
 
-/// How a node is doing.
+/// Status and counters of a publisher or relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// What it serves.
+    /// Newest position that the node serves.
     pub head: Position,
-    /// The digest of its table.
+    /// Digest of the node's table.
     pub digest: Digest,
-    /// The resources in its table.
+    /// Number of resources in the node's table.
     pub resources: usize,
-    /// Its sessions.
+    /// Number of open sessions.
     pub sessions: usize,
-    /// Snapshots under way or announced.
+    /// Number of snapshots being sent or announced.
     pub snapshots: usize,
-    /// How far the zones below it have come.
+    /// Progress of the zones below the node.
     pub zones: Vec<ZoneProgress>,
-    /// Bytes received from clients.
+    /// Number of bytes received from clients.
     pub bytes_in: u64,
-    /// Bytes sent to clients.
+    /// Number of bytes sent to clients.
     pub bytes_out: u64,
-    /// Frames received from and sent to clients.
+    /// Number of frames received from and sent to clients.
     pub frames: u64,
-    /// Sessions closed for a bad frame.
+    /// Number of sessions closed because of a bad frame.
     pub bad_frames: u64,
-    /// Sessions closed because their clients did not keep up.
+    /// Number of sessions closed because their clients did not keep up.
     pub closed_slow: u64,
-    /// A relay's connections to servers above it; 0 for a publisher.
+    /// Number of connections that a relay has established to its upstream servers; 0 for a publisher.
     pub upstream_connections: u64,
-    /// Bytes that a relay received from above.
+    /// Number of bytes that a relay received from upstream servers.
     pub upstream_bytes_in: u64,
-    /// Bytes that a relay sent upwards.
+    /// Number of bytes that a relay sent to upstream servers.
     pub upstream_bytes_out: u64,
-    /// Frames that a relay received from above and sent upwards.
+    /// Number of frames that a relay received from and sent to upstream servers.
     pub upstream_frames: u64,
-    /// The server that a relay watches.
+    /// Name of the upstream server that a relay follows.
     pub upstream: Option<Arc<str>>,
-    /// How long ago a relay last knew that it had all there is, ms.
+    /// Time since a relay last knew that it was up to date with the publisher, ms.
     pub age_ms: Option<u64>,
 }
 
 impl NodeStatus {
-    /// Of the side towards the clients.
+    /// Returns the status of the side that serves clients; the upstream fields keep their defaults.
     pub(super) fn of_fanout(fanout: &Fanout, sessions: &Sessions) -> NodeStatus {
         let counters = sessions.counters;
         NodeStatus {
@@ -90,38 +92,40 @@
     }
 }
 
-/// A publisher or relay, on one thread.
+/// A publisher or relay that runs on one thread.
 pub(super) trait Node: 'static {
     fn sessions(&self) -> &RefCell<Sessions>;
     fn ticker(&self) -> &Ticker;
-    /// When the next tick is needed.
+    /// Returns the time at which the next tick is due.
     fn deadline(&self) -> Millis;
     fn on_tick(&self);
     fn on_session_event(&self, event: FanoutEvent);
 }
 
-/// Rings when the state machine of a node wants a tick.
+/// Schedules the ticks of a node's state machine.
 pub(super) struct Ticker {
     pub(super) clock: Clock,
     armed_at: Cell<Millis>,
-    earlier: LocalNotify,
+    /// Notified when the next tick is due earlier than the alarm is armed for.
+    rescheduled: LocalNotify,
 }
 
 impl Ticker {
     pub(super) fn new(clock: Clock) -> Ticker {
-        Ticker { clock, armed_at: Cell::new(0), earlier: LocalNotify::default() }
+        Ticker { clock, armed_at: Cell::new(0), rescheduled: LocalNotify::default() }
     }
 
-    /// After each event: the next tick is needed at `deadline`. One that is near anyway is early enough.
+    /// Moves the next tick to `deadline` if that is earlier; called after each event. A tick that is due
+    /// within [`MIN_TICK_INTERVAL_MS`] is not moved.
     pub(super) fn set(&self, deadline: Millis) {
         let armed_at = self.armed_at.get();
-        if deadline < armed_at && self.clock.now() + LEAST_TICK_MS < armed_at {
-            self.earlier.notify();
+        if deadline < armed_at && self.clock.now() + MIN_TICK_INTERVAL_MS < armed_at {
+            self.rescheduled.notify();
         }
     }
 }
 
-/// Gives the node its ticks, for ever.
+/// Runs the node's ticks. Never returns.
 pub(super) async fn tick<N: Node, T>(node: &N) -> T {
     let ticker = node.ticker();
     let mut alarm = Alarm::new(ticker.clock);
@@ -129,16 +133,16 @@
         let now = ticker.clock.now();
         if now >= node.deadline() {
             node.on_tick();
-            node.sessions().borrow_mut().tidy(now);
+            node.sessions().borrow_mut().evict_frames(now);
         }
-        let due = node.deadline().max(now + LEAST_TICK_MS);
+        let due = node.deadline().max(now + MIN_TICK_INTERVAL_MS);
         ticker.armed_at.set(due);
         alarm.set(due);
-        or(alarm.rings(), ticker.earlier.wait()).await;
+        or(alarm.fired(), ticker.rescheduled.wait()).await;
     }
 }
 
-/// Takes connections, for ever.
+/// Accepts connections and spawns a session for each. Never returns.
 pub(super) async fn accept<N: Node, T>(
     listener: &Async<TcpListener>,
     node: &Rc<N>,
@@ -152,9 +156,9 @@
         match listener.accept().await {
             Ok((stream, peer)) if sockets.get() < MAX_SOCKETS => {
                 failing = false;
-                let place = SocketPlace::take(&sockets);
+                let permit = SocketPermit::acquire(&sockets);
                 let decoder = FrameDecoder::new(key.clone());
-                let session = session(node.clone(), stream, peer, decoder, log.clone(), place);
+                let session = session(node.clone(), stream, peer, decoder, log.clone(), permit);
                 executor.spawn(session).detach();
             }
             Ok((_, peer)) => {
@@ -165,38 +169,38 @@
                     warn!(log, "accepting connections failed, retrying";
                         "component" => "config_sync", "error" => %error);
                 }
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// One of the sockets that may be open.
-struct SocketPlace(Rc<Cell<usize>>);
+/// Counts one open socket against [`MAX_SOCKETS`] until it is dropped.
+struct SocketPermit(Rc<Cell<usize>>);
 
-impl SocketPlace {
-    fn take(sockets: &Rc<Cell<usize>>) -> SocketPlace {
+impl SocketPermit {
+    fn acquire(sockets: &Rc<Cell<usize>>) -> SocketPermit {
         sockets.set(sockets.get() + 1);
-        SocketPlace(sockets.clone())
+        SocketPermit(sockets.clone())
     }
 }
 
-impl Drop for SocketPlace {
+impl Drop for SocketPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// One connection, from its beginning to its end.
+/// Serves one connection from its start until it ends.
 async fn session<N: Node>(
     node: Rc<N>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
     decoder: FrameDecoder,
     log: Logger,
-    _place: SocketPlace,
+    _permit: SocketPermit,
 ) {
-    // Without it small messages wait; that is all.
+    // A failure is ignored: without TCP_NODELAY small messages are only delayed.
     let _ = stream.get_ref().set_nodelay(true);
     let (id, outbox) = node.sessions().borrow_mut().open();
     node.on_session_event(FanoutEvent::Opened(id));
@@ -219,6 +223,7 @@
     node.on_session_event(FanoutEvent::Closed(id));
 }
 
+/// Reads messages and passes them to the node until the connection fails.
 async fn read<N: Node>(
     node: &N,
     stream: &Async<TcpStream>,
@@ -236,14 +241,14 @@
             node.sessions().borrow_mut().counters.frames += 1;
             node.on_session_event(FanoutEvent::Received(id, message));
         }
-        // One that sends without end gets a turn as often as the others.
+        // Yields after each read so that a client that sends continuously doesn't starve the other sessions.
         yield_now().await;
     }
 }
 
-/// Sends what is queued; ends well when the session is to end.
+/// Sends the queued frames. Returns `Ok` once the session has been closed by the node.
 async fn write<N: Node>(node: &N, stream: &Async<TcpStream>, outbox: &Outbox) -> Result<(), ConnectionError> {
-    let mut turn = Turn::default();
+    let mut yield_budget = YieldBudget::default();
     while let Some(frame) = outbox.next().await {
         let mut sent = 0;
         while sent < frame.len() {
@@ -253,27 +258,28 @@
                     node.sessions().borrow_mut().counters.bytes_out += count as u64;
                 }
                 None => {
-                    let room = async { Ok(stream.writable().await?) };
-                    let limit = async {
-                        Timer::after(WRITE_LIMIT).await;
+                    let writable = async { Ok(stream.writable().await?) };
+                    let timeout = async {
+                        Timer::after(WRITE_TIMEOUT).await;
                         Err(ConnectionError::Unread(frame.len() - sent))
                     };
-                    let abandoned = async {
-                        outbox.abandoned().await;
-                        Err(ConnectionError::Abandoned)
+                    let aborted = async {
+                        outbox.aborted().await;
+                        Err(ConnectionError::Aborted)
                     };
-                    or(abandoned, or(room, limit)).await?;
+                    or(aborted, or(writable, timeout)).await?;
                 }
             }
-            turn.step().await;
+            yield_budget.step().await;
         }
         outbox.sent();
         node.sessions().borrow_mut().counters.frames += 1;
     }
     if outbox.ends_after_sending() {
-        // A socket that is closed with bytes unread takes back what the client has not read yet: it closes first.
+        // Closing a socket that has unread input resets the connection, and the client loses what it has not
+        // read yet. The client therefore closes first.
         stream.get_ref().shutdown(Shutdown::Write)?;
-        Timer::after(LINGER).await;
+        Timer::after(LINGER_TIMEOUT).await;
     }
     Ok(())
 }
--- a/crates/config-sync/src/net/notify.rs
+++ b/crates/config-sync/src/net/notify.rs
@@ -1,4 +1,4 @@
-//! Wakes one waiting task of the same thread.
+//! A notification for one waiting task on the same thread.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -12,7 +12,7 @@
 }
 
 impl LocalNotify {
-    /// Sets the flag and wakes the task.
+    /// Sets the flag and wakes the waiting task.
     pub(super) fn notify(&self) {
         self.set.set(true);
         if let Some(waker) = self.waiter.take() {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Waits until the flag is set, and clears it. May be dropped and called again.
+    /// Waits until the flag is set, and clears it. The future may be dropped and the method called again.
     pub(super) async fn wait(&self) {
         poll_fn(|context| {
             if self.set.replace(false) {
--- a/crates/config-sync/src/net/proposal.rs
+++ b/crates/config-sync/src/net/proposal.rs
@@ -1,28 +1,29 @@
-//! A proposal of changes on its way through the publisher: who waits for it, and why it may fail.
+//! A proposal of changes that the publisher is processing: the channel for its result, and the reasons for a
+//! failure.
 
 use crate::publisher::ProposeError;
 use crate::resource::Position;
 use async_channel::{Receiver, Sender};
 
-/// Who waits for a proposal.
+/// Channel on which the result of a proposal is sent to the caller that waits for it.
 pub(super) type Reply = Sender<Result<Position, ProposeFailure>>;
 
-/// Why a proposal is not published.
+/// Reason why a proposal is not published.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeFailure {
-    /// The publisher refused it; nothing was written or told.
+    /// The publisher refused the proposal; nothing was written or sent to clients.
     #[error(transparent)]
     Refused(#[from] ProposeError),
-    /// It could not be made durable, and nobody was told. After a failure of the disk, other than a full one, it may be
-    /// there when the publisher is opened again.
+    /// The proposal could not be made durable and was not sent to clients. After a disk failure other than a
+    /// full disk, the changes may be present when the publisher is opened again.
     #[error("the store failed: {0}")]
     NotDurable(String),
-    /// The publisher has ended.
-    #[error("the publisher has ended")]
+    /// The publisher has stopped.
+    #[error("the publisher has stopped")]
     Ended,
 }
 
-/// A proposal under way.
+/// A proposal whose result is not known yet.
 pub struct Pending {
     answer: Receiver<Result<Position, ProposeFailure>>,
 }
@@ -32,18 +33,18 @@
         Pending { answer }
     }
 
-    /// Waits until it is durable (and so on its way to all), or failed.
+    /// Blocks until the proposal is durable (and is being sent to all clients) or has failed.
     ///
     /// # Errors
-    /// Why it is not published.
+    /// Returns a [`ProposeFailure`] if the proposal is not published.
     pub fn wait(self) -> Result<Position, ProposeFailure> {
         self.answer.recv_blocking().unwrap_or(Err(ProposeFailure::Ended))
     }
 
-    /// The same for a task.
+    /// Waits like [`Pending::wait`], but without blocking the thread.
     ///
     /// # Errors
-    /// Why it is not published.
+    /// Returns a [`ProposeFailure`] if the proposal is not published.
     pub async fn done(self) -> Result<Position, ProposeFailure> {
         self.answer.recv().await.unwrap_or(Err(ProposeFailure::Ended))
     }
--- a/crates/config-sync/src/net/publisher.rs
+++ b/crates/config-sync/src/net/publisher.rs
@@ -1,4 +1,4 @@
-//! The publisher as a process: its store, its listener, and a handle through which changes are proposed.
+//! The running publisher: its store, its listener, and a handle through which changes are proposed.
 
 use super::node::NodeStatus;
 use super::proposal::{Pending, ProposeFailure};
@@ -20,31 +20,31 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Commands that wait for the publisher's thread.
+/// Maximum number of commands queued for the publisher's thread.
 const MAX_COMMANDS: usize = 1024;
 
-/// How a publisher is set up.
+/// Settings of a publisher.
 #[derive(Clone, Debug)]
 pub struct PublisherNodeSettings {
-    /// Its name; a store of another name is refused.
+    /// Name of the publisher. A store that belongs to another name is refused.
     pub name: String,
-    /// Where it listens; port 0 picks a free one.
+    /// Address on which the publisher listens; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// The fleet's key for the tags of frames, 16 to 1,024 bytes.
+    /// Fleet key that authenticates frames by their tags, 16 to 1,024 bytes.
     pub fleet_key: Vec<u8>,
-    /// Classes that routes may lead to although no class limit is published for them.
+    /// Classes that routes may refer to although no class limit is published for them.
     pub known_classes: Vec<Arc<str>>,
-    /// Begins this epoch if it is higher than the store's, for a store that was set back (restored from a copy). A new
-    /// store begins with the time of day in seconds.
+    /// Epoch to begin if it is higher than the store's, for a store that was restored from a backup. A new
+    /// store otherwise begins with the wall-clock time in seconds.
     pub begin_epoch: Option<u64>,
-    /// A snapshot replaces the log once this many transactions were added to it.
+    /// Number of appended transactions after which a snapshot replaces the log.
     pub snapshot_every: u64,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
 impl PublisherNodeSettings {
-    /// The usual ones.
+    /// Creates settings with the default values.
     pub fn new(name: &str, listen: SocketAddr, fleet_key: &[u8]) -> PublisherNodeSettings {
         PublisherNodeSettings {
             name: name.to_owned(),
@@ -66,21 +66,21 @@
     }
 }
 
-/// Why a publisher can't be opened.
+/// Reason why a publisher can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The store can't be read or written.
     #[error("the publisher's store: {0}")]
     Store(#[from] StoreError),
-    /// What is stored does not fit together.
+    /// The stored data is inconsistent.
     #[error("the publisher's store: {0}")]
     Restore(#[from] RestoreError),
-    /// The settings, the address or the thread.
-    #[error("publisher: {what}: {source}")]
+    /// The settings are invalid, or the address or the thread is not available.
+    #[error("publisher: {operation}: {source}")]
     Io {
-        /// What was tried.
-        what: &'static str,
-        /// What came of it.
+        /// Operation that failed.
+        operation: &'static str,
+        /// Error of the operation.
         source: io::Error,
     },
 }
@@ -94,11 +94,12 @@
     }
 }
 
-fn io_error(what: &'static str) -> impl Fn(io::Error) -> OpenError {
-    move |source| OpenError::Io { what, source }
+fn io_error(operation: &'static str) -> impl Fn(io::Error) -> OpenError {
+    move |source| OpenError::Io { operation, source }
 }
 
-/// A running publisher. Dropping it ends its threads; all that was proposed and durable is there when it is opened again.
+/// A running publisher. Dropping it stops its threads. All durable changes are present when it is opened
+/// again.
 pub struct PublisherNode {
     address: SocketAddr,
     commands: Sender<Command>,
@@ -106,24 +107,26 @@
 }
 
 impl PublisherNode {
-    /// Opens the store in `directory`, a new one if nothing is there, and listens.
+    /// Opens the store in `directory`, or creates it if there is none, and starts to listen.
     ///
     /// # Errors
-    /// Of the settings, the store, the socket and the thread.
+    /// Returns [`OpenError::Store`] or [`OpenError::Restore`] if the store can't be opened, and
+    /// [`OpenError::Io`] if the settings are invalid or the directory, the socket or the thread can't be
+    /// created.
     pub fn open(
         settings: PublisherNodeSettings,
         directory: &Path,
         log: Logger,
     ) -> Result<PublisherNode, OpenError> {
-        std::fs::create_dir_all(directory).map_err(io_error("making the store's directory"))?;
+        std::fs::create_dir_all(directory).map_err(io_error("creating the store's directory"))?;
         let disk = RealDisk::new(directory)?;
         PublisherNode::open_on(settings, Arc::new(disk), log)
     }
 
-    /// The same on any disk.
+    /// Opens the store on `disk` and starts to listen.
     ///
     /// # Errors
-    /// As [`PublisherNode::open`].
+    /// Fails like [`PublisherNode::open`].
     pub fn open_on(
         settings: PublisherNodeSettings,
         disk: Arc<dyn Disk>,
@@ -154,12 +157,12 @@
         Ok(PublisherNode { address, commands, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the publisher listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Proposes changes without waiting for the store. Never blocks.
+    /// Proposes changes without waiting until they are durable. Never blocks.
     pub fn submit(&self, changes: Vec<Change>) -> Pending {
         let (reply, answer) = bounded(1);
         let refused = match self.commands.try_send(Command::Propose { changes, reply: reply.clone() }) {
@@ -168,7 +171,7 @@
             Err(TrySendError::Closed(_)) => Some(ProposeFailure::Ended),
         };
         if let Some(refused) = refused {
-            // The answer has room for one.
+            // The result channel has capacity for one result, so this can't fail.
             let _ = reply.try_send(Err(refused));
         }
         Pending::new(answer)
@@ -177,35 +180,36 @@
     /// Proposes changes and waits until they are durable.
     ///
     /// # Errors
-    /// Why they are not published.
+    /// Returns a [`ProposeFailure`] if the changes are not published.
     pub fn propose(&self, changes: Vec<Change>) -> Result<Position, ProposeFailure> {
         self.submit(changes).wait()
     }
 
-    /// The newest durable position.
+    /// Returns the newest durable position.
     pub fn head(&self) -> Position {
         self.status().head
     }
 
-    /// How far each zone has come: the least position in force.
+    /// Returns the progress of each zone: the lowest position in force there.
     pub fn progress(&self) -> Vec<ZoneProgress> {
         self.status().zones
     }
 
-    /// How it is doing; all zero once it has ended.
+    /// Returns the publisher's status; all fields have their defaults once the publisher has stopped.
     pub fn status(&self) -> NodeStatus {
-        self.ask(Command::Status)
+        self.query(Command::Status)
     }
 
-    /// The refusals reported since the last call. They are bounded; what found no room is only counted.
+    /// Returns the refusals reported since the last call. Their number is bounded; refusals past the bound
+    /// are only counted.
     pub fn take_refusals(&self) -> Vec<Refusal> {
-        self.ask(Command::TakeRefusals)
+        self.query(Command::TakeRefusals)
     }
 
-    fn ask<T: Default>(&self, command: impl FnOnce(Sender<T>) -> Command) -> T {
+    fn query<T: Default>(&self, command: impl FnOnce(Sender<T>) -> Command) -> T {
         let (reply, answer) = bounded(1);
-        let asked = self.commands.send_blocking(command(reply)).is_ok();
-        if asked { answer.recv_blocking().unwrap_or_default() } else { T::default() }
+        let sent = self.commands.send_blocking(command(reply)).is_ok();
+        if sent { answer.recv_blocking().unwrap_or_default() } else { T::default() }
     }
 }
 
--- a/crates/config-sync/src/net/publisher_driver.rs
+++ b/crates/config-sync/src/net/publisher_driver.rs
@@ -1,4 +1,4 @@
-//! The publisher's thread: carries out what its state machine decides.
+//! The publisher's thread: executes the actions of its state machine.
 
 use super::clock::{Clock, unix_ms};
 use super::compaction::Compaction;
@@ -23,37 +23,37 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// What a publisher's owner asks for.
+/// A command of the publisher's owner to its thread.
 pub(super) enum Command {
     Propose { changes: Vec<Change>, reply: Reply },
     Status(Sender<NodeStatus>),
     TakeRefusals(Sender<Vec<Refusal>>),
 }
 
-/// What happened at the disk.
+/// A report of the store's writer or of the snapshot thread.
 pub(super) enum DiskReport {
     Progress(Progress),
-    /// A snapshot's bytes are ready to be written.
+    /// A snapshot is encoded and can be written.
     Encoded {
         before: u64,
         content: Vec<u8>,
     },
 }
 
-/// The publisher with its store and sessions.
+/// The publisher's state machine with its store and sessions.
 pub(super) struct PublisherDriver {
     publisher: RefCell<Publisher>,
     sessions: RefCell<Sessions>,
     store: RefCell<PublisherStore>,
     compaction: RefCell<Compaction>,
-    /// The disk failed so that nothing more can be written until a restart.
+    /// Whether a disk failure prevents all further writes until a restart.
     poisoned: Cell<bool>,
     reports: Sender<DiskReport>,
     ticker: Ticker,
     log: Logger,
 }
 
-/// Runs until the commands are closed.
+/// Runs the publisher until the channel of commands is closed.
 pub(super) fn run(
     driver: PublisherDriver,
     listener: &Async<TcpListener>,
@@ -64,19 +64,19 @@
 ) {
     let driver = Rc::new(driver);
     let executor = LocalExecutor::new();
-    let command = async {
+    let handle_commands = async {
         while let Ok(command) = commands.recv().await {
             driver.on_command(command);
         }
     };
-    let report = async {
+    let handle_reports = async {
         while let Ok(report) = reports.recv().await {
             driver.on_report(report);
         }
     };
     let serve = or(accept(listener, &driver, &executor, key, log), tick(&*driver));
-    block_on(executor.run(or(or(command, report), serve)));
-    // The sessions hold the driver.
+    block_on(executor.run(or(or(handle_commands, handle_reports), serve)));
+    // The sessions hold references to the driver, and dropping the executor drops them.
     drop(executor);
     if let Ok(driver) = Rc::try_unwrap(driver).map_err(drop) {
         if let Err(error) = driver.store.into_inner().close() {
@@ -97,7 +97,8 @@
         let Opened { publisher, log: records, appended } = opened;
         let store_reports = reports.clone();
         let store = PublisherStore::start(records, move |progress| {
-            // Fails when the publisher ends, which then waits for the writer and not for its reports.
+            // Fails when the publisher is stopping: it then waits for the writer to finish, not for its
+            // reports.
             let _ = store_reports.try_send(DiskReport::Progress(progress));
         })?;
         Ok(PublisherDriver {
@@ -117,7 +118,7 @@
     }
 
     fn on_command(&self, command: Command) {
-        // Who asked may have gone meanwhile.
+        // Replies may fail: the caller may have stopped waiting.
         match command {
             Command::Propose { changes, reply } => self.propose(changes, reply),
             Command::Status(reply) => drop(reply.try_send(self.status())),
@@ -133,13 +134,14 @@
             return;
         }
         if self.carry_out(actions) {
-            self.store.borrow_mut().answer_last_to(reply);
+            self.store.borrow_mut().set_reply_of_last(reply);
         } else {
-            let _ = reply.try_send(Err(ProposeFailure::NotDurable("its mailbox is full".to_owned())));
+            let _ = reply.try_send(Err(ProposeFailure::NotDurable("its write queue is full".to_owned())));
         }
     }
 
-    /// Carries actions out, and what follows from them; false if the store had no room for a transaction.
+    /// Executes actions and those that result from them. Returns false if the store's write queue had no room
+    /// for a transaction.
     fn carry_out(&self, actions: Vec<PublisherAction>) -> bool {
         let now = self.now();
         let mut stored = true;
@@ -185,7 +187,7 @@
     }
 
     fn on_durable(&self, through: u64, next: u64) {
-        let Some(durable) = self.store.borrow_mut().durable(through) else { return };
+        let Some(durable) = self.store.borrow_mut().take_durable(through) else { return };
         let mut actions = Vec::new();
         self.publisher.borrow_mut().on_durable(self.now(), durable.position, &mut actions);
         self.carry_out(actions);
@@ -198,20 +200,21 @@
         compaction.published_unix_ms = durable.published_unix_ms;
         drop(compaction);
         self.compact(next);
-        // One that had no room may wait for this.
+        // The publisher may be halted because the write queue was full, and can resume once the queue is
+        // empty.
         self.resume_if_settled(None);
     }
 
     fn on_failed(&self, through: u64, error: &WriteFailure, generation: u64) {
         let reason = match error {
-            WriteFailure::NoSpace => "the disk is full, this was not written".to_owned(),
-            WriteFailure::NotAttempted => "an earlier one failed, this was not written".to_owned(),
-            WriteFailure::Poisoned(error) => format!("{error}; no change is taken until a restart"),
+            WriteFailure::NoSpace => "the disk is full, the change was not written".to_owned(),
+            WriteFailure::NotAttempted => "an earlier write failed, the change was not written".to_owned(),
+            WriteFailure::Poisoned(error) => format!("{error}; no changes are accepted until a restart"),
         };
         error!(self.log, "change not durable, not published";
             "component" => "config_sync", "reason" => &reason);
         self.publisher.borrow_mut().on_persist_failed();
-        for reply in self.store.borrow_mut().failed(through) {
+        for reply in self.store.borrow_mut().take_failed(through) {
             let _ = reply.try_send(Err(ProposeFailure::NotDurable(reason.clone())));
         }
         if matches!(error, WriteFailure::Poisoned(_)) {
@@ -220,7 +223,8 @@
         self.resume_if_settled(Some(generation));
     }
 
-    /// Takes changes again once it is known that none of those under way was written.
+    /// Accepts changes again after a failure, once it is known that none of the pending transactions was
+    /// written. After a permanent failure of the disk, this is not known before a restart.
     fn resume_if_settled(&self, generation: Option<u64>) {
         let settled = self.publisher.borrow().halted() && self.store.borrow().is_idle();
         if !settled || self.poisoned.get() {
@@ -241,7 +245,7 @@
         }
     }
 
-    /// Begins a snapshot if one is due. It is encoded on a thread of its own.
+    /// Begins a snapshot if one is due. The snapshot is encoded on a separate thread.
     fn compact(&self, before: u64) {
         let mut compaction = self.compaction.borrow_mut();
         if compaction.under_way || !compaction.is_due() {
@@ -255,7 +259,7 @@
         let published_unix_ms = compaction.published_unix_ms;
         let encode = move || {
             let content = write_snapshot(position, published_unix_ms, &table, &[]);
-            // Fails when the publisher ends.
+            // Fails when the publisher is stopping.
             let _ = reports.try_send(DiskReport::Encoded { before, content });
         };
         match std::thread::Builder::new().name("config-snapshot".to_owned()).spawn(encode) {
@@ -284,11 +288,11 @@
         let mut publisher = self.publisher.borrow_mut();
         let mut all = Vec::new();
         loop {
-            let some = publisher.take_refusals();
-            if some.is_empty() {
+            let batch = publisher.take_refusals();
+            if batch.is_empty() {
                 return all;
             }
-            all.extend(some);
+            all.extend(batch);
         }
     }
 
--- a/crates/config-sync/src/net/publisher_store.rs
+++ b/crates/config-sync/src/net/publisher_store.rs
@@ -1,4 +1,4 @@
-//! The publisher's store: what opening it finds, and the writer with what is under way in it.
+//! The publisher's store: opening it restores the publisher, and its writer makes new transactions durable.
 
 use super::proposal::Reply;
 use crate::codec::{Record, decode_record, encode_record};
@@ -14,21 +14,22 @@
 use std::io;
 use std::sync::Arc;
 
-/// More than all proposals under way may have together.
-const MAILBOX_BYTES: usize = 64 << 20;
+/// Capacity of the writer's queue; more than all pending proposals together may have.
+const WRITE_QUEUE_BYTES: usize = 64 << 20;
 
-/// What is stored: a state, and the transactions after it.
+/// Content of the store: a base state, and the transactions after it.
 #[derive(Default)]
 struct History {
     base: PersistedState,
     transactions: Vec<Arc<Transaction>>,
+    /// Whether the store has any record or snapshot.
     began: bool,
 }
 
 impl History {
-    fn visit(&mut self, visited: ReplayItem<'_>) -> Result<(), StateError> {
+    fn visit(&mut self, item: ReplayItem<'_>) -> Result<(), StateError> {
         self.began = true;
-        match visited {
+        match item {
             ReplayItem::Snapshot(_, bytes) => {
                 let (header, mirror) = read_snapshot(bytes)?;
                 let (position, published_unix_ms) = (header.position, header.published_unix_ms);
@@ -42,7 +43,7 @@
         Ok(())
     }
 
-    /// The table goes on in a new history.
+    /// Begins a new epoch at revision 0 with the current table.
     fn begin_epoch(&mut self, epoch: u64) -> Result<(), StateError> {
         for transaction in std::mem::take(&mut self.transactions) {
             replay(&mut self.base, transaction, false)?;
@@ -62,15 +63,15 @@
     }
 }
 
-/// What opening a publisher's store gives.
+/// An opened store with the publisher restored from it.
 pub(super) struct Opened {
     pub(super) publisher: Publisher,
     pub(super) log: Log,
-    /// Transactions that are not in a snapshot.
+    /// Number of transactions that are not in a snapshot.
     pub(super) appended: u64,
 }
 
-/// Why it can't be opened.
+/// Reason why a publisher's store can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StoreFault {
     #[error(transparent)]
@@ -79,8 +80,8 @@
     Restore(#[from] RestoreError),
 }
 
-/// Opens a publisher's store. `new_epoch` is for a store that has none yet, and `begin_epoch` begins that one if it is
-/// higher than the store's.
+/// Opens a publisher's store. A store without an epoch begins `begin_epoch` or, if that is none, `new_epoch`.
+/// A store with an epoch begins `begin_epoch` if that is higher than its own.
 pub(super) fn open(
     disk: Arc<dyn Disk>,
     name: &str,
@@ -89,11 +90,11 @@
     begin_epoch: Option<u64>,
 ) -> Result<Opened, StoreFault> {
     let mut history = History::default();
-    let (mut log, _) = Log::open(disk, Options::new(&owner_of(name)), |visited| {
-        history.visit(visited).map_err(ReplayRejection::new)
+    let (mut log, _) = Log::open(disk, Options::new(&owner_of(name)), |item| {
+        history.visit(item).map_err(ReplayRejection::new)
     })?;
-    let wanted = begin_epoch.or((!history.began).then_some(new_epoch));
-    if let Some(epoch) = wanted.filter(|wanted| !history.began || *wanted > history.epoch()) {
+    let requested = begin_epoch.or((!history.began).then_some(new_epoch));
+    if let Some(epoch) = requested.filter(|epoch| !history.began || *epoch > history.epoch()) {
         log.commit(&[encode_record(&Record::Epoch(epoch))])?;
         history.begin_epoch(epoch).map_err(|error| StoreError::Rejected {
             file: "the store".to_owned(),
@@ -105,7 +106,8 @@
     Ok(Opened { publisher: history.into_publisher(settings)?, log, appended })
 }
 
-struct UnderWay {
+/// A transaction that the writer has queued or is writing.
+struct PendingTransaction {
     ticket: u64,
     position: Position,
     published_unix_ms: u64,
@@ -115,97 +117,99 @@
 
 /// Transactions that became durable.
 pub(super) struct Durable {
-    /// The last one's position.
+    /// Position of the last transaction.
     pub(super) position: Position,
-    /// When the last one was accepted.
+    /// Time at which the last transaction was accepted, Unix ms.
     pub(super) published_unix_ms: u64,
-    /// How many.
+    /// Number of transactions.
     pub(super) count: u64,
-    /// Their bytes.
+    /// Bytes of the transactions' records.
     pub(super) bytes: usize,
-    /// Who waits for which.
+    /// Reply channels of the callers that wait for these transactions, with the position of each transaction.
     pub(super) replies: Vec<(Position, Reply)>,
 }
 
-/// The writer, and the proposals in it.
+/// The writer, and the transactions whose outcome is not known yet.
 pub(super) struct PublisherStore {
     writer: Writer,
-    /// In the order of tickets and positions.
-    under_way: VecDeque<UnderWay>,
+    /// Transactions in the order of their tickets and positions.
+    pending: VecDeque<PendingTransaction>,
 }
 
 impl PublisherStore {
-    /// Starts the writer's thread, which reports its progress to `on_progress`. Its panic is reported as a failure of all
-    /// that waits, after which nothing is written any more.
+    /// Starts the writer's thread, which reports its progress to `on_progress`. A panic of the thread is
+    /// reported as a failure of all pending transactions, and nothing is written after it.
     pub(super) fn start(
         log: Log,
         on_progress: impl Fn(Progress) + Clone + Send + 'static,
     ) -> io::Result<PublisherStore> {
-        let options = WriterOptions { queue_bytes: MAILBOX_BYTES, ..WriterOptions::default() };
+        let options = WriterOptions { queue_bytes: WRITE_QUEUE_BYTES, ..WriterOptions::default() };
         let report_failure = on_progress.clone();
         let on_panic = move |_| {
             let reason = WriteFailure::Poisoned("the writer's thread panicked".into());
             report_failure(Progress::Failed { from: 1, through: u64::MAX, reason, generation: 0 });
         };
         let writer = Writer::start(log, options, on_progress, on_panic)?;
-        Ok(PublisherStore { writer, under_way: VecDeque::new() })
+        Ok(PublisherStore { writer, pending: VecDeque::new() })
     }
 
-    /// Hands a transaction to the disk; false if there is no room.
+    /// Queues a transaction for writing. Returns false if the queue is full.
     pub(super) fn append(&mut self, transaction: Arc<Transaction>) -> bool {
         let (position, published_unix_ms) = (transaction.position, transaction.published_unix_ms);
         let record = encode_record(&Record::Transaction { transaction, refused: false });
         let bytes = record.len();
         match self.writer.append(record) {
             Ok(ticket) => {
-                let under_way = UnderWay { ticket, position, published_unix_ms, bytes, reply: None };
-                self.under_way.push_back(under_way);
+                let pending = PendingTransaction { ticket, position, published_unix_ms, bytes, reply: None };
+                self.pending.push_back(pending);
                 true
             }
             Err(_) => false,
         }
     }
 
-    /// Who waits for the transaction that was appended last.
-    pub(super) fn answer_last_to(&mut self, reply: Reply) {
-        if let Some(last) = self.under_way.back_mut() {
+    /// Sets the reply channel of the transaction that was appended last.
+    pub(super) fn set_reply_of_last(&mut self, reply: Reply) {
+        if let Some(last) = self.pending.back_mut() {
             last.reply = Some(reply);
         }
     }
 
-    /// All up to a ticket are durable.
-    pub(super) fn durable(&mut self, through: u64) -> Option<Durable> {
-        let count = self.under_way.partition_point(|under_way| under_way.ticket <= through);
-        let last = count.checked_sub(1).and_then(|at| self.under_way.get(at))?;
+    /// Removes and returns the transactions up to a ticket, which have become durable. Returns none if there
+    /// are none.
+    pub(super) fn take_durable(&mut self, through: u64) -> Option<Durable> {
+        let count = self.pending.partition_point(|pending| pending.ticket <= through);
+        let last = count.checked_sub(1).and_then(|at| self.pending.get(at))?;
         let (position, published_unix_ms) = (last.position, last.published_unix_ms);
-        let bytes = self.under_way.range(..count).map(|done| done.bytes).sum();
-        let done = self.under_way.drain(..count);
-        let replies = done.filter_map(|done| done.reply.map(|reply| (done.position, reply))).collect();
+        let bytes = self.pending.range(..count).map(|entry| entry.bytes).sum();
+        let drained = self.pending.drain(..count);
+        let replies = drained.filter_map(|entry| entry.reply.map(|reply| (entry.position, reply))).collect();
         Some(Durable { position, published_unix_ms, count: count as u64, bytes, replies })
     }
 
-    /// Those up to a ticket were not written: who waits for them.
-    pub(super) fn failed(&mut self, through: u64) -> Vec<Reply> {
-        let replies = self.durable(through).map(|failed| failed.replies).unwrap_or_default();
+    /// Removes the transactions up to a ticket, which were not written, and returns the reply channels of
+    /// their callers.
+    pub(super) fn take_failed(&mut self, through: u64) -> Vec<Reply> {
+        let replies = self.take_durable(through).map(|failed| failed.replies).unwrap_or_default();
         replies.into_iter().map(|(_, reply)| reply).collect()
     }
 
-    /// Whether the fate of all that was appended is known.
+    /// Returns whether the outcome of all appended transactions is known.
     pub(super) fn is_idle(&self) -> bool {
-        self.under_way.is_empty()
+        self.pending.is_empty()
     }
 
-    /// What is appended from now on is written again.
+    /// Makes the writer write the transactions that are appended from now on.
     pub(super) fn resume(&mut self, generation: u64) {
         self.writer.resume(generation);
     }
 
-    /// Asks for a snapshot; false if there is no room.
+    /// Queues a snapshot for writing. Returns false if the queue is full.
     pub(super) fn snapshot(&mut self, before: u64, content: Vec<u8>) -> bool {
         self.writer.snapshot(before, content)
     }
 
-    /// Writes what waits and closes the store.
+    /// Writes the queued records and closes the store.
     pub(super) fn close(self) -> Result<(), StoreError> {
         self.writer.close()
     }
--- a/crates/config-sync/src/net/relay.rs
+++ b/crates/config-sync/src/net/relay.rs
@@ -1,4 +1,4 @@
-//! A relay as a process: it follows a server and serves others.
+//! The running relay: it follows an upstream server and serves clients.
 
 use super::clock::Clock;
 use super::link::{Link, LinkEvent, Traffic};
@@ -6,7 +6,7 @@
 use super::notify::LocalNotify;
 use super::sessions::Sessions;
 use super::settings::{check_member, frame_key};
-use super::socket::Turn;
+use super::socket::YieldBudget;
 use crate::fanout::{FanoutEvent, FanoutSettings};
 use crate::follower::{FollowerEvent, FollowerSettings, LinkAction};
 use crate::frame::FrameKey;
@@ -27,74 +27,76 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Questions that wait for the relay's thread.
-const MAX_QUESTIONS: usize = 64;
+/// Maximum number of status requests queued for the relay's thread.
+const MAX_STATUS_REQUESTS: usize = 64;
 
-/// How a relay is set up.
+/// Settings of a relay.
 #[derive(Clone, Debug)]
 pub struct RelayNodeSettings {
-    /// Who it is; [`crate::message::Role::Relay`].
+    /// Identity of the relay; its role is [`crate::message::Role::Relay`].
     pub member: Member,
-    /// Where it listens; port 0 picks a free one.
+    /// Address on which the relay listens; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Whom it may watch, in any order: the publisher for a region's relay, its region's relays for a zone's.
+    /// Servers that the relay may follow, in any order: the publisher for a region's relay, the relays of its
+    /// region for a zone's relay.
     pub servers: Vec<Server>,
-    /// The fleet's key for the tags of frames, 16 to 1,024 bytes.
+    /// Fleet key that authenticates frames by their tags, 16 to 1,024 bytes.
     pub fleet_key: Vec<u8>,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
 }
 
-/// A running relay. Dropping it ends its thread. It keeps nothing on disk.
+/// A running relay. Dropping it stops its thread. A relay stores nothing on disk.
 pub struct RelayNode {
     address: SocketAddr,
-    questions: Sender<Sender<NodeStatus>>,
+    status_requests: Sender<Sender<NodeStatus>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl RelayNode {
-    /// Listens and follows, on a thread of its own.
+    /// Starts a relay on its own thread.
     ///
     /// # Errors
-    /// If the settings are not right, the address can't be listened on or there can be no thread.
+    /// Returns an [`io::Error`] if the settings are invalid, the address can't be listened on or the thread
+    /// can't be started.
     pub fn start(settings: RelayNodeSettings, log: Logger) -> io::Result<RelayNode> {
         let key = frame_key(&settings.fleet_key)?;
         check_member(&settings.member)?;
         let listener = Async::new(dunlinspread_sockets::listen(settings.listen)?)?;
         let address = listener.get_ref().local_addr()?;
-        let (questions, inbox) = bounded(MAX_QUESTIONS);
+        let (status_requests, inbox) = bounded(MAX_STATUS_REQUESTS);
         let thread = std::thread::Builder::new()
             .name("relay".to_owned())
             .spawn(move || run(settings, &key, &listener, &inbox, &log))?;
-        Ok(RelayNode { address, questions, thread: Some(thread) })
+        Ok(RelayNode { address, status_requests, thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it serves.
+    /// Returns the newest position that the relay serves.
     pub fn head(&self) -> Position {
         self.status().head
     }
 
-    /// How far the zones below it have come.
+    /// Returns the progress of the zones below the relay.
     pub fn progress(&self) -> Vec<ZoneProgress> {
         self.status().zones
     }
 
-    /// How it is doing; all zero once it has ended.
+    /// Returns the relay's status; all fields have their defaults once the relay has stopped.
     pub fn status(&self) -> NodeStatus {
         let (reply, answer) = bounded(1);
-        let asked = self.questions.send_blocking(reply).is_ok();
-        if asked { answer.recv_blocking().unwrap_or_default() } else { NodeStatus::default() }
+        let sent = self.status_requests.send_blocking(reply).is_ok();
+        if sent { answer.recv_blocking().unwrap_or_default() } else { NodeStatus::default() }
     }
 }
 
 impl Drop for RelayNode {
     fn drop(&mut self) {
-        self.questions.close();
+        self.status_requests.close();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -105,34 +107,36 @@
     settings: RelayNodeSettings,
     key: &FrameKey,
     listener: &Async<TcpListener>,
-    questions: &Receiver<Sender<NodeStatus>>,
+    status_requests: &Receiver<Sender<NodeStatus>>,
     log: &Logger,
 ) {
     let driver = Rc::new(RelayDriver::new(settings, key, log));
     let executor = LocalExecutor::new();
-    let answer = async {
-        while let Ok(reply) = questions.recv().await {
-            // Who asked may have gone meanwhile.
+    let answer_status = async {
+        while let Ok(reply) = status_requests.recv().await {
+            // Fails if the caller has stopped waiting.
             let _ = reply.try_send(driver.status());
         }
     };
     let serve = or(accept(listener, &driver, &executor, key, log), tick(&*driver));
-    block_on(executor.run(or(answer, or(driver.follow(Link::new(key.clone())), serve))));
+    block_on(executor.run(or(answer_status, or(driver.follow(Link::new(key.clone())), serve))));
 }
 
-/// What is known of the connection to the server above.
+/// State of the connection to the upstream server.
 #[derive(Default)]
 struct Upstream {
+    /// Actions that the link has yet to execute.
     actions: RefCell<VecDeque<LinkAction>>,
-    changed: LocalNotify,
+    /// Notified when an action is added.
+    actions_added: LocalNotify,
     server: RefCell<Option<Arc<str>>>,
     connections: Cell<u64>,
     traffic: Cell<Traffic>,
-    /// A failure to connect is news once.
+    /// Whether the last attempt to connect failed. Only the first failure in a row is logged.
     connect_failed: Cell<bool>,
 }
 
-/// The relay with its connections.
+/// The relay's state machine with its connections.
 struct RelayDriver {
     relay: RefCell<Relay>,
     sessions: RefCell<Sessions>,
@@ -168,7 +172,7 @@
                 match action {
                     RelayAction::Upstream(action) => {
                         self.upstream.actions.borrow_mut().push_back(action);
-                        self.upstream.changed.notify();
+                        self.upstream.actions_added.notify();
                     }
                     RelayAction::Downstream(action) => {
                         self.sessions.borrow_mut().carry_out(now, action, &mut session_events);
@@ -180,19 +184,19 @@
         self.ticker.set(self.deadline());
     }
 
-    /// Owns the connection to the server above, for ever.
+    /// Runs the connection to the upstream server. Never returns.
     async fn follow<T>(&self, mut link: Link) -> T {
-        let mut turn = Turn::default();
+        let mut yield_budget = YieldBudget::default();
         loop {
-            turn.step().await;
+            yield_budget.step().await;
             self.apply_actions(&mut link);
             self.upstream.traffic.set(link.traffic());
-            let asked = async {
-                self.upstream.changed.wait().await;
+            let action_added = async {
+                self.upstream.actions_added.wait().await;
                 None
             };
             let received = async { Some(link.next().await) };
-            if let Some(event) = or(asked, received).await {
+            if let Some(event) = or(action_added, received).await {
                 let event = self.follower_event(event);
                 self.on_event(RelayEvent::Upstream(event));
             }
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Logs what the link says and hands it on.
+    /// Logs a link event and converts it to an event of the state machine.
     fn follower_event(&self, event: LinkEvent) -> FollowerEvent {
         let upstream = &self.upstream;
         match event {
--- a/crates/config-sync/src/net/sessions.rs
+++ b/crates/config-sync/src/net/sessions.rs
@@ -1,4 +1,5 @@
-//! The sessions of a node as its state machine names them: what each is still to be sent, and how that ends.
+//! The sessions of a node under the ids of its state machine, with the send queue of each and how the session
+//! is closed.
 
 use super::encoder::{Encoder, Frame};
 use super::notify::LocalNotify;
@@ -12,29 +13,29 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A backlog of more bytes is told to the state machine with each frame.
-const TOLD_BACKLOG_BYTES: usize = 64 * 1024;
-/// What a frame in a queue counts beside its bytes.
+/// Backlog above which each queued frame also reports the backlog to the state machine, bytes.
+const REPORTED_BACKLOG_BYTES: usize = 64 * 1024;
+/// Overhead that is counted for a queued frame in addition to its bytes.
 const FRAME_OVERHEAD: usize = 64;
 
-/// How a session goes on.
+/// Whether and how a session is being closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// It is open.
+    /// The session stays open.
     Open,
-    /// It ends once what is queued has left.
+    /// The session is closed once its queued frames are sent.
     AfterSending,
-    /// It ends at once.
-    Now,
+    /// The session is closed immediately, without sending its queued frames.
+    Immediately,
 }
 
-/// What one session is still to be sent.
+/// Send queue of one session.
 pub(super) struct Outbox {
     frames: RefCell<VecDeque<Frame>>,
     unsent_bytes: Cell<usize>,
     ending: Cell<Ending>,
     changed: LocalNotify,
-    abandoned: LocalNotify,
+    aborted: LocalNotify,
 }
 
 impl Outbox {
@@ -44,7 +45,7 @@
             unsent_bytes: Cell::new(0),
             ending: Cell::new(Ending::Open),
             changed: LocalNotify::default(),
-            abandoned: LocalNotify::default(),
+            aborted: LocalNotify::default(),
         }
     }
 
@@ -57,14 +58,15 @@
     fn end(&self, ending: Ending) {
         self.ending.set(ending);
         self.changed.notify();
-        self.abandoned.notify();
+        self.aborted.notify();
     }
 
-    /// The next frame; none when the session ends.
+    /// Waits for the next frame to send; none once the session is closed. The frame stays queued until
+    /// [`Outbox::sent`].
     pub(super) async fn next(&self) -> Option<Frame> {
         loop {
             let ending = self.ending.get();
-            if ending == Ending::Now {
+            if ending == Ending::Immediately {
                 return None;
             }
             if let Some(frame) = self.frames.borrow().front() {
@@ -77,22 +79,22 @@
         }
     }
 
-    /// Whether the session ends once what was queued has left.
+    /// Returns whether the session is closed once its queued frames are sent.
     pub(super) fn ends_after_sending(&self) -> bool {
         self.ending.get() == Ending::AfterSending
     }
 
-    /// The frame that was next has left.
+    /// Removes the first frame, which has been sent completely.
     pub(super) fn sent(&self) {
         if let Some(frame) = self.frames.borrow_mut().pop_front() {
             self.unsent_bytes.set(self.unsent_bytes.get() - frame.len() - FRAME_OVERHEAD);
         }
     }
 
-    /// Waits until the session is to end at once.
-    pub(super) async fn abandoned(&self) {
-        while self.ending.get() != Ending::Now {
-            self.abandoned.wait().await;
+    /// Waits until the session is closed immediately.
+    pub(super) async fn aborted(&self) {
+        while self.ending.get() != Ending::Immediately {
+            self.aborted.wait().await;
         }
     }
 }
@@ -117,13 +119,13 @@
 }
 
 impl Sessions {
-    /// None yet.
+    /// Creates the set of sessions, with none open.
     pub(super) fn new(key: FrameKey, log: Logger) -> Sessions {
         let encoder = Encoder::new(key);
         Sessions { encoder, open: HashMap::new(), last_id: 0, counters: SessionCounters::default(), log }
     }
 
-    /// A new session.
+    /// Opens a session with an empty send queue.
     pub(super) fn open(&mut self) -> (SessionId, Rc<Outbox>) {
         self.last_id += 1;
         let (id, outbox) = (SessionId(self.last_id), Rc::new(Outbox::new()));
@@ -131,17 +133,17 @@
         (id, outbox)
     }
 
-    /// The connection has ended.
+    /// Removes a session whose connection has ended.
     pub(super) fn closed(&mut self, id: SessionId) {
         self.open.remove(&id);
     }
 
-    /// Lets go of frames that nobody is likely to need again.
-    pub(super) fn tidy(&mut self, now: Millis) {
-        self.encoder.forget(now);
+    /// Evicts cached frames that other sessions are unlikely to need.
+    pub(super) fn evict_frames(&mut self, now: Millis) {
+        self.encoder.evict(now);
     }
 
-    /// Carries an action out. What the state machine has to hear of it is appended to `told`.
+    /// Executes an action. Events that result for the state machine are appended to `events`.
     pub(super) fn carry_out(&mut self, now: Millis, action: FanoutAction, events: &mut Vec<FanoutEvent>) {
         match action {
             FanoutAction::Send { session, message } => self.send(now, session, &message, events),
@@ -154,15 +156,15 @@
         match self.encoder.frame(now, message) {
             Ok(frame) => outbox.push(frame),
             Err(too_long) => {
-                // The publisher's bounds keep this from happening; the client resyncs if it does.
+                // The publisher's limits prevent this; if it happens anyway, the client resyncs.
                 error!(self.log, "session closed, a message exceeds the frame limit";
                     "component" => "config_sync", "error" => %too_long);
-                outbox.end(Ending::Now);
+                outbox.end(Ending::Immediately);
                 return;
             }
         }
         let bytes = outbox.unsent_bytes.get();
-        if bytes > TOLD_BACKLOG_BYTES {
+        if bytes > REPORTED_BACKLOG_BYTES {
             events.push(FanoutEvent::Backlog { session: id, bytes });
         }
     }
@@ -174,7 +176,7 @@
                 self.counters.closed_slow += 1;
                 warn!(self.log, "session closed";
                     "component" => "config_sync", "session" => id.0, "reason" => %reason);
-                outbox.end(Ending::Now);
+                outbox.end(Ending::Immediately);
             }
             CloseReason::Full | CloseReason::NoSnapshotPlace => {
                 debug!(self.log, "session closed";
--- a/crates/config-sync/src/net/settings.rs
+++ b/crates/config-sync/src/net/settings.rs
@@ -1,4 +1,4 @@
-//! Checks of settings that would otherwise fail only at the other end of a connection.
+//! Checks for settings whose faults the peer would otherwise detect only after connecting.
 
 use crate::frame::FrameKey;
 use crate::message::Member;
@@ -9,12 +9,12 @@
     io::Error::new(io::ErrorKind::InvalidInput, reason)
 }
 
-/// The fleet's key, ready for use.
+/// Builds the frame key from the fleet key. Returns an error of kind `InvalidInput` if its length is invalid.
 pub(super) fn frame_key(key: &[u8]) -> io::Result<FrameKey> {
     FrameKey::new(key).map_err(|error| invalid(error.to_string()))
 }
 
-/// Whether a member's names have a length that servers accept.
+/// Checks that a member's names have a length that servers accept.
 pub(super) fn check_member(member: &Member) -> io::Result<()> {
     let names = [("name", &member.name), ("zone", &member.zone), ("region", &member.region)];
     for (field, name) in names {
--- a/crates/config-sync/src/net/shared_tables.rs
+++ b/crates/config-sync/src/net/shared_tables.rs
@@ -1,4 +1,4 @@
-//! Equal tables of many subscribers in one process, kept once.
+//! Shares equal tables between the subscribers of one process, so that each is held in memory once.
 
 use crate::resource::Digest;
 use crate::shared_steps::SharedSteps;
@@ -7,43 +7,44 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// How many tables are kept for others: the newest ones.
-const KEPT: usize = 64;
+/// Maximum number of tables kept for sharing; the oldest ones are dropped first.
+const MAX_SHARED_TABLES: usize = 64;
 
-/// Tables that subscribers of one process share when they are equal, so that thousands cost the memory of one. Clones
-/// are the same.
+/// Tables that the subscribers of one process share when they are equal, so that thousands of equal tables
+/// need the memory of one. All clones refer to the same set of tables.
 #[derive(Clone, Default)]
 pub struct SharedTables {
-    kept: Arc<Mutex<Kept>>,
+    recent: Arc<Mutex<RecentTables>>,
     steps: SharedSteps,
 }
 
 #[derive(Default)]
-struct Kept {
+struct RecentTables {
     tables: HashMap<Digest, Table>,
     oldest_first: VecDeque<Digest>,
 }
 
 impl SharedTables {
-    /// Lets a subscriber take part in computing steps together.
+    /// Makes a subscriber share the computed steps from one table to the next with the other subscribers.
     pub(super) fn share_steps(&self, subscriber: &mut Subscriber) {
         subscriber.share_steps(self.steps.clone());
     }
 
-    /// Lets a subscriber use the table that another one already has, or others use this one's.
+    /// Replaces a subscriber's table with an equal one that is already shared, or else offers its table for
+    /// sharing.
     pub(super) fn share(&self, subscriber: &mut Subscriber) {
         let table = subscriber.follower().table().clone();
-        let mut kept = self.kept.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(known) = kept.tables.get(&table.digest()) {
+        let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(known) = recent.tables.get(&table.digest()) {
             subscriber.share_table(known);
             return;
         }
         let digest = table.digest();
-        kept.tables.insert(digest, table);
-        kept.oldest_first.push_back(digest);
-        if kept.oldest_first.len() > KEPT {
-            if let Some(oldest) = kept.oldest_first.pop_front() {
-                kept.tables.remove(&oldest);
+        recent.tables.insert(digest, table);
+        recent.oldest_first.push_back(digest);
+        if recent.oldest_first.len() > MAX_SHARED_TABLES {
+            if let Some(oldest) = recent.oldest_first.pop_front() {
+                recent.tables.remove(&oldest);
             }
         }
     }
--- a/crates/config-sync/src/net/state_keeper.rs
+++ b/crates/config-sync/src/net/state_keeper.rs
@@ -1,5 +1,6 @@
-//! Keeps a subscriber's state on disk, on a thread of its own: the subscriber never waits for the disk. A disk that is
-//! slow, full or broken costs a line in the log and the state's age after a restart, nothing else.
+//! Stores a subscriber's state on disk from a separate thread, so that the subscriber never waits for the
+//! disk. A disk that is slow, full or broken has only two effects: a log line, and an older state after a
+//! restart.
 
 use crate::resource::Millis;
 use crate::state_store::StateStore;
@@ -14,42 +15,44 @@
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::JoinHandle;
 
-/// Records that may wait for the disk; past them the whole state is written once there is room.
-const MAX_WAITING: usize = 64;
-/// Where the files of a damaged state are put, within its directory.
-const SET_ASIDE: &str = "damaged";
+/// Maximum number of records queued for the disk. If the queue is full, the whole state is written once it
+/// has room.
+const MAX_QUEUED_RECORDS: usize = 64;
+/// Subdirectory of the state directory that receives the files of a damaged state.
+const DAMAGED_DIR: &str = "damaged";
 
-/// Why a state can't be kept on disk.
+/// Reason why a state can't be stored on disk.
 #[derive(Debug, thiserror::Error)]
-enum KeepError {
-    /// Its directory can't be made.
+enum StateKeeperError {
+    /// The state directory can't be created.
     #[error(transparent)]
     Directory(io::Error),
-    /// Its store can't be opened or written.
+    /// The store can't be opened or written.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// Its store is damaged, and its files can't be moved out of the way.
-    #[error("{damage}; and it can't be put aside: {error}")]
-    NotSetAside { damage: StoreError, error: io::Error },
+    /// The store is damaged, and its files can't be moved away.
+    #[error("{damage}; its files can't be moved aside: {error}")]
+    MoveDamaged { damage: StoreError, error: io::Error },
 }
 
-/// The subscriber's end.
+/// The subscriber's handle to the thread that writes its state.
 pub(super) struct StateKeeper {
     records: Option<SyncSender<QueuedRecord>>,
-    /// Set by the thread, and cleared when the schedule was told.
+    /// Set by the thread when a write fails, and cleared when the failure is passed to the schedule.
     failed: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
     schedule: WriteSchedule,
 }
 
 impl StateKeeper {
-    /// Opens the store in a directory, with the state in it. None if it can't be kept there, which is logged.
+    /// Opens the store in a directory and reads the state in it. Returns no keeper, and logs the reason, if
+    /// the state can't be stored there.
     pub(super) fn open(
         directory: &Path,
         owner: &str,
         log: &Logger,
     ) -> (Option<StateKeeper>, Option<PersistedState>) {
-        let opened = open_or_set_aside(directory, owner, log);
+        let opened = open_or_move_damaged(directory, owner, log);
         let (store, state) = match opened {
             Ok(opened) => opened,
             Err(error) => {
@@ -69,7 +72,7 @@
     }
 
     fn start(store: StateStore, directory: PathBuf, owner: String, log: Logger) -> io::Result<StateKeeper> {
-        let (records, inbox) = sync_channel(MAX_WAITING);
+        let (records, inbox) = sync_channel(MAX_QUEUED_RECORDS);
         let failed = Arc::new(AtomicBool::new(false));
         let mut disk = DiskThread { store: Some(store), directory, owner, log, failed: failed.clone() };
         let run = move || disk.run(&inbox);
@@ -78,15 +81,15 @@
         Ok(StateKeeper { records: Some(records), failed, thread: Some(thread), schedule })
     }
 
-    /// Hands a record to the thread; never waits.
-    pub(super) fn keep(&mut self, record: Persist) {
+    /// Queues a record for the thread. Never blocks.
+    pub(super) fn persist(&mut self, record: Persist) {
         if let Some(queued) = self.schedule.next(record) {
-            self.hand_over(queued);
+            self.enqueue(queued);
         }
     }
 
-    /// Writes the whole state if that is due and possible.
-    pub(super) fn catch_up(&mut self, now: Millis, subscriber: &Subscriber) {
+    /// Queues the whole state if it is due and the subscriber has a confirmed state.
+    pub(super) fn persist_whole_state_if_due(&mut self, now: Millis, subscriber: &Subscriber) {
         if self.failed.swap(false, Ordering::Relaxed) {
             self.schedule.on_failure(now);
         }
@@ -95,11 +98,11 @@
         }
         if let Some(state) = subscriber.confirmed_state() {
             let queued = self.schedule.whole_state(state);
-            self.hand_over(queued);
+            self.enqueue(queued);
         }
     }
 
-    fn hand_over(&mut self, queued: QueuedRecord) {
+    fn enqueue(&mut self, queued: QueuedRecord) {
         let Some(records) = &self.records else { return };
         if let Err(TrySendError::Full(queued) | TrySendError::Disconnected(queued)) = records.try_send(queued)
         {
@@ -109,7 +112,7 @@
 }
 
 impl Drop for StateKeeper {
-    /// What was handed over is still written.
+    /// Waits until the queued records are written.
     fn drop(&mut self) {
         self.records = None;
         if let Some(thread) = self.thread.take() {
@@ -119,7 +122,7 @@
 }
 
 struct DiskThread {
-    /// None after a failure, until the subscriber has it tried again.
+    /// The open store; none after a failure, until the subscriber requests a retry.
     store: Option<StateStore>,
     directory: PathBuf,
     owner: String,
@@ -131,8 +134,8 @@
     fn run(&mut self, inbox: &Receiver<QueuedRecord>) {
         while let Ok(first) = inbox.recv() {
             let mut batch = vec![first];
-            batch.extend(inbox.try_iter().take(MAX_WAITING));
-            if let Err(error) = self.keep(batch) {
+            batch.extend(inbox.try_iter().take(MAX_QUEUED_RECORDS));
+            if let Err(error) = self.write(batch) {
                 warn!(self.log, "writing state to disk failed, will be retried";
                     "component" => "config_sync", "error" => %error);
                 self.failed.store(true, Ordering::Relaxed);
@@ -146,14 +149,14 @@
         }
     }
 
-    fn keep(&mut self, batch: Vec<QueuedRecord>) -> Result<(), KeepError> {
+    fn write(&mut self, batch: Vec<QueuedRecord>) -> Result<(), StateKeeperError> {
         let records = writable_records(batch, self.store.is_some());
         if records.is_empty() {
             return Ok(());
         }
         let mut store = match self.store.take() {
             Some(store) => store,
-            None => open_or_set_aside(&self.directory, &self.owner, &self.log)?.0,
+            None => open_or_move_damaged(&self.directory, &self.owner, &self.log)?.0,
         };
         store.keep(&records)?;
         self.store = Some(store);
@@ -161,13 +164,14 @@
     }
 }
 
-/// Opens the store. The files of a damaged one are put aside: what they held is fetched anew.
-fn open_or_set_aside(
+/// Opens the store. Moves the files of a damaged store aside and opens an empty one; the state is then
+/// fetched again from a server.
+fn open_or_move_damaged(
     directory: &Path,
     owner: &str,
     log: &Logger,
-) -> Result<(StateStore, Option<PersistedState>), KeepError> {
-    std::fs::create_dir_all(directory).map_err(KeepError::Directory)?;
+) -> Result<(StateStore, Option<PersistedState>), StateKeeperError> {
+    std::fs::create_dir_all(directory).map_err(StateKeeperError::Directory)?;
     let disk = RealDisk::new(directory)?;
     let disk: Arc<dyn Disk> = Arc::new(disk);
     let damage = match StateStore::open(disk.clone(), owner) {
@@ -177,17 +181,18 @@
         }
         Err(other) => return Err(other.into()),
     };
-    if let Err(error) = set_aside(directory) {
-        return Err(KeepError::NotSetAside { damage, error });
+    if let Err(error) = move_damaged_files(directory) {
+        return Err(StateKeeperError::MoveDamaged { damage, error });
     }
     warn!(log, "state on disk damaged and moved aside, fetching a snapshot";
-        "component" => "config_sync", "error" => %damage, "to" => %directory.join(SET_ASIDE).display());
+        "component" => "config_sync", "error" => %damage, "to" => %directory.join(DAMAGED_DIR).display());
     Ok(StateStore::open(disk, owner)?)
 }
 
-/// Moves the files of a store into a directory below it, in place of those of an earlier time.
-fn set_aside(directory: &Path) -> io::Result<()> {
-    let to = directory.join(SET_ASIDE);
+/// Moves the files of a store into the subdirectory [`DAMAGED_DIR`], replacing the files of an earlier
+/// damaged store.
+fn move_damaged_files(directory: &Path) -> io::Result<()> {
+    let to = directory.join(DAMAGED_DIR);
     if to.exists() {
         std::fs::remove_dir_all(&to)?;
     }
--- a/crates/config-sync/src/net/subscriber.rs
+++ b/crates/config-sync/src/net/subscriber.rs
@@ -1,11 +1,12 @@
-//! A subscriber as a future: its connection, its timer, its state on disk, and whoever puts updates in force.
+//! A subscriber as a future, with its connection, its timer, its state on disk, and the observer that puts
+//! updates in force.
 
 use super::client_settings::ClientSettings;
 use super::clock::{Alarm, Clock};
 use super::link::{Link, LinkEvent};
 use super::settings::{check_member, frame_key};
 use super::shared_tables::SharedTables;
-use super::socket::Turn;
+use super::socket::YieldBudget;
 use super::state_keeper::StateKeeper;
 use super::subscriber_handle::{Shared, SubscriberHandle};
 use crate::follower::{DisconnectReason, FollowerEvent, FollowerSettings, LinkAction};
@@ -22,15 +23,16 @@
 /// Whether an update is in force when [`Observer::in_force`] returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It is.
+    /// The update is in force.
     Now,
-    /// It will be once [`SubscriberHandle::applied`] is called with its position.
+    /// The update is in force once [`SubscriberHandle::applied`] is called with its position.
     Later,
 }
 
 /// Puts updates in force.
 pub trait Observer: Send {
-    /// The next update, in order; called on the subscriber's executor, so it must not wait.
+    /// Puts the next update in force, or accepts it to be put in force later. Updates arrive in order. The
+    /// method is called on the subscriber's executor, so it must not block.
     fn in_force(&mut self, update: Update) -> Confirmation;
 }
 
@@ -42,37 +44,42 @@
     alarm: Alarm,
     observer: Box<dyn Observer>,
     tables: Option<SharedTables>,
-    /// The position at which the table was shared last.
+    /// Position at which the table was last shared.
     shared_at: Position,
     keeper: Option<StateKeeper>,
     shared: Arc<Shared>,
     wakes: Receiver<()>,
-    /// A failure to connect is news once.
+    /// Whether the last attempt to connect failed. Only the first failure in a row is logged.
     connect_failed: bool,
     log: Logger,
 }
 
-/// What a subscriber begins with.
-enum Beginning {
-    /// A state, if there is one, that has yet to be put in force.
-    Kept(Option<PersistedState>),
-    /// One that is in force.
+/// Initial state of a subscriber.
+enum InitialState {
+    /// A saved state, if there is one, that is not in force yet.
+    Saved(Option<PersistedState>),
+    /// A state that is already in force.
     InForce(PersistedState),
 }
 
-enum Step {
+/// Event that ends a subscriber's wait.
+enum Wakeup {
     Link(LinkEvent),
-    Woken,
-    Rang,
-    Ended,
+    /// The owner confirmed a position through a handle.
+    Confirmed,
+    AlarmFired,
+    /// All handles were dropped.
+    HandlesDropped,
 }
 
 impl SubscriberTask {
-    /// Reads the state on disk, if settings name a directory, and puts it in force: the observer hears of it before this
-    /// returns.
+    /// Creates a subscriber. If the settings name a directory, reads the state on disk and passes it to the
+    /// observer before returning. The files of a damaged state are moved aside. Failures of the disk are
+    /// logged and don't prevent the start.
     ///
     /// # Errors
-    /// If the settings are not right. A state on disk that can't be used is logged and put aside.
+    /// Returns an [`io::Error`] of kind `InvalidInput` if the fleet key or a name of the member has an
+    /// invalid length.
     pub fn new(
         settings: ClientSettings,
         judge: Box<dyn Judge>,
@@ -80,17 +87,18 @@
         tables: Option<SharedTables>,
         log: Logger,
     ) -> io::Result<(SubscriberTask, SubscriberHandle)> {
-        let (keeper, kept) = match &settings.state_directory {
+        let (keeper, saved) = match &settings.state_directory {
             Some(directory) => StateKeeper::open(directory, &settings.member.name, &log),
             None => (None, None),
         };
-        SubscriberTask::begin(settings, judge, observer, tables, log, Beginning::Kept(kept), keeper)
+        SubscriberTask::build(settings, judge, observer, tables, log, InitialState::Saved(saved), keeper)
     }
 
-    /// The same, beginning with a state that the caller has, and with none on disk.
+    /// Creates a subscriber that begins with a state supplied by the caller and stores none on disk. The
+    /// observer receives the state before this returns.
     ///
     /// # Errors
-    /// If the settings are not right.
+    /// Fails like [`SubscriberTask::new`].
     pub fn with_state(
         settings: ClientSettings,
         judge: Box<dyn Judge>,
@@ -99,13 +107,14 @@
         log: Logger,
         state: PersistedState,
     ) -> io::Result<(SubscriberTask, SubscriberHandle)> {
-        SubscriberTask::begin(settings, judge, observer, tables, log, Beginning::Kept(Some(state)), None)
+        SubscriberTask::build(settings, judge, observer, tables, log, InitialState::Saved(Some(state)), None)
     }
 
-    /// The same with a state that the caller has in force already: the observer hears of what comes after it alone.
+    /// Creates a subscriber that begins with a state that the caller already has in force and stores none on
+    /// disk. The observer receives only later updates.
     ///
     /// # Errors
-    /// If the settings are not right.
+    /// Fails like [`SubscriberTask::new`].
     pub fn resume(
         settings: ClientSettings,
         judge: Box<dyn Judge>,
@@ -114,16 +123,16 @@
         log: Logger,
         state: PersistedState,
     ) -> io::Result<(SubscriberTask, SubscriberHandle)> {
-        SubscriberTask::begin(settings, judge, observer, tables, log, Beginning::InForce(state), None)
+        SubscriberTask::build(settings, judge, observer, tables, log, InitialState::InForce(state), None)
     }
 
-    fn begin(
+    fn build(
         settings: ClientSettings,
         judge: Box<dyn Judge>,
         observer: Box<dyn Observer>,
         tables: Option<SharedTables>,
         log: Logger,
-        beginning: Beginning,
+        initial_state: InitialState,
         keeper: Option<StateKeeper>,
     ) -> io::Result<(SubscriberTask, SubscriberHandle)> {
         let key = frame_key(&settings.fleet_key)?;
@@ -132,9 +141,9 @@
         let follower = FollowerSettings::new(settings.member, settings.servers, settings.seed);
         let mut actions = Vec::new();
         let settings = SubscriberSettings::new(follower);
-        let mut subscriber = match beginning {
-            Beginning::Kept(kept) => Subscriber::new(settings, judge, kept, clock.now(), &mut actions),
-            Beginning::InForce(state) => Subscriber::resume(settings, judge, &state, clock.now()),
+        let mut subscriber = match initial_state {
+            InitialState::Saved(state) => Subscriber::new(settings, judge, state, clock.now(), &mut actions),
+            InitialState::InForce(state) => Subscriber::resume(settings, judge, &state, clock.now()),
         };
         if let Some(tables) = &tables {
             tables.share_steps(&mut subscriber);
@@ -159,46 +168,47 @@
         Ok((task, handle))
     }
 
-    /// Follows until all handles are dropped.
+    /// Runs the subscriber until all its handles are dropped.
     pub async fn run(mut self) {
         let mut actions = Vec::new();
         let mut event = Some(SubscriberEvent::Link(FollowerEvent::Tick));
-        let mut turn = Turn::default();
+        let mut yield_budget = YieldBudget::default();
         loop {
-            turn.step().await;
+            yield_budget.step().await;
             let now = self.clock.now();
             if let Some(event) = event.take() {
                 self.subscriber.on_event(now, event, &mut actions);
             }
             self.carry_out(now, &mut actions);
-            // Never at once again, whatever is due: other tasks run on this executor.
+            // Waits at least 1 ms, whatever is due, because other tasks run on this executor.
             self.alarm.set(self.subscriber.deadline().max(now + 1));
-            event = match self.next_step().await {
-                Step::Link(event) => Some(SubscriberEvent::Link(self.follower_event(event))),
-                Step::Woken => Some(SubscriberEvent::Applied(self.shared.confirmed())),
-                Step::Rang => Some(SubscriberEvent::Link(FollowerEvent::Tick)),
-                Step::Ended => return,
+            event = match self.next_wakeup().await {
+                Wakeup::Link(event) => Some(SubscriberEvent::Link(self.follower_event(event))),
+                Wakeup::Confirmed => Some(SubscriberEvent::Applied(self.shared.confirmed())),
+                Wakeup::AlarmFired => Some(SubscriberEvent::Link(FollowerEvent::Tick)),
+                Wakeup::HandlesDropped => return,
             };
         }
     }
 
-    async fn next_step(&mut self) -> Step {
-        let woken = async {
+    async fn next_wakeup(&mut self) -> Wakeup {
+        let confirmed = async {
             match self.wakes.recv().await {
-                Ok(()) => Step::Woken,
-                Err(_) => Step::Ended,
+                Ok(()) => Wakeup::Confirmed,
+                Err(_) => Wakeup::HandlesDropped,
             }
         };
-        let rang = async {
-            self.alarm.rings().await;
-            Step::Rang
+        let alarm_fired = async {
+            self.alarm.fired().await;
+            Wakeup::AlarmFired
         };
-        let received = async { Step::Link(self.link.next().await) };
-        // What has arrived comes before the time: a process that had no turn for long does not take its server for silent.
-        or(woken, or(received, rang)).await
+        let received = async { Wakeup::Link(self.link.next().await) };
+        // Received messages take precedence over the timer: a process that was not scheduled for a long time
+        // must not take its server for silent.
+        or(confirmed, or(received, alarm_fired)).await
     }
 
-    /// Logs what the link says and hands it on.
+    /// Logs a link event and converts it to an event of the state machine.
     fn follower_event(&mut self, event: LinkEvent) -> FollowerEvent {
         match event {
             LinkEvent::Connected => {
@@ -243,7 +253,7 @@
                     }
                     SubscriberAction::Persist(record) => {
                         if let Some(keeper) = &mut self.keeper {
-                            keeper.keep(record);
+                            keeper.persist(record);
                         }
                     }
                 }
@@ -253,7 +263,7 @@
             }
         }
         if let Some(keeper) = &mut self.keeper {
-            keeper.catch_up(now, &self.subscriber);
+            keeper.persist_whole_state_if_due(now, &self.subscriber);
         }
         self.share_table();
         self.shared.publish(now, &self.subscriber, self.link.traffic());
--- a/crates/config-sync/src/net/subscriber_handle.rs
+++ b/crates/config-sync/src/net/subscriber_handle.rs
@@ -1,4 +1,4 @@
-//! The way to a running subscriber from other threads.
+//! Access to a running subscriber from other threads.
 
 use super::clock::Clock;
 use super::link::Traffic;
@@ -8,55 +8,56 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What stands for "never" where a time is expected.
+/// Value that stands for "never" in the place of a time.
 const NEVER: i64 = i64::MAX;
 
-/// What a subscriber is at.
+/// Status and counters of a subscriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberStatus {
-    /// The position that is confirmed in force.
+    /// Position that is confirmed to be in force.
     pub in_force: Position,
-    /// The position of its mirror of the publisher's table.
+    /// Position of the subscriber's mirror of the publisher's table.
     pub mirrored: Position,
-    /// The digest of the mirror.
+    /// Digest of the mirror.
     pub digest: Digest,
-    /// The resources in the mirror.
+    /// Number of resources in the mirror.
     pub resources: usize,
-    /// The keys that are held back since their newest changes were refused.
+    /// Number of keys that are held back because their newest changes were refused.
     pub held_back: usize,
-    /// Whether it takes no changes since they can't be held back key by key.
+    /// Whether the subscriber accepts no changes because they can't be held back key by key.
     pub stopped: bool,
-    /// The server that it watches or connects to.
+    /// Name of the server that the subscriber follows or connects to.
     pub server: Option<Arc<str>>,
-    /// Connections made.
+    /// Number of connections established.
     pub connections: u64,
-    /// Snapshots applied.
+    /// Number of snapshots applied.
     pub snapshots: u64,
-    /// Times that it asked for a snapshot.
+    /// Number of snapshots requested.
     pub resyncs: u64,
-    /// Connections closed for a bad frame.
+    /// Number of connections closed because of a bad frame.
     pub bad_frames: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     pub bytes_in: u64,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub bytes_out: u64,
-    /// Frames received and sent.
+    /// Number of frames received and sent.
     pub frames: u64,
 }
 
-/// What the task and its handles share.
+/// State that the task and its handles share.
 pub(super) struct Shared {
     clock: Clock,
     status: Mutex<SubscriberStatus>,
-    /// When it last knew that it had all there is, or [`NEVER`]; before this clock's beginning if servers said so.
+    /// Time at which the subscriber last knew that it was up to date with the publisher, or [`NEVER`]. The
+    /// time is negative, that is, before the clock was started, if servers reported so.
     at_head_at: AtomicI64,
     confirmed: Mutex<Position>,
-    /// Closed when no handle is left.
+    /// Wakes the task; closed when the last handle is dropped.
     wake: Sender<()>,
 }
 
 impl Shared {
-    /// With the task's end of the wakes.
+    /// Creates the shared state, and the receiver on which the task is woken.
     pub(super) fn new(clock: Clock) -> (Arc<Shared>, Receiver<()>) {
         let (wake, wakes) = async_channel::bounded(1);
         let shared = Shared {
@@ -73,16 +74,17 @@
         self.status.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the status.
     pub(super) fn update(&self, change: impl FnOnce(&mut SubscriberStatus)) {
         change(&mut self.status());
     }
 
-    /// The last position that was confirmed through a handle.
+    /// Returns the last position that was confirmed through a handle.
     pub(super) fn confirmed(&self) -> Position {
         *self.confirmed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells the handles how things stand.
+    /// Updates the status and the age that the handles return.
     pub(super) fn publish(&self, now: Millis, subscriber: &Subscriber, traffic: Traffic) {
         let at_head_at = subscriber.age_ms(now).map_or(NEVER, |age| now as i64 - age as i64);
         self.at_head_at.store(at_head_at, Ordering::Relaxed);
@@ -100,7 +102,7 @@
     }
 }
 
-/// Ends the task when the last handle goes.
+/// Ends the task when the last handle is dropped.
 struct EndWhenDropped(Arc<Shared>);
 
 impl Drop for EndWhenDropped {
@@ -109,7 +111,7 @@
     }
 }
 
-/// The way to a subscriber from any thread. When all of its clones are dropped, the task ends.
+/// A handle to a subscriber, usable from any thread. The task ends when all clones of the handle are dropped.
 #[derive(Clone)]
 pub struct SubscriberHandle {
     shared: Arc<EndWhenDropped>,
@@ -120,17 +122,19 @@
         SubscriberHandle { shared: Arc::new(EndWhenDropped(shared)) }
     }
 
-    /// That update, and all before it, are in force. Never waits for anything but the copying of a few words.
+    /// Confirms that the update at `position` and all before it are in force. Blocks only for a lock that is
+    /// held while a few words are copied.
     pub fn applied(&self, position: Position) {
         let shared = &self.shared.0;
         let mut confirmed = shared.confirmed.lock().unwrap_or_else(PoisonError::into_inner);
         *confirmed = position.max(*confirmed);
         drop(confirmed);
-        // A wake that waits already will find this position as well.
+        // If a wakeup is already pending, the task will read this position as well.
         let _ = shared.wake.try_send(());
     }
 
-    /// How long ago it last knew that it had all there is, ms; none before the first time.
+    /// Returns the time since the subscriber last knew that it was up to date with the publisher, ms; none if
+    /// it never was.
     pub fn age_ms(&self) -> Option<u64> {
         let shared = &self.shared.0;
         let at_head_at = shared.at_head_at.load(Ordering::Relaxed);
@@ -138,7 +142,7 @@
         (at_head_at != NEVER).then(|| now.saturating_sub(at_head_at).max(0) as u64)
     }
 
-    /// What it is at.
+    /// Returns the subscriber's status.
     pub fn status(&self) -> SubscriberStatus {
         self.shared.0.status().clone()
     }
--- a/crates/config-sync/src/net/update_queue.rs
+++ b/crates/config-sync/src/net/update_queue.rs
@@ -1,5 +1,5 @@
-//! Updates on their way to an owner that takes them when it has time: in order, and past a bound merged, so that one
-//! that takes none costs no more than the changed keys.
+//! A queue of updates for an owner that receives them at its own pace. Updates stay in order; past a limit
+//! they are merged, so that an owner that receives none costs no more memory than the changed keys need.
 
 use super::subscriber::{Confirmation, Observer};
 use crate::resource::Key;
@@ -8,51 +8,51 @@
 use std::collections::{HashSet, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The most updates that wait; the last one takes in all further ones.
-const MAX_WAITING: usize = 64;
+/// Maximum number of queued updates; further updates are merged into the last one.
+const MAX_QUEUED_UPDATES: usize = 64;
 
-type Waiting = Arc<Mutex<VecDeque<Update>>>;
+type QueuedUpdates = Arc<Mutex<VecDeque<Update>>>;
 
-/// The subscriber's end.
+/// The subscriber's end of the queue.
 pub(crate) struct UpdateQueue {
-    waiting: Waiting,
+    queued: QueuedUpdates,
     wake: Sender<()>,
 }
 
-/// Hands the updates on.
+/// Forwards queued updates to the owner's channel.
 pub(crate) struct Forwarder {
-    waiting: Waiting,
+    queued: QueuedUpdates,
     wakes: Receiver<()>,
     updates: Sender<Update>,
 }
 
-/// A queue in front of a channel.
+/// Creates a queue in front of a channel.
 pub(crate) fn update_queue(updates: Sender<Update>) -> (UpdateQueue, Forwarder) {
-    let waiting = Waiting::default();
+    let queued = QueuedUpdates::default();
     let (wake, wakes) = async_channel::bounded(1);
-    (UpdateQueue { waiting: waiting.clone(), wake }, Forwarder { waiting, wakes, updates })
+    (UpdateQueue { queued: queued.clone(), wake }, Forwarder { queued, wakes, updates })
 }
 
-fn lock(waiting: &Waiting) -> MutexGuard<'_, VecDeque<Update>> {
-    waiting.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(queued: &QueuedUpdates) -> MutexGuard<'_, VecDeque<Update>> {
+    queued.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Observer for UpdateQueue {
     fn in_force(&mut self, update: Update) -> Confirmation {
-        let mut waiting = lock(&self.waiting);
-        let full = waiting.len() >= MAX_WAITING;
-        match waiting.back_mut() {
+        let mut queued = lock(&self.queued);
+        let full = queued.len() >= MAX_QUEUED_UPDATES;
+        match queued.back_mut() {
             Some(last) if full => merge(last, update),
-            _ => waiting.push_back(update),
+            _ => queued.push_back(update),
         }
-        drop(waiting);
-        // A wake that waits already leads to this one as well.
+        drop(queued);
+        // If a wakeup is already pending, the forwarder will find this update as well.
         let _ = self.wake.try_send(());
         Confirmation::Later
     }
 }
 
-/// Adds the changes of a later update, which count where both change a key.
+/// Merges a later update into an earlier one. Where both change a key, the later change wins.
 fn merge(earlier: &mut Update, later: Update) {
     let keys: HashSet<Key> = later.changes.iter().map(|change| change.key()).collect();
     earlier.changes.retain(|change| !keys.contains(&change.key()));
@@ -62,24 +62,24 @@
 }
 
 impl Forwarder {
-    /// Sends what the channel has room for.
+    /// Sends queued updates until the channel is full. Doesn't wait.
     pub(crate) fn forward_what_fits(&mut self) {
-        let mut waiting = lock(&self.waiting);
-        while let Some(update) = waiting.pop_front() {
+        let mut queued = lock(&self.queued);
+        while let Some(update) = queued.pop_front() {
             match self.updates.try_send(update) {
                 Ok(()) => {}
                 Err(TrySendError::Full(update) | TrySendError::Closed(update)) => {
-                    waiting.push_front(update);
+                    queued.push_front(update);
                     return;
                 }
             }
         }
     }
 
-    /// Sends updates until the receiver is gone.
+    /// Sends updates until the owner drops its receiver or the queue's other end is dropped.
     pub(crate) async fn run(self) {
         loop {
-            let next = lock(&self.waiting).pop_front();
+            let next = lock(&self.queued).pop_front();
             let sent = match next {
                 Some(update) => self.updates.send(update).await.is_ok(),
                 None => self.wakes.recv().await.is_ok(),
