--- a/crates/config-sync/src/backoff.rs
+++ b/crates/config-sync/src/backoff.rs
@@ -1,15 +1,15 @@
-//! Capped exponential back-off with full jitter: each delay is drawn evenly from zero to a bound that doubles with each
-//! failure, so that clients that lost the same server do not come back together.
+//! Capped exponential backoff with full jitter: each delay is drawn uniformly from zero to a bound that
+//! doubles with each failure, so that clients that lost the same server do not reconnect at the same time.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The bounds of the delays.
+/// Bounds of the delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffSettings {
-    /// The bound of the first delay, ms.
+    /// Upper bound of the first delay, ms.
     pub base_ms: u64,
-    /// The bound that no later one exceeds, ms.
+    /// Cap of the bound of all later delays, ms.
     pub cap_ms: u64,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// The state of one client's back-off.
+/// Backoff state of one client.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -28,30 +28,31 @@
 }
 
 impl Backoff {
-    /// Without failures; the seed alone decides the jitter.
+    /// Creates a backoff without failures. The jitter depends on `seed` alone.
     pub fn new(settings: BackoffSettings, seed: u64) -> Backoff {
         Backoff { settings, failures: 0, random: ChaCha8Rng::seed_from_u64(seed) }
     }
 
-    /// Counts a failure and draws the delay before the next attempt, ms.
+    /// Counts a failure and returns a random delay before the next attempt, ms.
     pub fn next_delay_ms(&mut self) -> u64 {
         let bound = self.bound_ms();
         self.failures = self.failures.saturating_add(1);
         self.jitter_ms(bound)
     }
 
-    /// The bound of the next delay, ms.
+    /// Returns the upper bound of the next delay, ms.
     pub fn bound_ms(&self) -> u64 {
         let factor = 1_u64.checked_shl(self.failures).unwrap_or(u64::MAX);
         self.settings.base_ms.saturating_mul(factor).min(self.settings.cap_ms)
     }
 
-    /// A number of milliseconds drawn evenly from 0 to `bound`, both included; no failure is counted.
+    /// Returns a number of milliseconds drawn uniformly from 0 to `bound`, both included, without counting a
+    /// failure.
     pub fn jitter_ms(&mut self, bound: u64) -> u64 {
         self.random.random_range(0..=bound)
     }
 
-    /// Forgets the failures, after an attempt that succeeded.
+    /// Resets the failure count after a successful attempt.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/config-sync/src/client.rs
+++ b/crates/config-sync/src/client.rs
@@ -1,4 +1,5 @@
-//! What a round server uses: a subscriber on a thread of its own, which hands over each change that comes in force.
+//! The configuration client of a round server: a subscriber on its own thread that delivers each accepted
+//! update.
 
 use crate::net::{SubscriberHandle, SubscriberStatus, SubscriberTask, update_queue};
 use crate::resource::Position;
@@ -14,30 +15,30 @@
 pub use crate::server::Server;
 pub use crate::update::Update;
 
-/// A subscriber on a thread of its own. Dropping it ends the thread; what was to be kept on disk is written first.
+/// A subscriber on its own thread. Dropping it ends the thread after the pending records are written to disk.
 pub struct Client {
     handle: Option<SubscriberHandle>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Client {
-    /// Starts the thread. The first update is the state on disk, if there is one; it is in the channel before this
-    /// returns, if there is room. A state on disk that can't be used is an error in the log, not here: the client begins
-    /// with nothing.
+    /// Starts the thread. The first update is the state on disk, if there is one; it is in the channel before
+    /// this function returns, if the channel has room. An unusable state on disk is logged and not returned
+    /// as an error: the client then starts with an empty table.
     ///
-    /// The channel may be bounded: while it is full, updates wait, and past a bound they are merged into one. When its
-    /// receiver is gone the thread ends.
+    /// The channel may be bounded: while it is full, updates are queued, and past a limit the queued updates
+    /// are merged into one. The thread ends when the receiver is dropped.
     ///
     /// # Errors
-    /// If the settings are not right or there can be no thread.
+    /// Returns an error if the settings are invalid or the thread can't be started.
     pub fn start(
         settings: ClientSettings,
         judge: Box<dyn Judge>,
         updates: Sender<Update>,
         log: Logger,
     ) -> io::Result<Client> {
-        let (waiting, mut forwarder) = update_queue(updates);
-        let (task, handle) = SubscriberTask::new(settings, judge, Box::new(waiting), None, log.clone())?;
+        let (queue, mut forwarder) = update_queue(updates);
+        let (task, handle) = SubscriberTask::new(settings, judge, Box::new(queue), None, log.clone())?;
         forwarder.forward_what_fits();
         let run = move || {
             let forward = async {
@@ -51,20 +52,20 @@
         Ok(Client { handle: Some(handle), thread: Some(thread) })
     }
 
-    /// The update that leads to that position, and all before it, are in force. Never blocks.
+    /// Confirms that the update that leads to `position`, and all earlier ones, are in force. Never blocks.
     pub fn applied(&self, position: Position) {
         if let Some(handle) = &self.handle {
             handle.applied(position);
         }
     }
 
-    /// How long ago it last knew that it had all there is, by what its servers say of their own age, ms; none before the
-    /// first time in this run.
+    /// Returns how long ago the client was last known to be at the publisher's head, according to the ages
+    /// that its servers report, ms; `None` if that has not happened since the client started.
     pub fn age_ms(&self) -> Option<u64> {
         self.handle.as_ref().and_then(SubscriberHandle::age_ms)
     }
 
-    /// What it is at.
+    /// Returns the client's status.
     pub fn status(&self) -> SubscriberStatus {
         self.handle.as_ref().map(SubscriberHandle::status).unwrap_or_default()
     }
--- a/crates/config-sync/src/codec/convert.rs
+++ b/crates/config-sync/src/codec/convert.rs
@@ -1,23 +1,23 @@
-//! Between the structures on the wire and the types of the crate.
+//! Conversions between the structures on the wire and the types of the crate.
 
 use super::{DecodeError, wire};
 use crate::message::{BucketContent, Member, Refusal, Role, ZoneProgress};
 use crate::resource::{Change, Digest, Key, MAX_CHANGES, MAX_NAME, Position, Resource, Transaction, check};
 use std::sync::Arc;
 
-/// The longest reason of a refusal, in bytes.
+/// Maximum length of the reason of a refusal, in bytes.
 const MAX_REASON: usize = 256;
 
 pub(super) fn name(field: &'static str, text: &str) -> Result<Arc<str>, DecodeError> {
     if (1..=MAX_NAME).contains(&text.len()) {
         Ok(text.into())
     } else {
-        Err(DecodeError::Name { field, bytes: text.len(), most: MAX_NAME })
+        Err(DecodeError::Name { field, bytes: text.len(), max: MAX_NAME })
     }
 }
 
-pub(super) fn at_most(field: &'static str, found: usize, most: usize) -> Result<(), DecodeError> {
-    if found <= most { Ok(()) } else { Err(DecodeError::TooMany { field, found, most }) }
+pub(super) fn check_max(field: &'static str, found: usize, max: usize) -> Result<(), DecodeError> {
+    if found <= max { Ok(()) } else { Err(DecodeError::TooMany { field, found, max }) }
 }
 
 impl From<Position> for wire::Position {
@@ -123,7 +123,7 @@
     type Error = DecodeError;
 
     fn try_from(refusal: wire::Refusal) -> Result<Self, DecodeError> {
-        at_most("refusals.reason", refusal.reason.len(), MAX_REASON)?;
+        check_max("refusals.reason", refusal.reason.len(), MAX_REASON)?;
         Ok(Refusal {
             member: name("refusals.member", &refusal.member)?,
             position: position("refusals.position", refusal.position)?,
@@ -163,8 +163,8 @@
     Ok(Resource::TenantAllowance { tenant, milli_per_second: allowance.milli_per_second })
 }
 
-fn route_to_class(found: wire::Route) -> Result<Resource, DecodeError> {
-    Ok(Resource::Route { route: name("route", &found.route)?, class: name("class", &found.class)? })
+fn route_to_class(route: wire::Route) -> Result<Resource, DecodeError> {
+    Ok(Resource::Route { route: name("route", &route.route)?, class: name("class", &route.class)? })
 }
 
 fn class_limit(limit: wire::ClassLimit) -> Result<Resource, DecodeError> {
@@ -237,7 +237,7 @@
     type Error = DecodeError;
 
     fn try_from(transaction: wire::Transaction) -> Result<Self, DecodeError> {
-        at_most("changes", transaction.changes.len(), MAX_CHANGES)?;
+        check_max("changes", transaction.changes.len(), MAX_CHANGES)?;
         let changes = transaction.changes.into_iter().map(Change::try_from).collect::<Result<Vec<_>, _>>()?;
         check(&changes)?;
         Ok(Transaction {
@@ -262,7 +262,7 @@
     type Error = DecodeError;
 
     fn try_from(content: wire::BucketContent) -> Result<Self, DecodeError> {
-        at_most("bucket", content.bucket as usize, crate::message::BUCKETS - 1)?;
+        check_max("bucket", content.bucket as usize, crate::message::BUCKETS - 1)?;
         let resources = content.resources.into_iter().map(Resource::try_from).collect::<Result<_, _>>()?;
         Ok(BucketContent { bucket: content.bucket as u16, resources })
     }
--- a/crates/config-sync/src/codec/message.rs
+++ b/crates/config-sync/src/codec/message.rs
@@ -1,6 +1,6 @@
-//! Messages.
+//! Encoding and decoding of messages.
 
-use super::convert::{at_most, digest, position};
+use super::convert::{check_max, digest, position};
 use super::{DecodeError, wire};
 use crate::message::{
     BUCKETS, BucketContent, MAX_AGE_MS, MAX_REPORTED_REFUSALS, MAX_REPORTED_ZONES, Member, Refusal, ToClient,
@@ -10,7 +10,7 @@
 use prost::Message as _;
 use std::sync::Arc;
 
-/// Appends a message to a server.
+/// Appends the encoding of a message to a server.
 pub fn encode_to_server(message: &ToServer, out: &mut Vec<u8>) {
     use wire::to_server::Kind;
     let kind = match message {
@@ -32,10 +32,10 @@
     encode(&wire::ToServer { kind: Some(kind) }, out);
 }
 
-/// Reads a message to a server.
+/// Decodes a message to a server.
 ///
 /// # Errors
-/// On the first fault.
+/// Returns a [`DecodeError`] for the first invalid field.
 pub fn decode_to_server(payload: &[u8]) -> Result<ToServer, DecodeError> {
     use wire::to_server::Kind;
     let message = wire::ToServer::decode(payload)?;
@@ -55,8 +55,8 @@
         Kind::PieceTaken(sequence) => Ok(ToServer::PieceTaken { sequence }),
         Kind::Alive(_) => Ok(ToServer::Alive),
         Kind::Progress(progress) => {
-            at_most("zones", progress.zones.len(), MAX_REPORTED_ZONES)?;
-            at_most("refusals", progress.refusals.len(), MAX_REPORTED_REFUSALS)?;
+            check_max("zones", progress.zones.len(), MAX_REPORTED_ZONES)?;
+            check_max("refusals", progress.refusals.len(), MAX_REPORTED_REFUSALS)?;
             Ok(ToServer::Progress {
                 zones: convert(progress.zones, ZoneProgress::try_from)?,
                 refusals: convert(progress.refusals, Refusal::try_from)?,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Appends a message to a client.
+/// Appends the encoding of a message to a client.
 pub fn encode_to_client(message: &ToClient, out: &mut Vec<u8>) {
     use wire::to_client::Kind;
     let kind = match message {
@@ -93,10 +93,10 @@
     encode(&wire::ToClient { kind: Some(kind) }, out);
 }
 
-/// Reads a message to a client.
+/// Decodes a message to a client.
 ///
 /// # Errors
-/// On the first fault.
+/// Returns a [`DecodeError`] for the first invalid field.
 pub fn decode_to_client(payload: &[u8]) -> Result<ToClient, DecodeError> {
     use wire::to_client::Kind;
     let message = wire::ToClient::decode(payload)?;
@@ -108,7 +108,7 @@
         Kind::Resync(head) => ToClient::Resync { head: head.into() },
         Kind::Busy(retry_after_ms) => ToClient::Busy { retry_after_ms },
         Kind::Piece(piece) => {
-            at_most("buckets", piece.buckets.len(), BUCKETS)?;
+            check_max("buckets", piece.buckets.len(), BUCKETS)?;
             let buckets = convert(piece.buckets, BucketContent::try_from)?;
             ToClient::Piece { sequence: piece.sequence, buckets }
         }
--- a/crates/config-sync/src/codec/mod.rs
+++ b/crates/config-sync/src/codec/mod.rs
@@ -1,5 +1,5 @@
-//! How messages and records are written as bytes, in the encoding of Protocol Buffers, and read back with every field
-//! checked: names, counts, kinds and bounds. The layout is in `docs/formats/config-sync.md`.
+//! Encoding of messages and records as Protocol Buffers, and decoding that validates every field: names,
+//! counts, kinds and bounds. The layout is specified in `docs/formats/config-sync.md`.
 
 mod convert;
 mod message;
@@ -11,47 +11,47 @@
     RECORD_VERSION, Record, SnapshotHeader, SnapshotReader, decode_record, encode_record, encode_snapshot,
 };
 
-/// Why bytes are no message or record.
+/// Error: bytes are not a valid message or record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes are not in the encoding.
-    #[error("not in the encoding: {0}")]
+    /// The bytes are not valid Protocol Buffers.
+    #[error("invalid encoding: {0}")]
     Encoding(#[from] prost::DecodeError),
-    /// A field that has to be there is not.
+    /// A required field is missing.
     #[error("`{0}` is missing")]
     Missing(&'static str),
-    /// A field is out of its bounds.
-    #[error("`{field}` is {found}, wanted at most {most}")]
+    /// A field exceeds its bound.
+    #[error("`{field}` is {found}, wanted at max {max}")]
     TooMany {
         /// The field.
         field: &'static str,
-        /// What it is.
+        /// Actual value.
         found: usize,
-        /// What it may be.
-        most: usize,
+        /// Allowed maximum.
+        max: usize,
     },
     /// A name is empty or too long.
-    #[error("`{field}`: a name of {bytes} bytes, wanted 1 to {most}")]
+    #[error("`{field}`: name of {bytes} bytes, expected 1 to {max}")]
     Name {
         /// The field.
         field: &'static str,
-        /// Its length.
+        /// Actual length, in bytes.
         bytes: usize,
-        /// The most it may have.
-        most: usize,
+        /// Maximum length, in bytes.
+        max: usize,
     },
-    /// A field has a value that means nothing.
-    #[error("`{field}` has the value {value}, which means nothing")]
+    /// A field has an invalid value.
+    #[error("`{field}` has the invalid value {value}")]
     Value {
         /// The field.
         field: &'static str,
-        /// Its value.
+        /// Actual value.
         value: u64,
     },
-    /// Changes that no publisher may accept.
+    /// The changes are invalid: no publisher may accept them.
     #[error("`changes`: {0}")]
     Changes(#[from] crate::resource::Invalid),
-    /// A record of a version that is not known.
-    #[error("a record of version {0}, this program reads up to {RECORD_VERSION}")]
+    /// The version of a record is not supported.
+    #[error("record of version {0}, this program supports versions up to {RECORD_VERSION}")]
     Version(u8),
 }
--- a/crates/config-sync/src/codec/record.rs
+++ b/crates/config-sync/src/codec/record.rs
@@ -1,5 +1,5 @@
-//! Records of the stores of publishers and subscribers: transactions and the beginnings of epochs, and a snapshot of a
-//! whole table that stands for all before it.
+//! Records in the stores of publishers and subscribers: transactions, starts of epochs, and snapshots of a
+//! whole table, which replace all earlier records.
 
 use super::convert::{digest, position};
 use super::{DecodeError, wire};
@@ -7,15 +7,15 @@
 use prost::Message as _;
 use std::sync::Arc;
 
-/// The newest version of records.
+/// Current version of the record format.
 pub const RECORD_VERSION: u8 = 1;
 
-/// One record.
+/// A record of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Record {
-    /// A new history begins at revision 0 of this epoch, with the table as it is.
+    /// A new epoch begins at revision 0 with the current table.
     Epoch(u64),
-    /// A transaction, that follows the one before.
+    /// A transaction that follows the previous one.
     Transaction {
         /// The transaction.
         transaction: Arc<Transaction>,
@@ -24,18 +24,19 @@
     },
 }
 
-/// What a snapshot says of the table that follows it.
+/// Header of a snapshot, followed by the resources of the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SnapshotHeader {
-    /// What it is a snapshot of.
+    /// Position of the snapshot.
     pub position: Position,
-    /// The digest of the whole table.
+    /// Digest of the whole table.
     pub digest: Digest,
-    /// When its last transaction was accepted, Unix ms.
+    /// Time at which the publisher accepted the last transaction, Unix ms.
     pub published_unix_ms: u64,
-    /// How many resources follow.
+    /// Number of resources that follow.
     pub resources: u64,
-    /// What leads from the table to what was in force in a round server; empty in a publisher's store.
+    /// Changes that lead from the table to the settings in force in a round server; empty in a publisher's
+    /// store.
     pub held_back: Vec<Change>,
 }
 
@@ -69,7 +70,7 @@
     held_back: Vec<wire::Change>,
 }
 
-/// A record's bytes.
+/// Returns the encoding of a record.
 pub fn encode_record(record: &Record) -> Vec<u8> {
     let kind = match record {
         Record::Epoch(epoch) => Kind::Epoch(*epoch),
@@ -85,12 +86,12 @@
     bytes
 }
 
-/// Reads a record.
+/// Decodes a record.
 ///
 /// # Errors
-/// On the first fault.
+/// Returns a [`DecodeError`] for the first invalid field.
 pub fn decode_record(bytes: &[u8]) -> Result<Record, DecodeError> {
-    let record = WireRecord::decode(versioned(bytes)?)?;
+    let record = WireRecord::decode(strip_version(bytes)?)?;
     match record.kind.ok_or(DecodeError::Missing("record"))? {
         Kind::Epoch(epoch) => Ok(Record::Epoch(epoch)),
         Kind::Transaction(transaction) => transaction_record(transaction, false),
@@ -102,7 +103,7 @@
     Ok(Record::Transaction { transaction: Arc::new(transaction.try_into()?), refused })
 }
 
-/// A snapshot's bytes. `header.resources` has to be the number of resources.
+/// Returns the encoding of a snapshot. `header.resources` must be the number of resources.
 pub fn encode_snapshot<'a>(
     header: &SnapshotHeader,
     resources: impl Iterator<Item = &'a Resource>,
@@ -115,33 +116,33 @@
         held_back: header.held_back.iter().map(wire::Change::from).collect(),
     };
     let mut bytes = vec![RECORD_VERSION];
-    put(&header, &mut bytes);
+    put_delimited(&header, &mut bytes);
     for resource in resources {
-        put(&wire::Resource::from(resource), &mut bytes);
+        put_delimited(&wire::Resource::from(resource), &mut bytes);
     }
     bytes
 }
 
-fn put(message: &impl prost::Message, bytes: &mut Vec<u8>) {
+fn put_delimited(message: &impl prost::Message, bytes: &mut Vec<u8>) {
     prost::encode_length_delimiter(message.encoded_len(), bytes).expect("a vector grows");
     message.encode_raw(bytes);
 }
 
-/// Reads a snapshot, one resource after the other, so that nobody holds them twice.
+/// Decodes a snapshot one resource at a time, so that the resources are not held in memory twice.
 #[derive(Debug)]
 pub struct SnapshotReader<'a> {
     header: SnapshotHeader,
-    left: u64,
+    remaining: u64,
     rest: &'a [u8],
 }
 
 impl<'a> SnapshotReader<'a> {
-    /// Reads the header.
+    /// Decodes the header.
     ///
     /// # Errors
-    /// On the first fault.
+    /// Returns a [`DecodeError`] for the first invalid field.
     pub fn new(bytes: &'a [u8]) -> Result<SnapshotReader<'a>, DecodeError> {
-        let mut rest = versioned(bytes)?;
+        let mut rest = strip_version(bytes)?;
         let header = WireHeader::decode_length_delimited(&mut rest)?;
         let header = SnapshotHeader {
             position: position("snapshot.position", header.position)?,
@@ -150,10 +151,10 @@
             resources: header.resources,
             held_back: header.held_back.into_iter().map(Change::try_from).collect::<Result<_, _>>()?,
         };
-        Ok(SnapshotReader { left: header.resources, header, rest })
+        Ok(SnapshotReader { remaining: header.resources, header, rest })
     }
 
-    /// What the snapshot says of itself.
+    /// Returns the header of the snapshot.
     pub fn header(&self) -> &SnapshotHeader {
         &self.header
     }
@@ -166,24 +167,25 @@
 impl Iterator for SnapshotReader<'_> {
     type Item = Result<Resource, DecodeError>;
 
-    /// The next resource. What is cut short, or goes on past the last resource, ends in an error.
+    /// Returns the next resource. A truncated snapshot, or one with bytes after the last resource, ends with
+    /// an error.
     fn next(&mut self) -> Option<Self::Item> {
-        if self.left == 0 {
-            let behind = std::mem::take(&mut self.rest).len();
-            let error = DecodeError::Value { field: "snapshot.bytes_behind", value: behind as u64 };
-            return (behind > 0).then_some(Err(error));
+        if self.remaining == 0 {
+            let trailing = std::mem::take(&mut self.rest).len();
+            let error = DecodeError::Value { field: "snapshot.bytes_behind", value: trailing as u64 };
+            return (trailing > 0).then_some(Err(error));
         }
-        self.left -= 1;
+        self.remaining -= 1;
         let read = self.read();
         if read.is_err() {
-            self.left = 0;
+            self.remaining = 0;
             self.rest = &[];
         }
         Some(read)
     }
 }
 
-fn versioned(bytes: &[u8]) -> Result<&[u8], DecodeError> {
+fn strip_version(bytes: &[u8]) -> Result<&[u8], DecodeError> {
     match bytes.split_first() {
         Some((&RECORD_VERSION, rest)) => Ok(rest),
         Some((version, _)) => Err(DecodeError::Version(*version)),
--- a/crates/config-sync/src/codec/wire.rs
+++ b/crates/config-sync/src/codec/wire.rs
@@ -1,6 +1,6 @@
-//! The structures on the wire and on disk, as `docs/formats/config-sync.md` lists them. Numbers of fields never get
-//! another meaning. What clients send and what servers send has different numbers, so that a frame that comes back to
-//! its sender is refused.
+//! Structures on the wire and on disk, as specified in `docs/formats/config-sync.md`. Field numbers are never
+//! reused with another meaning. Messages from clients and from servers have different numbers, so that a
+//! frame reflected to its sender is rejected.
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub(super) struct ToServer {
@@ -56,7 +56,7 @@
     pub revision: u64,
 }
 
-/// A position, with the age beside its fields.
+/// The fields of [`Position`], and the age of the server's state.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(super) struct Heartbeat {
     #[prost(uint64, tag = "1")]
@@ -112,7 +112,7 @@
     pub refusals: Vec<Refusal>,
 }
 
-/// Without fields.
+/// Keep-alive without fields.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(super) struct Alive {}
 
--- a/crates/config-sync/src/delta_log.rs
+++ b/crates/config-sync/src/delta_log.rs
@@ -1,17 +1,17 @@
-//! The last transactions up to the head, from which a client that lags a little is served. Bounded by the number of
-//! transactions and by their bytes; the oldest are compacted away.
+//! The most recent transactions up to the head, which serve clients that lag a little. Bounded by the number
+//! of transactions and by their bytes; the oldest are compacted away.
 
 use crate::resource::{Digest, Position, Transaction};
 use crate::size::transaction_bytes;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// What bounds a log.
+/// Bounds of a delta log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeltaLogSettings {
-    /// The most transactions.
+    /// Maximum number of transactions.
     pub max_transactions: usize,
-    /// The most bytes, by [`transaction_bytes`].
+    /// Maximum size, in bytes as estimated by [`transaction_bytes`].
     pub max_bytes: usize,
 }
 
@@ -21,17 +21,17 @@
     }
 }
 
-/// A transaction is not the next one of the log.
+/// Error: a transaction is not the successor of the log's head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("transaction {found:?} does not follow the head {head:?}")]
 pub struct DoesNotFollow {
-    /// The head.
+    /// Head of the log.
     pub head: Position,
-    /// What was to be appended.
+    /// Position of the rejected transaction.
     pub found: Position,
 }
 
-/// The transactions after a base position, without gaps.
+/// Transactions after a base position, without gaps.
 #[derive(Clone, Debug)]
 pub struct DeltaLog {
     settings: DeltaLogSettings,
@@ -42,20 +42,21 @@
 }
 
 impl DeltaLog {
-    /// A log without transactions, its head at `base`.
+    /// Creates a log without transactions whose head is `base`.
     pub fn new(settings: DeltaLogSettings, base: Position, base_digest: Digest) -> DeltaLog {
         DeltaLog { settings, base, base_digest, transactions: VecDeque::new(), bytes: 0 }
     }
 
-    /// Forgets all; the head is `base` afterwards.
+    /// Removes all transactions and sets the head to `base`.
     pub fn reset(&mut self, base: Position, base_digest: Digest) {
         *self = DeltaLog::new(self.settings, base, base_digest);
     }
 
-    /// Appends the transaction after the head, and compacts the oldest ones past the bounds.
+    /// Appends the transaction that follows the head, and compacts the oldest ones if the log exceeds its
+    /// bounds.
     ///
     /// # Errors
-    /// When it is not the one after the head; the log is as before.
+    /// Returns [`DoesNotFollow`] if the transaction does not follow the head; the log is unchanged then.
     pub fn push(&mut self, transaction: Arc<Transaction>) -> Result<(), DoesNotFollow> {
         let head = self.head();
         let follows = transaction.position.epoch == head.epoch
@@ -79,51 +80,52 @@
         }
     }
 
-    /// The position after the last transaction.
+    /// Returns the position after the last transaction.
     pub fn head(&self) -> Position {
         self.transactions.back().map_or(self.base, |last| last.position)
     }
 
-    /// The oldest position from which the log still leads to the head.
+    /// Returns the oldest position from which the log still leads to the head.
     pub fn base(&self) -> Position {
         self.base
     }
 
-    /// The number of transactions held.
+    /// Returns the number of transactions in the log.
     pub fn len(&self) -> usize {
         self.transactions.len()
     }
 
-    /// Whether none are held.
+    /// Returns whether the log holds no transactions.
     pub fn is_empty(&self) -> bool {
         self.transactions.is_empty()
     }
 
-    /// The bytes of the transactions held, by [`transaction_bytes`].
+    /// Returns the size of the transactions in the log, in bytes as estimated by [`transaction_bytes`].
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The digest of the table at a position, if the log reaches there.
+    /// Returns the digest of the table at `position`, if the log covers it.
     pub fn digest_at(&self, position: Position) -> Option<Digest> {
         let steps = self.steps_to(position)?;
         let last = steps.checked_sub(1).and_then(|index| self.transactions.get(index));
         Some(last.map_or(self.base_digest, |transaction| transaction.digest))
     }
 
-    /// The transactions that lead from `position` to the head; nothing if the log doesn't reach back there, or if
-    /// `position` is of another epoch or after the head.
+    /// Returns the transactions that lead from `position` to the head; `None` if the log doesn't reach back
+    /// to `position`, or if `position` is in another epoch or after the head.
     pub fn since(&self, position: Position) -> Option<Vec<Arc<Transaction>>> {
         Some(self.after(position)?.cloned().collect())
     }
 
-    /// The same without a copy.
+    /// Like [`DeltaLog::since`], but borrows the transactions.
     pub fn after(&self, position: Position) -> Option<impl Iterator<Item = &Arc<Transaction>>> {
         let steps = self.steps_to(position)?;
         Some(self.transactions.range(steps..))
     }
 
-    /// How many of the transactions held lie between the base and `position`.
+    /// Returns the number of transactions between the base and `position`; `None` if the log doesn't cover
+    /// it.
     fn steps_to(&self, position: Position) -> Option<usize> {
         if position.epoch != self.base.epoch || position < self.base || position > self.head() {
             return None;
--- a/crates/config-sync/src/fanout.rs
+++ b/crates/config-sync/src/fanout.rs
@@ -1,10 +1,10 @@
-//! The server's side of all sessions of a publisher or relay: deltas from the log, snapshots to those the log can't
-//! serve, heartbeats, and the progress of the subscribers below by zone.
+//! Server side of all sessions of a publisher or relay: sends deltas from the log, snapshots to clients that
+//! the log can't serve, and heartbeats, and aggregates the progress of the subscribers below by zone.
 //!
-//! Every live session has everything up to the last flush and nothing more, so that a flush is the same messages for
-//! all of them. A session that begins is brought to that point by itself. What is bounded, and by which setting, stands
-//! at [`FanoutSettings`]; unsent bytes are held by the owner of the sockets, which reports them as
-//! [`FanoutEvent::Backlog`].
+//! Every live session has been sent everything up to the last flush and nothing more, so that a flush sends
+//! the same messages to all of them. A new session is brought to that point individually. [`FanoutSettings`]
+//! lists all bounds with their settings; unsent bytes are held by the owner of the sockets, which reports
+//! them as [`FanoutEvent::Backlog`].
 
 mod interface;
 mod progress;
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 
 impl Fanout {
-    /// Takes one event in.
+    /// Handles an event and appends the resulting actions.
     pub fn on_event(&mut self, now: Millis, event: FanoutEvent, actions: &mut Vec<FanoutAction>) {
         match event {
             FanoutEvent::Opened(id) => self.on_opened(now, id, actions),
@@ -37,8 +37,9 @@
         }
     }
 
-    /// The head moves on by transactions, to `table`. They are sent now, or with the next flush if the last one was
-    /// less than `flush_ms` ago. Transactions that don't follow the head are a jump, as by [`Fanout::reset`].
+    /// Advances the head by `transactions`, which lead to `table`. They are sent at once, or with the next
+    /// flush if the last one was less than `flush_ms` ago. Transactions that don't follow the head replace
+    /// the state, as by [`Fanout::reset`].
     pub fn publish(
         &mut self,
         now: Millis,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// The head jumps: the log is void, and every session that is behind gets a `Resync`, or is sent away for a while
-    /// if the places for snapshots are taken.
+    /// Replaces the head and the table: the log is cleared, and every session that is behind receives a
+    /// `Resync`, or `Busy` if the limit of snapshots is reached.
     pub fn reset(
         &mut self,
         now: Millis,
@@ -72,7 +73,7 @@
         if position == self.head() && table.digest() == self.table.digest() {
             return;
         }
-        let had = (self.flushed, self.log.digest_at(self.flushed).unwrap_or_default());
+        let previous = (self.flushed, self.log.digest_at(self.flushed).unwrap_or_default());
         self.log.reset(position, table.digest());
         self.table = table;
         self.published_unix_ms = published_unix_ms;
@@ -82,9 +83,11 @@
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
             match self.sessions.get(&id).map(|session| &session.stage) {
-                Some(Stage::Live) => self.begin(now, id, had.0, had.1, actions),
+                Some(Stage::Live) => self.serve_from(now, id, previous.0, previous.1, actions),
                 Some(Stage::CatchingUp { .. }) => self.require_resync(now, id, actions),
-                Some(&Stage::Ahead { position, digest }) => self.begin(now, id, position, digest, actions),
+                Some(&Stage::Ahead { position, digest }) => {
+                    self.serve_from(now, id, position, digest, actions)
+                }
                 _ => {}
             }
         }
@@ -109,14 +112,14 @@
         actions: &mut Vec<FanoutAction>,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        session.unanswered = 0;
-        let watches = session.member.is_some();
+        session.unanswered_heartbeats = 0;
+        let is_watching = session.member.is_some();
         match message {
-            ToServer::Watch { member, position, digest } if !watches => {
+            ToServer::Watch { member, position, digest } if !is_watching => {
                 self.on_watch(now, id, member, position, digest, actions);
             }
             ToServer::Watch { .. } => self.close(id, ProtocolFault::SecondWatch.into(), actions),
-            _ if !watches => self.close(id, ProtocolFault::NotWatched.into(), actions),
+            _ if !is_watching => self.close(id, ProtocolFault::NotWatched.into(), actions),
             ToServer::FetchDifferences { bucket_digests } => self.on_fetch(now, id, &bucket_digests, actions),
             ToServer::PieceTaken { sequence } => self.on_piece_taken(now, id, sequence, actions),
             ToServer::Progress { zones, refusals } => self.on_progress(id, zones, refusals, actions),
@@ -139,12 +142,12 @@
             self.flush(now, actions);
         }
         if now >= self.catch_up_due() {
-            self.last_tick = Some(now);
-            self.catch_all_up(now, actions);
+            self.last_catch_up = Some(now);
+            self.continue_catch_up(now, actions);
         }
         if heartbeat_due {
             self.last_heartbeat = Some(now);
-            self.close_silent(now, actions);
+            self.close_overdue(now, actions);
             self.send_heartbeats(now, actions);
         }
     }
@@ -153,33 +156,38 @@
         let message = Arc::new(self.heartbeat(now));
         for (&session, state) in &mut self.sessions {
             if state.member.is_some() {
-                state.unanswered = state.unanswered.saturating_add(1);
+                state.unanswered_heartbeats = state.unanswered_heartbeats.saturating_add(1);
                 actions.push(FanoutAction::Send { session, message: message.clone() });
             }
         }
     }
 
-    fn close_silent(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
-        let overdue: Vec<(SessionId, CloseReason)> =
-            self.sessions.iter().filter_map(|(&id, state)| Some((id, self.silence(now, state)?))).collect();
+    fn close_overdue(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
+        let overdue: Vec<(SessionId, CloseReason)> = self
+            .sessions
+            .iter()
+            .filter_map(|(&id, state)| Some((id, self.overdue_reason(now, state)?)))
+            .collect();
         for (id, reason) in overdue {
             self.close(id, reason, actions);
         }
     }
 
-    /// Why a session that was silent for too long is to be closed.
-    fn silence(&self, now: Millis, session: &Session) -> Option<CloseReason> {
+    /// Returns the reason to close a session that has been silent for too long.
+    fn overdue_reason(&self, now: Millis, session: &Session) -> Option<CloseReason> {
         let (limit, reason) = match session.stage {
             Stage::Opened => (self.settings.silence_ms, CloseReason::NoWatch),
             Stage::Resync => (self.settings.silence_ms, CloseReason::NoFetch),
             Stage::Snapshot(_) => (self.settings.stall_ms, CloseReason::Stalled),
-            Stage::Live | Stage::CatchingUp { .. } | Stage::Ahead { .. } => return self.unanswered(session),
+            Stage::Live | Stage::CatchingUp { .. } | Stage::Ahead { .. } => {
+                return self.unanswered_reason(session);
+            }
         };
         (now > session.since.saturating_add(limit)).then_some(reason)
     }
 
-    fn unanswered(&self, session: &Session) -> Option<CloseReason> {
-        let heartbeats = session.unanswered;
+    fn unanswered_reason(&self, session: &Session) -> Option<CloseReason> {
+        let heartbeats = session.unanswered_heartbeats;
         let time = self.settings.heartbeat_ms.saturating_mul(heartbeats.into());
         (time >= self.settings.client_silence_ms).then_some(CloseReason::Silent { heartbeats })
     }
--- a/crates/config-sync/src/fanout/interface.rs
+++ b/crates/config-sync/src/fanout/interface.rs
@@ -1,46 +1,50 @@
-//! What goes into the fan-out and what comes out of it.
+//! Settings, events and actions of the fan-out.
 
 use crate::delta_log::DeltaLogSettings;
 use crate::message::{BUCKETS, MAX_REPORTED_REFUSALS, MAX_REPORTED_ZONES, ToClient, ToServer};
 use crate::resource::Millis;
 use std::sync::Arc;
 
-/// One connection of a client, numbered by whoever owns the sockets; a number is never used again.
+/// Identifier of one client connection, assigned by the owner of the sockets and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// How a fan-out is set up, and what bounds it.
+/// Settings and bounds of a fan-out.
 #[derive(Clone, Debug)]
 pub struct FanoutSettings {
-    /// The least time between two sendings of deltas; those between wait and go together.
+    /// Minimum time between two flushes of deltas; transactions in between are sent together.
     pub flush_ms: Millis,
-    /// The pace of heartbeats.
+    /// Interval of heartbeats.
     pub heartbeat_ms: Millis,
-    /// How long a session may be silent while its `Watch` or `FetchDifferences` is awaited.
+    /// Maximum time to wait for a session's `Watch` or `FetchDifferences`.
     pub silence_ms: Millis,
-    /// A client that was sent heartbeats for so long, and from which nothing came, is closed. Counted in heartbeats, so
-    /// that a server that was itself held up does not take its clients for silent.
+    /// A client that has sent nothing while it was sent heartbeats for this time is disconnected. The time is
+    /// counted in heartbeats, so that a server that was itself stalled does not mistake its clients for
+    /// silent.
     pub client_silence_ms: Millis,
-    /// How long a snapshot may wait for a piece to be confirmed.
+    /// Maximum time that a snapshot waits for the confirmation of a piece.
     pub stall_ms: Millis,
-    /// The most sessions.
+    /// Maximum number of sessions.
     pub max_sessions: usize,
-    /// The most snapshots under way or announced by a `Resync`.
+    /// Maximum number of snapshots in progress or announced by a `Resync`.
     pub max_snapshots: usize,
-    /// The most unsent bytes of a session; past them it is closed, and resyncs when it comes again.
+    /// Maximum number of unsent bytes of a session; a session with more is closed, and resyncs when it
+    /// reconnects.
     pub max_backlog_bytes: usize,
-    /// The most bytes of transactions in one message, unless a single one is larger. A session that catches up with the
-    /// log gets one message each `flush_ms`, and none while it has more than this unsent.
+    /// Maximum size of the transactions in one message, in bytes, unless a single one is larger. A session
+    /// that catches up with the log receives one message every `flush_ms`, and none while it has more than
+    /// this unsent.
     pub max_message_bytes: usize,
-    /// The most zones that progress is kept of.
+    /// Maximum number of zones whose progress is tracked.
     pub max_zones: usize,
-    /// The most refusals kept until [`super::Fanout::take_refusals`]; later ones are only counted.
+    /// Maximum number of refusals queued until [`super::Fanout::take_refusals`]; later ones are only counted.
     pub max_refusals: usize,
-    /// A client that found no place is told to come again after once to twice this time.
+    /// A client that is rejected with `Busy` may retry after a random delay between this time and twice this
+    /// time.
     pub busy_retry_ms: Millis,
-    /// The bounds of the log of deltas.
+    /// Bounds of the delta log.
     pub log: DeltaLogSettings,
-    /// The seed of the jitter.
+    /// Seed of the jitter.
     pub seed: u64,
 }
 
@@ -65,41 +69,44 @@
     }
 }
 
-/// What happens to a fan-out.
+/// Input events of a fan-out.
 #[derive(Clone, Debug)]
 pub enum FanoutEvent {
     /// A client connected.
     Opened(SessionId),
     /// A client sent a message.
     Received(SessionId, ToServer),
-    /// A connection ended by itself. Not needed after [`FanoutAction::Close`].
+    /// A connection was closed by the client or by a fault. Not required after [`FanoutAction::Close`].
     Closed(SessionId),
-    /// How many bytes of a session are not sent yet; wanted whenever it has changed much, and when it is 0 again.
+    /// The number of unsent bytes of a session; to be reported whenever it has changed much, and when it
+    /// returns to 0.
     Backlog {
         /// The session.
         session: SessionId,
-        /// The bytes.
+        /// Number of unsent bytes.
         bytes: usize,
     },
-    /// Time went on; wanted at [`super::Fanout::deadline`].
+    /// Time has passed; required at [`super::Fanout::deadline`].
     Tick,
 }
 
-/// What a fan-out wants done, in this order.
+/// Actions requested by a fan-out, to be executed in order.
 #[derive(Clone, Debug)]
 pub enum FanoutAction {
-    /// Send a message. The same `Arc` goes to all sessions that get the same, so that it is encoded once.
+    /// Send a message. All sessions that receive the same message share one `Arc`, so that it is encoded
+    /// once.
     Send {
-        /// To whom.
+        /// Session of the recipient.
         session: SessionId,
         /// The message.
         message: Arc<ToClient>,
     },
-    /// Close a connection once what was sent before has left, or the client stopped reading. The session is forgotten.
+    /// Close a connection once all earlier messages are sent, or the client stops reading. The fan-out has
+    /// already removed the session.
     Close {
-        /// Which.
+        /// Session to close.
         session: SessionId,
-        /// Why.
+        /// Reason for closing.
         reason: CloseReason,
     },
 }
@@ -107,80 +114,81 @@
 /// Why a session was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum CloseReason {
-    /// There are as many sessions as may be.
-    #[error("no place for another session")]
+    /// The limit of sessions is reached.
+    #[error("the limit of sessions is reached")]
     Full,
-    /// There are as many snapshots under way as may be.
-    #[error("no place for another snapshot")]
+    /// The limit of snapshots in progress is reached.
+    #[error("the limit of snapshots is reached")]
     NoSnapshotPlace,
-    /// It reads slower than it is sent to.
-    #[error("{bytes} bytes unsent: too slow, it has to resync")]
+    /// The client reads more slowly than the server sends.
+    #[error("the client is too slow: {bytes} bytes unsent; it has to resync")]
     Slow {
-        /// Its backlog.
+        /// Number of unsent bytes.
         bytes: usize,
     },
-    /// No `Watch` in time.
-    #[error("no Watch in time")]
+    /// The client did not send its `Watch` in time.
+    #[error("no Watch received in time")]
     NoWatch,
-    /// No `FetchDifferences` in time.
-    #[error("no FetchDifferences in time after a Resync")]
+    /// The client did not send `FetchDifferences` in time after a `Resync`.
+    #[error("no FetchDifferences received in time after a Resync")]
     NoFetch,
-    /// Nothing came from it for too long, not even a sign of life.
-    #[error("nothing heard from the client during {heartbeats} heartbeats")]
+    /// The client has sent nothing for too long, not even a keep-alive.
+    #[error("nothing received from the client during {heartbeats} heartbeats")]
     Silent {
-        /// Those that it was sent meanwhile.
+        /// Number of heartbeats sent to it since its last message.
         heartbeats: u32,
     },
-    /// It did not confirm a piece of its snapshot in time.
-    #[error("a snapshot's piece was not confirmed in time")]
+    /// The client did not confirm a piece of its snapshot in time.
+    #[error("a piece of the snapshot was not confirmed in time")]
     Stalled,
     /// The same member watches in a newer session.
     #[error("the member watches in a newer session")]
     Replaced,
-    /// It belongs to, or reports, a zone past those that progress is kept of.
-    #[error("more zones than progress is kept of")]
+    /// The client belongs to, or reports, a zone beyond the maximum number of tracked zones.
+    #[error("the limit of tracked zones is reached")]
     TooManyZones,
-    /// It broke the protocol.
-    #[error("out of protocol: {0}")]
+    /// The client violated the protocol.
+    #[error("protocol violation: {0}")]
     Protocol(#[from] ProtocolFault),
 }
 
-/// How a client broke the protocol.
+/// Protocol violation by a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum ProtocolFault {
-    /// Another message came before `Watch`.
-    #[error("a message before Watch")]
+    /// Another message arrived before `Watch`.
+    #[error("message before Watch")]
     NotWatched,
-    /// `Watch` came twice.
-    #[error("a second Watch")]
+    /// A second `Watch` arrived in the session.
+    #[error("second Watch in a session")]
     SecondWatch,
-    /// `FetchDifferences` during a snapshot, or from a client that is ahead of this server.
-    #[error("FetchDifferences that was not asked for")]
+    /// `FetchDifferences` arrived during a snapshot, or from a client that is ahead of this server.
+    #[error("unexpected FetchDifferences")]
     UnexpectedFetch,
-    /// A number of bucket digests that is neither 0 nor [`BUCKETS`].
-    #[error("{0} bucket digests, wanted none or {BUCKETS}")]
+    /// The number of bucket digests is neither 0 nor [`BUCKETS`].
+    #[error("{0} bucket digests, expected 0 or {BUCKETS}")]
     BucketDigests(usize),
-    /// A piece was confirmed that was not sent, or out of order.
+    /// The client confirmed a piece that was not sent, or out of order.
     #[error("piece {0} confirmed out of order")]
     UnexpectedPiece(u32),
-    /// Too many zones in one report.
-    #[error("{0} zones in a report, wanted {MAX_REPORTED_ZONES} at most")]
+    /// A report contains too many zones.
+    #[error("{0} zones in a report, at most {MAX_REPORTED_ZONES} allowed")]
     ReportedZones(usize),
-    /// Too many refusals in one report.
-    #[error("{0} refusals in a report, wanted {MAX_REPORTED_REFUSALS} at most")]
+    /// A report contains too many refusals.
+    #[error("{0} refusals in a report, at most {MAX_REPORTED_REFUSALS} allowed")]
     ReportedRefusals(usize),
-    /// A zone stands twice in one report.
-    #[error("a zone stands twice in a report")]
+    /// A report contains a zone twice.
+    #[error("duplicate zone in a report")]
     RepeatedZone,
-    /// More subscribers refuse than there are.
-    #[error("{refusing} of {subscribers} subscribers refuse")]
+    /// A report counts more refusing subscribers than subscribers.
+    #[error("{refusing} refusing subscribers of {subscribers} in a report")]
     Refusing {
-        /// Those that refuse.
+        /// Number of refusing subscribers.
         refusing: u32,
-        /// All.
+        /// Number of all subscribers.
         subscribers: u32,
     },
-    /// A subscriber's report that is not of itself alone: one entry, its own zone, one subscriber, its own refusals.
-    #[error("a subscriber's report is not of itself")]
+    /// A subscriber's report does not cover exactly itself: one entry, its own zone, one subscriber, its own
+    /// refusals.
+    #[error("a subscriber's report covers other members than itself")]
     NotItsOwn,
 }
--- a/crates/config-sync/src/fanout/progress.rs
+++ b/crates/config-sync/src/fanout/progress.rs
@@ -1,20 +1,21 @@
-//! Progress by zone, aggregated over sessions. A report costs the logarithm of the number of zones and of different
-//! positions, whatever the number of sessions. Bounded by the number of zones, of sessions and of refusals.
+//! Progress by zone, aggregated over sessions. The cost of a report is logarithmic in the number of zones and
+//! of distinct positions, and does not depend on the number of sessions. Bounded by the number of zones,
+//! sessions and refusals.
 
 use crate::message::{MAX_REPORTED_REFUSALS, Refusal, ZoneProgress};
 use crate::resource::Position;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// One zone: sums, and how many sessions report each least position.
+/// Progress of one zone: sums over sessions, and the number of sessions that report each lowest position.
 #[derive(Debug, Default)]
 struct Zone {
     subscribers: u64,
     refusing: u64,
-    least: BTreeMap<Position, u32>,
+    lowest_positions: BTreeMap<Position, u32>,
 }
 
-/// The zones and the refusals below.
+/// Zones and refusals reported by the clients.
 #[derive(Debug)]
 pub(super) struct Progress {
     zones: BTreeMap<Arc<str>, Zone>,
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Whether the zones named can all be kept beside those that there are.
-    pub(super) fn has_place(&self, reported: &[ZoneProgress]) -> bool {
+    /// Returns whether all reported zones can be tracked in addition to the present ones.
+    pub(super) fn has_room_for(&self, reported: &[ZoneProgress]) -> bool {
         let new = reported.iter().filter(|entry| !self.zones.contains_key(&entry.zone)).count();
         self.zones.len() + new <= self.max_zones
     }
@@ -45,25 +46,25 @@
         let zone = self.zones.entry(entry.zone.clone()).or_default();
         zone.subscribers += u64::from(entry.subscribers);
         zone.refusing += u64::from(entry.refusing);
-        *zone.least.entry(entry.least).or_default() += 1;
+        *zone.lowest_positions.entry(entry.least).or_default() += 1;
     }
 
     fn remove(&mut self, entry: &ZoneProgress) {
         let Some(zone) = self.zones.get_mut(&entry.zone) else { return };
         zone.subscribers -= u64::from(entry.subscribers);
         zone.refusing -= u64::from(entry.refusing);
-        if let Some(count) = zone.least.get_mut(&entry.least) {
+        if let Some(count) = zone.lowest_positions.get_mut(&entry.least) {
             *count -= 1;
             if *count == 0 {
-                zone.least.remove(&entry.least);
+                zone.lowest_positions.remove(&entry.least);
             }
         }
-        if zone.least.is_empty() {
+        if zone.lowest_positions.is_empty() {
             self.zones.remove(&entry.zone);
         }
     }
 
-    /// Takes back what a session contributed.
+    /// Removes the contribution of a session.
     pub(super) fn withdraw(&mut self, reported: &[ZoneProgress]) {
         for entry in reported {
             self.remove(entry);
@@ -74,7 +75,7 @@
         let entry = |(name, zone): (&Arc<str>, &Zone)| ZoneProgress {
             zone: name.clone(),
             subscribers: u32::try_from(zone.subscribers).unwrap_or(u32::MAX),
-            least: zone.least.keys().next().copied().unwrap_or_default(),
+            least: zone.lowest_positions.keys().next().copied().unwrap_or_default(),
             refusing: u32::try_from(zone.refusing).unwrap_or(u32::MAX),
         };
         self.zones.iter().map(entry).collect()
--- a/crates/config-sync/src/fanout/report.rs
+++ b/crates/config-sync/src/fanout/report.rs
@@ -1,4 +1,4 @@
-//! Reports of progress from the clients: what one may say, and how it counts.
+//! Validation and aggregation of the clients' progress reports.
 
 use super::interface::{CloseReason, FanoutAction, ProtocolFault, SessionId};
 use super::state::Fanout;
@@ -7,8 +7,9 @@
 use std::collections::BTreeSet;
 
 impl Fanout {
-    /// Counts a subscriber from its `Watch` on; until it reports, nothing is known to be in force in it.
-    pub(super) fn count_in(
+    /// Counts a subscriber from its `Watch` on, at the default position until its first report. Returns false
+    /// if that closed the session.
+    pub(super) fn count_subscriber(
         &mut self,
         id: SessionId,
         member: &Member,
@@ -39,14 +40,15 @@
         }
     }
 
-    /// Replaces what a session contributes; closes it, and says so, if that needs too many zones.
+    /// Replaces a session's contribution. Closes the session and returns false if that would exceed the limit
+    /// of zones.
     fn set_reported(
         &mut self,
         id: SessionId,
         reported: Vec<ZoneProgress>,
         actions: &mut Vec<FanoutAction>,
     ) -> bool {
-        if !self.progress.has_place(&reported) {
+        if !self.progress.has_room_for(&reported) {
             self.close(id, CloseReason::TooManyZones, actions);
             return false;
         }
--- a/crates/config-sync/src/fanout/session.rs
+++ b/crates/config-sync/src/fanout/session.rs
@@ -1,58 +1,58 @@
-//! What the fan-out knows of one session.
+//! State of one session of the fan-out.
 
 use super::snapshot::Snapshot;
 use crate::message::{Member, ZoneProgress};
 use crate::resource::{Digest, Millis, Position};
 
-/// How far a session is.
+/// Stage of a session.
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// Its `Watch` is awaited.
+    /// The server waits for the session's `Watch`.
     Opened,
-    /// It has everything up to the last flush.
+    /// The client has been sent everything up to the last flush.
     Live,
-    /// It is sent the log, message by message, and has it up to this position.
+    /// The client is sent the log in successive messages.
     CatchingUp {
-        /// What it was sent.
+        /// Position up to which the log was sent.
         position: Position,
     },
-    /// It has more than this server; it is served as soon as the head reaches what it has.
+    /// The client is ahead of this server; it is served as soon as the head reaches its position.
     Ahead {
-        /// What it has.
+        /// Position of the client.
         position: Position,
-        /// Its digest there.
+        /// Digest of the client's table at that position.
         digest: Digest,
     },
-    /// It was sent a `Resync`; its `FetchDifferences` is awaited.
+    /// The client was sent a `Resync`; the server waits for its `FetchDifferences`.
     Resync,
-    /// It receives a snapshot; deltas go on from the snapshot's position.
+    /// The client receives a snapshot; deltas continue from the snapshot's position.
     Snapshot(Box<Snapshot>),
 }
 
 impl Stage {
-    /// Whether it takes one of the places for snapshots.
-    pub(super) fn takes_place(&self) -> bool {
+    /// Returns whether the session counts toward the limit of snapshots.
+    pub(super) fn uses_snapshot_slot(&self) -> bool {
         matches!(self, Stage::Resync | Stage::Snapshot(_))
     }
 }
 
-/// One session.
+/// A session with one client.
 #[derive(Debug)]
 pub(super) struct Session {
     pub(super) stage: Stage,
-    /// When it entered the stage, or last confirmed a piece in it.
+    /// Time at which the session entered its stage, or at which a piece was last confirmed in it.
     pub(super) since: Millis,
-    /// Who it is, once it watches.
+    /// Identity of the client, once its `Watch` has arrived.
     pub(super) member: Option<Member>,
-    /// Pieces of the last snapshot that were sent.
+    /// Number of pieces sent of the last snapshot.
     pub(super) pieces_sent: u32,
-    /// Those that it confirmed.
+    /// Number of those pieces that the client confirmed.
     pub(super) pieces_taken: u32,
-    /// Its unsent bytes as last told.
+    /// Number of unsent bytes last reported by the owner of the sockets.
     pub(super) backlog_bytes: usize,
-    /// Heartbeats that it was sent since it was last heard.
-    pub(super) unanswered: u32,
-    /// What it contributes to the progress of zones.
+    /// Number of heartbeats sent since the client's last message.
+    pub(super) unanswered_heartbeats: u32,
+    /// The session's contribution to the progress by zone.
     pub(super) reported: Vec<ZoneProgress>,
 }
 
@@ -65,7 +65,7 @@
             pieces_sent: 0,
             pieces_taken: 0,
             backlog_bytes: 0,
-            unanswered: 0,
+            unanswered_heartbeats: 0,
             reported: Vec::new(),
         }
     }
--- a/crates/config-sync/src/fanout/shared_deltas.rs
+++ b/crates/config-sync/src/fanout/shared_deltas.rs
@@ -1,16 +1,16 @@
-//! Messages of deltas that several sessions are sent.
+//! Sharing of delta messages between sessions.
 
 use crate::message::ToClient;
 use crate::resource::Position;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
 
-/// Entries of [`SharedDeltas`] after which those of messages that nobody holds any more are cleared away.
+/// Number of entries of [`SharedDeltas`] at which entries of dropped messages are removed.
 const SHARED_DELTAS: usize = 1_024;
 
-/// Messages of deltas that are still on their way to someone, by the position that they start from, so that many
-/// sessions that begin at the same position share them. Holds no message alive; bounded by those alive, and by
-/// [`SHARED_DELTAS`] beside them.
+/// Delta messages that are still being sent, by their start position, so that sessions that start at the same
+/// position share them. Keeps no message alive; bounded by the number of live messages plus
+/// [`SHARED_DELTAS`].
 #[derive(Debug, Default)]
 pub(super) struct SharedDeltas {
     messages: BTreeMap<Position, Weak<ToClient>>,
--- a/crates/config-sync/src/fanout/snapshot.rs
+++ b/crates/config-sync/src/fanout/snapshot.rs
@@ -1,4 +1,5 @@
-//! A snapshot under way: the buckets that differ, as they stood at one position, and the pieces that several share.
+//! A snapshot in progress: the buckets that differ, as of one position, and the pieces shared between
+//! sessions.
 
 use crate::message::{BucketContent, PIECE_BYTES, ToClient};
 use crate::resource::{Digest, Position};
@@ -7,23 +8,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Weak};
 
-/// What a bucket takes in a piece beside its resources.
+/// Estimated size of a bucket in a piece without its resources, in bytes.
 const BUCKET_OVERHEAD: usize = 16;
 
-/// A snapshot under way. The table is a clone: it shares with the head's all buckets that did not change since.
+/// A snapshot in progress. Its table is a clone that shares with the head's table all buckets that did not
+/// change since.
 #[derive(Debug)]
 pub(super) struct Snapshot {
     pub(super) table: Table,
     pub(super) position: Position,
     pub(super) published_unix_ms: u64,
-    /// The buckets not sent yet.
+    /// Buckets not sent yet.
     pub(super) remaining: VecDeque<u16>,
-    /// Whether all buckets were asked for, so that its pieces are those of others at this position.
+    /// Whether all buckets were requested, so that its pieces can be shared with other whole snapshots at
+    /// this position.
     pub(super) whole: bool,
 }
 
 impl Snapshot {
-    /// Takes the buckets of the next piece, one at least.
+    /// Removes the buckets of the next piece, at least one, from the remaining ones and returns the piece.
     pub(super) fn next_piece(&mut self, sequence: u32) -> ToClient {
         let mut buckets = Vec::new();
         let mut bytes = 0;
@@ -46,25 +49,25 @@
     }
 }
 
-/// Pieces of whole snapshots at one position that are still on their way to someone, so that many clients that come
-/// with nothing at once share them. Holds no piece alive; bounded by the number of pieces of one table.
+/// Pieces of whole snapshots at one position that are still being sent, so that clients that start without a
+/// table at the same time share them. Keeps no piece alive; bounded by the number of pieces of one table.
 #[derive(Debug, Default)]
 pub(super) struct SharedPieces {
-    /// Of which table, by position and digest.
-    of: (Position, Digest),
+    /// Position and digest of the table that the pieces belong to.
+    table_id: (Position, Digest),
     pieces: BTreeMap<u32, Weak<ToClient>>,
 }
 
 impl SharedPieces {
-    pub(super) fn get(&self, of: (Position, Digest), sequence: u32) -> Option<Arc<ToClient>> {
-        if self.of == of { self.pieces.get(&sequence)?.upgrade() } else { None }
+    pub(super) fn get(&self, table_id: (Position, Digest), sequence: u32) -> Option<Arc<ToClient>> {
+        if self.table_id == table_id { self.pieces.get(&sequence)?.upgrade() } else { None }
     }
 
-    pub(super) fn remember(&mut self, of: (Position, Digest), sequence: u32, piece: &Arc<ToClient>) {
-        if of.0 > self.of.0 {
-            *self = SharedPieces { of, pieces: BTreeMap::new() };
+    pub(super) fn remember(&mut self, table_id: (Position, Digest), sequence: u32, piece: &Arc<ToClient>) {
+        if table_id.0 > self.table_id.0 {
+            *self = SharedPieces { table_id, pieces: BTreeMap::new() };
         }
-        if of == self.of {
+        if table_id == self.table_id {
             self.pieces.insert(sequence, Arc::downgrade(piece));
         }
     }
--- a/crates/config-sync/src/fanout/snapshot_transfer.rs
+++ b/crates/config-sync/src/fanout/snapshot_transfer.rs
@@ -1,4 +1,5 @@
-//! How snapshots are sent: in pieces, with a bounded number unconfirmed, to a bounded number of sessions at once.
+//! Sending of snapshots: in pieces, with a bounded number unconfirmed, to a bounded number of sessions at
+//! once.
 
 use super::interface::{CloseReason, FanoutAction, ProtocolFault, SessionId};
 use super::session::Stage;
@@ -9,10 +10,10 @@
 use std::sync::Arc;
 
 impl Fanout {
-    /// Sends a `Resync`, or sends the client away if no place for a snapshot is left.
+    /// Sends a `Resync`, or rejects the client as busy if the limit of snapshots is reached.
     pub(super) fn require_resync(&mut self, now: Millis, id: SessionId, actions: &mut Vec<FanoutAction>) {
-        if !self.has_place(id) {
-            return self.send_away(id, actions);
+        if !self.has_snapshot_slot(id) {
+            return self.reject_busy(id, actions);
         }
         self.set_stage(now, id, Stage::Resync);
         self.send(id, ToClient::Resync { head: self.head() }, actions);
@@ -30,12 +31,12 @@
             return self.close(id, fault.into(), actions);
         }
         match self.sessions.get(&id).map(|session| &session.stage) {
-            // A client that finds its table spoilt may ask without a `Resync`.
+            // A client whose table doesn't match the deltas may send this without a `Resync`.
             Some(Stage::Resync | Stage::Live | Stage::CatchingUp { .. }) => {}
             _ => return self.close(id, ProtocolFault::UnexpectedFetch.into(), actions),
         }
-        if !self.has_place(id) {
-            return self.send_away(id, actions);
+        if !self.has_snapshot_slot(id) {
+            return self.reject_busy(id, actions);
         }
         let snapshot = Snapshot {
             table: self.table.clone(),
@@ -69,14 +70,15 @@
         }
     }
 
-    /// Sends as many pieces as the window allows; after the last one the end, and then the deltas from there.
+    /// Sends as many pieces as the window allows. After the last one, sends the end of the snapshot and
+    /// continues with deltas.
     fn send_pieces(&mut self, now: Millis, id: SessionId, actions: &mut Vec<FanoutAction>) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
         let Stage::Snapshot(snapshot) = &mut session.stage else { return };
-        let of = (snapshot.position, snapshot.table.digest());
+        let table_id = (snapshot.position, snapshot.table.digest());
         while !snapshot.remaining.is_empty() && session.pieces_sent - session.pieces_taken < PIECE_WINDOW {
             let sequence = session.pieces_sent;
-            let shared = if snapshot.whole { self.shared_pieces.get(of, sequence) } else { None };
+            let shared = if snapshot.whole { self.shared_pieces.get(table_id, sequence) } else { None };
             let piece = match shared {
                 Some(piece) => {
                     snapshot.skip(&piece);
@@ -85,7 +87,7 @@
                 None => Arc::new(snapshot.next_piece(sequence)),
             };
             if snapshot.whole {
-                self.shared_pieces.remember(of, sequence, &piece);
+                self.shared_pieces.remember(table_id, sequence, &piece);
             }
             session.pieces_sent += 1;
             actions.push(FanoutAction::Send { session: id, message: piece });
@@ -93,20 +95,20 @@
         if !snapshot.remaining.is_empty() {
             return;
         }
-        let (position, digest) = of;
+        let (position, digest) = table_id;
         let pieces = session.pieces_sent;
         let published_unix_ms = snapshot.published_unix_ms;
         self.send(id, ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }, actions);
-        self.begin(now, id, position, digest, actions);
+        self.serve_from(now, id, position, digest, actions);
     }
 
-    /// Whether the session has, or could get, a place for a snapshot.
-    fn has_place(&self, id: SessionId) -> bool {
-        let has_one = self.sessions.get(&id).is_some_and(|session| session.stage.takes_place());
-        has_one || self.places_taken < self.settings.max_snapshots
+    /// Returns whether the session has, or can get, a slot for a snapshot.
+    fn has_snapshot_slot(&self, id: SessionId) -> bool {
+        let uses_slot = self.sessions.get(&id).is_some_and(|session| session.stage.uses_snapshot_slot());
+        uses_slot || self.snapshot_slots_used < self.settings.max_snapshots
     }
 
-    fn send_away(&mut self, id: SessionId, actions: &mut Vec<FanoutAction>) {
+    fn reject_busy(&mut self, id: SessionId, actions: &mut Vec<FanoutAction>) {
         let busy = self.busy();
         self.send(id, busy, actions);
         self.close(id, CloseReason::NoSnapshotPlace, actions);
--- a/crates/config-sync/src/fanout/state.rs
+++ b/crates/config-sync/src/fanout/state.rs
@@ -1,4 +1,4 @@
-//! The state of a fan-out: its table, its log, its sessions, and the steps on a single session that all else is made of.
+//! State of a fan-out (table, log and sessions), and the basic operations on a single session.
 
 use super::interface::{CloseReason, FanoutAction, FanoutSettings, SessionId};
 use super::progress::Progress;
@@ -15,29 +15,29 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The server's side of all sessions.
+/// Server side of all sessions.
 #[derive(Debug)]
 pub struct Fanout {
     pub(super) settings: FanoutSettings,
     pub(super) log: DeltaLog,
-    /// The table at the head.
+    /// Table at the head.
     pub(super) table: Table,
-    /// When the head's transaction was accepted.
+    /// Time at which the publisher accepted the head's transaction, Unix ms.
     pub(super) published_unix_ms: u64,
-    /// How old the table is.
+    /// Age of the table.
     pub(super) age: ServerAge,
-    /// What all live sessions have been sent.
+    /// Position up to which all live sessions have been sent everything.
     pub(super) flushed: Position,
     pub(super) last_flush: Option<Millis>,
     pub(super) last_heartbeat: Option<Millis>,
-    pub(super) last_tick: Option<Millis>,
+    pub(super) last_catch_up: Option<Millis>,
     pub(super) sessions: BTreeMap<SessionId, Session>,
-    /// The session of each member that watches.
-    pub(super) names: BTreeMap<Arc<str>, SessionId>,
-    /// Sessions that catch up with the log.
+    /// Session of each watching member, by name.
+    pub(super) sessions_by_name: BTreeMap<Arc<str>, SessionId>,
+    /// Sessions in the stage [`Stage::CatchingUp`].
     pub(super) catching_up: BTreeSet<SessionId>,
-    /// Sessions whose stage takes a place for a snapshot.
-    pub(super) places_taken: usize,
+    /// Number of sessions that count toward the limit of snapshots.
+    pub(super) snapshot_slots_used: usize,
     pub(super) progress: Progress,
     pub(super) shared_deltas: SharedDeltas,
     pub(super) shared_pieces: SharedPieces,
@@ -45,7 +45,7 @@
 }
 
 impl Fanout {
-    /// One without sessions, its table empty, its head the default position.
+    /// Creates a fan-out without sessions, with an empty table at the default position.
     pub fn new(settings: FanoutSettings) -> Fanout {
         Fanout {
             log: DeltaLog::new(settings.log, Position::default(), Digest::default()),
@@ -55,11 +55,11 @@
             flushed: Position::default(),
             last_flush: None,
             last_heartbeat: None,
-            last_tick: None,
+            last_catch_up: None,
             sessions: BTreeMap::new(),
-            names: BTreeMap::new(),
+            sessions_by_name: BTreeMap::new(),
             catching_up: BTreeSet::new(),
-            places_taken: 0,
+            snapshot_slots_used: 0,
             progress: Progress::new(settings.max_zones, settings.max_refusals),
             shared_deltas: SharedDeltas::default(),
             shared_pieces: SharedPieces::default(),
@@ -68,58 +68,60 @@
         }
     }
 
-    /// The position of the table that is served.
+    /// Returns the position of the table that is served.
     pub fn head(&self) -> Position {
         self.log.head()
     }
 
-    /// The table at the head.
+    /// Returns the table at the head.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// How old the table is from now on, for heartbeats: a relay says so before each event. Without it, the fan-out is a
-    /// publisher's.
+    /// Sets the age of the table, which heartbeats report. A relay sets it before each event; if it is never
+    /// set, the fan-out is a publisher's.
     pub fn set_age(&mut self, age: ServerAge) {
         self.age = age;
     }
 
-    /// The log of deltas.
+    /// Returns the delta log.
     pub fn log(&self) -> &DeltaLog {
         &self.log
     }
 
-    /// The number of sessions.
+    /// Returns the number of sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Snapshots under way or announced.
+    /// Returns the number of snapshots in progress or announced.
     pub fn snapshots(&self) -> usize {
-        self.places_taken
+        self.snapshot_slots_used
     }
 
-    /// Sessions whose clients have more than this server. At a publisher this means that its store was set back.
+    /// Returns the number of sessions whose clients are ahead of this server. At a publisher, a nonzero
+    /// number means that its store was set back to an earlier state.
     pub fn sessions_ahead(&self) -> usize {
         self.sessions.values().filter(|session| matches!(session.stage, Stage::Ahead { .. })).count()
     }
 
-    /// The progress of the subscribers below, by zone.
+    /// Returns the progress of the subscribers below, by zone.
     pub fn zones(&self) -> Vec<ZoneProgress> {
         self.progress.zones()
     }
 
-    /// Takes the oldest refusals, as many as one report may name; call again until none is left.
+    /// Removes and returns the oldest refusals, at most as many as one report may contain; to be called until
+    /// it returns none.
     pub fn take_refusals(&mut self) -> Vec<Refusal> {
         self.progress.take_refusals()
     }
 
-    /// Refusals that found no room, since the start.
+    /// Returns the number of refusals dropped since the start because the queue was full.
     pub fn refusals_dropped(&self) -> u64 {
         self.progress.refusals_dropped()
     }
 
-    /// When the next `FanoutEvent::Tick` has something to do; at once if there was none yet.
+    /// Returns when the next `FanoutEvent::Tick` is required; at once if there was none yet.
     pub fn deadline(&self) -> Millis {
         let heartbeat = self.last_heartbeat.map_or(0, |last| last.saturating_add(self.settings.heartbeat_ms));
         let flush = if self.flushed == self.head() { Millis::MAX } else { self.flush_due() };
@@ -127,7 +129,7 @@
         heartbeat.min(flush).min(catch_up)
     }
 
-    /// What this server has, and how old it is.
+    /// Returns a heartbeat with the head and the age of the table.
     pub(super) fn heartbeat(&self, now: Millis) -> ToClient {
         ToClient::Heartbeat { head: self.head(), age_ms: self.age.at(now) }
     }
@@ -137,19 +139,19 @@
     }
 
     pub(super) fn catch_up_due(&self) -> Millis {
-        self.last_tick.map_or(0, |last| last.saturating_add(self.settings.flush_ms))
+        self.last_catch_up.map_or(0, |last| last.saturating_add(self.settings.flush_ms))
     }
 
     pub(super) fn busy(&mut self) -> ToClient {
-        let least = self.settings.busy_retry_ms;
-        ToClient::Busy { retry_after_ms: self.random.random_range(least..=least.saturating_mul(2)) }
+        let min_ms = self.settings.busy_retry_ms;
+        ToClient::Busy { retry_after_ms: self.random.random_range(min_ms..=min_ms.saturating_mul(2)) }
     }
 
     pub(super) fn send(&self, session: SessionId, message: ToClient, actions: &mut Vec<FanoutAction>) {
         actions.push(FanoutAction::Send { session, message: Arc::new(message) });
     }
 
-    /// Closes a session that is open; nothing otherwise.
+    /// Closes a session if it is open.
     pub(super) fn close(&mut self, session: SessionId, reason: CloseReason, actions: &mut Vec<FanoutAction>) {
         if self.sessions.contains_key(&session) {
             self.forget(session);
@@ -160,17 +162,17 @@
     pub(super) fn forget(&mut self, id: SessionId) {
         let Some(session) = self.sessions.remove(&id) else { return };
         self.progress.withdraw(&session.reported);
-        self.places_taken -= usize::from(session.stage.takes_place());
+        self.snapshot_slots_used -= usize::from(session.stage.uses_snapshot_slot());
         self.catching_up.remove(&id);
         if let Some(member) = &session.member {
-            self.names.remove(&member.name);
+            self.sessions_by_name.remove(&member.name);
         }
     }
 
     pub(super) fn set_stage(&mut self, now: Millis, id: SessionId, stage: Stage) {
         let Some(session) = self.sessions.get_mut(&id) else { return };
-        self.places_taken += usize::from(stage.takes_place());
-        self.places_taken -= usize::from(session.stage.takes_place());
+        self.snapshot_slots_used += usize::from(stage.uses_snapshot_slot());
+        self.snapshot_slots_used -= usize::from(session.stage.uses_snapshot_slot());
         if matches!(stage, Stage::CatchingUp { .. }) {
             self.catching_up.insert(id);
         } else {
--- a/crates/config-sync/src/fanout/watch.rs
+++ b/crates/config-sync/src/fanout/watch.rs
@@ -1,4 +1,4 @@
-//! How a session begins, and how deltas go out.
+//! Start of a session, and sending of deltas.
 
 use super::interface::{CloseReason, FanoutAction, SessionId};
 use super::session::Stage;
@@ -18,22 +18,23 @@
         digest: Digest,
         actions: &mut Vec<FanoutAction>,
     ) {
-        if let Some(&older) = self.names.get(&member.name) {
+        if let Some(&older) = self.sessions_by_name.get(&member.name) {
             self.close(older, CloseReason::Replaced, actions);
         }
-        if !self.count_in(id, &member, actions) {
+        if !self.count_subscriber(id, &member, actions) {
             return;
         }
-        self.names.insert(member.name.clone(), id);
+        self.sessions_by_name.insert(member.name.clone(), id);
         if let Some(session) = self.sessions.get_mut(&id) {
             session.member = Some(member);
         }
-        self.begin(now, id, position, digest, actions);
+        self.serve_from(now, id, position, digest, actions);
     }
 
-    /// Serves a session from what it has: deltas if the log leads from there, else a snapshot. A session that has more
-    /// than this server is only told the head: it is this server that is behind.
-    pub(super) fn begin(
+    /// Serves a session from its client's position: with deltas if the log leads from there, otherwise with a
+    /// snapshot. A client that is ahead of this server only receives a heartbeat, since it is this server
+    /// that is behind.
+    pub(super) fn serve_from(
         &mut self,
         now: Millis,
         id: SessionId,
@@ -54,7 +55,8 @@
         self.catch_up(now, id, position, actions);
     }
 
-    /// Sends the next message to a session that has everything up to `position`, or makes it a live one.
+    /// Sends the next message of the log to a session that has everything up to `position`, or makes the
+    /// session live.
     pub(super) fn catch_up(
         &mut self,
         now: Millis,
@@ -74,8 +76,8 @@
         actions.push(FanoutAction::Send { session: id, message });
     }
 
-    /// Sends one more message to each session that catches up and has little unsent.
-    pub(super) fn catch_all_up(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
+    /// Sends one more message to each session that catches up and has little unsent data.
+    pub(super) fn continue_catch_up(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         let ids: Vec<SessionId> = self.catching_up.iter().copied().collect();
         for id in ids {
             let Some(session) = self.sessions.get(&id) else { continue };
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Sends the transactions after the last flush to all live sessions, and begins with those that were ahead and no
-    /// longer are.
+    /// Sends the transactions after the last flush to all live sessions, and starts to serve those that were
+    /// ahead and no longer are.
     pub(super) fn flush(&mut self, now: Millis, actions: &mut Vec<FanoutAction>) {
         if self.flushed == self.head() {
             return;
@@ -104,14 +106,15 @@
                 }
                 (Some(Stage::Live), None) => self.require_resync(now, session, actions),
                 (Some(&Stage::Ahead { position, digest }), _) if position <= self.flushed => {
-                    self.begin(now, session, position, digest, actions);
+                    self.serve_from(now, session, position, digest, actions);
                 }
                 _ => {}
             }
         }
     }
 
-    /// What leads from the last flush to the head; nothing if the log was compacted in between.
+    /// Returns the messages that lead from the last flush to the head; `None` if the log was compacted in
+    /// between.
     fn messages_to_head(&self) -> Option<Vec<Arc<ToClient>>> {
         let mut position = self.flushed;
         let mut messages = Vec::new();
@@ -123,7 +126,7 @@
         Some(messages)
     }
 
-    /// A message from `position` on, at most to the last flush, and the position that it leads to.
+    /// Returns a message from `position` up to the last flush at most, and the position that it leads to.
     fn deltas_from(&mut self, position: Position) -> Option<(Arc<ToClient>, Position)> {
         if let Some(message) = self.shared_deltas.get(position) {
             if let ToClient::Deltas(transactions) = &*message {
@@ -136,7 +139,8 @@
         Some((message, reached))
     }
 
-    /// As many of the transactions after `position`, up to `end`, as fit into one message; one at least.
+    /// Returns a message with as many of the transactions after `position`, up to `end`, as fit, at least
+    /// one, and the position that it leads to.
     fn next_deltas(&self, position: Position, end: Position) -> Option<(Arc<ToClient>, Position)> {
         let mut batch: Vec<Arc<Transaction>> = Vec::new();
         let mut bytes = 0;
--- a/crates/config-sync/src/follower.rs
+++ b/crates/config-sync/src/follower.rs
@@ -1,9 +1,10 @@
-//! The client side of sessions, for relays and subscribers alike: holds a table and its position and keeps them at the
-//! head of the server it watches.
+//! Client side of sessions, for relays and subscribers alike: holds a table and its position, and keeps both
+//! at the head of the server that it watches.
 //!
-//! The table is at every moment exactly what the publisher had at one position: a transaction is applied if it follows
-//! and its digest fits, a snapshot once it is whole and its digest fits. Anything else leaves the old table and leads
-//! to a snapshot or to another server. The position never goes back; a server that is behind is left.
+//! At any time the table is exactly the publisher's table at some position: a transaction is applied if it
+//! follows and its digest matches, a snapshot once it is complete and its digest matches. Anything else
+//! leaves the table unchanged and leads to a snapshot or to another server. The position never decreases; a
+//! server that is behind is left.
 
 mod api;
 mod candidates;
@@ -24,44 +25,45 @@
 use candidates::Candidates;
 use staging::Staging;
 
-/// The state of the one connection.
+/// State of the connection to the server.
 enum Link {
-    /// None; the next attempt is at `until`.
+    /// There is no connection; the next attempt is at `until`.
     Waiting { until: Millis },
-    /// Asked for.
+    /// A connection attempt is in progress.
     Connecting { since: Millis },
-    /// Open; deltas are expected.
+    /// The session is open; deltas are expected.
     Following,
-    /// Open; a snapshot was asked for.
+    /// The session is open; a snapshot was requested.
     Fetching(Staging),
 }
 
-/// What is known of the open session.
+/// State of the open session.
 #[derive(Default)]
 struct Session {
-    /// When the last message arrived.
-    heard_at: Millis,
-    /// When the table last moved, was confirmed to be at the head, or a piece arrived.
+    /// Time at which the last message arrived.
+    last_received_at: Millis,
+    /// Time at which the table last advanced, was confirmed to be at the head, or a piece arrived.
     progress_at: Millis,
-    /// Whether anything arrived at all.
-    heard: bool,
-    /// Whether it came to the server's head.
-    proven: bool,
-    /// Whether a snapshot was asked for because something did not fit; the second time the server is left.
-    repaired: bool,
-    /// What the server's last heartbeat said: its head and its age.
+    /// Whether any message has arrived.
+    has_received: bool,
+    /// Whether the table has reached the server's head.
+    reached_head: bool,
+    /// Whether a snapshot was requested because deltas did not match; the second time, the server is left.
+    resynced_after_fault: bool,
+    /// Head and age in the server's last heartbeat.
     last_heartbeat: Option<(Position, StateAge)>,
-    /// The age at which its server is left.
+    /// Age of the server's state at which the server is left.
     stale_after_ms: Millis,
-    /// So long a new session has to show that its server is not that old, as one that has just begun itself.
-    fresh_by: Millis,
-    /// When its server is left for its age, if that goes on growing.
+    /// Time until which the server is not left for its age: a server that has itself just started may need it
+    /// to become fresh.
+    fresh_deadline: Millis,
+    /// Time at which the server is left for its age if that keeps growing.
     stale_at: Millis,
-    /// When a nearer server is tried again.
+    /// Time at which a nearer server is tried again.
     return_at: Option<Millis>,
 }
 
-/// The client side of sessions.
+/// Client side of sessions.
 pub struct Follower {
     settings: FollowerSettings,
     candidates: Candidates,
@@ -69,17 +71,19 @@
     session: Session,
     position: Position,
     table: Table,
-    /// How old the table is: since it was last known to be at the publisher's head.
+    /// Age of the table: the time since it was last known to be at the publisher's head.
     age: Option<StateAge>,
-    /// The next snapshot is fetched whole, since one that was put together from differences did not fit.
+    /// Whether the next snapshot is fetched whole, since the digest of one assembled from differences did not
+    /// match.
     fetch_whole: bool,
-    /// Where steps of the table are computed together with others.
+    /// Cache of table steps shared with other followers in this process.
     steps: Option<SharedSteps>,
     counters: FollowerCounters,
 }
 
 impl Follower {
-    /// Begins with what was kept, or with `Position::default()` and an empty table. Connects at the first event.
+    /// Creates a follower with a stored table and its position, or with `Position::default()` and an empty
+    /// table. It connects at the first event.
     pub fn new(settings: FollowerSettings, now: Millis, position: Position, table: Table) -> Follower {
         Follower {
             candidates: Candidates::new(&settings),
@@ -95,7 +99,7 @@
         }
     }
 
-    /// Takes an event and appends what is to be done, in order.
+    /// Handles an event and appends the resulting actions, in order.
     pub fn on_event(&mut self, now: Millis, event: FollowerEvent, actions: &mut Vec<FollowerAction>) {
         match event {
             FollowerEvent::Connected => self.on_connected(now, actions),
@@ -106,44 +110,45 @@
         self.check_time(now, actions);
     }
 
-    /// What it has.
+    /// Returns the position of the table.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The table at [`Follower::position`].
+    /// Returns the table at [`Follower::position`].
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Whether a session is open, so that messages can be sent.
+    /// Returns whether a session is open, so that messages can be sent.
     pub fn is_open(&self) -> bool {
         matches!(self.link, Link::Following | Link::Fetching(_))
     }
 
-    /// How long ago it last knew itself at the publisher's head, by what its servers say of themselves; nothing if it
-    /// never did.
+    /// Returns how long ago the table was last known to be at the publisher's head, according to the ages
+    /// that its servers report; `None` if it never was.
     pub fn age_ms(&self, now: Millis) -> Option<Millis> {
         self.age.map(|age| age.at(now))
     }
 
-    /// The same as it grows, for those that follow this one.
+    /// Returns the age of the table as a [`StateAge`], which grows with time, for the clients of this
+    /// follower's relay.
     pub fn state_age(&self) -> Option<StateAge> {
         self.age
     }
 
-    /// Its counters.
+    /// Returns the follower's counters.
     pub fn counters(&self) -> FollowerCounters {
         self.counters
     }
 
-    /// From now on steps of the table are computed together with others in this process.
+    /// Makes the follower share the computation of table steps with others in this process.
     pub fn share_steps(&mut self, steps: SharedSteps) {
         self.steps = Some(steps);
     }
 
-    /// Takes over a table of equal digest, so that many followers in one process share its memory. Returns whether
-    /// the digests were equal.
+    /// Replaces the table by `other` if their digests are equal, so that many followers in one process share
+    /// its memory. Returns whether the digests were equal.
     pub fn share_table(&mut self, other: &Table) -> bool {
         if self.table.digest() != other.digest() {
             return false;
@@ -154,13 +159,13 @@
         true
     }
 
-    /// When the next [`FollowerEvent::Tick`] is needed at the latest.
+    /// Returns when the next [`FollowerEvent::Tick`] is required at the latest.
     pub fn deadline(&self) -> Millis {
         match self.link {
             Link::Waiting { until } => until,
             Link::Connecting { since } => since.saturating_add(self.settings.connect_limit_ms),
             Link::Following | Link::Fetching(_) => {
-                let silent = self.session.heard_at.saturating_add(self.silence_limit());
+                let silent = self.session.last_received_at.saturating_add(self.silence_limit());
                 let stalled = self.session.progress_at.saturating_add(self.settings.stall_ms);
                 let return_at = self.session.return_at.unwrap_or(Millis::MAX);
                 silent.min(stalled).min(return_at).min(self.session.stale_at)
@@ -168,10 +173,11 @@
         }
     }
 
-    /// A server that is only tried again has to answer as fast as it has to accept the connection.
+    /// Returns the maximum silence of the server. A server on trial has to answer as fast as it has to accept
+    /// the connection.
     fn silence_limit(&self) -> Millis {
-        let unproven_return = self.candidates.trial().is_some() && !self.session.heard;
-        if unproven_return { self.settings.connect_limit_ms } else { self.settings.silence_ms }
+        let unanswered_trial = self.candidates.trial().is_some() && !self.session.has_received;
+        if unanswered_trial { self.settings.connect_limit_ms } else { self.settings.silence_ms }
     }
 
     fn on_connected(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
@@ -180,14 +186,14 @@
         }
         self.link = Link::Following;
         let return_at = self.candidates.next_return(now);
-        let stale_after_ms = self.candidates.stretched(self.settings.stale_after_ms);
-        let fresh_by = now.saturating_add(stale_after_ms);
+        let stale_after_ms = self.candidates.with_jitter(self.settings.stale_after_ms);
+        let fresh_deadline = now.saturating_add(stale_after_ms);
         self.session = Session {
-            heard_at: now,
+            last_received_at: now,
             progress_at: now,
             stale_after_ms,
-            fresh_by,
-            stale_at: fresh_by.max(self.candidates.fresher_not_before()),
+            fresh_deadline,
+            stale_at: fresh_deadline.max(self.candidates.fresher_not_before()),
             return_at,
             ..Session::default()
         };
@@ -205,18 +211,21 @@
     fn on_link_ended(&mut self, now: Millis) {
         let delay = match self.link {
             Link::Waiting { .. } => return,
-            Link::Following | Link::Fetching(_) if self.session.proven => self.candidates.session_lost(),
+            Link::Following | Link::Fetching(_) if self.session.reached_head => {
+                self.candidates.session_lost()
+            }
             _ => self.candidates.attempt_failed(),
         };
         self.wait(now, delay);
     }
 
-    /// Waits at least a millisecond, so that servers that are all left at once are not gone through without end.
+    /// Schedules the next attempt after at least a millisecond, so that leaving all servers at once does not
+    /// cause an endless loop over them.
     fn wait(&mut self, now: Millis, delay: Millis) {
         self.link = Link::Waiting { until: now.saturating_add(delay.max(1)) };
     }
 
-    /// Gives up the link and goes to the next server.
+    /// Closes the link and schedules an attempt at the next server.
     fn leave(&mut self, now: Millis, reason: DisconnectReason, actions: &mut Vec<FollowerAction>) {
         disconnect(actions, reason);
         let delay = self.candidates.attempt_failed();
@@ -235,7 +244,7 @@
     }
 
     fn check_session(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
-        let silence = now.saturating_sub(self.session.heard_at);
+        let silence = now.saturating_sub(self.session.last_received_at);
         let stall = now.saturating_sub(self.session.progress_at);
         if silence >= self.silence_limit() {
             disconnect(actions, DisconnectReason::Silent(silence));
@@ -249,9 +258,9 @@
         }
     }
 
-    /// Goes from a farther server to a nearer one, at once. Not in the middle of a snapshot.
+    /// Switches from a farther server to a nearer one at once, but not during a snapshot.
     fn try_nearer(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
-        if !self.session.proven || matches!(self.link, Link::Fetching(_)) {
+        if !self.session.reached_head || matches!(self.link, Link::Fetching(_)) {
             self.session.return_at = self.candidates.next_return(now);
             return;
         }
--- a/crates/config-sync/src/follower/api.rs
+++ b/crates/config-sync/src/follower/api.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a [`Follower`](super::Follower).
+//! Settings, events and actions of a [`Follower`](super::Follower).
 
 use crate::backoff::BackoffSettings;
 use crate::message::{Member, Role, ToClient, ToServer};
@@ -7,37 +7,40 @@
 use crate::table::Table;
 use std::sync::Arc;
 
-/// How a follower is set up.
+/// Settings of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerSettings {
-    /// Who it is.
+    /// Identity of the follower.
     pub member: Member,
-    /// Whom it may watch. For a relay: servers of the level above only, so that relays never watch each other in a ring.
+    /// Servers that the follower may watch. For a relay, only servers of the level above, so that relays
+    /// never watch each other in a cycle.
     pub servers: Vec<Server>,
     /// Seed of the jitter.
     pub seed: u64,
-    /// Delays between attempts.
+    /// Delays between connection attempts.
     pub backoff: BackoffSettings,
-    /// A connection has to be made within this time, ms.
+    /// Timeout of a connection attempt, ms.
     pub connect_limit_ms: u64,
-    /// A link on which nothing arrives for this time is dropped, ms.
+    /// Time without messages after which the connection is closed, ms.
     pub silence_ms: u64,
-    /// A server that leads to no head, though it is heard, is left after this time, ms.
+    /// Time without progress toward the server's head after which the server is left although its messages
+    /// arrive, ms.
     pub stall_ms: u64,
-    /// On a farther server, a nearer one is tried again after about this time, ms; each wait is half to one and a half of it.
+    /// Approximate time on a farther server after which a nearer one is tried again, ms; each wait is between
+    /// half and one and a half of it.
     pub return_ms: u64,
-    /// A server that says that its own state is older than this, because it is cut off from the publisher, is left for one
-    /// that is fresher, ms; each session waits up to half of it longer. A relay waits for less than those below it, so
-    /// that it mends itself before they leave it.
+    /// Age of a server's state, ms, past which the server is left for a fresher one, because it is cut off
+    /// from the publisher; each session waits up to half of it longer. A relay's limit is lower than that of
+    /// its clients, so that it recovers before they leave it.
     pub stale_after_ms: u64,
-    /// The longest wait that a server without a place for a snapshot can ask for, ms.
+    /// Maximum wait that a busy server can request, ms.
     pub max_busy_wait_ms: u64,
-    /// The most resources of a table; one that would grow past it is not taken.
+    /// Maximum number of resources of a table; a larger table is rejected.
     pub max_resources: usize,
 }
 
 impl FollowerSettings {
-    /// The defaults for `member`, which may watch `servers`.
+    /// Returns the defaults for `member`, which may watch `servers`.
     pub fn new(member: Member, servers: Vec<Server>, seed: u64) -> FollowerSettings {
         let stale_after_ms = match member.role {
             Role::Relay => 3_000,
@@ -59,104 +62,104 @@
     }
 }
 
-/// What happens to a follower. After it asked for [`LinkAction::Disconnect`], nothing more of that connection may be
-/// handed in; what was still to arrive is dropped by the task that owns the socket.
+/// Input events of a follower. After [`LinkAction::Disconnect`], no further event of that connection may be
+/// passed in; the task that owns the socket drops whatever still arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowerEvent {
-    /// The connection that was asked for is made.
+    /// The requested connection is established.
     Connected,
-    /// It could not be made.
+    /// The requested connection could not be established.
     ConnectFailed,
-    /// A message arrived on it.
+    /// A message arrived on the connection.
     Received(ToClient),
-    /// It ended, by the other side or by a fault.
+    /// The connection was closed by the server or by a fault.
     Disconnected,
-    /// Time has passed; needed at [`Follower::deadline`](super::Follower::deadline) at the latest.
+    /// Time has passed; required at [`Follower::deadline`](super::Follower::deadline) at the latest.
     Tick,
 }
 
-/// What the task that owns the socket has to do. There is at most one connection at a time.
+/// Actions for the task that owns the socket. There is at most one connection at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkAction {
     /// Connect to this server; answered by `Connected` or `ConnectFailed`.
     Connect(Server),
-    /// Send on the open connection.
+    /// Send a message on the open connection.
     Send(ToServer),
-    /// Give up the connection, or the attempt to make it; not answered.
+    /// Close the connection or abort the connection attempt; not answered.
     Disconnect(DisconnectReason),
 }
 
-/// What a follower wants done.
+/// Actions requested by a follower.
 #[derive(Clone, Debug)]
 pub enum FollowerAction {
-    /// For the socket.
+    /// An action for the task that owns the socket.
     Link(LinkAction),
-    /// The table moved forward.
+    /// The table advanced.
     Advanced(Advance),
 }
 
-/// A step forward of the table; [`Follower::table`](super::Follower::table) is what it leads to.
+/// An advance of the table to [`Follower::table`](super::Follower::table).
 #[derive(Clone, Debug)]
 pub enum Advance {
-    /// By transactions, each of which followed the one before.
+    /// An advance by consecutive transactions.
     Deltas {
-        /// The table before the first.
+        /// Table before the first transaction.
         before: Table,
-        /// At least one.
+        /// The transactions, at least one.
         transactions: Vec<Arc<Transaction>>,
     },
-    /// To a snapshot, in one step.
+    /// An advance to a snapshot in one step.
     Snapshot {
-        /// The table before; [`Table::changes_to`] gives the difference.
+        /// Table before the advance; [`Table::changes_to`] returns the difference.
         before: Table,
-        /// The position of the snapshot.
+        /// Position of the snapshot.
         position: Position,
-        /// When its last transaction was accepted, Unix ms.
+        /// Time at which the publisher accepted the snapshot's last transaction, Unix ms.
         published_unix_ms: u64,
     },
 }
 
-/// Why a follower gives up a connection.
+/// Reason why a follower closes a connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DisconnectReason {
-    /// The connection was not made in time.
+    /// The connection was not established in time.
     #[error("not connected within {0} ms")]
     ConnectLimit(Millis),
-    /// Nothing arrived for too long.
+    /// No message arrived for too long.
     #[error("nothing heard for {0} ms")]
     Silent(Millis),
-    /// The server is heard but leads to no head.
-    #[error("no progress for {0} ms, though the server is heard")]
+    /// Messages of the server arrive, but the table makes no progress toward its head.
+    #[error("no progress for {0} ms although messages of the server arrive")]
     Stalled(Millis),
     /// The server's head is before this client's position.
-    #[error("the server is behind: its head is {head:?}, this client has {position:?}")]
+    #[error("the server is behind: its head is {head:?}, this client is at {position:?}")]
     ServerBehind {
         /// The server's head.
         head: Position,
         /// This client's position.
         position: Position,
     },
-    /// The server has no place for a snapshot.
-    #[error("the server has no place for a snapshot, next attempt in {0} ms")]
+    /// The server has reached its limit of sessions or snapshots.
+    #[error("the server is busy, next attempt in {0} ms")]
     Busy(Millis),
-    /// What the server sends does not fit together; the old table is kept.
+    /// The server sent inconsistent data; the table is unchanged.
     #[error("{0}")]
     Fault(#[from] SessionFault),
-    /// The server is heard but is cut off from the publisher, and another may not be.
-    #[error("the server's state is {0} ms old, trying another")]
+    /// Messages of the server arrive, but it is cut off from the publisher; another server may not be.
+    #[error("the server's state is {0} ms old, trying another server")]
     Stale(Millis),
-    /// The server on trial is no better than the one that was left for it.
-    #[error("the server's state is {0} ms old, returning to the one before")]
+    /// The server on trial is no fresher than the one that was left for it.
+    #[error("the server's state is {0} ms old, returning to the previous server")]
     NoFresher(Millis),
     /// A nearer server is tried again.
     #[error("trying a nearer server again")]
     TryingNearer,
 }
 
-/// What does not fit in what a server sends. The table is never changed by it.
+/// Fault in the data that a server sent. It never changes the table.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionFault {
-    /// A transaction that does not follow the table's position.
+    /// A transaction does not follow the table's position.
     #[error("transaction {found:?} does not follow {position:?}")]
     Gap {
         /// The table's position.
@@ -164,27 +167,27 @@
         /// The transaction's position.
         found: Position,
     },
-    /// The digest after a transaction is not the one it states.
-    #[error("the digest after transaction {0:?} is not the one it states")]
+    /// The digest of the table after a transaction differs from the transaction's.
+    #[error("digest mismatch after transaction {0:?}")]
     TransactionDigest(Position),
-    /// The digest of the staged table is not the one the snapshot states.
-    #[error("the digest of the snapshot at {0:?} is not the one it states")]
+    /// The digest of the staged table differs from the snapshot's.
+    #[error("digest mismatch of the snapshot at {0:?}")]
     SnapshotDigest(Position),
-    /// A piece or an end of a snapshot where none was asked for.
-    #[error("part of a snapshot that was not asked for")]
+    /// A piece or an end of a snapshot arrived, but none was requested.
+    #[error("snapshot data that was not requested")]
     UnexpectedSnapshot,
-    /// A piece out of order, or an end that counts other pieces than came.
-    #[error("snapshot piece {found}, wanted {wanted}")]
+    /// A piece arrived out of order, or the end of the snapshot states another number of pieces than arrived.
+    #[error("snapshot piece {found}, expected {wanted}")]
     PieceOrder {
-        /// The number that was due.
+        /// Expected number.
         wanted: u32,
-        /// The number that came.
+        /// Actual number.
         found: u32,
     },
-    /// A bucket that is out of range, comes twice, or holds a resource of another bucket.
-    #[error("snapshot bucket {0} is not valid")]
+    /// A bucket is out of range, arrived twice, or contains a resource of another bucket.
+    #[error("snapshot bucket {0} is out of range, repeated, or contains a resource of another bucket")]
     Bucket(u16),
-    /// More resources than the settings allow.
+    /// The table would hold more resources than the settings allow.
     #[error("more than {0} resources")]
     TooManyResources(usize),
 }
@@ -192,22 +195,22 @@
 /// Counters of a follower, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
-    /// Sessions opened.
+    /// Number of sessions opened.
     pub sessions: u64,
-    /// Transactions applied.
+    /// Number of transactions applied.
     pub transactions: u64,
-    /// Snapshots asked for.
+    /// Number of snapshots requested.
     pub resyncs: u64,
-    /// Snapshots applied.
+    /// Number of snapshots applied.
     pub snapshots: u64,
-    /// Transactions or snapshots whose digest did not fit.
+    /// Number of transactions and snapshots whose digest did not match.
     pub digest_mismatches: u64,
-    /// Servers left because they were behind.
+    /// Number of times a server was left because it was behind.
     pub servers_behind: u64,
-    /// Servers left because they were cut off from the publisher.
+    /// Number of times a server was left because it was cut off from the publisher.
     pub servers_stale: u64,
-    /// Answers that there is no place for a snapshot.
+    /// Number of `Busy` answers.
     pub busy: u64,
-    /// Sessions given up because of what the server sent.
+    /// Number of sessions closed because of faults in the server's data.
     pub faults: u64,
 }
--- a/crates/config-sync/src/follower/messages.rs
+++ b/crates/config-sync/src/follower/messages.rs
@@ -1,4 +1,4 @@
-//! What a follower does with the messages of its server.
+//! Handling of the server's messages by a follower.
 
 use super::{
     Advance, DisconnectReason, Follower, FollowerAction, Link, SessionFault, Staging, disconnect, send,
@@ -17,16 +17,16 @@
     published_unix_ms: u64,
 }
 
-/// Whether a table at `position` holds the transaction already.
-fn is_known(position: Position, transaction: Position) -> bool {
+/// Returns whether a table at `position` already includes the transaction at position `transaction`.
+fn is_applied(position: Position, transaction: Position) -> bool {
     transaction.epoch == position.epoch && transaction.revision <= position.revision
 }
 
 impl Follower {
-    /// Takes a message of the open session.
+    /// Handles a message of the open session.
     pub(super) fn on_message(&mut self, now: Millis, message: ToClient, actions: &mut Vec<FollowerAction>) {
-        self.session.heard_at = now;
-        self.session.heard = true;
+        self.session.last_received_at = now;
+        self.session.has_received = true;
         let result = match message {
             ToClient::Deltas(transactions) => {
                 self.on_deltas(now, transactions, actions);
@@ -66,36 +66,38 @@
     ) {
         let age = StateAge::new(now, age_ms);
         self.session.last_heartbeat = Some((head, age));
-        self.note_age(now, age);
+        self.on_server_age(now, age);
         if head < self.position {
-            self.leave_behind(now, head, actions);
+            self.leave_lagging_server(now, head, actions);
         } else if head == self.position && self.fails_trial(now, age) {
             self.leave(now, DisconnectReason::NoFresher(age_ms), actions);
         } else if head == self.position {
-            self.at_head(now);
+            self.on_head_reached(now);
         }
     }
 
-    /// Notes that the table is at the server's head. The state before the first transaction is no head.
-    fn at_head(&mut self, now: Millis) {
+    /// Records that the table is at the server's head. The position before the first transaction does not
+    /// count as a head.
+    fn on_head_reached(&mut self, now: Millis) {
         if self.position == Position::default() {
             return;
         }
         self.session.progress_at = now;
-        self.session.proven = true;
-        self.grow_young(now);
-        self.candidates.session_proven();
+        self.session.reached_head = true;
+        self.lower_age(now);
+        self.candidates.on_head_reached();
     }
 
-    /// The table is as young as the server's was when it last spoke, if it has all that the server had then. Deltas alone
-    /// are no sign of youth: a server that is cut off has some for those that have less.
-    fn grow_young(&mut self, now: Millis) {
+    /// Lowers the age of the table to that in the server's last heartbeat, if the table has reached the head
+    /// in that heartbeat. Deltas alone don't lower the age: a server that is cut off also has some for
+    /// clients that are behind it.
+    fn lower_age(&mut self, now: Millis) {
         if let Some((_, age)) = self.session.last_heartbeat.filter(|(head, _)| *head <= self.position) {
             self.age = Some(age.younger(self.age, now));
         }
     }
 
-    fn leave_behind(&mut self, now: Millis, head: Position, actions: &mut Vec<FollowerAction>) {
+    fn leave_lagging_server(&mut self, now: Millis, head: Position, actions: &mut Vec<FollowerAction>) {
         self.counters.servers_behind += 1;
         self.leave(now, DisconnectReason::ServerBehind { head, position: self.position }, actions);
     }
@@ -120,26 +122,26 @@
         let mut applied = Vec::with_capacity(transactions.len());
         let mut fault = None;
         for transaction in transactions {
-            if is_known(self.position, transaction.position) {
+            if is_applied(self.position, transaction.position) {
                 continue;
             }
-            if let Err(found) = self.apply(&transaction) {
-                fault = Some(found);
+            if let Err(error) = self.apply(&transaction) {
+                fault = Some(error);
                 break;
             }
             applied.push(transaction);
         }
         if !applied.is_empty() {
             self.counters.transactions += applied.len() as u64;
-            self.at_head(now);
+            self.on_head_reached(now);
             actions.push(FollowerAction::Advanced(Advance::Deltas { before, transactions: applied }));
         }
         if let Some(fault) = fault {
-            self.repair(now, fault, actions);
+            self.recover(now, fault, actions);
         }
     }
 
-    /// Applies one transaction if it follows and its digest fits; else changes nothing.
+    /// Applies one transaction if it follows and its digest matches; otherwise changes nothing.
     fn apply(&mut self, transaction: &Transaction) -> Result<(), SessionFault> {
         if transaction.position != self.position.next() {
             return Err(SessionFault::Gap { position: self.position, found: transaction.position });
@@ -161,20 +163,21 @@
         Ok(())
     }
 
-    /// Something did not fit: a snapshot from the same server, or at the second time another server.
-    fn repair(&mut self, now: Millis, fault: SessionFault, actions: &mut Vec<FollowerAction>) {
-        if self.session.repaired {
+    /// Recovers from a fault in the deltas: requests a snapshot from the same server or, the second time,
+    /// leaves the server.
+    fn recover(&mut self, now: Millis, fault: SessionFault, actions: &mut Vec<FollowerAction>) {
+        if self.session.resynced_after_fault {
             self.counters.faults += 1;
             self.leave(now, fault.into(), actions);
             return;
         }
-        self.session.repaired = true;
+        self.session.resynced_after_fault = true;
         self.fetch(actions);
     }
 
     fn on_resync(&mut self, now: Millis, head: Position, actions: &mut Vec<FollowerAction>) {
         if head < self.position {
-            self.leave_behind(now, head, actions);
+            self.leave_lagging_server(now, head, actions);
             return;
         }
         self.fetch(actions);
@@ -198,7 +201,7 @@
         let Link::Fetching(staging) = &mut self.link else {
             return Err(SessionFault::UnexpectedSnapshot);
         };
-        staging.take(sequence, buckets)?;
+        staging.add_piece(sequence, buckets)?;
         self.session.progress_at = now;
         send(actions, ToServer::PieceTaken { sequence });
         Ok(())
@@ -214,7 +217,7 @@
             return Err(SessionFault::UnexpectedSnapshot);
         };
         if end.position < self.position {
-            self.leave_behind(now, end.position, actions);
+            self.leave_lagging_server(now, end.position, actions);
             return Ok(());
         }
         let base = if self.fetch_whole { Table::new() } else { self.table.clone() };
@@ -226,11 +229,11 @@
         })?;
         self.fetch_whole = false;
         self.counters.snapshots += 1;
-        self.take_snapshot(now, &end, table, actions);
+        self.apply_snapshot(now, &end, table, actions);
         Ok(())
     }
 
-    fn take_snapshot(
+    fn apply_snapshot(
         &mut self,
         now: Millis,
         end: &SnapshotEnd,
@@ -240,7 +243,7 @@
         let unchanged = end.position == self.position && table.digest() == self.table.digest();
         let before = std::mem::replace(&mut self.table, table);
         self.position = end.position;
-        self.at_head(now);
+        self.on_head_reached(now);
         if !unchanged {
             let (position, published_unix_ms) = (end.position, end.published_unix_ms);
             actions.push(FollowerAction::Advanced(Advance::Snapshot { before, position, published_unix_ms }));
--- a/crates/config-sync/src/follower/staging.rs
+++ b/crates/config-sync/src/follower/staging.rs
@@ -1,11 +1,11 @@
-//! A snapshot on its way: its pieces are kept apart from the table until all are there.
+//! Staging of a snapshot: its pieces are kept apart from the table until all have arrived.
 
 use super::api::SessionFault;
 use crate::message::{BUCKETS, BucketContent};
 use crate::resource::{Digest, Position};
 use crate::table::{Table, bucket_of};
 
-/// The pieces taken so far.
+/// The pieces received so far.
 pub(super) struct Staging {
     buckets: Vec<BucketContent>,
     seen: Vec<bool>,
@@ -19,8 +19,12 @@
         Staging { buckets: Vec::new(), seen: vec![false; BUCKETS], pieces: 0, resources: 0, max_resources }
     }
 
-    /// Takes one piece, which has to be the next.
-    pub(super) fn take(&mut self, sequence: u32, buckets: Vec<BucketContent>) -> Result<(), SessionFault> {
+    /// Adds a piece, which must be the next in sequence.
+    pub(super) fn add_piece(
+        &mut self,
+        sequence: u32,
+        buckets: Vec<BucketContent>,
+    ) -> Result<(), SessionFault> {
         if sequence != self.pieces {
             return Err(SessionFault::PieceOrder { wanted: self.pieces, found: sequence });
         }
@@ -48,7 +52,8 @@
         Ok(())
     }
 
-    /// The table that the whole snapshot makes of `base`, if its pieces and its digest are as stated.
+    /// Returns `base` with the buckets of the complete snapshot, if the number of pieces and the digest
+    /// match.
     pub(super) fn finish(
         self,
         base: &Table,
--- a/crates/config-sync/src/judge.rs
+++ b/crates/config-sync/src/judge.rs
@@ -1,8 +1,8 @@
-//! The decision of a round server on changes before they come in force.
+//! A round server's validation of changes before they come in force.
 
 use crate::resource::Change;
 
-/// Why a round server rejects changes, in words for the operators.
+/// Reason why a round server rejects changes, as text for operators.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct Rejection {
@@ -10,22 +10,23 @@
 }
 
 impl Rejection {
-    /// A rejection for this reason.
+    /// Creates a rejection with this reason.
     pub fn new(reason: impl Into<String>) -> Rejection {
         Rejection { reason: reason.into() }
     }
 
-    /// The reason.
+    /// Returns the reason.
     pub fn reason(&self) -> &str {
         &self.reason
     }
 }
 
-/// Says whether a round server can put changes in force.
+/// Decides whether a round server can put changes in force.
 pub trait Judge: Send {
-    /// Nothing, or why these changes can't come in force together; the old settings stay then.
+    /// Checks whether `changes` can come in force together. If they are rejected, the previous settings stay
+    /// in force.
     ///
     /// # Errors
-    /// If they are rejected.
+    /// Returns a [`Rejection`] if the changes can't come in force.
     fn judge(&self, changes: &[Change]) -> Result<(), Rejection>;
 }
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -1,12 +1,13 @@
 //! Distribution of configuration to round servers: one publisher, relays in two levels, subscribers.
 //!
-//! The publisher orders transactions over typed resources ([`resource`]) into revisions and makes each durable before it
-//! tells anyone. Relays and subscribers watch from a revision and receive deltas, or, when their revision is no longer in
-//! the log, only the buckets of the table whose digests differ. Progress is aggregated by zone on the way up.
+//! The publisher orders transactions over typed resources ([`resource`]) into revisions and makes each
+//! durable before it sends it to any client. Relays and subscribers watch from a revision and receive deltas
+//! or, if their revision is no longer in the log, only the buckets of the table whose digests differ.
+//! Progress is aggregated by zone on the way up.
 //!
-//! Everything that decides is a state machine without I/O, clock or global:
+//! The protocol logic consists of state machines without I/O, clocks or global state:
 //! `on_event(&mut self, now, event, &mut actions)`.
-//! Tasks that own the sockets, files and timers carry the actions out.
+//! Tasks that own the sockets, files and timers execute the actions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/config-sync/src/message.rs
+++ b/crates/config-sync/src/message.rs
@@ -1,157 +1,164 @@
-//! What a server (publisher or relay) and its clients (relays or subscribers) tell each other. A session is one
+//! Messages between a server (publisher or relay) and its clients (relays or subscribers). A session is one
 //! connection; its messages arrive in order or the connection ends.
 //!
-//! A session runs like this: the client sends [`ToServer::Watch`] with its position. The server answers with the
-//! [`ToClient::Deltas`] that lead from there to its head, or with [`ToClient::Resync`] if it can't (another epoch, a
-//! revision compacted away, or a digest that differs). The client then sends [`ToServer::FetchDifferences`] with its
-//! bucket digests, and the server streams the buckets that differ, as they stood at one position, in
-//! [`ToClient::Piece`]s with at most [`PIECE_WINDOW`] unconfirmed, ended by [`ToClient::SnapshotEnd`]; the client applies
-//! them all at once if the digest fits. Deltas go on from there. A server whose places for snapshots are taken says
-//! [`ToClient::Busy`] and closes.
+//! A session proceeds as follows: the client sends [`ToServer::Watch`] with its position. The server answers
+//! with the [`ToClient::Deltas`] that lead from there to its head, or with [`ToClient::Resync`] if it can't
+//! (another epoch, a revision compacted away, or a digest that differs). The client then sends
+//! [`ToServer::FetchDifferences`] with its bucket digests, and the server streams the buckets that differ, as
+//! of one position, in [`ToClient::Piece`]s with at most [`PIECE_WINDOW`] unconfirmed, followed by
+//! [`ToClient::SnapshotEnd`]; the client applies them all at once if the digest matches. Deltas continue from
+//! there. A server that has reached its limit of snapshots sends [`ToClient::Busy`] and closes.
 
 use crate::resource::{Digest, Position, Resource, Transaction};
 use std::sync::Arc;
 
-/// Buckets of a table, by the hash of the key: 64 groups of 64, so that copying on write stays small.
+/// Number of buckets of a table, by the hash of the key: 64 groups of 64, so that copy-on-write copies
+/// little.
 pub const BUCKETS: usize = 4096;
-/// Pieces of a snapshot that may be on their way unconfirmed in one session.
+/// Maximum number of unconfirmed pieces of a snapshot in one session.
 pub const PIECE_WINDOW: u32 = 4;
-/// The most bytes of resources in one piece; a bucket is never split.
+/// Maximum size of the resources in one piece, in bytes; a bucket is never split, so a single larger one is
+/// sent.
 pub const PIECE_BYTES: usize = 64 * 1024;
-/// The most zones and refusals in one progress report.
+/// Maximum number of zones in one progress report.
 pub const MAX_REPORTED_ZONES: usize = 256;
-/// The most refusals that one progress report names; the rest is only counted.
+/// Maximum number of refusals in one progress report; further ones wait for the next report.
 pub const MAX_REPORTED_REFUSALS: usize = 16;
 
-/// The most that a heartbeat says of its server's age, about 50 days; also what one says that knows nothing of it.
+/// Maximum age of the server's state in a heartbeat, about 50 days; also sent if the age is unknown.
 pub const MAX_AGE_MS: u64 = u32::MAX as u64;
 
-/// What a client is.
+/// Role of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
-    /// It fans out to others.
+    /// A relay, which forwards to other clients.
     Relay,
-    /// A round server.
+    /// The subscriber of a round server.
     Subscriber,
 }
 
-/// Who a client is.
+/// Identity of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    /// Its name, unique in the fleet.
+    /// Name of the client, unique in the fleet.
     pub name: Arc<str>,
-    /// Its zone.
+    /// Zone of the client.
     pub zone: Arc<str>,
-    /// Its region.
+    /// Region of the client.
     pub region: Arc<str>,
-    /// What it is.
+    /// Role of the client.
     pub role: Role,
 }
 
-/// How far the subscribers of a zone below a client have come.
+/// Progress of the subscribers of one zone below a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ZoneProgress {
     /// The zone.
     pub zone: Arc<str>,
-    /// Subscribers connected below.
+    /// Number of subscribers connected below.
     pub subscribers: u32,
-    /// The least position in force among them.
+    /// Lowest position in force among these subscribers.
     pub least: Position,
-    /// Subscribers that keep some change out of force because they refused it.
+    /// Number of subscribers that hold back some change because they refused it.
     pub refusing: u32,
 }
 
-/// One subscriber's refusal of one transaction.
+/// Refusal of one transaction by one subscriber.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Refusal {
-    /// The subscriber.
+    /// Name of the subscriber.
     pub member: Arc<str>,
-    /// The transaction.
+    /// Position of the transaction.
     pub position: Position,
-    /// Why, at most 256 bytes.
+    /// Reason, at most 256 bytes.
     pub reason: Arc<str>,
 }
 
-/// The content of one bucket.
+/// Content of one bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BucketContent {
-    /// Which bucket, below [`BUCKETS`].
+    /// Number of the bucket, below [`BUCKETS`].
     pub bucket: u16,
-    /// All of its resources.
+    /// All resources of the bucket.
     pub resources: Vec<Resource>,
 }
 
-/// From a client to its server.
+/// A message from a client to its server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToServer {
     /// The first message of a session.
     Watch {
-        /// Who asks.
+        /// Identity of the client.
         member: Member,
-        /// What it has; the default position if it has nothing.
+        /// Position of the client's table; the default position if the client has none.
         position: Position,
-        /// The digest of its table there.
+        /// Digest of the client's table at that position.
         digest: Digest,
     },
-    /// The answer to [`ToClient::Resync`]; unasked from a client that gets deltas and finds that its table doesn't fit.
+    /// The answer to [`ToClient::Resync`]; also sent unsolicited by a client whose table doesn't match the
+    /// deltas that it receives.
     FetchDifferences {
-        /// The digest of each bucket, [`BUCKETS`] of them; empty for a client that has nothing.
+        /// Digest of each bucket, [`BUCKETS`] of them; empty if the client has no table.
         bucket_digests: Vec<u64>,
     },
-    /// That piece was taken; more may come.
+    /// Confirms a piece of a snapshot, which allows the server to send another one.
     PieceTaken {
-        /// The piece.
+        /// Sequence number of the piece.
         sequence: u32,
     },
-    /// How far the client, or all below it, have come. Sent when something changed, not more often than the settings say.
+    /// Progress of the client, or of all subscribers below it. Sent after a change, at most once per
+    /// configured interval.
     Progress {
-        /// By zone.
+        /// Progress by zone.
         zones: Vec<ZoneProgress>,
         /// New refusals, at most [`MAX_REPORTED_REFUSALS`].
         refusals: Vec<Refusal>,
     },
-    /// Nothing new; sent when nothing else was for a while, so that a client that died without a word is noticed.
+    /// Keep-alive, sent if the client has sent nothing else for a while, so that the server detects dead
+    /// clients.
     Alive,
 }
 
-/// From a server to a client.
+/// A message from a server to a client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToClient {
     /// Transactions in order, the first of which follows the client's position.
     Deltas(Vec<Arc<Transaction>>),
-    /// The client's position can't be followed by deltas.
+    /// The server can't serve deltas from the client's position.
     Resync {
-        /// The server's head.
+        /// Head of the server.
         head: Position,
     },
-    /// No place; the server closes after it.
+    /// The server has reached its limit of sessions or snapshots; it closes the connection after this
+    /// message.
     Busy {
-        /// Not before this time, ms.
+        /// Minimum delay before the client's next attempt, ms.
         retry_after_ms: u64,
     },
-    /// Buckets that differ.
+    /// Buckets of a snapshot that differ from the client's.
     Piece {
-        /// From 0, one more for each piece of this snapshot.
+        /// Sequence number of the piece within the snapshot, from 0.
         sequence: u32,
-        /// The buckets.
+        /// Contents of the buckets.
         buckets: Vec<BucketContent>,
     },
-    /// The snapshot is whole.
+    /// End of a snapshot: all its pieces were sent.
     SnapshotEnd {
-        /// What it is a snapshot of.
+        /// Position of the snapshot.
         position: Position,
-        /// The digest of the whole table there.
+        /// Digest of the whole table at that position.
         digest: Digest,
-        /// How many pieces there were.
+        /// Number of pieces of the snapshot.
         pieces: u32,
-        /// When its last transaction was accepted, Unix ms.
+        /// Time at which the publisher accepted the snapshot's last transaction, Unix ms.
         published_unix_ms: u64,
     },
-    /// Sent at a steady pace, so that a silent link is noticed and a client knows how old its state is.
+    /// Sent periodically, so that clients detect a silent link and know how old their state is.
     Heartbeat {
-        /// The server's head.
+        /// Head of the server.
         head: Position,
-        /// How long ago the server last knew itself at the publisher's head, [`MAX_AGE_MS`] at most; 0 at the publisher.
+        /// Time since the server was last known to be at the publisher's head, ms, at most [`MAX_AGE_MS`]; 0
+        /// at the publisher.
         age_ms: u64,
     },
 }
--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,9 +1,9 @@
-//! The one writer. A proposal is checked against the table as it will be after all earlier proposals, given to the
-//! store, and told to anyone only once it is durable.
+//! The single writer. A proposal is checked against the table as it will be after all earlier proposals,
+//! passed to the store, and sent to clients only once it is durable.
 //!
-//! Bounded: proposals under way, resources, bytes of a transaction and of a bucket by [`PublisherSettings`]; sessions,
-//! log and progress by [`FanoutSettings`](crate::fanout::FanoutSettings). The tables of proposals under way share all
-//! that they don't change.
+//! Bounds: [`PublisherSettings`] limits the pending proposals, the resources, and the bytes of a transaction
+//! and of a bucket; [`FanoutSettings`](crate::fanout::FanoutSettings) limits the sessions, the log and the
+//! progress. The tables of pending proposals share all parts that they don't change.
 
 mod class_use;
 mod interface;
@@ -19,37 +19,38 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A transaction given to the store, with the table after it.
+/// A transaction passed to the store and not yet durable, with the table after it.
 #[derive(Debug)]
-struct UnderWay {
+struct PendingProposal {
     transaction: Arc<Transaction>,
     table: Table,
 }
 
-/// The one writer, with the sessions of those that watch it.
+/// The single writer, with the sessions of its clients.
 #[derive(Debug)]
 pub struct Publisher {
     settings: PublisherSettings,
     fanout: Fanout,
-    /// In the order of positions; the first follows the head.
-    under_way: VecDeque<UnderWay>,
-    /// After all that is under way.
+    /// Pending proposals in the order of positions; the first follows the head.
+    under_way: VecDeque<PendingProposal>,
+    /// Number of routes by class after all pending proposals.
     class_use: ClassUse,
     halted: bool,
 }
 
 impl Publisher {
-    /// A publisher with an empty table. `epoch` is higher than any that was ever told to anyone.
+    /// Creates a publisher with an empty table. `epoch` must be higher than any epoch ever sent to a client.
     pub fn new(settings: PublisherSettings, epoch: u64) -> Publisher {
-        Publisher::at(settings, Position { epoch, revision: 0 }, Table::new(), 0)
+        Publisher::with_state(settings, Position { epoch, revision: 0 }, Table::new(), 0)
     }
 
-    /// A publisher that goes on from its store: the table at `position`, whose last transaction was accepted at
-    /// `published_unix_ms`, and the transactions after it. These fill the log of deltas again. Routes to classes that
-    /// are no longer known stay until they are changed.
+    /// Creates a publisher that continues from its store: the table at `position`, whose last transaction was
+    /// accepted at `published_unix_ms`, and the transactions after it, which also refill the delta log.
+    /// Routes to classes that are no longer known stay until they are changed.
     ///
     /// # Errors
-    /// When a transaction does not follow the one before, or its digest does not fit.
+    /// Returns [`RestoreError::DoesNotFollow`] if a transaction does not follow the previous one, and
+    /// [`RestoreError::Digest`] if its digest does not match.
     pub fn restore(
         settings: PublisherSettings,
         position: Position,
@@ -64,13 +65,13 @@
             head = transaction.position;
         }
         let transactions = transactions.into_iter().map(Arc::new).collect();
-        let mut publisher = Publisher::at(settings, position, table, published_unix_ms);
+        let mut publisher = Publisher::with_state(settings, position, table, published_unix_ms);
         publisher.class_use = ClassUse::of(&replayed);
         publisher.fanout.publish(0, transactions, &replayed, &mut Vec::new());
         Ok(publisher)
     }
 
-    fn at(
+    fn with_state(
         settings: PublisherSettings,
         position: Position,
         table: Table,
@@ -82,55 +83,57 @@
         Publisher { settings, fanout, under_way: VecDeque::new(), class_use, halted: false }
     }
 
-    /// What everyone may know: the last durable position.
+    /// Returns the last durable position, which may be sent to clients.
     pub fn head(&self) -> Position {
         self.fanout.head()
     }
 
-    /// The table at the head.
+    /// Returns the table at the head.
     pub fn table(&self) -> &Table {
         self.fanout.table()
     }
 
-    /// The sessions, log and progress.
+    /// Returns the fan-out with the sessions, log and progress.
     pub fn fanout(&self) -> &Fanout {
         &self.fanout
     }
 
-    /// When the next [`FanoutEvent::Tick`] has something to do.
+    /// Returns when the next [`FanoutEvent::Tick`] is required.
     pub fn deadline(&self) -> Millis {
         self.fanout.deadline()
     }
 
-    /// The progress of all subscribers, by zone: the least position that is in force in each.
+    /// Returns the progress of all subscribers by zone, with the lowest position in force in each zone.
     pub fn least_in_force(&self) -> Vec<ZoneProgress> {
         self.fanout.zones()
     }
 
-    /// Takes the oldest refusals, as many as one report may name; call again until none is left.
+    /// Removes and returns the oldest refusals, at most as many as one report may contain; to be called until
+    /// it returns none.
     pub fn take_refusals(&mut self) -> Vec<Refusal> {
         self.fanout.take_refusals()
     }
 
-    /// Proposals that are not durable yet.
+    /// Returns the number of proposals that are not durable yet.
     pub fn under_way(&self) -> usize {
         self.under_way.len()
     }
 
-    /// Whether the store failed and no change is taken.
+    /// Returns whether the store failed, so that no changes are accepted.
     pub fn halted(&self) -> bool {
         self.halted
     }
 
-    /// Takes in one event of the sessions.
+    /// Handles an event of the sessions.
     pub fn on_event(&mut self, now: Millis, event: FanoutEvent, actions: &mut Vec<PublisherAction>) {
         self.with_fanout(actions, |fanout, fanout_actions| fanout.on_event(now, event, fanout_actions));
     }
 
-    /// Checks changes and gives them to the store. Nobody is told before [`Publisher::on_durable`].
+    /// Checks changes and passes them to the store. They are not sent to clients before
+    /// [`Publisher::on_durable`].
     ///
     /// # Errors
-    /// Why they are refused; nothing is kept then.
+    /// Returns the [`ProposeError`] for which the changes are refused; the state is unchanged then.
     pub fn propose(
         &mut self,
         unix_ms: u64,
@@ -147,17 +150,17 @@
         let revision = last.revision.checked_add(1).ok_or(ProposeError::EpochOver)?;
         let position = Position { revision, ..last };
         let before = self.last_table().clone();
-        let table = self.checked(&before, &changes)?;
+        let table = self.check_changes(&before, &changes)?;
         self.class_use.apply(&before, &changes);
         let digest = table.digest();
         let transaction = Arc::new(Transaction { position, changes, digest, published_unix_ms: unix_ms });
-        self.under_way.push_back(UnderWay { transaction: transaction.clone(), table });
+        self.under_way.push_back(PendingProposal { transaction: transaction.clone(), table });
         actions.push(PublisherAction::Persist { transaction });
         Ok(position)
     }
 
-    /// The store holds everything up to `position`: the head moves there, and those that watch are told. A position
-    /// that is not under way changes nothing.
+    /// Records that everything up to `position` is durable: moves the head there and sends the transactions
+    /// to the clients. A position that is not pending changes nothing.
     pub fn on_durable(&mut self, now: Millis, position: Position, actions: &mut Vec<PublisherAction>) {
         let mut durable = Vec::new();
         let mut table = None;
@@ -173,17 +176,19 @@
         }
     }
 
-    /// The store failed. What is under way is undecided, since some of it may have reached the disk; no further
-    /// proposal is taken until [`Publisher::resume`].
+    /// Records that the store failed. The outcome of the pending proposals is unknown, since some may have
+    /// reached the disk; no further proposal is accepted until [`Publisher::resume`].
     pub fn on_persist_failed(&mut self) {
         self.halted = true;
     }
 
-    /// The store was opened again and ends at `durable`: what is under way up to there is told, the rest is dropped and
-    /// its positions are returned, so that the proposers can be told. Their revisions are used again.
+    /// Resumes after the store was reopened and ends at `durable`: publishes the pending proposals up to
+    /// there and drops the rest. Returns the positions of the dropped proposals, so that the proposers can be
+    /// notified. Their revisions are used again.
     ///
     /// # Errors
-    /// When the store can't end there: before the head, or after the last proposal. Still halted then.
+    /// Returns a [`ResumeError`] if `durable` is before the head or after the last proposal, so that the
+    /// store can't end there. The publisher stays halted then.
     pub fn resume(
         &mut self,
         now: Millis,
@@ -192,7 +197,7 @@
     ) -> Result<Vec<Position>, ResumeError> {
         let (head, last) = (self.head(), self.last_proposed());
         if durable < head || durable > last {
-            return Err(ResumeError { said: durable, head, last });
+            return Err(ResumeError { claimed: durable, head, last });
         }
         self.on_durable(now, durable, actions);
         let dropped = self.under_way.drain(..).map(|dropped| dropped.transaction.position).collect();
@@ -209,8 +214,8 @@
         self.under_way.back().map_or_else(|| self.fanout.table(), |last| &last.table)
     }
 
-    /// The table after `changes`, if they are acceptable.
-    fn checked(&self, before: &Table, changes: &[Change]) -> Result<Table, ProposeError> {
+    /// Returns the table after `changes`, if they are acceptable.
+    fn check_changes(&self, before: &Table, changes: &[Change]) -> Result<Table, ProposeError> {
         resource::check(changes)?;
         let bytes = changes_bytes(changes);
         if bytes > MAX_TRANSACTION_BYTES {
@@ -221,7 +226,7 @@
         if after.shares_with(before) {
             return Err(ProposeError::NoChange);
         }
-        self.check_room(&after, changes)?;
+        self.check_limits(&after, changes)?;
         match self.class_use.check(before, &after, changes, &self.settings.known_classes) {
             Ok(()) => Ok(after),
             Err(ClassFault::Unknown(invalid)) => Err(invalid.into()),
@@ -229,7 +234,7 @@
         }
     }
 
-    fn check_room(&self, after: &Table, changes: &[Change]) -> Result<(), ProposeError> {
+    fn check_limits(&self, after: &Table, changes: &[Change]) -> Result<(), ProposeError> {
         let (found, max) = (after.len(), self.settings.max_resources);
         if found > max {
             return Err(ProposeError::TableFull { found, max });
@@ -256,7 +261,7 @@
     }
 }
 
-/// Applies one stored transaction.
+/// Applies one stored transaction and checks its position and its digest.
 fn replay(table: &mut Table, head: Position, transaction: &Transaction) -> Result<(), RestoreError> {
     let position = transaction.position;
     if position.epoch != head.epoch || Some(position.revision) != head.revision.checked_add(1) {
--- a/crates/config-sync/src/publisher/class_use.rs
+++ b/crates/config-sync/src/publisher/class_use.rs
@@ -1,18 +1,19 @@
-//! How many routes lead to each class, so that a class in use keeps its limit.
+//! Number of routes to each class, so that a class in use keeps its limit.
 
 use crate::resource::{Change, Invalid, Key, Resource};
 use crate::table::Table;
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-/// Why changes would leave a route without a class.
+/// Error: changes would leave a route without a class.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ClassFault {
     Unknown(Invalid),
     InUse { class: Arc<str>, routes: u64 },
 }
 
-/// The number of routes by class, of one table. Classes without routes are not kept, so it is bounded by the table.
+/// Number of routes by class in one table. Classes without routes are not stored, so the table bounds the
+/// size.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ClassUse {
     routes: HashMap<Arc<str>, u64>,
@@ -30,8 +31,8 @@
         counted
     }
 
-    /// Checks that after `changes` every route that they touch leads to a class with a limit or to a known one, and
-    /// that no class loses its limit while routes lead to it.
+    /// Checks that after `changes` every route that they set leads to a class with a limit or to a known one,
+    /// and that no class loses its limit while routes lead to it.
     pub(super) fn check(
         &self,
         before: &Table,
@@ -60,7 +61,7 @@
         Ok(())
     }
 
-    /// Takes in changes that `before` does not hold yet.
+    /// Updates the counts with changes to the table `before`.
     pub(super) fn apply(&mut self, before: &Table, changes: &[Change]) {
         for (class, shift) in shifts(before, changes) {
             self.add(&class, shift);
@@ -81,7 +82,8 @@
     }
 }
 
-/// By how much the changes, each key at most once, shift the number of routes of each class.
+/// Returns by how much `changes`, which contain each key at most once, change the number of routes of each
+/// class.
 fn shifts(before: &Table, changes: &[Change]) -> HashMap<Arc<str>, i64> {
     let mut shifts: HashMap<Arc<str>, i64> = HashMap::new();
     for change in changes {
--- a/crates/config-sync/src/publisher/interface.rs
+++ b/crates/config-sync/src/publisher/interface.rs
@@ -1,22 +1,23 @@
-//! What the publisher is set up with, what it answers and what it wants done.
+//! Settings, actions and errors of the publisher.
 
 use crate::fanout::{FanoutAction, FanoutSettings};
 use crate::resource::{Digest, Invalid, Position, Transaction};
 use std::collections::HashSet;
 use std::sync::Arc;
 
-/// How a publisher is set up, and what bounds it.
+/// Settings and bounds of a publisher.
 #[derive(Clone, Debug)]
 pub struct PublisherSettings {
-    /// Classes that every round server knows without a limit from here.
+    /// Classes that every round server knows without a distributed limit.
     pub known_classes: HashSet<Arc<str>>,
-    /// The most proposals that are not yet durable.
+    /// Maximum number of proposals that are not yet durable.
     pub max_under_way: usize,
-    /// The most resources in the table.
+    /// Maximum number of resources in the table.
     pub max_resources: usize,
-    /// The most bytes of one bucket, which is always sent in one piece. Only names chosen to meet in one bucket get there.
+    /// Maximum size of one bucket, in bytes, since a bucket is always sent in one piece. Only names chosen to
+    /// collide in one bucket reach it.
     pub max_bucket_bytes: usize,
-    /// The sessions.
+    /// Settings of the sessions.
     pub fanout: FanoutSettings,
 }
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// What a publisher wants done.
+/// Actions requested by a publisher.
 #[derive(Clone, Debug)]
 pub enum PublisherAction {
     /// Make this durable after all earlier ones, then call [`super::Publisher::on_durable`].
@@ -40,14 +41,14 @@
         /// The transaction.
         transaction: Arc<Transaction>,
     },
-    /// For the owner of the sockets.
+    /// An action for the owner of the sockets.
     Fanout(FanoutAction),
 }
 
-/// Why a proposal was refused. Nothing of it is kept.
+/// Reason why a proposal was refused. The state is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// The changes are faulty.
+    /// The changes are invalid.
     #[error(transparent)]
     Invalid(#[from] Invalid),
     /// A class that routes lead to can't lose its limit.
@@ -55,75 +56,78 @@
     ClassInUse {
         /// The class.
         class: Arc<str>,
-        /// The routes that would still lead to it.
+        /// Number of routes that would still lead to the class.
         routes: u64,
     },
-    /// Everything is so already.
-    #[error("the changes change nothing")]
+    /// The changes have no effect on the table.
+    #[error("the changes have no effect")]
     NoChange,
     /// The changes don't fit into one message.
-    #[error("changes of {0} bytes in one transaction, wanted {max} at most", max = crate::size::MAX_TRANSACTION_BYTES)]
+    #[error(
+        "changes of {0} bytes in a transaction, at most {max} allowed",
+        max = crate::size::MAX_TRANSACTION_BYTES
+    )]
     TooLarge(usize),
     /// The table would be too large.
-    #[error("{found} resources, wanted {max} at most")]
+    #[error("the table would hold {found} resources, at most {max} allowed")]
     TableFull {
-        /// What it would hold.
+        /// Number of resources that the table would hold.
         found: usize,
-        /// The bound.
+        /// Allowed maximum.
         max: usize,
     },
     /// A bucket would not fit into a piece.
-    #[error("bucket {bucket} would hold {bytes} bytes, wanted {max} at most")]
+    #[error("bucket {bucket} would hold {bytes} bytes, at most {max} allowed")]
     BucketFull {
         /// The bucket.
         bucket: u16,
-        /// What it would hold.
+        /// Size of the bucket, in bytes.
         bytes: usize,
-        /// The bound.
+        /// Allowed maximum, in bytes.
         max: usize,
     },
-    /// Earlier proposals are not durable yet; try again.
-    #[error("{0} proposals are not durable yet, which is as many as may be")]
+    /// Too many earlier proposals are not durable yet; the proposer can retry.
+    #[error("{0} proposals are not durable yet, which is the limit")]
     TooManyUnderWay(usize),
-    /// The store failed, and nobody has said yet what it holds.
-    #[error("the store failed; no change is taken until it is resumed")]
+    /// The store failed, and its last durable position is not known yet.
+    #[error("the store failed; no changes are accepted until it is resumed")]
     Halted,
-    /// The last revision of the epoch.
+    /// The last revision of the epoch is used.
     #[error("the revisions of this epoch are used up")]
     EpochOver,
 }
 
-/// Why a publisher can't start from what was stored.
+/// Reason why a publisher can't start from its store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestoreError {
-    /// A gap, or another epoch.
+    /// A stored transaction does not follow the previous one: there is a gap, or it is in another epoch.
     #[error("stored transaction {found:?} does not follow {head:?}")]
     DoesNotFollow {
-        /// What went before.
+        /// Position before the transaction.
         head: Position,
-        /// The transaction.
+        /// Position of the transaction.
         found: Position,
     },
-    /// The table after a transaction is not the one that was published.
-    #[error("the table after stored transaction {position:?} has digest {found:?}, wanted {wanted:?}")]
+    /// The digest of the table after a stored transaction differs from the published one.
+    #[error("the table after stored transaction {position:?} has digest {found:?}, expected {wanted:?}")]
     Digest {
-        /// The transaction.
+        /// Position of the transaction.
         position: Position,
-        /// What was computed.
+        /// Computed digest.
         found: Digest,
-        /// What the transaction says.
+        /// Digest stored with the transaction.
         wanted: Digest,
     },
 }
 
-/// [`super::Publisher::resume`] was told a position that the store can't hold.
+/// Error: [`super::Publisher::resume`] was called with a position at which the store can't end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the store is said to end at {said:?}, but the head is {head:?} and the last proposal {last:?}")]
+#[error("the store can't end at {claimed:?}: the head is {head:?} and the last proposal {last:?}")]
 pub struct ResumeError {
-    /// What was said.
-    pub said: Position,
-    /// What everyone was told.
+    /// Position passed to `resume`.
+    pub claimed: Position,
+    /// Head of the publisher, which may have been sent to clients.
     pub head: Position,
-    /// The last that was given to the store.
+    /// Position of the last proposal passed to the store.
     pub last: Position,
 }
--- a/crates/config-sync/src/relay.rs
+++ b/crates/config-sync/src/relay.rs
@@ -1,8 +1,8 @@
-//! A relay: a [`Follower`] towards the publisher or the relay above, a [`Fanout`] towards those below.
+//! A relay: a [`Follower`] of the publisher or of a relay above, and a [`Fanout`] to the clients below.
 //!
-//! Deltas are passed on as soon as they are applied. A snapshot from above moves the head of the fan-out in one step;
-//! sessions below it resync by bucket digests. Cut off from above, a relay goes on serving what it has, and its
-//! heartbeats say its head and how old that is.
+//! Deltas are forwarded as soon as they are applied. A snapshot from above moves the head of the fan-out in
+//! one step; the sessions below resync by bucket digests. A relay that is cut off from the servers above
+//! continues to serve its table, and its heartbeats report its head and the age of its table.
 
 use crate::fanout::{Fanout, FanoutAction, FanoutEvent, FanoutSettings};
 use crate::follower::{
@@ -13,61 +13,62 @@
 use crate::resource::{Millis, Position};
 use crate::table::Table;
 
-/// The longest delay between a relay's attempts to reach a server above it, ms: less than a subscriber's, since all below
-/// wait for it and a server has few relays below it to bear.
+/// Maximum delay between a relay's attempts to reach a server above, ms: shorter than a subscriber's, since
+/// all clients below wait for the relay, and a server has to serve only few relays.
 const MAX_RELAY_BACKOFF_MS: u64 = 1_000;
 
-/// How a relay is set up.
+/// Settings of a relay.
 #[derive(Clone, Debug)]
 pub struct RelaySettings {
-    /// The side towards the publisher.
+    /// Settings of the side towards the publisher.
     pub follower: FollowerSettings,
-    /// The side towards the clients.
+    /// Settings of the side towards the clients.
     pub fanout: FanoutSettings,
-    /// The least time between two reports of progress, ms.
+    /// Minimum time between two progress reports, ms.
     pub progress_ms: u64,
 }
 
 impl RelaySettings {
-    /// The defaults around these two sides.
+    /// Returns the defaults with the settings of the two sides; limits the follower's backoff to a relay's
+    /// maximum.
     pub fn new(mut follower: FollowerSettings, fanout: FanoutSettings) -> RelaySettings {
         follower.backoff.cap_ms = follower.backoff.cap_ms.min(MAX_RELAY_BACKOFF_MS);
         RelaySettings { follower, fanout, progress_ms: 250 }
     }
 }
 
-/// What happens to a relay.
+/// Input events of a relay.
 #[derive(Clone, Debug)]
 pub enum RelayEvent {
-    /// On the link to the server above.
+    /// An event of the link to the server above.
     Upstream(FollowerEvent),
-    /// On a session with a client below.
+    /// An event of a session with a client below.
     Downstream(FanoutEvent),
-    /// Time has passed, for both sides; needed at [`Relay::deadline`] at the latest.
+    /// Time has passed, for both sides; required at [`Relay::deadline`] at the latest.
     Tick,
 }
 
-/// What a relay wants done.
+/// Actions requested by a relay.
 #[derive(Clone, Debug)]
 pub enum RelayAction {
-    /// For the connection to the server above.
+    /// An action on the link to the server above.
     Upstream(LinkAction),
-    /// For a session with a client below.
+    /// An action on a session with a client below.
     Downstream(FanoutAction),
 }
 
-/// A relay.
+/// State machine of a relay.
 pub struct Relay {
     follower: Follower,
     fanout: Fanout,
     reporter: ProgressReporter,
-    /// Kept to spare an allocation for each event.
+    /// Buffers that are reused to avoid an allocation per event.
     follower_actions: Vec<FollowerAction>,
     fanout_actions: Vec<FanoutAction>,
 }
 
 impl Relay {
-    /// Begins with nothing and fetches it from above.
+    /// Creates a relay with an empty table, which it fetches from a server above.
     pub fn new(settings: RelaySettings, now: Millis) -> Relay {
         Relay {
             follower: Follower::new(settings.follower, now, Position::default(), Table::new()),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Takes an event and appends what is to be done, in order.
+    /// Handles an event and appends the resulting actions, in order.
     pub fn on_event(&mut self, now: Millis, event: RelayEvent, actions: &mut Vec<RelayAction>) {
         match event {
             RelayEvent::Upstream(event) => self.on_upstream(now, event, actions),
@@ -91,40 +92,41 @@
         self.report(now, actions);
     }
 
-    /// When the next tick is needed at the latest.
+    /// Returns when the next [`RelayEvent::Tick`] is required at the latest.
     pub fn deadline(&self) -> Millis {
         let report = if self.follower.is_open() { self.reporter.deadline() } else { Millis::MAX };
         self.follower.deadline().min(self.fanout.deadline()).min(report)
     }
 
-    /// The side towards the publisher.
+    /// Returns the side towards the publisher.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    /// The side towards the clients.
+    /// Returns the side towards the clients.
     pub fn fanout(&self) -> &Fanout {
         &self.fanout
     }
 
-    /// What it serves.
+    /// Returns the position of the relay's table.
     pub fn position(&self) -> Position {
         self.follower.position()
     }
 
-    /// Counters of the side towards the publisher.
+    /// Returns the counters of the side towards the publisher.
     pub fn follower_counters(&self) -> FollowerCounters {
         self.follower.counters()
     }
 
-    /// Refusals from below that were not passed on because too many waited.
+    /// Returns the number of refusals from below that were dropped because the queue of the reporter was
+    /// full.
     pub fn refusals_dropped(&self) -> u64 {
         self.reporter.refusals_dropped()
     }
 
     fn on_upstream(&mut self, now: Millis, event: FollowerEvent, actions: &mut Vec<RelayAction>) {
         if matches!(event, FollowerEvent::Received(_)) {
-            self.reporter.server_heard(now);
+            self.reporter.on_server_message(now);
         }
         let mut follower_actions = std::mem::take(&mut self.follower_actions);
         self.follower.on_event(now, event, &mut follower_actions);
@@ -136,19 +138,19 @@
                     }
                     actions.push(RelayAction::Upstream(action));
                 }
-                FollowerAction::Advanced(advance) => self.pass_on(now, advance, actions),
+                FollowerAction::Advanced(advance) => self.forward(now, advance, actions),
             }
         }
         self.follower_actions = follower_actions;
     }
 
-    /// The fan-out says how old the state is that it serves.
-    fn tell_age(&mut self) {
+    /// Sets the age of the table that the fan-out reports in heartbeats.
+    fn update_fanout_age(&mut self) {
         self.fanout.set_age(self.follower.state_age().into());
     }
 
-    fn pass_on(&mut self, now: Millis, advance: Advance, actions: &mut Vec<RelayAction>) {
-        self.tell_age();
+    fn forward(&mut self, now: Millis, advance: Advance, actions: &mut Vec<RelayAction>) {
+        self.update_fanout_age();
         let mut fanout_actions = std::mem::take(&mut self.fanout_actions);
         let table = self.follower.table();
         match advance {
@@ -164,7 +166,7 @@
     }
 
     fn on_downstream(&mut self, now: Millis, event: FanoutEvent, actions: &mut Vec<RelayAction>) {
-        self.tell_age();
+        self.update_fanout_age();
         let mut fanout_actions = std::mem::take(&mut self.fanout_actions);
         self.fanout.on_event(now, event, &mut fanout_actions);
         actions.extend(fanout_actions.drain(..).map(RelayAction::Downstream));
@@ -178,11 +180,11 @@
             if refusals.is_empty() {
                 return;
             }
-            refusals.into_iter().for_each(|refusal| self.reporter.refuse(refusal));
+            refusals.into_iter().for_each(|refusal| self.reporter.queue_refusal(refusal));
         }
     }
 
-    /// Tells the server above how far the subscribers below have come, by zone.
+    /// Reports the progress of the subscribers below, by zone, to the server above.
     fn report(&mut self, now: Millis, actions: &mut Vec<RelayAction>) {
         if !self.follower.is_open() {
             return;
--- a/crates/config-sync/src/resource.rs
+++ b/crates/config-sync/src/resource.rs
@@ -1,50 +1,51 @@
-//! What is distributed: typed resources, changes to them, and transactions that apply whole or not at all.
+//! The distributed data: typed resources, changes to them, and transactions that apply atomically.
 
 use std::sync::Arc;
 
-/// Milliseconds of a monotonic clock; only differences mean anything.
+/// Milliseconds of a monotonic clock; only differences are meaningful.
 pub type Millis = u64;
 
-/// The longest name of a tenant, route or class, in bytes.
+/// Maximum length of the name of a tenant, route or class, in bytes.
 pub const MAX_NAME: usize = 128;
-/// The most changes in one transaction.
+/// Maximum number of changes in one transaction.
 pub const MAX_CHANGES: usize = 1_000;
 
-/// A place in the history: later epochs come after all revisions of earlier ones. A publisher that restarts from its
-/// store goes on in the same epoch; one whose store was lost or set back starts a higher epoch.
+/// A position in the history: later epochs come after all revisions of earlier ones. A publisher that
+/// restarts from its store continues in the same epoch; one whose store was lost or set back starts a higher
+/// epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The history.
+    /// Epoch of the history.
     pub epoch: u64,
-    /// The transactions applied in it; 0 before the first.
+    /// Number of transactions applied in the epoch; 0 before the first.
     pub revision: u64,
 }
 
 impl Position {
-    /// The position after the next transaction of the same epoch.
+    /// Returns the position after the next transaction of the same epoch.
     pub fn next(self) -> Position {
         Position { revision: self.revision.saturating_add(1), ..self }
     }
 }
 
-/// A digest of a whole table: the sum, modulo 2^128, of the hashes of its resources, so that a change updates it without
-/// a look at the rest. Guards against accident, not against forgery.
+/// Digest of a whole table: the sum, modulo 2^128, of the hashes of its resources, so that a change updates
+/// it without reading the other resources. Detects accidental differences, not forgery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u128);
 
-/// The name of a resource within its kind.
+/// Key of a resource: its kind and its name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// A tenant's allowance.
+    /// Key of a tenant's allowance.
     Tenant(Arc<str>),
-    /// A route's class.
+    /// Key of a route's class.
     Route(Arc<str>),
-    /// A class's limit.
+    /// Key of a class's limit.
     Class(Arc<str>),
 }
 
 impl Key {
-    /// The name without its kind.
+    /// Returns the name without the kind.
     pub fn name(&self) -> &str {
         match self {
             Key::Tenant(name) | Key::Route(name) | Key::Class(name) => name,
@@ -52,34 +53,35 @@
     }
 }
 
-/// One setting.
+/// A distributed setting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Resource {
-    /// What a tenant may send over the whole fleet.
+    /// Rate of requests that a tenant may send to the whole fleet.
     TenantAllowance {
         /// The tenant.
         tenant: Arc<str>,
-        /// Thousandths of a request a second, so that equal settings are equal to the bit.
+        /// Rate in thousandths of a request per second; an integer, so that equal settings are equal bit for
+        /// bit.
         milli_per_second: u64,
     },
-    /// Which class the requests of a route belong to.
+    /// Class of the requests of a route.
     Route {
         /// The route: a method name that callers use.
         route: Arc<str>,
         /// The class.
         class: Arc<str>,
     },
-    /// How many requests of a class may run at once in one round server.
+    /// Limit of the requests of a class that run at the same time in one round server.
     ClassLimit {
         /// The class.
         class: Arc<str>,
-        /// The most that run at once, at least 1.
+        /// Maximum number of running requests, at least 1.
         max_running: u32,
     },
 }
 
 impl Resource {
-    /// The resource's key.
+    /// Returns the key of the resource.
     pub fn key(&self) -> Key {
         match self {
             Resource::TenantAllowance { tenant, .. } => Key::Tenant(tenant.clone()),
@@ -89,17 +91,17 @@
     }
 }
 
-/// One step of a transaction.
+/// A change within a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    /// Sets a resource, whether or not it was there.
+    /// Sets a resource, whether or not it exists.
     Put(Resource),
-    /// Removes a resource; without effect where it was not there.
+    /// Removes a resource; has no effect if it does not exist.
     Delete(Key),
 }
 
 impl Change {
-    /// The key that the change concerns.
+    /// Returns the key that the change affects.
     pub fn key(&self) -> Key {
         match self {
             Change::Put(resource) => resource.key(),
@@ -111,29 +113,31 @@
 /// Changes that come in force together.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transaction {
-    /// The position that applying it leads to; it applies to the position before, and to no other.
+    /// Position after the transaction; it applies to the position immediately before, and to no other.
     pub position: Position,
-    /// The changes, at most [`MAX_CHANGES`], each key at most once.
+    /// Changes, at most [`MAX_CHANGES`], with each key at most once.
     pub changes: Vec<Change>,
-    /// The digest of the table after it.
+    /// Digest of the table after the transaction.
     pub digest: Digest,
-    /// When the publisher accepted it, Unix ms; for measurements and ages, never for decisions about order.
+    /// Time at which the publisher accepted the transaction, Unix ms; for measurements and ages, never for
+    /// ordering.
     pub published_unix_ms: u64,
 }
 
-/// Why changes are not acceptable. The publisher checks before it accepts, and whoever reads them checks again.
+/// Reason why changes are invalid. The publisher checks them before it accepts them, and every reader checks
+/// them again.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Invalid {
     /// There are no changes, or more than [`MAX_CHANGES`].
-    #[error("a transaction of {0} changes, wanted 1 to {MAX_CHANGES}")]
+    #[error("transaction of {0} changes, expected 1 to {MAX_CHANGES}")]
     Size(usize),
     /// A name is empty or longer than [`MAX_NAME`].
-    #[error("a name of {0} bytes, wanted 1 to {MAX_NAME}")]
+    #[error("name of {0} bytes, expected 1 to {MAX_NAME}")]
     Name(usize),
-    /// A limit of 0.
-    #[error("class `{0}`: max_running is 0, wanted at least 1")]
+    /// The limit of a class is 0.
+    #[error("class `{0}`: max_running is 0, expected at least 1")]
     Limit(Arc<str>),
-    /// A key stands twice in one transaction.
+    /// A transaction changes a key twice.
     #[error("`{0}` is changed twice in one transaction")]
     Twice(Arc<str>),
     /// A route leads to a class that has no limit resource and is not otherwise known.
@@ -146,10 +150,10 @@
     },
 }
 
-/// Checks what can be checked of changes by themselves.
+/// Checks all properties of changes that don't depend on a table.
 ///
 /// # Errors
-/// On the first fault.
+/// Returns the first [`Invalid`] property.
 pub fn check(changes: &[Change]) -> Result<(), Invalid> {
     if changes.is_empty() || changes.len() > MAX_CHANGES {
         return Err(Invalid::Size(changes.len()));
--- a/crates/config-sync/src/server.rs
+++ b/crates/config-sync/src/server.rs
@@ -1,4 +1,4 @@
-//! A server as its clients know it.
+//! Description of a server for its clients.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 /// A relay or publisher that can be watched.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Server {
-    /// Its name, by which clients rank it.
+    /// Name of the server, by which clients rank it.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// Its zone; a region's relay serves the whole region and has none.
+    /// Zone of the server; `None` for a relay of a region, which serves the whole region.
     pub zone: Option<Arc<str>>,
-    /// Its region.
+    /// Region of the server.
     pub region: Arc<str>,
 }
--- a/crates/config-sync/src/size.rs
+++ b/crates/config-sync/src/size.rs
@@ -1,17 +1,17 @@
-//! Upper estimates of how many bytes resources and transactions take in a frame, by which messages are cut and logs
-//! are bounded.
+//! Upper estimates of the size of resources and transactions in a frame, which limit messages and logs.
 
 use crate::resource::{Change, Resource, Transaction};
 
-/// What a change takes beside its names: tags, lengths and numbers.
+/// Estimated size of a change without its names, in bytes: tags, lengths and numbers.
 const CHANGE_OVERHEAD: usize = 32;
-/// What a transaction takes beside its changes: position, digest and time.
+/// Estimated size of a transaction without its changes, in bytes: position, digest and time.
 const TRANSACTION_OVERHEAD: usize = 80;
 
-/// The most bytes of changes in one transaction, so that one always fits into a message.
+/// Maximum size of the changes of one transaction, in bytes, so that a transaction always fits into a
+/// message.
 pub const MAX_TRANSACTION_BYTES: usize = 128 * 1024;
 
-/// The most that a resource takes.
+/// Returns an upper estimate of the size of a resource, in bytes.
 pub fn resource_bytes(resource: &Resource) -> usize {
     CHANGE_OVERHEAD
         + match resource {
@@ -21,7 +21,7 @@
         }
 }
 
-/// The most that changes take.
+/// Returns an upper estimate of the size of changes, in bytes.
 pub fn changes_bytes(changes: &[Change]) -> usize {
     let sizes = changes.iter().map(|change| match change {
         Change::Put(resource) => resource_bytes(resource),
@@ -30,7 +30,7 @@
     sizes.sum()
 }
 
-/// The most that a transaction takes.
+/// Returns an upper estimate of the size of a transaction, in bytes.
 pub fn transaction_bytes(transaction: &Transaction) -> usize {
     TRANSACTION_OVERHEAD + changes_bytes(&transaction.changes)
 }
--- a/crates/config-sync/src/state_age.rs
+++ b/crates/config-sync/src/state_age.rs
@@ -1,10 +1,10 @@
-//! How old a state is, as servers tell it and clients work it out.
+//! Age of a state, as servers report it and clients compute it.
 
 use crate::message::MAX_AGE_MS;
 use crate::resource::Millis;
 
-/// The age that a state had at a time on this process's clock; it grows since. Kept as two numbers, since the moment
-/// when the state was new may lie before this clock's beginning.
+/// Age that a state had at a time on this process's clock; it has grown since. Stored as two numbers, since
+/// the time when the state was new may lie before the start of this clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateAge {
     at: Millis,
@@ -12,40 +12,40 @@
 }
 
 impl StateAge {
-    /// One that is `age_ms` at the time `at`.
+    /// Creates the age of a state that is `age_ms` old at the time `at`.
     pub fn new(at: Millis, age_ms: Millis) -> StateAge {
         StateAge { at, age_ms: age_ms.min(MAX_AGE_MS) }
     }
 
-    /// What it is at the time `now`, [`MAX_AGE_MS`] at most.
+    /// Returns the age at the time `now`, at most [`MAX_AGE_MS`].
     pub fn at(self, now: Millis) -> Millis {
         self.age_ms.saturating_add(now.saturating_sub(self.at)).min(MAX_AGE_MS)
     }
 
-    /// When it passes `limit_ms`; at once if it has.
+    /// Returns the time at which the age reaches `limit_ms`; the time of the measurement if it already had.
     pub fn passes(self, limit_ms: Millis) -> Millis {
         self.at.saturating_add(limit_ms.saturating_sub(self.age_ms))
     }
 
-    /// The younger of the two at the time `now`.
+    /// Returns the lower of the two ages at the time `now`.
     pub fn younger(self, other: Option<StateAge>, now: Millis) -> StateAge {
         other.filter(|other| other.at(now) < self.at(now)).unwrap_or(self)
     }
 }
 
-/// How old the state of a server is.
+/// Age of a server's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAge {
-    /// It is the publisher, whose state is always the newest.
+    /// The server is the publisher, whose state is always current.
     Publisher,
-    /// A relay that never knew itself at the publisher's head.
+    /// The server is a relay that was never known to be at the publisher's head.
     Unknown,
-    /// A relay that did.
+    /// The server is a relay whose state has this age.
     Known(StateAge),
 }
 
 impl ServerAge {
-    /// What a heartbeat says at the time `now`.
+    /// Returns the age that a heartbeat reports at the time `now`, ms.
     pub fn at(self, now: Millis) -> Millis {
         match self {
             ServerAge::Publisher => 0,
--- a/crates/config-sync/src/state_store.rs
+++ b/crates/config-sync/src/state_store.rs
@@ -1,4 +1,4 @@
-//! A subscriber's state on disk: a snapshot of what was in force, and the transactions after it.
+//! A subscriber's state on disk: a snapshot of the settings in force, and the transactions after it.
 
 use crate::codec::{
     DecodeError, Record, SnapshotHeader, SnapshotReader, decode_record, encode_record, encode_snapshot,
@@ -9,39 +9,40 @@
 use dunlinspread_store::{Disk, Log, Options, ReplayItem, ReplayRejection, StoreError};
 use std::sync::Arc;
 
-/// Resources of a snapshot that are put into the table together.
+/// Number of resources of a snapshot that are added to the table at once.
 const LOAD_BATCH: usize = 1024;
 
-/// Why what is stored is not a state.
+/// Reason why the stored data is not a valid state.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StateError {
-    /// A record or snapshot can't be read.
+    /// A record or snapshot can't be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// A transaction does not follow the one before.
+    /// A transaction does not follow the previous one.
     #[error("transaction {found:?} does not follow {head:?}")]
     DoesNotFollow {
-        /// The position before.
+        /// Position before the transaction.
         head: Position,
-        /// The transaction's.
+        /// Position of the transaction.
         found: Position,
     },
-    /// The table is not the one that was stored.
-    #[error("the table at {position:?} has digest {found:?}, wanted {wanted:?}")]
+    /// The digest of the table differs from the stored one.
+    #[error("the table at {position:?} has digest {found:?}, expected {wanted:?}")]
     Digest {
-        /// Where.
+        /// Position of the table.
         position: Position,
-        /// What was computed.
+        /// Computed digest.
         found: Digest,
-        /// What is stored.
+        /// Stored digest.
         wanted: Digest,
     },
 }
 
-/// The table of a snapshot, with what the snapshot says of it.
+/// Decodes a snapshot and returns its header and its table.
 ///
 /// # Errors
-/// If it can't be read, or its digest does not fit.
+/// Returns [`StateError::Decode`] if the snapshot can't be decoded, and [`StateError::Digest`] if the digest
+/// of its table does not match.
 pub fn read_snapshot(bytes: &[u8]) -> Result<(SnapshotHeader, Table), StateError> {
     let mut reader = SnapshotReader::new(bytes)?;
     let header = reader.header().clone();
@@ -58,7 +59,7 @@
     Ok((header, table))
 }
 
-/// The bytes of a snapshot of a table.
+/// Returns the encoding of a snapshot of a table.
 pub fn write_snapshot(
     position: Position,
     published_unix_ms: u64,
@@ -80,7 +81,8 @@
     if found == wanted { Ok(()) } else { Err(StateError::Digest { position, found, wanted }) }
 }
 
-/// Applies a transaction that has to follow, and checks the table's digest after it.
+/// Applies a transaction, which must follow the state's position, and checks the digest of the table after
+/// it.
 pub(crate) fn replay(
     state: &mut PersistedState,
     transaction: Arc<Transaction>,
@@ -94,20 +96,20 @@
     check_digest(&state.mirror, position, digest)
 }
 
-/// The longest name that a store keeps as it is.
-const MAX_OWNER: usize = 79;
+/// Maximum length of an owner's name in a store, in bytes; longer names are abbreviated.
+const MAX_OWNER_BYTES: usize = 79;
 
-/// Whose store it is, by the name of a member: a long name is shortened, and kept apart by its hash.
+/// Returns the owner of a store for a member's name. A long name is abbreviated and made unique by its hash.
 pub(crate) fn owner_of(name: &str) -> String {
-    if name.len() <= MAX_OWNER {
+    if name.len() <= MAX_OWNER_BYTES {
         return name.to_owned();
     }
-    let kept: String = name.chars().take(12).collect();
-    format!("{kept}#{:032x}", xxhash_rust::xxh3::xxh3_128(name.as_bytes()))
+    let prefix: String = name.chars().take(12).collect();
+    format!("{prefix}#{:032x}", xxhash_rust::xxh3::xxh3_128(name.as_bytes()))
 }
 
-fn visit(state: &mut Option<PersistedState>, visited: ReplayItem<'_>) -> Result<(), StateError> {
-    match visited {
+fn replay_item(state: &mut Option<PersistedState>, item: ReplayItem<'_>) -> Result<(), StateError> {
+    match item {
         ReplayItem::Snapshot(_, bytes) => {
             let (header, mirror) = read_snapshot(bytes)?;
             let SnapshotHeader { position, published_unix_ms, held_back, .. } = header;
@@ -127,16 +129,16 @@
     }
 }
 
-/// The store of one subscriber's state.
+/// Store of one subscriber's state.
 pub struct StateStore {
     log: Log,
 }
 
 impl StateStore {
-    /// Opens the store, a new one if nothing is there, with the state in it.
+    /// Opens the store, or creates it if none exists, and returns it with the state in it.
     ///
     /// # Errors
-    /// If it is damaged, in use or another owner's, or the disk fails.
+    /// Returns a [`StoreError`] if the store is damaged, in use or another owner's, or the disk fails.
     pub fn open(
         disk: Arc<dyn Disk>,
         owner: &str,
@@ -144,38 +146,38 @@
         let mut state = None;
         let options = Options::new(&owner_of(owner));
         let (log, _) =
-            Log::open(disk, options, |visited| visit(&mut state, visited).map_err(ReplayRejection::new))?;
+            Log::open(disk, options, |item| replay_item(&mut state, item).map_err(ReplayRejection::new))?;
         Ok((StateStore { log }, state))
     }
 
-    /// Keeps records, in order, with one sync for those that only append.
+    /// Writes records in order, with one sync for all that only append.
     ///
     /// # Errors
-    /// Of the disk. The store is then to be opened anew.
+    /// Returns the [`StoreError`] of the disk. The store must then be reopened.
     pub fn keep(&mut self, records: &[Persist]) -> Result<(), StoreError> {
-        // What is before a whole state does not matter any more.
-        let whole = records.iter().rposition(|record| matches!(record, Persist::Replace(_)));
-        if let Some(Persist::Replace(state)) = whole.and_then(|at| records.get(at)) {
+        // A whole state replaces all records before it.
+        let last_whole = records.iter().rposition(|record| matches!(record, Persist::Replace(_)));
+        if let Some(Persist::Replace(state)) = last_whole.and_then(|at| records.get(at)) {
             let content =
                 write_snapshot(state.position, state.published_unix_ms, &state.mirror, &state.held_back);
             self.log.snapshot(self.log.next_record(), &content)?;
         }
         let appended: Vec<Vec<u8>> =
-            records[whole.map_or(0, |at| at + 1)..].iter().filter_map(append).collect();
+            records[last_whole.map_or(0, |at| at + 1)..].iter().filter_map(encode_append).collect();
         self.log.commit(&appended)?;
         Ok(())
     }
 
-    /// Closes the store in good order.
+    /// Closes the store cleanly.
     ///
     /// # Errors
-    /// Of the disk.
+    /// Returns the [`StoreError`] of the disk.
     pub fn close(self) -> Result<(), StoreError> {
         self.log.close()
     }
 }
 
-fn append(record: &Persist) -> Option<Vec<u8>> {
+fn encode_append(record: &Persist) -> Option<Vec<u8>> {
     match record {
         Persist::Append { transaction, refused } => {
             let record = Record::Transaction { transaction: transaction.clone(), refused: *refused };
--- a/crates/config-sync/src/subscriber.rs
+++ b/crates/config-sync/src/subscriber.rs
@@ -1,11 +1,12 @@
-//! The subscriber in a round server: a [`Follower`] whose table, the mirror, always follows the publisher, and a
-//! [`Judge`] that says what of it can come in force.
+//! The subscriber in a round server: a [`Follower`] whose table, the mirror, always follows the publisher,
+//! and a [`Judge`] that decides which changes can come in force.
 //!
-//! In force is the mirror but for the keys that are held back: a transaction that the judge refuses stays out whole, its
-//! keys keep their old values, and a later transaction that touches such a key is judged anew. Where that is not
-//! possible (a refused snapshot, or more keys held back than the settings allow) the subscriber stops: what is in force
-//! stays as it is, at its position, while the mirror goes on. With each later step the whole difference is judged again,
-//! and once it is accepted it comes in force in one step.
+//! The settings in force are the mirror except for the keys that are held back: a transaction that the judge
+//! refuses is held back as a whole, its keys keep their old values, and a later transaction that changes such
+//! a key is judged again. Where that is not possible (a refused snapshot, or more keys held back than the
+//! settings allow) the subscriber stops: the settings in force stay as they are, at their position, while the
+//! mirror continues to advance. At each later step the whole difference is judged again, and once it is
+//! accepted it comes in force in one step.
 
 mod api;
 mod confirmed;
@@ -30,18 +31,18 @@
 use reason::reported_reason;
 use std::sync::Arc;
 
-/// What the owner was told to put in force.
+/// The settings that the owner was requested to put in force.
 struct InForce {
     position: Position,
     published_unix_ms: u64,
     held_back: HeldBack,
-    /// While stopped: the mirror as it was at `position`.
+    /// While stopped: the mirror at `position`.
     stopped_at: Option<Table>,
-    /// While stopped: the last reason that was reported.
+    /// While stopped: the last reported reason.
     stop_reason: Option<Arc<str>>,
 }
 
-/// The subscriber in a round server.
+/// State machine of the subscriber in a round server.
 pub struct Subscriber {
     follower: Follower,
     judge: Box<dyn Judge>,
@@ -49,57 +50,59 @@
     zone: Arc<str>,
     max_held_back: usize,
     in_force: InForce,
-    /// The last position that the owner confirmed.
+    /// Last position that the owner confirmed.
     applied: Position,
     waiting_records: WaitingRecords,
     reporter: ProgressReporter,
     counters: SubscriberCounters,
-    /// Kept to spare an allocation for each event.
+    /// Buffer that is reused to avoid an allocation per event.
     follower_actions: Vec<FollowerAction>,
 }
 
 impl Subscriber {
-    /// Begins with the state that was kept, if there is one: it comes in force at once, before any server is asked.
+    /// Creates a subscriber with the persisted state, if there is one: it comes in force at once, before any
+    /// server is contacted.
     pub fn new(
         settings: SubscriberSettings,
         judge: Box<dyn Judge>,
-        kept: Option<PersistedState>,
+        persisted: Option<PersistedState>,
         now: Millis,
         actions: &mut Vec<SubscriberAction>,
     ) -> Subscriber {
-        let kept = kept.unwrap_or_default();
-        let mut subscriber = Subscriber::watching_from(settings, judge, &kept, now);
-        if kept.position != Position::default() {
-            subscriber.restore(kept, actions);
+        let persisted = persisted.unwrap_or_default();
+        let mut subscriber = Subscriber::watching_from(settings, judge, &persisted, now);
+        if persisted.position != Position::default() {
+            subscriber.restore(persisted, actions);
         }
         subscriber
     }
 
-    /// Goes on from a state that the owner has in force already, for owners that keep the state of many subscribers in
-    /// one place: nothing is judged or handed out until something changes.
+    /// Creates a subscriber that continues from a state that the owner already has in force, for owners that
+    /// keep the state of many subscribers in one place: nothing is judged or put in force until something
+    /// changes.
     pub fn resume(
         settings: SubscriberSettings,
         judge: Box<dyn Judge>,
-        kept: &PersistedState,
+        persisted: &PersistedState,
         now: Millis,
     ) -> Subscriber {
-        let mut subscriber = Subscriber::watching_from(settings, judge, kept, now);
-        subscriber.take_kept(kept);
-        subscriber.applied = kept.position;
+        let mut subscriber = Subscriber::watching_from(settings, judge, persisted, now);
+        subscriber.load_persisted(persisted);
+        subscriber.applied = persisted.position;
         subscriber
     }
 
-    /// A subscriber whose link goes on from `kept`, with nothing in force.
+    /// Creates a subscriber whose link continues from `persisted`, with nothing in force.
     fn watching_from(
         settings: SubscriberSettings,
         judge: Box<dyn Judge>,
-        kept: &PersistedState,
+        persisted: &PersistedState,
         now: Millis,
     ) -> Subscriber {
         let member = settings.follower.member.name.clone();
         let zone = settings.follower.member.zone.clone();
         Subscriber {
-            follower: Follower::new(settings.follower, now, kept.position, kept.mirror.clone()),
+            follower: Follower::new(settings.follower, now, persisted.position, persisted.mirror.clone()),
             judge,
             member,
             zone,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Takes an event and appends what is to be done, in order.
+    /// Handles an event and appends the resulting actions, in order.
     pub fn on_event(&mut self, now: Millis, event: SubscriberEvent, actions: &mut Vec<SubscriberAction>) {
         match event {
             SubscriberEvent::Link(event) => self.on_link(now, event, actions),
@@ -128,38 +131,39 @@
         self.report(now, actions);
     }
 
-    /// When the next tick is needed at the latest.
+    /// Returns when the next [`FollowerEvent::Tick`] is required at the latest.
     pub fn deadline(&self) -> Millis {
         let report = if self.follower.is_open() { self.reporter.deadline() } else { Millis::MAX };
         self.follower.deadline().min(report)
     }
 
-    /// The link and the mirror.
+    /// Returns the follower, which holds the link and the mirror.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
-    /// The last position that the owner confirmed.
+    /// Returns the last position that the owner confirmed.
     pub fn applied(&self) -> Position {
         self.applied
     }
 
-    /// How long ago it last knew itself at the head of its server.
+    /// Returns how long ago the mirror was last known to be at the publisher's head, ms; see
+    /// [`Follower::age_ms`].
     pub fn age_ms(&self, now: Millis) -> Option<Millis> {
         self.follower.age_ms(now)
     }
 
-    /// The keys that are held back.
+    /// Returns the number of keys that are held back.
     pub fn held_back(&self) -> usize {
         self.in_force.held_back.len()
     }
 
-    /// Whether it takes no changes because they can't be held back key by key.
+    /// Returns whether no changes come in force because they can't be held back key by key.
     pub fn is_stopped(&self) -> bool {
         self.in_force.stopped_at.is_some()
     }
 
-    /// The value that the owner was last told to have in force for `key`.
+    /// Returns the value for `key` that the owner was last requested to put in force.
     pub fn in_force(&self, key: &Key) -> Option<&Resource> {
         match self.in_force.held_back.get(key) {
             Some(value) => value,
@@ -167,24 +171,24 @@
         }
     }
 
-    /// Its counters.
+    /// Returns the subscriber's counters.
     pub fn counters(&self) -> SubscriberCounters {
         self.counters
     }
 
-    /// Steps of the mirror are computed together with others in this process; see [`SharedSteps`].
+    /// Shares the computation of the mirror's steps with others in this process; see [`SharedSteps`].
     pub fn share_steps(&mut self, steps: SharedSteps) {
         self.follower.share_steps(steps);
     }
 
-    /// Takes over a table of equal digest for the mirror; see [`Follower::share_table`].
+    /// Replaces the mirror by a table of equal digest; see [`Follower::share_table`].
     pub fn share_table(&mut self, other: &Table) -> bool {
         self.follower.share_table(other)
     }
 
     fn on_link(&mut self, now: Millis, event: FollowerEvent, actions: &mut Vec<SubscriberAction>) {
         if matches!(event, FollowerEvent::Received(_)) {
-            self.reporter.server_heard(now);
+            self.reporter.on_server_message(now);
         }
         let mut follower_actions = std::mem::take(&mut self.follower_actions);
         self.follower.on_event(now, event, &mut follower_actions);
@@ -216,20 +220,20 @@
         let stopped_at = self.in_force.stopped_at.take();
         match (advance, stopped_at) {
             (Advance::Deltas { before, transactions }, None) => {
-                self.take_transactions(before, &transactions, actions);
+                self.judge_transactions(before, &transactions, actions);
             }
             (Advance::Deltas { transactions, .. }, Some(stopped_at)) => {
                 let published = transactions.last().map_or(0, |last| last.published_unix_ms);
-                self.take_difference(stopped_at, published, actions);
+                self.judge_difference(stopped_at, published, actions);
             }
             (Advance::Snapshot { before, published_unix_ms, .. }, stopped_at) => {
-                self.take_difference(stopped_at.unwrap_or(before), published_unix_ms, actions);
+                self.judge_difference(stopped_at.unwrap_or(before), published_unix_ms, actions);
             }
         }
     }
 
-    /// Judges all that differs between `base` and the mirror as one change.
-    fn take_difference(&mut self, base: Table, published_unix_ms: u64, actions: &mut Vec<SubscriberAction>) {
+    /// Judges all differences between `base` and the mirror together.
+    fn judge_difference(&mut self, base: Table, published_unix_ms: u64, actions: &mut Vec<SubscriberAction>) {
         let changes = match self.acceptable_difference(&base) {
             Ok(changes) => changes,
             Err(rejection) => return self.refuse_difference(base, rejection.reason()),
@@ -243,8 +247,9 @@
         self.put_in_force(changes, actions);
     }
 
-    /// What can come in force of the difference: with the keys that are held back, since a snapshot does not say which
-    /// of them were set again to the same value; or, where that is refused, without them.
+    /// Returns the changes of the difference that can come in force: with the keys that are held back, since
+    /// a snapshot does not tell which of them were set again to the same value; or, if that is refused,
+    /// without them.
     fn acceptable_difference(&self, base: &Table) -> Result<Vec<Change>, Rejection> {
         let mirror = self.follower.table();
         let changes = base.changes_to(mirror);
@@ -261,7 +266,7 @@
         Ok(changes)
     }
 
-    /// The old state stays; the reason is reported when it is not the one that was reported last.
+    /// Keeps the old state in force, and reports the reason if it differs from the last reported one.
     fn refuse_difference(&mut self, base: Table, reason: &str) {
         self.counters.refused_differences += 1;
         self.in_force.stopped_at = Some(base);
@@ -271,23 +276,23 @@
         }
     }
 
-    /// Takes the kept state: its mirror is the follower's already.
-    fn restore(&mut self, kept: PersistedState, actions: &mut Vec<SubscriberAction>) {
-        let mut table = kept.mirror.clone();
-        table.apply(&kept.held_back);
+    /// Judges the persisted state and puts it in force; its mirror is already the follower's table.
+    fn restore(&mut self, persisted: PersistedState, actions: &mut Vec<SubscriberAction>) {
+        let mut table = persisted.mirror.clone();
+        table.apply(&persisted.held_back);
         let changes: Vec<Change> = table.iter().cloned().map(Change::Put).collect();
         if let Err(rejection) = self.judge.judge(&changes) {
             self.refuse_difference(Table::new(), rejection.reason());
             return;
         }
-        self.take_kept(&kept);
+        self.load_persisted(&persisted);
         self.put_in_force(changes, actions);
     }
 
-    fn take_kept(&mut self, kept: &PersistedState) {
-        self.in_force.held_back = HeldBack::from_changes(&kept.held_back);
-        self.in_force.position = kept.position;
-        self.in_force.published_unix_ms = kept.published_unix_ms;
+    fn load_persisted(&mut self, persisted: &PersistedState) {
+        self.in_force.held_back = HeldBack::from_changes(&persisted.held_back);
+        self.in_force.position = persisted.position;
+        self.in_force.published_unix_ms = persisted.published_unix_ms;
     }
 
     fn put_in_force(&mut self, changes: Vec<Change>, actions: &mut Vec<SubscriberAction>) {
@@ -301,7 +306,7 @@
 
     fn refuse(&mut self, position: Position, reason: &str) {
         let reason = reported_reason(reason).into();
-        self.reporter.refuse(Refusal { member: self.member.clone(), position, reason });
+        self.reporter.queue_refusal(Refusal { member: self.member.clone(), position, reason });
     }
 
     fn report(&mut self, now: Millis, actions: &mut Vec<SubscriberAction>) {
--- a/crates/config-sync/src/subscriber/api.rs
+++ b/crates/config-sync/src/subscriber/api.rs
@@ -1,56 +1,57 @@
-//! What goes into and comes out of a [`Subscriber`](super::Subscriber).
+//! Settings, events and actions of a [`Subscriber`](super::Subscriber).
 
 use super::persistence::Persist;
 use crate::follower::{FollowerEvent, FollowerSettings, LinkAction};
 use crate::resource::Position;
 use crate::update::Update;
 
-/// How a subscriber is set up.
+/// Settings of a subscriber.
 #[derive(Clone, Debug)]
 pub struct SubscriberSettings {
-    /// The link to its server.
+    /// Settings of the link to the server.
     pub follower: FollowerSettings,
-    /// The most keys that can be held back because the server refused their changes.
+    /// Maximum number of keys that can be held back because the round server refused their changes.
     pub max_held_back: usize,
-    /// The least time between two reports of progress, ms.
+    /// Minimum time between two progress reports, ms.
     pub progress_ms: u64,
 }
 
 impl SubscriberSettings {
-    /// The defaults around this link.
+    /// Returns the defaults with these settings of the link.
     pub fn new(follower: FollowerSettings) -> SubscriberSettings {
         SubscriberSettings { follower, max_held_back: 4_096, progress_ms: 250 }
     }
 }
 
-/// What happens to a subscriber.
+/// Input events of a subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SubscriberEvent {
-    /// On the link, or time that has passed.
+    /// An event of the link, or the passing of time.
     Link(FollowerEvent),
-    /// The owner put the update of this position, and all before it, in force.
+    /// The owner has put the update of this position, and all earlier ones, in force.
     Applied(Position),
 }
 
-/// What a subscriber wants done.
+/// Actions requested by a subscriber.
 #[derive(Clone, Debug)]
 pub enum SubscriberAction {
-    /// For the socket.
+    /// An action for the task that owns the socket.
     Link(LinkAction),
-    /// The owner has to put these changes in force in one step and to confirm with [`SubscriberEvent::Applied`]. There
-    /// may be no changes in it, where all were refused: the position has to be confirmed nevertheless.
+    /// The owner has to put these changes in force in one step and to confirm them with
+    /// [`SubscriberEvent::Applied`]. The update has no changes if all were refused; its position has to be
+    /// confirmed nevertheless.
     InForce(Update),
-    /// To be kept on disk; given once the owner confirmed the position.
+    /// A record to be written to disk; requested once the owner has confirmed its position.
     Persist(Persist),
 }
 
 /// Counters of a subscriber, for metrics and tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubscriberCounters {
-    /// Updates handed to the owner.
+    /// Number of updates passed to the owner.
     pub updates: u64,
-    /// Transactions that stayed out.
+    /// Number of transactions that were refused.
     pub refused_transactions: u64,
-    /// Snapshots and other differences that stayed out.
+    /// Number of snapshots and other differences that were refused.
     pub refused_differences: u64,
 }
--- a/crates/config-sync/src/subscriber/confirmed.rs
+++ b/crates/config-sync/src/subscriber/confirmed.rs
@@ -1,9 +1,9 @@
-//! The whole state for a store that begins anew, in place of all records so far.
+//! The whole confirmed state, for a store that is rewritten in place of all records so far.
 
 use super::{PersistedState, Subscriber};
 
 impl Subscriber {
-    /// The state that the owner confirmed in force, if nothing newer waits to be confirmed.
+    /// Returns the state that the owner confirmed as in force; `None` if a newer one is not confirmed yet.
     pub fn confirmed_state(&self) -> Option<PersistedState> {
         if self.applied != self.in_force.position {
             return None;
--- a/crates/config-sync/src/subscriber/held_back.rs
+++ b/crates/config-sync/src/subscriber/held_back.rs
@@ -1,13 +1,13 @@
-//! The keys whose newest change a server refused, with the values that stay in force for them.
+//! Keys whose newest change the round server refused, with the values that stay in force for them.
 
 use crate::resource::{Change, Key, Resource};
 use crate::table::Table;
 use std::collections::{HashMap, HashSet};
 
-/// A bounded map of the keys that are held back.
+/// Keys that are held back. The caller bounds their number, by [`HeldBack::len_with`].
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldBack {
-    /// What is in force for each: a value, or that there is none.
+    /// Value in force for each key; `None` if the key has no value.
     in_force: HashMap<Key, Option<Resource>>,
 }
 
@@ -24,7 +24,7 @@
         held_back
     }
 
-    /// The changes that lead from the mirror to what is in force, by key.
+    /// Returns the changes that lead from the mirror to the settings in force, sorted by key.
     pub(super) fn to_changes(&self) -> Vec<Change> {
         let mut changes: Vec<Change> = self
             .in_force
@@ -38,7 +38,8 @@
         changes
     }
 
-    /// The changes that would bring `mirror`'s values in force, for the keys that `except` does not touch.
+    /// Returns the changes that would put `mirror`'s values in force, for the keys that `except` does not
+    /// change.
     pub(super) fn changes_to(&self, mirror: &Table, except: &[Change]) -> Vec<Change> {
         let touched: HashSet<Key> = except.iter().map(Change::key).collect();
         let mut keys: Vec<&Key> = self.in_force.keys().filter(|key| !touched.contains(key)).collect();
@@ -58,12 +59,12 @@
         self.in_force.is_empty()
     }
 
-    /// What is in force for a key that is held back.
+    /// Returns the value in force for a key that is held back; `None` if the key is not held back.
     pub(super) fn get(&self, key: &Key) -> Option<Option<&Resource>> {
         self.in_force.get(key).map(Option::as_ref)
     }
 
-    /// The keys of changes that came in force are no longer held back.
+    /// Removes the keys of changes that came in force.
     pub(super) fn release(&mut self, changes: &[Change]) {
         if self.in_force.is_empty() {
             return;
@@ -73,14 +74,14 @@
         }
     }
 
-    /// How many keys there would be with those of `changes`.
+    /// Returns how many keys would be held back together with those of `changes`.
     pub(super) fn len_with(&self, changes: &[Change]) -> usize {
         let added = changes.iter().filter(|change| !self.in_force.contains_key(&change.key())).count();
         self.in_force.len() + added
     }
 
-    /// Keeps what is in force for the keys of refused changes; `mirror` is the table before them. A key whose refused
-    /// value is the one in force anyway is not held back.
+    /// Holds back the keys of refused changes with their values in force; `mirror` is the table before the
+    /// changes. A key whose refused value equals the one in force is not held back.
     pub(super) fn hold(&mut self, changes: &[Change], mirror: &Table) {
         for change in changes {
             let key = change.key();
