--- a/crates/config-sync/src/subscriber/persistence.rs
+++ b/crates/config-sync/src/subscriber/persistence.rs
@@ -1,4 +1,5 @@
-//! What a subscriber keeps on disk: the last state that its server put in force, and how it grows.
+//! State that a subscriber keeps on disk: the last state that its round server put in force, and records of
+//! its changes.
 
 use super::held_back::HeldBack;
 use crate::resource::{Change, Position, Transaction};
@@ -6,38 +7,40 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The most records that wait for the server to confirm; past it one whole state takes their place.
+/// Maximum number of records that wait for the round server's confirmation; beyond it, one whole state
+/// replaces them.
 const MAX_WAITING_RECORDS: usize = 64;
 
-/// A state that was in force, and from which a restart goes on.
+/// A state that was in force, from which a restart continues.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
-    /// The position.
+    /// Position of the state.
     pub position: Position,
-    /// When its last transaction was accepted, Unix ms.
+    /// Time at which the publisher accepted the last transaction, Unix ms.
     pub published_unix_ms: u64,
-    /// The publisher's table there.
+    /// The publisher's table at that position.
     pub mirror: Table,
-    /// What leads from there to what is in force: the values of keys whose newest change was refused.
+    /// Changes that lead from the mirror to the settings in force: the values of keys whose newest change was
+    /// refused.
     pub held_back: Vec<Change>,
 }
 
-/// One thing to be kept, in the order given.
+/// A record to be written to disk, in order.
 #[derive(Clone, Debug)]
 pub enum Persist {
-    /// Append a transaction to the state kept so far.
+    /// Append a transaction to the stored state.
     Append {
         /// The transaction.
         transaction: Arc<Transaction>,
-        /// Whether the server refused it.
+        /// Whether the round server refused the transaction.
         refused: bool,
     },
-    /// Keep this in place of everything so far.
+    /// Replace the stored state by this one.
     Replace(PersistedState),
 }
 
 impl PersistedState {
-    /// Applies a record, so that reading the records back one by one gives the state again.
+    /// Applies a record. Applying all stored records in order restores the state.
     pub fn apply(&mut self, record: &Persist) {
         match record {
             Persist::Replace(state) => *self = state.clone(),
@@ -61,15 +64,15 @@
     }
 }
 
-/// Records that wait until the server confirmed that the state is in force, so that a state that brings it down is not
-/// the one it starts with again.
+/// Records that wait until the round server confirms that their state is in force, so that a state that
+/// crashes the server is not the one from which it restarts.
 #[derive(Default)]
 pub(super) struct WaitingRecords {
     records: VecDeque<(Position, Persist)>,
 }
 
 impl WaitingRecords {
-    /// Adds a record; `whole` gives the state after it, for when too many wait.
+    /// Adds a record. `whole` returns the state after it, which replaces all records if too many wait.
     pub(super) fn push(
         &mut self,
         position: Position,
@@ -87,7 +90,7 @@
         }
     }
 
-    /// The next record up to the position that is in force.
+    /// Removes and returns the next record whose position is at most `in_force`.
     pub(super) fn pop(&mut self, in_force: Position) -> Option<Persist> {
         let (position, _) = self.records.front()?;
         if *position > in_force {
--- a/crates/config-sync/src/subscriber/reason.rs
+++ b/crates/config-sync/src/subscriber/reason.rs
@@ -1,9 +1,9 @@
-//! Reasons of refusals, as long as a report may have them.
+//! Truncation of the reasons of refusals to the length that a report allows.
 
-/// The longest reason that is reported, in bytes.
+/// Maximum length of a reported reason, in bytes.
 const MAX_REASON: usize = 256;
 
-/// The longest beginning of `reason` that is reported; it ends between characters.
+/// Returns the longest prefix of `reason` that may be reported; it ends at a character boundary.
 pub(super) fn reported_reason(reason: &str) -> &str {
     let mut end = reason.len().min(MAX_REASON);
     while !reason.is_char_boundary(end) {
--- a/crates/config-sync/src/subscriber/transactions.rs
+++ b/crates/config-sync/src/subscriber/transactions.rs
@@ -1,4 +1,4 @@
-//! How transactions that arrived one by one come in force, or are held back.
+//! Judgement of transactions that arrived as deltas: they come in force or are held back.
 
 use super::{InForce, Subscriber, SubscriberAction};
 use crate::resource::{Change, Key, Position, Transaction};
@@ -8,16 +8,16 @@
 use std::sync::Arc;
 
 impl Subscriber {
-    /// Judges transactions one by one; what comes in force of them goes out as one update.
-    pub(super) fn take_transactions(
+    /// Judges transactions one by one; all accepted ones come in force as one update.
+    pub(super) fn judge_transactions(
         &mut self,
         before: Table,
         transactions: &[Arc<Transaction>],
         actions: &mut Vec<SubscriberAction>,
     ) {
-        let mut mirror = LaggingTable::new(before);
+        let mut mirror = LazyTable::new(before);
         let mut changes = BTreeMap::new();
-        let mut taken = 0;
+        let mut judged = 0;
         for transaction in transactions {
             let refused = match self.judge.judge(&transaction.changes) {
                 Ok(()) => false,
@@ -27,50 +27,45 @@
                     true
                 }
             };
-            if refused && !self.can_hold(&transaction.changes) {
+            if refused && !self.can_hold_back(&transaction.changes) {
                 self.stop(mirror.table().clone(), transaction.position);
                 break;
             }
-            self.in_force.take_refused_or_accepted(transaction, refused, &mut mirror, &mut changes);
-            mirror.apply_later(&transaction.changes);
-            self.keep_transaction(transaction, refused, &mut mirror);
-            taken += 1;
+            self.in_force.record_decision(transaction, refused, &mut mirror, &mut changes);
+            mirror.defer(&transaction.changes);
+            self.queue_record(transaction, refused, &mut mirror);
+            judged += 1;
         }
-        if taken > 0 {
+        if judged > 0 {
             self.put_in_force(changes.into_values().collect(), actions);
         }
     }
 
-    fn can_hold(&self, changes: &[Change]) -> bool {
+    fn can_hold_back(&self, changes: &[Change]) -> bool {
         self.in_force.held_back.len_with(changes) <= self.max_held_back
     }
 
-    fn keep_transaction(
-        &mut self,
-        transaction: &Arc<Transaction>,
-        refused: bool,
-        mirror: &mut LaggingTable<'_>,
-    ) {
+    fn queue_record(&mut self, transaction: &Arc<Transaction>, refused: bool, mirror: &mut LazyTable<'_>) {
         let record = Persist::Append { transaction: transaction.clone(), refused };
         let in_force = &self.in_force;
         self.waiting_records.push(transaction.position, record, || in_force.to_persisted(mirror.table()));
     }
 
-    /// No more changes are taken until the whole difference to the mirror is accepted.
+    /// Stops: no changes come in force until the whole difference to the mirror is accepted.
     fn stop(&mut self, mirror: Table, position: Position) {
         self.in_force.stopped_at = Some(mirror);
-        let reason = format!("more than {} keys held back: no change is taken any more", self.max_held_back);
+        let reason = format!("more than {} keys held back: no change is judged any more", self.max_held_back);
         self.refuse(position, &reason);
     }
 }
 
 impl InForce {
-    /// Holds a refused transaction back, or adds an accepted one to the changes that come in force.
-    fn take_refused_or_accepted(
+    /// Holds back a refused transaction, or adds an accepted one to the changes that come in force.
+    fn record_decision(
         &mut self,
         transaction: &Transaction,
         refused: bool,
-        mirror: &mut LaggingTable<'_>,
+        mirror: &mut LazyTable<'_>,
         changes: &mut BTreeMap<Key, Change>,
     ) {
         if refused {
@@ -84,24 +79,24 @@
     }
 }
 
-/// The mirror as it was after each transaction, brought up to date only when somebody looks: in most cases nobody does,
-/// and the copy of a bucket for each change is spared.
-struct LaggingTable<'changes> {
+/// The mirror after each transaction, computed only when it is read: in most cases it is not, which saves
+/// copying a bucket for each change.
+struct LazyTable<'changes> {
     table: Table,
-    later: Vec<&'changes [Change]>,
+    deferred: Vec<&'changes [Change]>,
 }
 
-impl<'changes> LaggingTable<'changes> {
-    fn new(table: Table) -> LaggingTable<'changes> {
-        LaggingTable { table, later: Vec::new() }
+impl<'changes> LazyTable<'changes> {
+    fn new(table: Table) -> LazyTable<'changes> {
+        LazyTable { table, deferred: Vec::new() }
     }
 
-    fn apply_later(&mut self, changes: &'changes [Change]) {
-        self.later.push(changes);
+    fn defer(&mut self, changes: &'changes [Change]) {
+        self.deferred.push(changes);
     }
 
     fn table(&mut self) -> &Table {
-        for changes in self.later.drain(..) {
+        for changes in self.deferred.drain(..) {
             self.table.apply(changes);
         }
         &self.table
--- a/crates/config-sync/src/table.rs
+++ b/crates/config-sync/src/table.rs
@@ -1,10 +1,11 @@
-//! The table of all resources: persistent (a clone shares everything until one of the two changes), with a digest of the
-//! whole and of each of its [`BUCKETS`] buckets that follow each change.
+//! The table of all resources: a persistent data structure (a clone shares everything until one of the two
+//! changes), with digests of the whole and of each of its [`BUCKETS`] buckets that are updated with each
+//! change.
 //!
-//! A key's bucket is decided by the hash of its name, so that two tables of the same content agree bucket by bucket
-//! whatever their history. A change copies the root (64 pointers), one group (64 pointers) and one bucket where these
-//! are shared with a clone, and nothing where they are not. Memory grows with the number of resources and is bounded by
-//! whoever admits them (the publisher's `max_resources`).
+//! The hash of its name determines a key's bucket, so that two tables of the same content agree bucket by
+//! bucket whatever their history. A change copies the root (64 pointers), one group (64 pointers) and one
+//! bucket where these are shared with a clone, and nothing where they are not. Memory grows with the number
+//! of resources, which the owner of the table bounds (the publisher by `max_resources`).
 
 mod bucket;
 
@@ -14,23 +15,23 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Buckets in a group, and groups in a table.
-const FANOUT: usize = 64;
-const _: () = assert!(FANOUT * FANOUT == BUCKETS);
+/// Number of buckets in a group, and of groups in a table.
+const BRANCHING: usize = 64;
+const _: () = assert!(BRANCHING * BRANCHING == BUCKETS);
 
 #[derive(Clone, Debug)]
 struct Group {
-    buckets: [Arc<Bucket>; FANOUT],
+    buckets: [Arc<Bucket>; BRANCHING],
 }
 
 #[derive(Clone, Debug)]
 struct Root {
-    groups: [Arc<Group>; FANOUT],
+    groups: [Arc<Group>; BRANCHING],
     digest: u128,
     len: usize,
 }
 
-/// All resources at one position. Cloning costs one reference count.
+/// All resources at one position. Cloning increments one reference count.
 #[derive(Clone, Debug)]
 pub struct Table {
     root: Arc<Root>,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Equal content, by digest and number of resources.
+/// Compares the content, by digest and number of resources.
 impl PartialEq for Table {
     fn eq(&self, other: &Table) -> bool {
         self.shares_with(other) || (self.digest() == other.digest() && self.len() == other.len())
@@ -52,7 +53,7 @@
 impl Eq for Table {}
 
 impl Table {
-    /// An empty table; its digest is 0.
+    /// Creates an empty table; its digest is 0.
     pub fn new() -> Table {
         let bucket = Arc::new(Bucket::default());
         let group = Arc::new(Group { buckets: std::array::from_fn(|_| bucket.clone()) });
@@ -60,32 +61,32 @@
         Table { root: Arc::new(Root { groups, digest: 0, len: 0 }) }
     }
 
-    /// The number of resources.
+    /// Returns the number of resources.
     pub fn len(&self) -> usize {
         self.root.len
     }
 
-    /// Whether there are none.
+    /// Returns whether the table has no resources.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The digest of all resources.
+    /// Returns the digest of all resources.
     pub fn digest(&self) -> Digest {
         Digest(self.root.digest)
     }
 
-    /// Whether both are one table in memory, not merely equal.
+    /// Returns whether both are the same table in memory, not merely equal.
     pub fn shares_with(&self, other: &Table) -> bool {
         Arc::ptr_eq(&self.root, &other.root)
     }
 
-    /// The resource of a key.
+    /// Returns the resource with this key.
     pub fn get(&self, key: &Key) -> Option<&Resource> {
         self.bucket_at(usize::from(bucket_of(key))).get(key)
     }
 
-    /// Applies changes in their order. Those that change nothing copy nothing.
+    /// Applies changes in order. Changes without effect copy nothing.
     pub fn apply(&mut self, changes: &[Change]) {
         let mut scratch = Vec::new();
         for change in changes {
@@ -93,19 +94,20 @@
         }
     }
 
-    /// The digest of each bucket; 0 for an empty one.
+    /// Returns the digest of each bucket; 0 for an empty one.
     pub fn bucket_digests(&self) -> Vec<u64> {
         self.buckets().map(|bucket| bucket.digest()).collect()
     }
 
-    /// The resources of a bucket in the order of their keys; none for a number of [`BUCKETS`] or more.
+    /// Returns the resources of a bucket in the order of their keys; none if the number is [`BUCKETS`] or
+    /// more.
     pub fn bucket(&self, bucket: u16) -> &[Resource] {
         let bucket = usize::from(bucket);
         if bucket < BUCKETS { self.bucket_at(bucket).resources() } else { &[] }
     }
 
-    /// The buckets whose digests differ from those of another table. An empty slice stands for an empty table; digests
-    /// that are missing at the end of a short slice count as those of empty buckets.
+    /// Returns the buckets whose digests differ from those of another table. An empty slice stands for an
+    /// empty table; digests missing at the end of a short slice count as those of empty buckets.
     pub fn differing(&self, digests: &[u64]) -> Vec<u16> {
         let theirs = digests.iter().copied().chain(std::iter::repeat(0));
         let numbers = 0..BUCKETS as u16;
@@ -113,8 +115,9 @@
         pairs.filter(|(_, (ours, theirs))| ours.digest() != *theirs).map(|(number, _)| number).collect()
     }
 
-    /// Sets whole buckets. Resources that don't belong into the bucket that they are sent for are left out, and of two
-    /// with the same key the later one counts: the digest of the whole tells the caller that something did not fit.
+    /// Replaces whole buckets. Resources that don't belong into the bucket they are sent for are left out,
+    /// and of two with the same key the later one is used: the caller detects such faults by the digest of
+    /// the whole table.
     pub fn replace(&mut self, contents: Vec<BucketContent>) {
         let mut scratch = Vec::new();
         for content in contents {
@@ -133,13 +136,13 @@
         }
     }
 
-    /// All resources, bucket by bucket, in each by key.
+    /// Returns all resources, ordered by bucket and then by key.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
         self.buckets().flat_map(|bucket| bucket.resources())
     }
 
-    /// The changes that lead from this table to `other`, each key once. Groups and buckets that both share, and buckets
-    /// of equal digests, are not looked at.
+    /// Returns the changes that lead from this table to `other`, each key once. Groups and buckets that both
+    /// tables share, and buckets with equal digests, are skipped.
     pub fn changes_to(&self, other: &Table) -> Vec<Change> {
         let mut changes = Vec::new();
         for (ours, theirs) in self.root.groups.iter().zip(&other.root.groups) {
@@ -161,7 +164,7 @@
             Change::Delete(key) => bucket_of(key),
         };
         let number = usize::from(number);
-        if self.bucket_at(number).already_has(change) {
+        if self.bucket_at(number).is_no_op(change) {
             return;
         }
         let effect = match change {
@@ -174,7 +177,8 @@
         self.record(effect);
     }
 
-    /// Lets a route use the name that its class's limit holds: 64,000 routes need not keep 64,000 copies.
+    /// Makes a route share the class name of its class's limit, so that 64,000 routes don't hold 64,000
+    /// copies.
     fn share_class_name(&self, resource: Resource) -> Resource {
         let Resource::Route { route, class } = resource else { return resource };
         let class = match self.get(&Key::Class(class.clone())) {
@@ -214,17 +218,17 @@
     }
 
     fn bucket_at(&self, number: usize) -> &Bucket {
-        &self.root.groups[number / FANOUT].buckets[number % FANOUT]
+        &self.root.groups[number / BRANCHING].buckets[number % BRANCHING]
     }
 
     fn bucket_mut(&mut self, number: usize) -> &mut Bucket {
         let root = Arc::make_mut(&mut self.root);
-        let group = Arc::make_mut(&mut root.groups[number / FANOUT]);
-        Arc::make_mut(&mut group.buckets[number % FANOUT])
+        let group = Arc::make_mut(&mut root.groups[number / BRANCHING]);
+        Arc::make_mut(&mut group.buckets[number % BRANCHING])
     }
 }
 
-/// The bucket that a key belongs into.
+/// Returns the bucket that a key belongs into.
 pub fn bucket_of(key: &Key) -> u16 {
     bucket_of_order(key_order(key))
 }
--- a/crates/config-sync/src/table/bucket.rs
+++ b/crates/config-sync/src/table/bucket.rs
@@ -1,13 +1,14 @@
-//! One bucket of a table: its resources in the order of their keys, with a digest that follows each change.
+//! One bucket of a table: its resources in the order of their keys, with a digest that is updated with each
+//! change.
 
 use crate::resource::{Change, Key, Resource};
 use std::cmp::Ordering;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_128};
 
-/// Room made at once when a bucket is full: doubling would leave a quarter of all memory empty.
+/// Number of resources by which a full bucket grows: doubling would leave a quarter of all memory unused.
 const GROWTH: usize = 4;
 
-/// The hashes of one resource: of the whole table's digest and of its bucket's.
+/// Hashes of one resource: for the digest of the whole table and for that of its bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ResourceHash {
     pub(super) table: u128,
@@ -22,14 +23,14 @@
     }
 }
 
-/// What a change did to the sums of hashes and to the number of resources.
+/// Effect of a change on the digests and on the number of resources.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Effect {
     pub(super) added: Option<ResourceHash>,
     pub(super) removed: Option<ResourceHash>,
 }
 
-/// The resources of one bucket.
+/// Resources of one bucket.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Bucket {
     digest: u64,
@@ -49,8 +50,8 @@
         self.find(key_order(key)).ok().map(|at| &self.resources[at])
     }
 
-    /// Whether `change` would leave the bucket as it is.
-    pub(super) fn already_has(&self, change: &Change) -> bool {
+    /// Returns whether `change` would have no effect on the bucket.
+    pub(super) fn is_no_op(&self, change: &Change) -> bool {
         match change {
             Change::Put(resource) => {
                 self.find(resource_order(resource)).is_ok_and(|at| self.resources[at] == *resource)
@@ -67,7 +68,7 @@
                 Some(ResourceHash::of(&old, scratch))
             }
             Err(at) => {
-                self.make_room();
+                self.grow_if_full();
                 self.resources.insert(at, resource);
                 None
             }
@@ -88,7 +89,7 @@
         effect
     }
 
-    fn make_room(&mut self) {
+    fn grow_if_full(&mut self) {
         if self.resources.len() == self.resources.capacity() {
             self.resources.reserve_exact(GROWTH);
         }
@@ -98,7 +99,7 @@
         self.resources.binary_search_by(|resource| resource_order(resource).cmp(&wanted))
     }
 
-    /// The changes that lead from this bucket to `other`, in the order of their keys.
+    /// Appends the changes that lead from this bucket to `other`, in the order of their keys.
     pub(super) fn changes_to(&self, other: &Bucket, changes: &mut Vec<Change>) {
         let (mut ours, mut theirs) = (self.resources.iter().peekable(), other.resources.iter().peekable());
         loop {
@@ -119,7 +120,7 @@
     }
 }
 
-/// What orders resources within a bucket: the kind, then the name.
+/// Returns the sort key of a resource within a bucket: the kind, then the name.
 pub(super) fn resource_order(resource: &Resource) -> (u8, &str) {
     match resource {
         Resource::TenantAllowance { tenant, .. } => (0, tenant),
@@ -128,7 +129,7 @@
     }
 }
 
-/// The same of a key.
+/// Returns the sort key of the resource with this key.
 pub(super) fn key_order(key: &Key) -> (u8, &str) {
     match key {
         Key::Tenant(name) => (0, name),
@@ -137,7 +138,7 @@
     }
 }
 
-/// The encoding that is hashed: kind, length of the name, name, value. No two resources have the same one.
+/// Writes the encoding that is hashed: kind, length of the name, name, value. It is unique for each resource.
 fn encode(resource: &Resource, bytes: &mut Vec<u8>) {
     let (kind, name) = resource_order(resource);
     bytes.clear();
--- a/crates/config-sync/tests/codec.rs
+++ b/crates/config-sync/tests/codec.rs
@@ -138,7 +138,7 @@
 fn a_bucket_that_does_not_exist_is_refused() {
     let bucket = BucketContent { bucket: BUCKETS as u16, resources: vec![] };
     let error = decode_to_client(&client_bytes(&ToClient::Piece { sequence: 0, buckets: vec![bucket] }));
-    assert_eq!(error, Err(DecodeError::TooMany { field: "bucket", found: BUCKETS, most: BUCKETS - 1 }));
+    assert_eq!(error, Err(DecodeError::TooMany { field: "bucket", found: BUCKETS, max: BUCKETS - 1 }));
 }
 
 #[test]
--- a/crates/config-sync/tests/publisher.rs
+++ b/crates/config-sync/tests/publisher.rs
@@ -203,9 +203,9 @@
     assert_eq!(propose(&mut publisher, vec![tenant("b", 1)]), Err(ProposeError::Halted));
     assert_eq!((publisher.head(), publisher.halted()), (at(1), true));
 
-    for said in [at(0), at(5), Position { epoch: EPOCH + 1, revision: 2 }] {
-        let refused = publisher.resume(0, said, &mut Vec::new());
-        assert_eq!(refused, Err(ResumeError { said, head: at(1), last: at(4) }));
+    for claimed in [at(0), at(5), Position { epoch: EPOCH + 1, revision: 2 }] {
+        let refused = publisher.resume(0, claimed, &mut Vec::new());
+        assert_eq!(refused, Err(ResumeError { claimed, head: at(1), last: at(4) }));
         assert!(publisher.halted());
     }
     let mut out = Vec::new();
