--- a/crates/config-sync/src/codec/mod.rs
+++ b/crates/config-sync/src/codec/mod.rs
@@ -21,7 +21,7 @@
     #[error("`{0}` is missing")]
     Missing(&'static str),
     /// A field exceeds its bound.
-    #[error("`{field}` is {found}, wanted at max {max}")]
+    #[error("`{field}` is {found}, at most {max} allowed")]
     TooMany {
         /// The field.
         field: &'static str,
--- a/crates/config-sync/src/fanout.rs
+++ b/crates/config-sync/src/fanout.rs
@@ -83,11 +83,9 @@
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
         for id in ids {
             match self.sessions.get(&id).map(|session| &session.stage) {
-                Some(Stage::Live) => self.serve_from(now, id, previous.0, previous.1, actions),
+                Some(Stage::Live) => self.serve(now, id, previous.0, previous.1, actions),
                 Some(Stage::CatchingUp { .. }) => self.require_resync(now, id, actions),
-                Some(&Stage::Ahead { position, digest }) => {
-                    self.serve_from(now, id, position, digest, actions)
-                }
+                Some(&Stage::Ahead { position, digest }) => self.serve(now, id, position, digest, actions),
                 _ => {}
             }
         }
@@ -179,14 +177,12 @@
             Stage::Opened => (self.settings.silence_ms, CloseReason::NoWatch),
             Stage::Resync => (self.settings.silence_ms, CloseReason::NoFetch),
             Stage::Snapshot(_) => (self.settings.stall_ms, CloseReason::Stalled),
-            Stage::Live | Stage::CatchingUp { .. } | Stage::Ahead { .. } => {
-                return self.unanswered_reason(session);
-            }
+            Stage::Live | Stage::CatchingUp { .. } | Stage::Ahead { .. } => return self.silence(session),
         };
         (now > session.since.saturating_add(limit)).then_some(reason)
     }
 
-    fn unanswered_reason(&self, session: &Session) -> Option<CloseReason> {
+    fn silence(&self, session: &Session) -> Option<CloseReason> {
         let heartbeats = session.unanswered_heartbeats;
         let time = self.settings.heartbeat_ms.saturating_mul(heartbeats.into());
         (time >= self.settings.client_silence_ms).then_some(CloseReason::Silent { heartbeats })
--- a/crates/config-sync/src/fanout/snapshot_transfer.rs
+++ b/crates/config-sync/src/fanout/snapshot_transfer.rs
@@ -99,7 +99,7 @@
         let pieces = session.pieces_sent;
         let published_unix_ms = snapshot.published_unix_ms;
         self.send(id, ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }, actions);
-        self.serve_from(now, id, position, digest, actions);
+        self.serve(now, id, position, digest, actions);
     }
 
     /// Returns whether the session has, or can get, a slot for a snapshot.
--- a/crates/config-sync/src/fanout/watch.rs
+++ b/crates/config-sync/src/fanout/watch.rs
@@ -28,13 +28,13 @@
         if let Some(session) = self.sessions.get_mut(&id) {
             session.member = Some(member);
         }
-        self.serve_from(now, id, position, digest, actions);
+        self.serve(now, id, position, digest, actions);
     }
 
     /// Serves a session from its client's position: with deltas if the log leads from there, otherwise with a
     /// snapshot. A client that is ahead of this server only receives a heartbeat, since it is this server
     /// that is behind.
-    pub(super) fn serve_from(
+    pub(super) fn serve(
         &mut self,
         now: Millis,
         id: SessionId,
@@ -106,7 +106,7 @@
                 }
                 (Some(Stage::Live), None) => self.require_resync(now, session, actions),
                 (Some(&Stage::Ahead { position, digest }), _) if position <= self.flushed => {
-                    self.serve_from(now, session, position, digest, actions);
+                    self.serve(now, session, position, digest, actions);
                 }
                 _ => {}
             }
--- a/crates/config-sync/src/follower.rs
+++ b/crates/config-sync/src/follower.rs
@@ -47,7 +47,7 @@
     /// Whether any message has arrived.
     has_received: bool,
     /// Whether the table has reached the server's head.
-    reached_head: bool,
+    synced: bool,
     /// Whether a snapshot was requested because deltas did not match; the second time, the server is left.
     resynced_after_fault: bool,
     /// Head and age in the server's last heartbeat.
@@ -211,9 +211,7 @@
     fn on_link_ended(&mut self, now: Millis) {
         let delay = match self.link {
             Link::Waiting { .. } => return,
-            Link::Following | Link::Fetching(_) if self.session.reached_head => {
-                self.candidates.session_lost()
-            }
+            Link::Following | Link::Fetching(_) if self.session.synced => self.candidates.session_lost(),
             _ => self.candidates.attempt_failed(),
         };
         self.wait(now, delay);
@@ -260,7 +258,7 @@
 
     /// Switches from a farther server to a nearer one at once, but not during a snapshot.
     fn try_nearer(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
-        if !self.session.reached_head || matches!(self.link, Link::Fetching(_)) {
+        if !self.session.synced || matches!(self.link, Link::Fetching(_)) {
             self.session.return_at = self.candidates.next_return(now);
             return;
         }
--- a/crates/config-sync/src/follower/messages.rs
+++ b/crates/config-sync/src/follower/messages.rs
@@ -83,7 +83,7 @@
             return;
         }
         self.session.progress_at = now;
-        self.session.reached_head = true;
+        self.session.synced = true;
         self.lower_age(now);
         self.candidates.on_head_reached();
     }
--- a/crates/config-sync/src/follower/staleness.rs
+++ b/crates/config-sync/src/follower/staleness.rs
@@ -42,7 +42,7 @@
     /// snapshot, nor from a server that is itself on trial.
     pub(super) fn try_fresher(&mut self, now: Millis, actions: &mut Vec<FollowerAction>) {
         let age = self.session.last_heartbeat.map(|(_, age)| age);
-        let can_leave = self.session.reached_head && !matches!(self.link, Link::Fetching(_));
+        let can_leave = self.session.synced && !matches!(self.link, Link::Fetching(_));
         let (true, Some(age)) = (can_leave, age) else {
             let later = now.saturating_add(self.session.stale_after_ms.max(1));
             self.session.stale_at = later.max(self.candidates.fresher_not_before());
--- a/crates/config-sync/src/frame.rs
+++ b/crates/config-sync/src/frame.rs
@@ -1,12 +1,11 @@
-//! Frames of a connection. A frame consists of its length, a version, a tag under the fleet's key, and a
-//! payload:
+//! Frames of a connection. A frame consists of its length, a version, a tag under the fleet's key, and a payload:
 //! `[u32 length, little-endian][u8 version][32-byte HMAC-SHA256 over version and payload][payload]`, where
 //! the length counts everything after it.
 //!
 //! # Invariants
 //! * No payload is returned before its tag is verified.
 //! * A decoder holds at most one frame of [`MAX_FRAME`] bytes and the data of one read; after an error it
-//! returns no more payloads.
+//!   returns no more payloads.
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
--- a/crates/config-sync/src/progress.rs
+++ b/crates/config-sync/src/progress.rs
@@ -30,7 +30,7 @@
     next_report_at: Millis,
     /// Time at which the last message was sent.
     last_sent_at: Millis,
-    /// Whether something may have changed that is to be checked at `next_at`.
+    /// Whether something may have changed that is to be checked at `next_report_at`.
     check_pending: bool,
     refusals: VecDeque<Refusal>,
     /// Refusals sent in the current session and not known to have arrived, with the time of sending.
--- a/crates/config-sync/src/subscriber/transactions.rs
+++ b/crates/config-sync/src/subscriber/transactions.rs
@@ -54,7 +54,7 @@
     /// Stops: no changes come in force until the whole difference to the mirror is accepted.
     fn stop(&mut self, mirror: Table, position: Position) {
         self.in_force.stopped_at = Some(mirror);
-        let reason = format!("more than {} keys held back: no change is judged any more", self.max_held_back);
+        let reason = format!("more than {} keys held back: no more changes are accepted", self.max_held_back);
         self.refuse(position, &reason);
     }
 }
--- a/crates/config-sync/src/write_schedule.rs
+++ b/crates/config-sync/src/write_schedule.rs
@@ -3,8 +3,7 @@
 //!
 //! # Invariants
 //! - After a failure, nothing is written until [`RETRY_MS`] have passed since the subscriber learned of it;
-//! the first write
-//!   is then the whole state.
+//!   the first write is then the whole state.
 //! - A record is written only after all earlier records, or after a whole state that includes them.
 
 use crate::resource::Millis;
