--- a/crates/config-sync/src/follower/candidates.rs
+++ b/crates/config-sync/src/follower/candidates.rs
@@ -11,7 +11,7 @@
 const MAX_CONSECUTIVE_BUSY: u32 = 3;
 
 /// Maximum number of doublings of the wait between attempts to find a fresher server: with the default limit,
-/// the wait grows to 80 s at most.
+/// the wait grows to 80 s at most, before jitter.
 const MAX_FRESHER_DOUBLINGS: u32 = 4;
 
 /// Reason for trying another server while one is known to work.
--- a/crates/config-sync/src/frame.rs
+++ b/crates/config-sync/src/frame.rs
@@ -1,4 +1,5 @@
-//! Frames of a connection. A frame consists of its length, a version, a tag under the fleet's key, and a payload:
+//! Frames of a connection. A frame consists of its length, a version, a tag under the fleet key, and a
+//! payload:
 //! `[u32 length, little-endian][u8 version][32-byte HMAC-SHA256 over version and payload][payload]`, where
 //! the length counts everything after it.
 //!
