--- a/crates/config-sync/src/codec/message.rs
+++ b/crates/config-sync/src/codec/message.rs
@@ -139,7 +139,7 @@
 }
 
 fn encode(message: &impl prost::Message, out: &mut Vec<u8>) {
-    // Only a buffer of fixed size can be too small; a vector grows.
+    // `encode_raw` needs no size check here: a vector grows, unlike a buffer of fixed size.
     out.reserve(message.encoded_len());
     message.encode_raw(out);
 }
--- a/crates/config-sync/src/codec/mod.rs
+++ b/crates/config-sync/src/codec/mod.rs
@@ -23,7 +23,7 @@
     /// A field exceeds its bound.
     #[error("`{field}` is {found}, at most {max} allowed")]
     TooMany {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Actual value.
         found: usize,
@@ -33,7 +33,7 @@
     /// A name is empty or too long.
     #[error("`{field}`: name of {bytes} bytes, expected 1 to {max}")]
     Name {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Actual length, in bytes.
         bytes: usize,
@@ -43,7 +43,7 @@
     /// A field has an invalid value.
     #[error("`{field}` has the invalid value {value}")]
     Value {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// Actual value.
         value: u64,
--- a/crates/config-sync/src/codec/record.rs
+++ b/crates/config-sync/src/codec/record.rs
@@ -19,7 +19,7 @@
     Transaction {
         /// The transaction.
         transaction: Arc<Transaction>,
-        /// Whether the round server whose state this is refused it; never in a publisher's store.
+        /// Whether the round server that owns the state refused the transaction; false in a publisher's store.
         refused: bool,
     },
 }
--- a/crates/config-sync/src/codec/wire.rs
+++ b/crates/config-sync/src/codec/wire.rs
@@ -83,7 +83,7 @@
     pub zone: String,
     #[prost(string, tag = "3")]
     pub region: String,
-    /// 1: relay, 2: subscriber.
+    /// Role of the client: 1 for a relay, 2 for a subscriber.
     #[prost(uint32, tag = "4")]
     pub role: u32,
 }
--- a/crates/config-sync/src/fanout/interface.rs
+++ b/crates/config-sync/src/fanout/interface.rs
@@ -111,7 +111,7 @@
     },
 }
 
-/// Why a session was closed.
+/// Reason why the server closed a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum CloseReason {
     /// The limit of sessions is reached.
