--- a/crates/config-sync/src/fanout/interface.rs
+++ b/crates/config-sync/src/fanout/interface.rs
@@ -121,7 +121,7 @@
     #[error("the limit of snapshots is reached")]
     NoSnapshotPlace,
     /// The client reads more slowly than the server sends.
-    #[error("the client is too slow: {bytes} bytes unsent; it has to resync")]
+    #[error("{bytes} bytes unsent: the client is too slow, it has to resync")]
     Slow {
         /// Number of unsent bytes.
         bytes: usize,
