--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,9 +1,9 @@
 //! The single writer. A proposal is checked against the table as it will be after all earlier proposals,
 //! passed to the store, and sent to clients only once it is durable.
 //!
-//! Bounds: [`PublisherSettings`] limits the pending proposals, the resources, and the bytes of a transaction
-//! and of a bucket; [`FanoutSettings`](crate::fanout::FanoutSettings) limits the sessions, the log and the
-//! progress. The tables of pending proposals share all parts that they don't change.
+//! Bounds: [`PublisherSettings`] limits the pending proposals, the resources and the bytes of a bucket, and
+//! [`MAX_TRANSACTION_BYTES`] those of a transaction; [`FanoutSettings`](crate::fanout::FanoutSettings) limits
+//! the sessions, the log and the progress. The tables of pending proposals share all parts that they don't change.
 
 mod class_use;
 mod interface;
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -125,7 +125,9 @@
     assert_eq!((subscribed.tenant("c"), subscribed.tenant("e")), (3, 0));
     assert_eq!(subscribed.subscriber.held_back(), 2);
     subscribed.pass(300);
-    assert!(subscribed.refusals.iter().any(|refusal| refusal.reason.contains("no more changes are accepted")));
+    assert!(
+        subscribed.refusals.iter().any(|refusal| refusal.reason.contains("no more changes are accepted"))
+    );
     assert_eq!((subscribed.last_report().least, subscribed.last_report().refusing), (last_in_force, 1));
     push(&mut subscribed, &mut history, &[("c", 30)]);
     assert!(!subscribed.subscriber.is_stopped(), "what differs since it stopped is accepted now");
