--- a/crates/fakes/src/clients/attempts.rs
+++ b/crates/fakes/src/clients/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of requests: sending, waiting, withdrawing, retrying and counting.
+//! The attempts of requests: sends them, waits for answers, withdraws, retries and counts.
 
 use crate::clients::connection::Connection;
 use crate::clients::connection_pool::ConnectionPool;
@@ -14,32 +14,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A withdrawal is taken for read after this long on a connection that stands.
-const WITHDRAWAL_READ_AFTER: Duration = Duration::from_secs(1);
-/// A request that crosses a graceful close within this long of its sending is sent again, once.
-const CLOSE_CROSSING: Duration = Duration::from_millis(50);
+/// Time after which the server is assumed to have read a withdrawal, provided that the connection is still
+/// open.
+const WITHDRAWAL_READ_TIME: Duration = Duration::from_secs(1);
+/// Maximum time from sending a request to the graceful close of its connection for which the request is
+/// assumed to be unread; it is then sent once more.
+const CROSSED_CLOSE_WINDOW: Duration = Duration::from_millis(50);
 
-/// Sends requests to servers in turn and counts what becomes of them.
+/// Sends requests to the servers in round-robin order and counts their outcomes.
 pub(crate) struct RequestSender {
     platform: PlatformSettings,
     behavior: ClientBehavior,
     servers: Vec<ConnectionPool>,
     next_server: Cell<usize>,
-    /// What was counted so far.
+    /// Counts so far.
     pub tally: RefCell<Tally>,
 }
 
-/// How one sending of a request ended.
+/// Result of sending a request once.
 enum SendResult {
     Answered(Answer),
     TimedOut,
-    /// The connection ended in a graceful close that the request has crossed: it was not read.
+    /// The request crossed a graceful close of the connection: the server did not read it.
     CrossedClose,
     /// The connection ended; the request may have run.
     ConnectionEnded,
 }
 
-/// An attempt that is under way.
+/// An attempt in progress.
 struct Attempt<'a> {
     request: &'a PlannedRequest,
     class: &'a RequestClass,
@@ -49,7 +51,7 @@
 }
 
 impl RequestSender {
-    /// Returns a sender that has counted nothing.
+    /// Returns a sender with an empty tally.
     pub fn new(
         platform: PlatformSettings,
         behavior: ClientBehavior,
@@ -59,7 +61,7 @@
         RequestSender { platform, behavior, servers, next_server: Cell::new(0), tally }
     }
 
-    /// Sends a request with all its attempts.
+    /// Sends a request, retries it as far as allowed and counts each attempt.
     pub async fn send(&self, request: &PlannedRequest) {
         for (number, attempt_id) in request.attempt_ids.iter().enumerate() {
             let outcome = self.attempt(request, *attempt_id).await;
@@ -73,29 +75,29 @@
     }
 
     fn next_server(&self) -> &ConnectionPool {
-        let turn = self.next_server.get();
-        self.next_server.set(turn + 1);
-        &self.servers[turn % self.servers.len()]
+        let index = self.next_server.get();
+        self.next_server.set(index + 1);
+        &self.servers[index % self.servers.len()]
     }
 
     async fn attempt(&self, request: &PlannedRequest, id: u64) -> AttemptOutcome {
         let class = &self.platform.classes[request.class];
         let server = self.next_server();
         let attempt = Attempt { request, class, id, started_at: Instant::now(), received_ms: unix_ms() };
-        // Twice only if the first crossed a graceful close.
-        for may_repeat in [true, false] {
+        // The request is sent a second time only if the first one crossed a graceful close.
+        for can_resend in [true, false] {
             let Some(connection) = server.acquire().await else { return AttemptOutcome::Unsent };
             match attempt.send_on(&connection).await {
-                SendResult::Answered(answer) => return self.judge(&attempt, &answer),
-                SendResult::TimedOut => return after_withdrawal(&connection).await,
-                SendResult::CrossedClose if may_repeat => {}
+                SendResult::Answered(answer) => return self.classify_answer(&attempt, &answer),
+                SendResult::TimedOut => return outcome_after_withdrawal(&connection).await,
+                SendResult::CrossedClose if can_resend => {}
                 SendResult::CrossedClose | SendResult::ConnectionEnded => return AttemptOutcome::Cut,
             }
         }
         AttemptOutcome::Cut
     }
 
-    fn judge(&self, attempt: &Attempt<'_>, answer: &Answer) -> AttemptOutcome {
+    fn classify_answer(&self, attempt: &Attempt<'_>, answer: &Answer) -> AttemptOutcome {
         let result = match answer {
             Answer::Completed(result) => result,
             Answer::Rejected => return AttemptOutcome::Rejected,
@@ -114,22 +116,24 @@
 }
 
 impl Attempt<'_> {
-    /// Sends the request on a connection and waits for its answer until the client gives up; then it is withdrawn.
+    /// Sends the request on a connection and waits for its answer until the client timeout, at which it is
+    /// withdrawn.
     async fn send_on(&self, connection: &Connection) -> SendResult {
-        let (id, answered) = connection.open_request();
+        let (id, answer_receiver) = connection.open_request();
         let sent_at = Instant::now();
         connection.send(encode_request(id, self.class.name, self.request, self.id, self.received_ms));
         let timeout = Duration::from_secs_f64(self.class.client_timeout_ms / 1000.0);
-        let left = timeout.saturating_sub(self.started_at.elapsed());
-        let answer = async { Some(answered.recv().await) };
+        let remaining = timeout.saturating_sub(self.started_at.elapsed());
+        let answer = async { Some(answer_receiver.recv().await) };
         let timed_out = async {
-            Timer::after(left).await;
+            Timer::after(remaining).await;
             None
         };
         match or(answer, timed_out).await {
             Some(Ok(answer)) => SendResult::Answered(answer),
-            // One that was only cut off may have run and been billed: it counts, and is no crossing.
-            Some(Err(_)) if connection.shutdown_seen() && sent_at.elapsed() < CLOSE_CROSSING => {
+            // Without a shutdown notification the request may have run and been billed, so it counts as cut
+            // and is not sent again.
+            Some(Err(_)) if connection.shutdown_seen() && sent_at.elapsed() < CROSSED_CLOSE_WINDOW => {
                 SendResult::CrossedClose
             }
             Some(Err(_)) => SendResult::ConnectionEnded,
@@ -142,9 +146,10 @@
     }
 }
 
-/// Returns what became of an attempt after its withdrawal was sent: if the connection ends before that was surely read,
-/// nobody knows what the server made of it.
-async fn after_withdrawal(connection: &Rc<Connection>) -> AttemptOutcome {
-    Timer::after(WITHDRAWAL_READ_AFTER).await;
+/// Returns the outcome of an attempt whose withdrawal was sent. If the connection is cut before the
+/// withdrawal is certain to have been read, the outcome at the server is unknown and the attempt counts as
+/// cut.
+async fn outcome_after_withdrawal(connection: &Rc<Connection>) -> AttemptOutcome {
+    Timer::after(WITHDRAWAL_READ_TIME).await;
     if connection.was_cut() { AttemptOutcome::Cut } else { AttemptOutcome::Withdrawn }
 }
--- a/crates/fakes/src/clients/fake_clients.rs
+++ b/crates/fakes/src/clients/fake_clients.rs
@@ -1,4 +1,4 @@
-//! Running clients and their progress.
+//! The running clients and their progress.
 
 use crate::clients::attempts::RequestSender;
 use crate::clients::connection_pool::ConnectionPool;
@@ -15,12 +15,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How far a load is.
+/// Progress of a load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// Requests that were started.
+    /// Number of started requests.
     pub started: u64,
-    /// Requests that are finished, with all their attempts.
+    /// Number of requests whose last attempt has finished.
     pub finished: u64,
 }
 
@@ -30,7 +30,7 @@
     finished: AtomicU64,
 }
 
-/// Running clients.
+/// Running fake clients.
 pub struct FakeClients {
     server: FakeServer,
     progress: Arc<ProgressCounters>,
@@ -38,10 +38,10 @@
 }
 
 impl FakeClients {
-    /// Sends a load to the servers at these addresses, in turn.
+    /// Starts sending a load to the servers at these addresses, in round-robin order.
     ///
     /// # Errors
-    /// If there is no thread.
+    /// Returns an error if the thread cannot be started.
     pub fn start(
         platform: &PlatformSettings,
         addresses: Vec<SocketAddr>,
@@ -49,7 +49,7 @@
         behavior: ClientBehavior,
     ) -> io::Result<FakeClients> {
         let progress = Arc::new(ProgressCounters::default());
-        let (done, tally) = async_channel::bounded(1);
+        let (tally_sender, tally) = async_channel::bounded(1);
         let (platform, counters) = (platform.clone(), progress.clone());
         let server = FakeServer::start("clients", move |tasks| {
             let duplicate_answers = Rc::new(Cell::new(0));
@@ -64,13 +64,13 @@
                 let plan = RequestPlan::new(&platform, &load, behavior.max_retries);
                 send_all(plan, &sender, &spawner, &counters).await;
                 let tally = Tally { duplicate_answers: duplicate_answers.get(), ..sender.tally.take() };
-                let _ = done.send(tally).await;
+                let _ = tally_sender.send(tally).await;
             });
         })?;
         Ok(FakeClients { server, progress, tally })
     }
 
-    /// Returns how far the load is.
+    /// Returns the progress of the load.
     pub fn progress(&self) -> Progress {
         Progress {
             started: self.progress.started.load(Ordering::Relaxed),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Waits for the last answer and returns what was counted.
+    /// Waits until all requests are finished and returns the tally.
     pub fn finish(self) -> Tally {
         let tally = self.tally.recv_blocking().unwrap_or_default();
         drop(self.server);
@@ -86,7 +86,7 @@
     }
 }
 
-/// Starts each request at its time, and waits until all are finished.
+/// Starts each request at its due time and waits until all are finished.
 async fn send_all(
     plan: RequestPlan<'_>,
     sender: &Rc<RequestSender>,
@@ -109,6 +109,6 @@
         });
     }
     drop(unfinished);
-    // Nothing is ever sent on it: it closes when the last request is finished.
+    // Nothing is ever sent on the channel: it closes when the last request is finished.
     let _: Result<(), _> = all_finished.recv().await;
 }
--- a/crates/fakes/src/clients/load.rs
+++ b/crates/fakes/src/clients/load.rs
@@ -1,4 +1,4 @@
-//! The load: which requests are sent, and when.
+//! The load: the requests that are sent and their due times.
 
 use crate::platform::PlatformSettings;
 use rand::{RngExt, SeedableRng};
@@ -6,30 +6,30 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// The memory of a request's run, kB.
+/// Range of the memory of a run, kB.
 const RUN_MEMORY_KB: Range<f64> = 18.0..60.0;
 
-/// What is to be sent.
+/// Settings of a load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    /// Requests a second, in the mean.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: u64,
-    /// The tenants that send, evenly; `None` for requests that name none.
+    /// Tenants of the requests, drawn with equal probability; `None` stands for requests without a tenant.
     pub tenants: Vec<Option<String>>,
-    /// Where chance comes from.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// How the clients behave.
+/// Behavior of the clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientBehavior {
-    /// Connections to one server at most.
+    /// Maximum number of connections to one server.
     pub max_connections: usize,
-    /// Retries after an attempt that was rejected, failed or cut.
+    /// Maximum number of retries after attempts that were rejected, failed, cut or not sent.
     pub max_retries: u32,
-    /// Time before each retry.
+    /// Delay before each retry.
     pub retry_delay: Duration,
 }
 
@@ -39,58 +39,58 @@
     }
 }
 
-/// One request, the same in all its attempts.
+/// A request of a load. All its attempts have the same content.
 pub(crate) struct PlannedRequest {
-    /// The index of its class.
+    /// Index of the request class.
     pub class: usize,
-    /// Its tenant.
+    /// Tenant, if any.
     pub tenant: Option<String>,
-    /// Its idempotency key.
+    /// Idempotency key, if the class has keys.
     pub idempotency_key: Option<String>,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Its priority, 0 to 1.
+    /// Priority, 0 to 1.
     pub priority: f64,
-    /// The memory of its run, kB.
+    /// Memory of the run, kB.
     pub memory_kb: f64,
-    /// When it is to be sent.
+    /// Due time at which the request is sent.
     pub due: Instant,
-    /// The ids of its attempts, one for each that the behavior allows.
+    /// Ids of the attempts, one for each that the client behavior allows.
     pub attempt_ids: Vec<u64>,
 }
 
-/// Draws the requests of a load one after the other.
+/// Iterator that draws the requests of a load.
 pub(crate) struct RequestPlan<'a> {
     platform: &'a PlatformSettings,
     load: &'a Load,
     max_retries: u32,
     rng: ChaCha8Rng,
-    began_at: Instant,
-    /// When the next request is due, seconds from the beginning.
+    started_at: Instant,
+    /// Due time of the last drawn request, seconds from the start of the load.
     due_seconds: f64,
     drawn: u64,
 }
 
 impl<'a> RequestPlan<'a> {
-    /// Returns the plan of a load that begins now.
+    /// Returns the plan of a load that starts now.
     pub fn new(platform: &'a PlatformSettings, load: &'a Load, max_retries: u32) -> RequestPlan<'a> {
         RequestPlan {
             platform,
             load,
             max_retries,
             rng: ChaCha8Rng::seed_from_u64(load.seed),
-            began_at: Instant::now(),
+            started_at: Instant::now(),
             due_seconds: 0.0,
             drawn: 0,
         }
     }
 
-    /// Draws a class by the classes' shares.
+    /// Draws a class index; the classes' shares are the probabilities.
     fn draw_class(&mut self) -> usize {
-        let mut left = self.rng.random::<f64>();
+        let mut remaining = self.rng.random::<f64>();
         let class = self.platform.classes.iter().position(|class| {
-            left -= class.share;
-            left < 0.0
+            remaining -= class.share;
+            remaining < 0.0
         });
         class.unwrap_or(0)
     }
@@ -110,9 +110,9 @@
         if self.drawn >= self.load.requests {
             return None;
         }
-        // The order of the draws is part of what a seed means.
+        // A seed determines the load only if the order of the draws stays the same.
         self.due_seconds += -(1.0 - self.rng.random::<f64>()).ln() / self.load.rate;
-        let due = self.began_at + Duration::from_secs_f64(self.due_seconds);
+        let due = self.started_at + Duration::from_secs_f64(self.due_seconds);
         let class = self.draw_class();
         let settings = &self.platform.classes[class];
         let has_key = settings.idempotency_window_ms.is_some();
--- a/crates/fakes/src/clients/messages.rs
+++ b/crates/fakes/src/clients/messages.rs
@@ -1,38 +1,38 @@
-//! The messages of the clients' protocol, in MessagePack.
+//! The messages of the client protocol, in MessagePack.
 
 use crate::clients::load::PlannedRequest;
 use rmpv::Value;
 
-/// The first field of a request.
+/// Value of the first field of a request.
 const REQUEST: u64 = 0;
-/// The first field of an answer.
+/// Value of the first field of an answer.
 const ANSWER: u64 = 1;
-/// The first field of a notification.
+/// Value of the first field of a notification.
 const NOTIFICATION: u64 = 2;
-/// The largest priority that is sent.
+/// Maximum priority that is sent.
 const MAX_PRIORITY: f64 = 0.9999;
 
-/// A message of the server.
+/// A message from the server.
 pub(crate) enum ServerMessage {
-    /// The answer to the request of that id.
+    /// An answer, with the id of its request.
     Answer(u64, Answer),
     /// The server is shutting down.
     Shutdown,
-    /// Anything else.
+    /// Any other message.
     Other,
 }
 
 /// The content of an answer.
 pub(crate) enum Answer {
-    /// The run's result, if there is one.
+    /// The request was completed; holds the run's result, if there is one.
     Completed(Option<Vec<u8>>),
-    /// The server has rejected the request.
+    /// The server rejected the request.
     Rejected,
-    /// The request has failed.
+    /// The request failed.
     Failed,
 }
 
-/// Decodes the first message in `bytes`; `None` while it is incomplete. Returns the message and its length.
+/// Decodes the first message in `bytes` and returns it with its length; `None` while it is incomplete.
 pub(crate) fn decode(bytes: &[u8]) -> Option<(ServerMessage, usize)> {
     let mut rest = bytes;
     let message = rmpv::decode::read_value(&mut rest).ok()?;
@@ -55,7 +55,7 @@
     if error[0].as_str() == Some("Backoff") { Answer::Rejected } else { Answer::Failed }
 }
 
-/// Returns the bytes of a request; `received_ms` is the Unix time of the attempt, ms.
+/// Returns an encoded request; `received_ms` is the start time of the attempt, Unix ms.
 pub(crate) fn encode_request(
     id: u64,
     class: &str,
@@ -77,7 +77,7 @@
     encode(&Value::Array(vec![REQUEST.into(), id.into(), class.into(), arguments]))
 }
 
-/// Returns the bytes of the withdrawal of a request.
+/// Returns an encoded withdrawal of a request.
 pub(crate) fn encode_withdrawal(id: u64) -> Vec<u8> {
     encode(&Value::Array(vec![NOTIFICATION.into(), "forget".into(), Value::Array(vec![id.into()])]))
 }
--- a/crates/fakes/src/clients/mod.rs
+++ b/crates/fakes/src/clients/mod.rs
@@ -1,6 +1,6 @@
-//! Clients: an open-loop load on real connections. What is to be sent, and when, is drawn ahead and waits for no answer;
-//! latency counts from the time at which a request should have been sent. Each attempt is counted once, by what became
-//! of it as the client saw it: this is the truth that a server's own counts are compared with.
+//! The fake clients: an open-loop load on real connections. Requests and their due times are drawn in advance
+//! and do not depend on earlier answers; latency is measured from the due time of a request. Each attempt is
+//! counted once, by its outcome as the client saw it; a server's own counts are checked against these.
 
 mod attempts;
 mod connection;
--- a/crates/fakes/src/clients/tally.rs
+++ b/crates/fakes/src/clients/tally.rs
@@ -1,35 +1,35 @@
-//! What became of attempts, and their latencies.
+//! The outcomes of attempts and the latencies of completed requests.
 
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest latency that is told from longer ones, µs.
+/// Maximum latency that is recorded, µs; longer ones are recorded as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant decimal digits of latencies.
+/// Number of significant decimal digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
-/// What became of an attempt.
+/// Outcome of an attempt, as the client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptOutcome {
     /// Completed within the latency objective.
     Completed,
-    /// Completed after it.
+    /// Completed after the latency objective.
     Late,
     /// Rejected by the server.
     Rejected,
     /// Answered with an error.
     Failed,
-    /// The client gave up and told the server.
+    /// The client gave up and sent a withdrawal to the server.
     Withdrawn,
-    /// Sent, and the connection ended without an answer.
+    /// Sent, but the connection ended without an answer.
     Cut,
-    /// Never sent: there was no connection to be had.
+    /// Not sent, because no connection was available.
     Unsent,
 }
 
 impl AttemptOutcome {
-    /// All of them, in order.
+    /// All outcomes, in the order of their discriminants.
     pub const ALL: [AttemptOutcome; 7] = [
         AttemptOutcome::Completed,
         AttemptOutcome::Late,
@@ -40,7 +40,7 @@
         AttemptOutcome::Unsent,
     ];
 
-    /// Returns whether a client that may retry does so.
+    /// Returns whether a client with retries left retries after this outcome.
     pub(crate) fn is_retryable(self) -> bool {
         matches!(
             self,
@@ -49,31 +49,31 @@
     }
 }
 
-/// Attempts by outcome, in the order of [`AttemptOutcome::ALL`].
+/// Number of attempts by outcome, in the order of [`AttemptOutcome::ALL`].
 pub type OutcomeCounts = [u64; AttemptOutcome::ALL.len()];
 
-/// What the clients counted.
+/// Counters of the clients.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Attempts by class, by its index, and tenant.
+    /// Number of attempts by class index and tenant.
     pub counts: BTreeMap<(usize, Option<String>), OutcomeCounts>,
-    /// The latency of completed requests, µs, by class.
+    /// Latencies of completed requests by class index, µs; `None` for a class without completed requests.
     pub latency: Vec<Option<Histogram<u64>>>,
-    /// Completed requests whose result is not what a run makes of them.
+    /// Number of completed requests with a result other than the expected one.
     pub wrong_results: u64,
-    /// Second answers to one request.
+    /// Number of answers to requests that had already been answered.
     pub duplicate_answers: u64,
-    /// The furthest that a request was sent behind its time, ms.
+    /// Maximum delay between the due time of a request and its sending, ms.
     pub max_send_delay_ms: f64,
 }
 
 impl Tally {
-    /// Returns an empty tally for that number of classes.
+    /// Returns an empty tally for this number of classes.
     pub(crate) fn new(classes: usize) -> Tally {
         Tally { latency: vec![None; classes], ..Tally::default() }
     }
 
-    /// Returns the sum over all classes and tenants that `includes` selects.
+    /// Returns the sum of the counts over all classes and tenants for which `includes` returns true.
     pub fn sum(&self, includes: impl Fn(usize, Option<&str>) -> bool) -> OutcomeCounts {
         let mut sum = OutcomeCounts::default();
         for ((class, tenant), counts) in &self.counts {
@@ -84,7 +84,7 @@
         sum
     }
 
-    /// Counts an attempt; `latency` is the time since its request was due.
+    /// Counts an attempt; `latency` is the time since the due time of its request.
     pub(crate) fn count(
         &mut self,
         class: usize,
--- a/crates/fakes/src/clock.rs
+++ b/crates/fakes/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Returns the Unix time now, ms.
+/// Returns the current Unix time, ms.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/fakes/src/collector.rs
+++ b/crates/fakes/src/collector.rs
@@ -1,5 +1,6 @@
-//! A collector of exported batches over HTTP, as `docs/formats/export.md` describes it, with faults: it dies before taking
-//! a batch, or between taking and acknowledging it, answers late, twice, or with nonsense.
+//! A fake collector of exported batches over HTTP, as `docs/formats/export.md` describes it. It can inject
+//! faults: the connection closes before a batch is accepted or before it is acknowledged, and replies are
+//! late, duplicated or invalid.
 
 use crate::fake_server::FakeServer;
 use crate::http::{Reply, Request, RequestReader};
@@ -21,55 +22,57 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// How late a late answer is.
+/// Delay of a late reply.
 const LATE_ANSWER: Duration = Duration::from_millis(300);
-/// An answer that no collector gives.
-const NONSENSE: &[u8] = b"HTTP/1.1 200 Fine\r\nX-Watermark: many\r\nContent-Length: 0\r\n\r\n";
+/// A reply with an unparsable watermark header.
+const INVALID_REPLY: &[u8] = b"HTTP/1.1 200 Fine\r\nX-Watermark: many\r\nContent-Length: 0\r\n\r\n";
 
-/// What a collector counted.
+/// Counters of a collector.
 #[derive(Debug, Default)]
 pub struct CollectorCounts {
-    /// Batches accepted.
+    /// Number of accepted batches.
     pub accepted: AtomicU64,
-    /// Offers of batches that were accepted before.
+    /// Number of offers of batches that had already been accepted.
     pub duplicates: AtomicU64,
-    /// Offers with another content than that of the accepted batch: alarms.
+    /// Number of offers whose content differs from the accepted batch. Each is a conflict and raises an
+    /// alarm.
     pub conflicts: AtomicU64,
-    /// Exchanges that were made to go wrong.
+    /// Number of exchanges with an injected fault.
     pub faults: AtomicU64,
 }
 
-/// A running collector.
+/// A running fake collector.
 pub struct FakeCollector {
     _server: FakeServer,
     address: SocketAddr,
     counts: Arc<CollectorCounts>,
 }
 
-/// How an exchange goes wrong.
+/// A fault injected into one exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExchangeFault {
-    /// The connection ends before the batch is taken.
-    CloseBeforeTaking,
-    /// The connection ends between taking and acknowledging.
+    /// The connection closes before the batch is accepted.
+    CloseBeforeAccepting,
+    /// The connection closes after the batch is accepted and before it is acknowledged.
     CloseBeforeAnswer,
     AnswerLate,
-    AnswerNonsense,
-    /// Whoever takes the second answer for that to what follows is led astray.
+    AnswerInvalid,
+    /// The reply is sent twice. A client that reads the duplicate as the reply to its next request gets a
+    /// wrong result.
     AnswerTwice,
 }
 
 impl ExchangeFault {
     const ALL: [ExchangeFault; 5] = [
-        ExchangeFault::CloseBeforeTaking,
+        ExchangeFault::CloseBeforeAccepting,
         ExchangeFault::CloseBeforeAnswer,
         ExchangeFault::AnswerLate,
-        ExchangeFault::AnswerNonsense,
+        ExchangeFault::AnswerInvalid,
         ExchangeFault::AnswerTwice,
     ];
 }
 
-/// What all connections of a collector share.
+/// State shared by all connections of a collector.
 struct State {
     receiver: BatchReceiver,
     rng: ChaCha8Rng,
@@ -78,10 +81,11 @@
 }
 
 impl FakeCollector {
-    /// Starts one that keeps batches in `folder`; `fault_rate` is the part of exchanges that go wrong, in any of the ways.
+    /// Starts a collector that stores batches in `folder`. `fault_rate` is the fraction of exchanges with a
+    /// fault; each fault is drawn from all kinds with equal probability.
     ///
     /// # Errors
-    /// If there is no port or thread, or the folder can't be opened.
+    /// Returns an error if no port or thread is available, or the folder cannot be opened.
     pub fn start(folder: &Path, seed: u64, fault_rate: f64) -> io::Result<FakeCollector> {
         let receiver = open_receiver(folder).map_err(io::Error::other)?;
         let counts = Arc::new(CollectorCounts::default());
@@ -94,12 +98,12 @@
         Ok(FakeCollector { _server: server, address, counts })
     }
 
-    /// Returns the address on which it listens.
+    /// Returns the address on which the collector listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns what it counted.
+    /// Returns the collector's counters.
     pub fn counts(&self) -> &CollectorCounts {
         &self.counts
     }
@@ -113,15 +117,15 @@
     let mut requests = RequestReader::new(&stream);
     while let Some(request) = requests.next().await {
         let fault = state.borrow_mut().draw_fault();
-        if fault == Some(ExchangeFault::CloseBeforeTaking) {
+        if fault == Some(ExchangeFault::CloseBeforeAccepting) {
             return;
         }
         let reply = state.borrow_mut().handle(&request);
         match fault {
-            Some(ExchangeFault::CloseBeforeTaking | ExchangeFault::CloseBeforeAnswer) => return,
+            Some(ExchangeFault::CloseBeforeAccepting | ExchangeFault::CloseBeforeAnswer) => return,
             Some(ExchangeFault::AnswerLate) => drop(Timer::after(LATE_ANSWER).await),
-            Some(ExchangeFault::AnswerNonsense) => {
-                let _ = (&stream).write_all(NONSENSE).await;
+            Some(ExchangeFault::AnswerInvalid) => {
+                let _ = (&stream).write_all(INVALID_REPLY).await;
                 continue;
             }
             Some(ExchangeFault::AnswerTwice) => drop((&stream).write_all(&reply).await),
@@ -134,21 +138,21 @@
 }
 
 impl State {
-    /// Draws whether and how an exchange goes wrong, and counts it.
+    /// Draws the fault of the next exchange, if any, and counts it.
     fn draw_fault(&mut self) -> Option<ExchangeFault> {
         if self.rng.random::<f64>() >= self.fault_rate {
             return None;
         }
         self.counts.faults.fetch_add(1, Ordering::Relaxed);
-        // Drawn as an `i32`: another type draws other faults from the same seed.
+        // The index is drawn as an `i32`: the same seed gives other faults with another integer type.
         let index = self.rng.random_range(0..ExchangeFault::ALL.len() as i32);
         Some(ExchangeFault::ALL[index as usize])
     }
 
-    /// Handles a request and returns the bytes of its reply.
+    /// Handles a request and returns the encoded reply.
     fn handle(&mut self, request: &Request) -> Vec<u8> {
-        let parts: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
-        match (request.method.as_str(), &parts[..]) {
+        let segments: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
+        match (request.method.as_str(), &segments[..]) {
             ("GET", ["batches", server, ledger_id]) => match ledger_id.parse() {
                 Ok(ledger_id) => encode_reply(self.receiver.watermark(server, ledger_id)),
                 Err(_) => Reply::status(400).encode(),
--- a/crates/fakes/src/fake_server.rs
+++ b/crates/fakes/src/fake_server.rs
@@ -1,4 +1,4 @@
-//! The thread of a fake: it runs the fake's tasks until the fake is dropped.
+//! The thread of a fake, which runs the fake's tasks until the fake is dropped.
 
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -9,12 +9,13 @@
 use std::rc::{Rc, Weak};
 use std::thread::JoinHandle;
 
-/// The tasks of one fake. Tasks may hold this: it does not keep them alive.
+/// Spawns tasks on the thread of one fake. Tasks may hold it: it is a weak reference and does not keep them
+/// alive.
 #[derive(Clone)]
 pub(crate) struct Tasks(Weak<LocalExecutor<'static>>);
 
 impl Tasks {
-    /// Runs a task until the fake ends.
+    /// Spawns a task, which is dropped at the latest when the fake ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(tasks) = self.0.upgrade() {
             tasks.spawn(task).detach();
@@ -22,53 +23,54 @@
     }
 }
 
-/// A running thread. Dropping it ends its tasks, closes its sockets and waits for it.
+/// The running thread of a fake. Dropping it drops its tasks, closes its sockets and joins the thread.
 pub(crate) struct FakeServer {
     stop: Option<Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl FakeServer {
-    /// Starts a thread on which `begin` spawns the fake's tasks.
+    /// Starts a thread on which `spawn_tasks` spawns the fake's tasks.
     ///
     /// # Errors
-    /// If there is no thread.
-    pub fn start(name: &str, begin: impl FnOnce(&Tasks) + Send + 'static) -> io::Result<FakeServer> {
+    /// Returns an error if the thread cannot be started.
+    pub fn start(name: &str, spawn_tasks: impl FnOnce(&Tasks) + Send + 'static) -> io::Result<FakeServer> {
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
-            begin(&Tasks(Rc::downgrade(&executor)));
+            spawn_tasks(&Tasks(Rc::downgrade(&executor)));
             async_io::block_on(executor.run(async {
-                // An error is what is awaited: the other end is gone.
+                // Nothing is ever sent: `recv` returns an error when the sender is dropped.
                 let _ = stopped.recv().await;
             }));
         })?;
         Ok(FakeServer { stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Starts a thread that listens on a free port of the loopback address; `begin` returns what serves a connection.
+    /// Starts a thread that listens on a free loopback port. `make_handler` returns the function that serves
+    /// a connection.
     ///
     /// # Errors
-    /// If there is no port or thread.
+    /// Returns an error if no port or thread is available.
     pub fn listen<F, Fut>(
         name: &str,
-        begin: impl FnOnce(&Tasks) -> F + Send + 'static,
+        make_handler: impl FnOnce(&Tasks) -> F + Send + 'static,
     ) -> io::Result<(FakeServer, SocketAddr)>
     where
         F: Fn(Async<TcpStream>) -> Fut + 'static,
         Fut: Future<Output = ()> + 'static,
     {
-        FakeServer::listen_on(name, TcpListener::bind("127.0.0.1:0")?, begin)
+        FakeServer::listen_on(name, TcpListener::bind("127.0.0.1:0")?, make_handler)
     }
 
-    /// As [`FakeServer::listen`], on this socket.
+    /// Does the same as [`FakeServer::listen`], but accepts connections from `listener`.
     ///
     /// # Errors
-    /// If there is no thread.
+    /// Returns an error if the thread cannot be started.
     pub fn listen_on<F, Fut>(
         name: &str,
         listener: TcpListener,
-        begin: impl FnOnce(&Tasks) -> F + Send + 'static,
+        make_handler: impl FnOnce(&Tasks) -> F + Send + 'static,
     ) -> io::Result<(FakeServer, SocketAddr)>
     where
         F: Fn(Async<TcpStream>) -> Fut + 'static,
@@ -76,16 +78,16 @@
     {
         let address = listener.local_addr()?;
         let server = FakeServer::start(name, move |tasks| {
-            let serve = begin(tasks);
-            let inner = tasks.clone();
-            let accepting = async move {
+            let serve = make_handler(tasks);
+            let connection_tasks = tasks.clone();
+            let accept_loop = async move {
                 let Ok(listener) = Async::new(listener) else { return };
                 while let Ok((stream, _)) = listener.accept().await {
                     let _ = stream.get_ref().set_nodelay(true);
-                    inner.spawn(serve(stream));
+                    connection_tasks.spawn(serve(stream));
                 }
             };
-            tasks.spawn(accepting);
+            tasks.spawn(accept_loop);
         })?;
         Ok((server, address))
     }
--- a/crates/fakes/src/http.rs
+++ b/crates/fakes/src/http.rs
@@ -1,47 +1,48 @@
-//! The server's half of HTTP/1.1, as far as the fakes need it.
+//! The server side of HTTP/1.1, limited to what the fakes need.
 
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use std::net::TcpStream;
 
-/// The largest request that is read, bytes.
+/// Maximum size of a request, bytes.
 const MAX_REQUEST_BYTES: usize = 16 << 20;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
-/// Bytes read at a time.
-const READ_BYTES: usize = 4096;
-/// The status whose replies have no body.
+/// Size of the read buffer, bytes.
+const READ_BUFFER_BYTES: usize = 4096;
+/// Status code of replies without a body and without a `Content-Length` header.
 const NO_CONTENT: u16 = 204;
 
-/// A request.
+/// An HTTP request.
 #[derive(Debug)]
 pub(crate) struct Request {
-    /// Its method.
+    /// Request method.
     pub method: String,
-    /// Its path.
+    /// Request path.
     pub path: String,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// Why a connection's bytes are no request.
+/// Error for bytes that are not a valid HTTP request.
 struct InvalidRequest;
 
-/// Reads the requests of a connection.
+/// Reads the requests from a connection.
 pub(crate) struct RequestReader<'a> {
     stream: &'a Async<TcpStream>,
     bytes: Vec<u8>,
 }
 
 impl RequestReader<'_> {
-    /// Returns a reader of a new connection.
+    /// Returns a reader for a new connection.
     pub fn new(stream: &Async<TcpStream>) -> RequestReader<'_> {
         RequestReader { stream, bytes: Vec::new() }
     }
 
-    /// Returns the next request; `None` at the end of the connection or for what is no request.
+    /// Returns the next request; `None` at the end of the connection or if the request is invalid or too
+    /// large.
     pub async fn next(&mut self) -> Option<Request> {
-        let mut chunk = vec![0; READ_BYTES];
+        let mut chunk = vec![0; READ_BUFFER_BYTES];
         loop {
             if let Some((request, length)) = parse(&self.bytes).ok()? {
                 self.bytes.drain(..length);
@@ -58,7 +59,7 @@
     }
 }
 
-/// Returns the first request in `bytes` and its length; `None` while it is incomplete.
+/// Parses the first request in `bytes` and returns it with its length; `None` while it is incomplete.
 fn parse(bytes: &[u8]) -> Result<Option<(Request, usize)>, InvalidRequest> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -73,7 +74,7 @@
     Ok(Some((Request { method, path, body: body.to_vec() }, end)))
 }
 
-/// Returns the length of the body: 0 if no header states one.
+/// Returns the length of the body; 0 if there is no `Content-Length` header.
 fn content_length(headers: &[httparse::Header<'_>]) -> Result<usize, InvalidRequest> {
     let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
     let Some(header) = header else { return Ok(0) };
@@ -81,23 +82,23 @@
     text.trim().parse().map_err(|_| InvalidRequest)
 }
 
-/// A reply.
+/// An HTTP reply.
 pub(crate) struct Reply<'a> {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Headers beside the length of the body, each with its line end.
+    /// Headers other than `Content-Length`, each with its line ending.
     pub headers: &'a str,
-    /// Its body.
+    /// Reply body.
     pub body: &'a [u8],
 }
 
 impl Reply<'_> {
-    /// Returns a reply without headers and body.
+    /// Returns a reply without additional headers and without a body.
     pub fn status(status: u16) -> Reply<'static> {
         Reply { status, headers: "", body: b"" }
     }
 
-    /// Returns the reply's bytes.
+    /// Returns the encoded reply.
     pub fn encode(&self) -> Vec<u8> {
         let Reply { status, headers, body } = self;
         let length = match *status {
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Fakes of the systems around a server, on loopback: the worker pool, the upstream, the registry, the collector of
-//! exports and the clients. They are written from the protocols' pages and share nothing with the daemon, so that a
-//! fault in the daemon's codecs is not a fault here as well. Each fake is a thread; its random numbers come from a seed,
-//! its faults from settings.
+//! Fakes of the systems around a server, on loopback: the worker pool, the upstream service, the registry,
+//! the collector of exports and the clients. They are implemented from the protocol documentation and share
+//! no codec with the daemon, so that a bug in the daemon's codecs is not repeated here. Each fake runs on its
+//! own thread; its random numbers come from a seed and its faults from settings.
 //!
 //! ```
 //! use dunlinspread_fakes::{FakeRegistry, FakeWorkerPool, PlatformSettings, WorkerPoolFaults};
--- a/crates/fakes/src/platform.rs
+++ b/crates/fakes/src/platform.rs
@@ -1,58 +1,59 @@
-//! The platform that the fakes play: its request classes, its machines, and the configuration that it gives a server.
+//! The platform that the fakes simulate: its request classes, its machines, and the configuration for its
+//! servers.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The weight of a late answer, as a part of the class's weight.
+/// Weight of a late answer, as a fraction of the class's weight.
 const LATE_WEIGHT: f64 = 0.1;
-/// The memory of a machine's runs, kB.
+/// Memory of a machine that is available for runs, kB.
 const MACHINE_MEMORY_KB: u64 = 600_000;
-/// The longest time for which an idle connection is kept, ms.
+/// Maximum time for which an idle connection is kept open, ms.
 const MAX_KEEPALIVE_MS: u64 = 30_000;
-/// The longest wait that a server may tell its clients, ms.
+/// Maximum retry delay that a server may request from its clients, ms.
 const MAX_RETRY_AFTER_MS: u64 = 1000;
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Its part of all requests.
+    /// Fraction of all requests that belong to the class.
     pub share: f64,
-    /// The mean work of a run, ms of one core.
+    /// Mean work of a run, ms on one core.
     pub work_ms: f64,
-    /// The latency objective, ms.
+    /// Latency objective, ms.
     pub latency_objective_ms: f64,
-    /// When a client gives up, ms.
+    /// Client timeout, ms.
     pub client_timeout_ms: f64,
-    /// The weight of an answer in time.
+    /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
     /// Whether runs make an upstream call.
     pub makes_upstream_calls: bool,
-    /// The weight of an answer without the upstream call, as a part of the class's weight.
+    /// Weight of an answer without the upstream call, as a fraction of the class's weight.
     pub degraded_weight: f64,
-    /// How long an idempotency key must not run again, ms; `None` for classes without keys.
+    /// Time during which an idempotency key must not be run again, ms; `None` for classes without keys.
     pub idempotency_window_ms: Option<f64>,
 }
 
-/// The settings of the platform.
+/// Settings of the simulated platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// The request classes.
+    /// Request classes.
     pub classes: Vec<RequestClass>,
-    /// Cores of a machine.
+    /// Number of cores of a machine.
     pub cores: usize,
-    /// The memory limit of a server's process, MB.
+    /// Memory limit of a server process, MB.
     pub memory_mb: u64,
-    /// The descriptor limit of a server's process.
+    /// File descriptor limit of a server process.
     pub descriptors: u64,
-    /// Time from the shutdown request to the kill, ms.
+    /// Time from the shutdown request until the process is killed, ms.
     pub shutdown_ms: u64,
 }
 
 impl PlatformSettings {
-    /// Returns the four classes of the rounds, at a tenth of their work and times, so that seconds show what takes a
-    /// minute.
+    /// Returns a platform with the four request classes of the real one. Their work and times are a tenth of
+    /// the real values, so that a run of a few seconds shows what takes a minute on the real platform.
     pub fn rounds(cores: usize) -> PlatformSettings {
         PlatformSettings {
             classes: vec![route_sheet(), rate_check(), farmer_ledger(), pour_entry()],
@@ -63,17 +64,17 @@
         }
     }
 
-    /// Returns the work that a mean request takes, ms of one core.
+    /// Returns the mean work of a request over all classes, ms on one core.
     pub fn mean_work_ms(&self) -> f64 {
         self.classes.iter().map(|class| class.share * class.work_ms).sum()
     }
 
-    /// Returns the requests a second that the cores can complete.
+    /// Returns the number of requests per second that the cores can complete.
     pub fn capacity(&self) -> f64 {
         self.cores as f64 * 1000.0 / self.mean_work_ms()
     }
 
-    /// Returns the platform's configuration for a server, as JSON text.
+    /// Returns the platform's configuration for a server as JSON text.
     pub fn config(
         &self,
         name: &str,
@@ -83,8 +84,8 @@
         upstream: Option<SocketAddr>,
     ) -> String {
         let mut config = json!({
-            "name": name, "listen": listen, "pool": worker_pool.to_string(), "directory": registry.to_string(),
-            "seed": "8c1f30d27a5be964", "stop_ms": self.shutdown_ms,
+            "name": name, "listen": listen, "pool": worker_pool.to_string(),
+            "directory": registry.to_string(), "seed": "8c1f30d27a5be964", "stop_ms": self.shutdown_ms,
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.descriptors},
             "settings": {
                 "tick_ms": 5.0, "servers": 4,
@@ -115,7 +116,7 @@
 }
 
 impl RequestClass {
-    /// Returns the class as the platform's configuration states it.
+    /// Returns the class's entry in the platform's configuration.
     fn profile(&self) -> Value {
         let mut profile = json!({
             "name": self.name, "effect": if self.idempotency_window_ms.is_some() { "token" } else { "pure" },
--- a/crates/fakes/src/registry.rs
+++ b/crates/fakes/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: takes load reports and remembers which server was listed when.
+//! The fake registry: accepts health reports and records the times at which each server was listed.
 
 use crate::clock::unix_ms;
 use crate::fake_server::FakeServer;
@@ -10,36 +10,36 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// An entry expires this long after its last report, ms.
+/// Time from the last passing report of a server to the expiry of its entry, ms.
 const ENTRY_LIFETIME_MS: u64 = 3000;
-/// What the body of a report contains if the server takes work.
+/// Text in the body of a report from a server that accepts requests.
 const PASSING: &[u8] = b"\"passing\"";
 
-/// For each server the spans of Unix ms in which it was listed as taking work.
+/// The time spans in which each server was listed as accepting requests, by server name, Unix ms.
 type ListedSpans = BTreeMap<String, Vec<(u64, u64)>>;
 
-/// The last reports that are kept.
-const MAX_KEPT_REPORTS: usize = 10_000;
+/// Maximum number of reports that are kept; the oldest are dropped first.
+const MAX_REPORTS: usize = 10_000;
 
-/// A report of a server.
+/// A health report from a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryReport {
-    /// The name of the server.
+    /// Name of the server.
     pub server: String,
-    /// Whether it takes work.
+    /// Whether the server accepts requests.
     pub passing: bool,
-    /// When the report came, Unix ms.
+    /// Time at which the report was received, Unix ms.
     pub received_ms: u64,
 }
 
-/// What the connections of a registry share.
+/// State shared by all connections of a registry.
 #[derive(Clone, Default)]
 struct Entries {
     listed: Arc<Mutex<ListedSpans>>,
     reports: Arc<Mutex<VecDeque<RegistryReport>>>,
 }
 
-/// A running registry.
+/// A running fake registry.
 pub struct FakeRegistry {
     _server: FakeServer,
     address: SocketAddr,
@@ -47,18 +47,18 @@
 }
 
 impl FakeRegistry {
-    /// Starts one on a free port.
+    /// Starts a registry on a free port.
     ///
     /// # Errors
-    /// If there is no port or thread.
+    /// Returns an error if no port or thread is available.
     pub fn start() -> io::Result<FakeRegistry> {
         FakeRegistry::start_on(TcpListener::bind("127.0.0.1:0")?)
     }
 
-    /// Starts one that listens on this socket.
+    /// Starts a registry that accepts connections from `listener`.
     ///
     /// # Errors
-    /// If there is no thread.
+    /// Returns an error if the thread cannot be started.
     pub fn start_on(listener: TcpListener) -> io::Result<FakeRegistry> {
         let entries = Entries::default();
         let shared = entries.clone();
@@ -68,22 +68,22 @@
         Ok(FakeRegistry { _server: server, address, entries })
     }
 
-    /// Returns the address on which it listens.
+    /// Returns the address on which the registry listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the spans in which each server was listed, Unix ms.
+    /// Returns the time spans in which each server was listed, by server name, Unix ms.
     pub fn listed_spans(&self) -> BTreeMap<String, Vec<(u64, u64)>> {
         self.entries.listed.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Returns the last reports, in the order in which they came.
+    /// Returns the most recent reports, in the order in which they were received.
     pub fn reports(&self) -> Vec<RegistryReport> {
         self.entries.reports.lock().unwrap_or_else(PoisonError::into_inner).iter().cloned().collect()
     }
 
-    /// Returns whether that server is listed now.
+    /// Returns whether the server called `name` is currently listed.
     pub fn is_listed(&self, name: &str) -> bool {
         let now = unix_ms();
         let listed = self.entries.listed.lock().unwrap_or_else(PoisonError::into_inner);
@@ -102,14 +102,14 @@
     }
 }
 
-/// Records a report and returns the status of its reply.
+/// Records a report and returns the HTTP status of the reply.
 fn handle_report(request: &Request, entries: &Entries) -> u16 {
     let name = request.path.strip_prefix("/catalog/register/").unwrap_or("");
     if request.method != "PUT" || name.is_empty() {
         return 404;
     }
     let passing = request.body.windows(PASSING.len()).any(|window| window == PASSING);
-    entries.keep_report(name, passing);
+    entries.record_report(name, passing);
     let mut listed = entries.listed.lock().unwrap_or_else(PoisonError::into_inner);
     let spans = listed.entry(name.to_owned()).or_default();
     if passing {
@@ -119,16 +119,16 @@
 }
 
 impl Entries {
-    fn keep_report(&self, server: &str, passing: bool) {
+    fn record_report(&self, server: &str, passing: bool) {
         let mut reports = self.reports.lock().unwrap_or_else(PoisonError::into_inner);
-        if reports.len() == MAX_KEPT_REPORTS {
+        if reports.len() == MAX_REPORTS {
             reports.pop_front();
         }
         reports.push_back(RegistryReport { server: server.to_owned(), passing, received_ms: unix_ms() });
     }
 }
 
-/// Extends the last span to now, or begins another if the entry has expired.
+/// Extends the last span to `now`, or adds a new span if the entry has expired.
 fn extend_last_span(spans: &mut Vec<(u64, u64)>, now: u64) {
     match spans.last_mut() {
         Some((_, to)) if now <= *to + ENTRY_LIFETIME_MS => *to = now,
--- a/crates/fakes/src/reserved_address.rs
+++ b/crates/fakes/src/reserved_address.rs
@@ -1,16 +1,17 @@
-//! An address that is kept while nobody listens on it.
+//! A loopback address that stays reserved while no socket listens on it.
 
 use rustix::fd::OwnedFd;
 use rustix::net::{AddressFamily, SocketType, bind, getsockname, listen, socket, sockopt};
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
 
-/// Connections that wait to be accepted.
-const BACKLOG: i32 = 1024;
+/// Maximum number of connections in the accept queue.
+const LISTEN_BACKLOG: i32 = 1024;
 
-/// A loopback address whose port is held by a socket that does not listen: while nothing else listens on it connections are
-/// refused, and no other program gets the port. A port that was listened on and let go can be given to anybody, who then
-/// gets the connections that are meant for its owner.
+/// A loopback address whose port is bound by a socket that does not listen. Connections are refused until
+/// [`ReservedAddress::listen`] is called, and the kernel assigns the port to no other process. Without the
+/// reservation a port that was listened on and closed can be assigned to another process, which then receives
+/// the connections meant for its previous owner.
 #[derive(Debug)]
 pub struct ReservedAddress {
     _socket: OwnedFd,
@@ -18,33 +19,34 @@
 }
 
 impl ReservedAddress {
-    /// Takes a free port.
+    /// Reserves a free port.
     ///
     /// # Errors
-    /// If there is none.
+    /// Returns an error if no port is available.
     pub fn new() -> io::Result<ReservedAddress> {
         let socket = bound_socket(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0))?;
         let address = SocketAddrV4::try_from(getsockname(&socket)?)?;
         Ok(ReservedAddress { _socket: socket, address })
     }
 
-    /// Returns the address.
+    /// Returns the reserved address.
     pub fn address(&self) -> SocketAddr {
         self.address.into()
     }
 
-    /// Listens on it. It is kept when the listener is closed.
+    /// Listens on the address. It stays reserved after the listener is closed.
     ///
     /// # Errors
-    /// If the system does not allow it.
+    /// Returns an error if the socket cannot be created, bound or set to listen.
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = bound_socket(self.address)?;
-        listen(&socket, BACKLOG)?;
+        listen(&socket, LISTEN_BACKLOG)?;
         Ok(TcpListener::from(socket))
     }
 }
 
-/// Returns a socket bound to that address, which may be bound again by the same program.
+/// Returns a socket bound to `address` with `SO_REUSEPORT`, so that the same process can bind the address
+/// again.
 fn bound_socket(address: SocketAddrV4) -> io::Result<OwnedFd> {
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None)?;
     sockopt::set_socket_reuseport(&socket, true)?;
--- a/crates/fakes/src/upstream.rs
+++ b/crates/fakes/src/upstream.rs
@@ -1,4 +1,5 @@
-//! The upstream: answers calls after a while, or fails them in one of the ways in which calls fail.
+//! The fake upstream service: replies to calls after a random delay, or fails them with configured
+//! probabilities.
 
 use crate::fake_server::FakeServer;
 use crate::http::{Reply, RequestReader};
@@ -13,23 +14,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The time of a call, as a part of the mean.
+/// Range of the duration of a call, as a fraction of the mean.
 const WORK_SPREAD: Range<f64> = 0.5..1.5;
 
-/// What goes wrong with calls, each as a part of all of them.
+/// Probabilities of the faults of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpstreamFaults {
-    /// Rejected without running.
+    /// Probability that a call is rejected without being executed (status 503 with the header `X-Shed`).
     pub shed: f64,
-    /// Failed after running.
+    /// Probability that a call fails after being executed (status 500).
     pub error: f64,
-    /// The connection ends in place of a reply.
+    /// Probability that the connection closes instead of a reply.
     pub reset: f64,
-    /// No reply ever.
+    /// Probability that no reply is ever sent.
     pub stall: f64,
 }
 
-/// How a call ends.
+/// Result of a call.
 enum CallEnd {
     Completed,
     Shed,
@@ -39,7 +40,7 @@
 }
 
 impl UpstreamFaults {
-    /// Returns the end of a call for a random number from 0 to 1.
+    /// Returns the result of a call for a random number between 0 and 1.
     fn call_end(&self, random: f64) -> CallEnd {
         let shed = self.shed;
         let error = shed + self.error;
@@ -55,17 +56,17 @@
     }
 }
 
-/// A running upstream.
+/// A running fake upstream service.
 pub struct FakeUpstream {
     _server: FakeServer,
     address: SocketAddr,
 }
 
 impl FakeUpstream {
-    /// Starts one whose calls take about `work_ms`.
+    /// Starts an upstream service whose calls take `work_ms` on average.
     ///
     /// # Errors
-    /// If there is no port or thread.
+    /// Returns an error if no port or thread is available.
     pub fn start(work_ms: f64, seed: u64, faults: UpstreamFaults) -> io::Result<FakeUpstream> {
         let (server, address) = FakeServer::listen("upstream", move |_| {
             let rng = Rc::new(RefCell::new(ChaCha8Rng::seed_from_u64(seed)));
@@ -74,7 +75,7 @@
         Ok(FakeUpstream { _server: server, address })
     }
 
-    /// Returns the address on which it listens.
+    /// Returns the address on which the upstream service listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/fakes/src/worker_pool/commands.rs
+++ b/crates/fakes/src/worker_pool/commands.rs
@@ -1,19 +1,19 @@
-//! The commands that a server gives a worker pool.
+//! The commands that a server sends to a worker pool.
 
 use crate::worker_pool::machine::{CallEnd, Machine, RunTimer};
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use serde_json::{Value, json};
 
-/// What became of a command.
+/// Result of a command.
 pub(crate) enum CommandResult {
-    /// It is carried out.
-    Done,
-    /// It has set a run going.
+    /// The command was executed.
+    Executed,
+    /// The command started or resumed a run, which the timer takes to its next step.
     Started(RunTimer),
-    /// It names no run or class that it can be carried out on.
+    /// The command names no run or class on which it can be executed, or its body cannot be decoded.
     Unknown,
-    /// It is no command.
+    /// The line is not a valid command.
     Invalid,
 }
 
@@ -23,18 +23,18 @@
     }
 }
 
-/// Carries out a command, and answers it where it is a poll or unknown.
+/// Executes a command, and writes a reply if it is a poll or its result is [`CommandResult::Unknown`].
 pub(crate) fn execute(machine: &mut Machine, command: &Value) -> CommandResult {
     let Some(operation) = command["op"].as_str() else { return CommandResult::Invalid };
     let id = command["id"].as_str().unwrap_or("");
     let result = match operation {
         "poll" => poll(machine, command),
         "spawn" => spawn(machine, command, id),
-        "suspend" if machine.suspend(id) => CommandResult::Done,
+        "suspend" if machine.suspend(id) => CommandResult::Executed,
         "suspend" => CommandResult::Unknown,
         "proceed" => machine.resume(id).into(),
-        "supply" => machine.end_call(id, CallEnd::Supplied).into(),
-        "pass" => machine.end_call(id, CallEnd::Passed(command["seq"].as_u64())).into(),
+        "supply" => machine.end_call(id, CallEnd::Replied).into(),
+        "pass" => machine.end_call(id, CallEnd::Skipped(command["seq"].as_u64())).into(),
         _ => CommandResult::Invalid,
     };
     if matches!(result, CommandResult::Unknown) {
@@ -47,12 +47,12 @@
 fn poll(machine: &mut Machine, command: &Value) -> CommandResult {
     let polled = json!({"op": "polled", "tag": command["tag"], "values": machine.gauges()});
     machine.notices.write(format!("{polled}\n"));
-    CommandResult::Done
+    CommandResult::Executed
 }
 
 fn spawn(machine: &mut Machine, command: &Value, id: &str) -> CommandResult {
-    if machine.has_run(id) || machine.is_gone(id) {
-        return CommandResult::Done;
+    if machine.has_run(id) || machine.notify_if_ended(id) {
+        return CommandResult::Executed;
     }
     let body = command["body"].as_str().and_then(|body| BASE64.decode(body).ok());
     let Some(body) = body else { return CommandResult::Unknown };
--- a/crates/fakes/src/worker_pool/delays.rs
+++ b/crates/fakes/src/worker_pool/delays.rs
@@ -1,4 +1,5 @@
-//! When the worker pools of a machine stood still: a timer of each that came late.
+//! The times at which the worker pools of a machine were stalled, measured by a timer of each that fired
+//! late.
 
 use crate::clock::unix_ms;
 use async_io::Timer;
@@ -6,9 +7,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the clock.
-const INTERVAL: Duration = Duration::from_millis(5);
-/// The shortest delay that is recorded.
+/// Time between two checks of the clock.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Minimum delay that is recorded.
 const MIN_DELAY: Duration = Duration::from_millis(15);
 
 /// The delays of all worker pools of a machine.
@@ -16,10 +17,10 @@
 pub(crate) struct Delays(Arc<Mutex<Vec<Range<u64>>>>);
 
 impl Delays {
-    /// Records the delays of the thread that runs this, without end.
+    /// Records the delays of the current thread; never returns.
     pub async fn record(self) {
         loop {
-            let due = Instant::now() + INTERVAL;
+            let due = Instant::now() + CHECK_INTERVAL;
             Timer::at(due).await;
             let delay = due.elapsed();
             if delay >= MIN_DELAY {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Returns all delays, from when to when, Unix ms.
+    /// Returns the time spans of all recorded delays, Unix ms.
     pub fn all(&self) -> Vec<Range<u64>> {
         self.lock().clone()
     }
--- a/crates/fakes/src/worker_pool/fake_worker_pool.rs
+++ b/crates/fakes/src/worker_pool/fake_worker_pool.rs
@@ -1,4 +1,4 @@
-//! A running worker pool and the faults that are asked of it by hand.
+//! A running fake worker pool and the faults that a test can trigger in it.
 
 use crate::fake_server::FakeServer;
 use crate::platform::PlatformSettings;
@@ -17,14 +17,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A fault that is asked for by hand.
+/// A fault that a test triggers.
 enum Control {
     Restart,
     Stall(Duration),
     BreakLink,
 }
 
-/// A running worker pool.
+/// A running fake worker pool.
 pub struct FakeWorkerPool {
     _server: FakeServer,
     address: SocketAddr,
@@ -34,10 +34,10 @@
 }
 
 impl FakeWorkerPool {
-    /// Starts one for a machine of that platform.
+    /// Starts a worker pool on a new machine of `platform`.
     ///
     /// # Errors
-    /// If there is no port or thread.
+    /// Returns an error if no port or thread is available.
     pub fn start(
         platform: &PlatformSettings,
         seed: u64,
@@ -46,13 +46,14 @@
         FakeWorkerPool::start_on(platform, seed, faults, SharedMachine::new())
     }
 
-    /// Starts a further one on the same machine, for another process of the same server: it listens at an address of its
-    /// own, numbers its notices on its own and tells only of runs begun through it; the cores and the run log are shared.
+    /// Starts a further worker pool on the same machine, for another process of the same server. It listens
+    /// on its own address, numbers its notices separately and reports only the runs that were started through
+    /// it; the cores and the run log are shared.
     ///
     /// # Errors
-    /// If there is no port or thread.
+    /// Returns an error if no port or thread is available.
     pub fn start_beside(&self, seed: u64, faults: WorkerPoolFaults) -> io::Result<FakeWorkerPool> {
-        FakeWorkerPool::start_on(&self.platform, seed, faults, self.shared.beside())
+        FakeWorkerPool::start_on(&self.platform, seed, faults, self.shared.for_further_pool())
     }
 
     fn start_on(
@@ -61,8 +62,8 @@
         faults: WorkerPoolFaults,
         shared: SharedMachine,
     ) -> io::Result<FakeWorkerPool> {
-        let (controls, received) = async_channel::unbounded();
-        let (request_ends, ended) = async_channel::unbounded();
+        let (controls, received_controls) = async_channel::unbounded();
+        let (request_ends, ended_requests) = async_channel::unbounded();
         let platform = platform.clone();
         let (machine_platform, machine_shared) = (platform.clone(), shared.clone());
         let delays = shared.delays.clone();
@@ -70,69 +71,70 @@
             let machine = Machine::new(machine_platform, seed, faults, machine_shared, request_ends);
             let machine = Rc::new(RefCell::new(machine));
             tasks.spawn(delays.record());
-            tasks.spawn(obey_controls(machine.clone(), received));
-            tasks.spawn(hear_request_ends(machine.clone(), ended));
+            tasks.spawn(process_controls(machine.clone(), received_controls));
+            tasks.spawn(process_request_ends(machine.clone(), ended_requests));
             let tasks = tasks.clone();
             move |stream| link::serve(machine.clone(), tasks.clone(), stream)
         })?;
         Ok(FakeWorkerPool { _server: server, address, controls, platform, shared })
     }
 
-    /// Returns the address on which it listens.
+    /// Returns the address on which the worker pool listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Kills it and starts it anew, cold: all runs and notices are gone.
+    /// Simulates a crash and restart: all runs and notices are lost.
     pub fn kill(&self) {
         let _ = self.controls.try_send(Control::Restart);
     }
 
-    /// Stalls for that long: runs go on, nothing is read or written.
+    /// Stalls the worker pool for `time`: runs continue, but nothing is read or written.
     pub fn stall(&self, time: Duration) {
         let _ = self.controls.try_send(Control::Stall(time));
     }
 
-    /// Breaks the link.
+    /// Closes the link to the server.
     pub fn break_link(&self) {
         let _ = self.controls.try_send(Control::BreakLink);
     }
 
-    /// Returns where clients tell the worker pools of the machine that a request is over. A machine that is told of no end
-    /// carries all runs on.
+    /// Returns the handle by which clients notify the worker pools of the machine that a request has ended.
+    /// Without such notifications all runs continue to their end.
     pub fn request_ends(&self) -> RequestEnds {
         self.shared.request_ends.clone()
     }
 
-    /// Returns how often each body was begun to run.
+    /// Returns the number of started runs for each request body.
     pub fn run_counts(&self) -> HashMap<Vec<u8>, u32> {
         self.shared.run_log.counts()
     }
 
-    /// Returns when this worker pool or another one on the machine stood still, by a fault that was asked for or for want of
-    /// time on the cores, from when to when, Unix ms.
+    /// Returns the time spans in which a worker pool on the machine was stalled, by a triggered fault or
+    /// because its thread got no processor time, Unix ms.
     pub fn delays(&self) -> Vec<Range<u64>> {
         self.shared.delays.all()
     }
 
-    /// Returns all runs that were begun on the machine, also through other worker pools, in order.
+    /// Returns all runs that were started on the machine by any of its worker pools, in the order of their
+    /// starts.
     pub fn started_runs(&self) -> Vec<StartedRun> {
         self.shared.run_log.runs()
     }
 }
 
-async fn hear_request_ends(machine: Rc<RefCell<Machine>>, ended: Receiver<String>) {
-    while let Ok(id) = ended.recv().await {
+async fn process_request_ends(machine: Rc<RefCell<Machine>>, ended_requests: Receiver<String>) {
+    while let Ok(id) = ended_requests.recv().await {
         machine.borrow_mut().on_request_end(&id);
     }
 }
 
-async fn obey_controls(machine: Rc<RefCell<Machine>>, controls: Receiver<Control>) {
+async fn process_controls(machine: Rc<RefCell<Machine>>, controls: Receiver<Control>) {
     while let Ok(control) = controls.recv().await {
         match control {
             Control::BreakLink => machine.borrow_mut().notices.disconnect(),
             Control::Restart => machine.borrow_mut().restart(),
-            // All tasks of the fake share this thread.
+            // Blocking the thread stalls the whole fake: all its tasks run on this thread.
             Control::Stall(time) => std::thread::sleep(time),
         }
     }
--- a/crates/fakes/src/worker_pool/faults.rs
+++ b/crates/fakes/src/worker_pool/faults.rs
@@ -1,16 +1,16 @@
 //! The faults of a fake worker pool.
 
-/// What goes wrong by chance on the link and in runs.
+/// Probabilities of the random faults of the link and of runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkerPoolFaults {
-    /// A notice is written twice, as a part of all.
+    /// Probability that a notice is written twice.
     pub duplicate: f64,
-    /// A notice is written in two pieces with a pause between.
+    /// Probability that a line is written in two pieces with a pause between them.
     pub split: f64,
-    /// A remark stands before a notice.
+    /// Probability that a notice with the unknown operation `chatter` is sent before a notice.
     pub chatter: f64,
-    /// The link breaks after a notice, in the middle of it.
+    /// Probability that the link closes in the middle of a notice.
     pub reset: f64,
-    /// A run fails.
+    /// Probability that a run fails.
     pub bad: f64,
 }
--- a/crates/fakes/src/worker_pool/link.rs
+++ b/crates/fakes/src/worker_pool/link.rs
@@ -1,4 +1,4 @@
-//! One link of a server to a worker pool: lines of JSON in both directions.
+//! A link between a server and a worker pool, with JSON lines in both directions.
 
 use crate::fake_server::Tasks;
 use crate::worker_pool::commands::{CommandResult, execute};
@@ -14,14 +14,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Lines waiting to be written on one link; a slower reader loses its link.
+/// Maximum number of lines queued on one link; the link is closed if the server reads too slowly.
 const MAX_QUEUED_LINES: usize = 100_000;
-/// The pause between the pieces of a line that is split.
+/// Pause between the two pieces of a split line.
 const SPLIT_PAUSE: Duration = Duration::from_millis(2);
-/// Bytes read at a time.
-const READ_BYTES: usize = 8192;
+/// Size of the read buffer, bytes.
+const READ_BUFFER_BYTES: usize = 8192;
 
-/// Serves a link until either side ends it.
+/// Serves a link until either side closes it.
 pub(crate) async fn serve(machine: Rc<RefCell<Machine>>, tasks: Tasks, stream: Async<TcpStream>) {
     let mut lines = LineReader { bytes: Vec::new(), stream: &stream };
     let Some(bind) = lines.next().await.filter(|line| line["op"] == "bind") else { return };
@@ -32,8 +32,8 @@
         while let Some(command) = lines.next().await {
             let result = execute(&mut machine.borrow_mut(), &command);
             match result {
-                CommandResult::Started(timer) => start_timer(&machine, &tasks, timer),
-                CommandResult::Done | CommandResult::Unknown => {}
+                CommandResult::Started(timer) => spawn_timer(&machine, &tasks, timer),
+                CommandResult::Executed | CommandResult::Unknown => {}
                 CommandResult::Invalid => return,
             }
         }
@@ -41,15 +41,16 @@
     or(reader, write_lines(&machine, &stream, outgoing)).await;
 }
 
-fn start_timer(machine: &Rc<RefCell<Machine>>, tasks: &Tasks, timer: RunTimer) {
+fn spawn_timer(machine: &Rc<RefCell<Machine>>, tasks: &Tasks, timer: RunTimer) {
     let machine = machine.clone();
     tasks.spawn(async move {
-        Timer::after(timer.after).await;
+        Timer::after(timer.delay).await;
         machine.borrow_mut().on_timer(&timer.id, timer.generation);
     });
 }
 
-/// Writes lines until the link ends, in pieces or not to their end where a fault says so.
+/// Writes queued lines until the link closes. With faults, a line is written in two pieces or only its first
+/// half.
 async fn write_lines(machine: &RefCell<Machine>, mut stream: &Async<TcpStream>, outgoing: Receiver<String>) {
     while let Ok(line) = outgoing.recv().await {
         let (split, reset) = draw_faults(&mut machine.borrow_mut(), &line);
@@ -66,7 +67,7 @@
     }
 }
 
-/// Draws whether a line is split, and whether the link breaks in its middle.
+/// Draws whether a line is split, and whether the link closes in the middle of it.
 fn draw_faults(machine: &mut Machine, line: &str) -> (bool, bool) {
     let is_notice = line.contains("\"seq\"");
     let split = machine.rng.random::<f64>() < machine.faults.split;
@@ -80,9 +81,9 @@
 }
 
 impl LineReader<'_> {
-    /// Returns the next line as JSON; `None` at the end, or for what is no JSON.
+    /// Returns the next line as JSON; `None` at the end of the link or if the line is not valid JSON.
     async fn next(&mut self) -> Option<Value> {
-        let mut chunk = vec![0; READ_BYTES];
+        let mut chunk = vec![0; READ_BUFFER_BYTES];
         loop {
             if let Some(end) = self.bytes.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = self.bytes.drain(..=end).collect();
--- a/crates/fakes/src/worker_pool/machine.rs
+++ b/crates/fakes/src/worker_pool/machine.rs
@@ -1,4 +1,4 @@
-//! The machine of a worker pool: its runs, and the cores that they share.
+//! The machine of a worker pool: its runs and the cores that they share.
 
 use crate::platform::{PlatformSettings, RequestClass};
 use crate::run_result::run_result;
@@ -16,15 +16,15 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// The work of a run, as a part of its class's mean.
+/// Range of the work of a run, as a fraction of its class's mean.
 const WORK_SPREAD: Range<f64> = 0.4..1.6;
-/// The part of a run's work that is done before its upstream call.
-const WORK_BEFORE_CALL: f64 = 0.5;
-/// The least work that a suspended run has left, ms.
-const MIN_WORK_LEFT_MS: f64 = 0.1;
-/// Runs that fill the machine's memory.
+/// Fraction of a run's work that is done before its upstream call.
+const WORK_FRACTION_BEFORE_CALL: f64 = 0.5;
+/// Minimum remaining work of a suspended run, ms.
+const MIN_REMAINING_WORK_MS: f64 = 0.1;
+/// Number of runs that fill the machine's memory.
 const RUNS_IN_MEMORY: f64 = 1000.0;
-/// The links that the gauge reports.
+/// Value of the `links` gauge.
 const LINKS: u32 = 4;
 
 enum RunState {
@@ -32,7 +32,7 @@
         since: Instant,
         generation: u64,
     },
-    /// Waits for its upstream call, with the number of the notice that said so.
+    /// Waiting for its upstream call; holds the number of the notice that reported it.
     Blocked(u64),
     Paused,
 }
@@ -40,56 +40,56 @@
 struct Run {
     class: usize,
     body: Vec<u8>,
-    left_ms: f64,
+    remaining_ms: f64,
     used_ms: f64,
-    call_due: bool,
+    call_pending: bool,
     state: RunState,
 }
 
-/// When a run comes to its call or its end, unless it is stopped before.
+/// Timer for the upstream call or the end of a run. It has no effect if the run is suspended before it fires.
 pub(crate) struct RunTimer {
-    /// The run.
+    /// Id of the run.
     pub id: String,
-    /// The stretch of the run that the timer belongs to.
+    /// Generation of the run for which the timer was set; it changes whenever a run is started or resumed.
     pub generation: u64,
-    /// Time from now.
-    pub after: Duration,
+    /// Time until the timer fires.
+    pub delay: Duration,
 }
 
-/// What resumes a run that waits for its upstream call.
+/// Command that resumes a run waiting for its upstream call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallEnd {
-    /// The call's reply.
-    Supplied,
-    /// Going on without the call that this notice asked for.
-    Passed(Option<u64>),
+    /// The call's reply has arrived.
+    Replied,
+    /// The run continues without the call that was reported in the notice of this number.
+    Skipped(Option<u64>),
 }
 
-/// The runs of one machine.
+/// The runs of one worker pool, with its handles on the shared state of its machine.
 pub(crate) struct Machine {
     platform: PlatformSettings,
-    /// Its faults.
+    /// Faults that are injected.
     pub faults: WorkerPoolFaults,
-    /// Where chance comes from.
+    /// Random number generator of the work of runs and of the faults.
     pub rng: ChaCha8Rng,
-    /// Its notices.
+    /// Notices to the server.
     pub notices: Notices,
     started_at: Instant,
     runs: HashMap<String, Run>,
     generations: u64,
     shared: SharedMachine,
-    /// By which the machine hears of the ends of requests whose runs wait.
-    request_ended: Sender<String>,
+    /// Channel that receives the ids of ended requests whose runs wait at an upstream call.
+    ended_requests: Sender<String>,
 }
 
 impl Machine {
-    /// Returns an idle machine.
+    /// Returns a machine without runs.
     pub fn new(
         platform: PlatformSettings,
         seed: u64,
         faults: WorkerPoolFaults,
         shared: SharedMachine,
-        request_ended: Sender<String>,
+        ended_requests: Sender<String>,
     ) -> Machine {
         Machine {
             platform,
@@ -100,11 +100,11 @@
             runs: HashMap::new(),
             generations: 0,
             shared,
-            request_ended,
+            ended_requests,
         }
     }
 
-    /// Loses all runs, notices and the link, as a machine that was started anew.
+    /// Drops all runs, all notices and the link, as after a restart of the worker pool.
     pub fn restart(&mut self) {
         self.notices.disconnect();
         self.runs.clear();
@@ -113,10 +113,11 @@
         self.report_usage();
     }
 
-    /// Connects a server that has the notices up to `after`.
+    /// Connects a server that has received the notices up to the number `after`.
     pub fn connect(&mut self, link: Sender<String>, after: u64) {
         if after == 0 {
-            // A server that starts: its notices begin at 1, and what ran for the one before is nobody's.
+            // The server process has just started: notices are numbered from 1 again, and the runs of the
+            // previous process have no owner.
             self.notices.clear();
             self.runs.clear();
             self.report_usage();
@@ -131,51 +132,52 @@
         self.runs.values().filter(|run| matches!(run.state, RunState::Running { .. })).count()
     }
 
-    /// Reports what this pool uses of the machine.
+    /// Updates the usage of this worker pool in the shared state of the machine.
     fn report_usage(&self) {
-        self.shared.occupancy.report(PoolUsage { running: self.running(), held: self.runs.len() });
+        self.shared.occupancy.report(PoolUsage { running: self.running(), in_memory: self.runs.len() });
     }
 
     /// Returns the gauges of the whole machine, in the order of the platform's configuration.
     pub fn gauges(&self) -> Value {
-        let PoolUsage { running, held } = self.shared.occupancy.total();
+        let PoolUsage { running, in_memory } = self.shared.occupancy.total();
         let core_use = running as f64 / self.platform.cores as f64;
-        let memory_use = held as f64 / RUNS_IN_MEMORY;
+        let memory_use = in_memory as f64 / RUNS_IN_MEMORY;
         json!([core_use.min(1.0), running, memory_use.min(1.0), LINKS])
     }
 
-    /// Returns whether there is a run of that id.
+    /// Returns whether there is a run with this id.
     pub fn has_run(&self, id: &str) -> bool {
         self.runs.contains_key(id)
     }
 
-    /// Notifies that nothing is started for a request that is over; returns whether it is.
-    pub fn is_gone(&mut self, id: &str) -> bool {
-        let is_over = self.shared.request_ends.is_over(id);
-        if is_over {
+    /// Returns whether the request has ended; if so, notifies the server that no run is started for it.
+    pub fn notify_if_ended(&mut self, id: &str) -> bool {
+        let has_ended = self.shared.request_ends.has_ended(id);
+        if has_ended {
             self.notify(json!({"op": "finished", "id": id, "end": "gone", "ms": 0.0}));
         }
-        is_over
+        has_ended
     }
 
-    /// Starts a run; `None` if there is no such class.
+    /// Starts a run; returns `None` if the class is unknown.
     pub fn spawn(&mut self, id: &str, class: &Value, body: Vec<u8>) -> Option<RunTimer> {
         let class = self.platform.classes.iter().position(|known| class == known.name)?;
         let RequestClass { work_ms, makes_upstream_calls, .. } = self.platform.classes[class];
-        let left_ms = work_ms * self.rng.random_range(WORK_SPREAD);
+        let remaining_ms = work_ms * self.rng.random_range(WORK_SPREAD);
         self.shared.run_log.add(id, self.platform.classes[class].name, &body);
-        let call_due = makes_upstream_calls;
-        let run = Run { class, body, left_ms, used_ms: 0.0, call_due, state: RunState::Paused };
+        let call_pending = makes_upstream_calls;
+        let run = Run { class, body, remaining_ms, used_ms: 0.0, call_pending, state: RunState::Paused };
         self.runs.insert(id.to_owned(), run);
-        self.go_on(id)
+        self.run_to_next_step(id)
     }
 
-    /// Suspends a run; returns whether there is one. What waits at a call or is paused already has nothing to stop.
+    /// Suspends a run and returns whether the run exists. Has no effect on a run that waits for its call or
+    /// is paused.
     pub fn suspend(&mut self, id: &str) -> bool {
         let Some(run) = self.runs.get_mut(id) else { return false };
         let RunState::Running { since, .. } = run.state else { return true };
         let ran_ms = since.elapsed().as_secs_f64() * 1000.0;
-        run.left_ms = (run.left_ms - ran_ms).max(MIN_WORK_LEFT_MS);
+        run.remaining_ms = (run.remaining_ms - ran_ms).max(MIN_REMAINING_WORK_MS);
         run.used_ms += ran_ms;
         run.state = RunState::Paused;
         let used_ms = run.used_ms;
@@ -184,39 +186,41 @@
         true
     }
 
-    /// Resumes a suspended run; `None` if there is none.
+    /// Resumes a suspended run; returns `None` if there is no suspended run with this id.
     pub fn resume(&mut self, id: &str) -> Option<RunTimer> {
         let run = self.runs.get(id)?;
         if !matches!(run.state, RunState::Paused) {
             return None;
         }
-        self.go_on(id)
+        self.run_to_next_step(id)
     }
 
-    /// Resumes a run that waits for its call; `None` if there is none.
+    /// Resumes a run that waits for its call; returns `None` if no run with this id waits for the call that
+    /// ended.
     pub fn end_call(&mut self, id: &str, end: CallEnd) -> Option<RunTimer> {
         let RunState::Blocked(notice) = self.runs.get(id)?.state else { return None };
-        if end != CallEnd::Supplied && end != CallEnd::Passed(Some(notice)) {
+        if end != CallEnd::Replied && end != CallEnd::Skipped(Some(notice)) {
             return None;
         }
-        self.shared.request_ends.stop_awaiting(id);
-        self.go_on(id)
+        self.shared.request_ends.unregister_waiting_run(id);
+        self.run_to_next_step(id)
     }
 
-    /// Sets a run going: to its call if one is due, else to its end. The cores are shared by all that run now.
-    fn go_on(&mut self, id: &str) -> Option<RunTimer> {
+    /// Starts or resumes a run, until its call if one is pending, else until its end. The time until then is
+    /// computed from the number of runs that currently share the cores.
+    fn run_to_next_step(&mut self, id: &str) -> Option<RunTimer> {
         let runs_per_core = (self.shared.occupancy.total().running + 1) as f64 / self.platform.cores as f64;
         self.generations += 1;
         let generation = self.generations;
         let run = self.runs.get_mut(id)?;
         run.state = RunState::Running { since: Instant::now(), generation };
-        let part = if run.call_due { WORK_BEFORE_CALL } else { 1.0 };
-        let ms = run.left_ms * part * runs_per_core.max(1.0);
+        let fraction = if run.call_pending { WORK_FRACTION_BEFORE_CALL } else { 1.0 };
+        let ms = run.remaining_ms * fraction * runs_per_core.max(1.0);
         self.report_usage();
-        Some(RunTimer { id: id.to_owned(), generation, after: Duration::from_secs_f64(ms / 1000.0) })
+        Some(RunTimer { id: id.to_owned(), generation, delay: Duration::from_secs_f64(ms / 1000.0) })
     }
 
-    /// Takes a run to its call or its end, unless it was stopped since the timer was set.
+    /// Begins the pending call of a run or finishes the run, unless it was suspended since the timer was set.
     pub fn on_timer(&mut self, id: &str, generation: u64) {
         let Some(run) = self.runs.get_mut(id) else { return };
         let RunState::Running { since, generation: current } = run.state else { return };
@@ -224,40 +228,41 @@
             return;
         }
         run.used_ms += since.elapsed().as_secs_f64() * 1000.0;
-        if run.call_due {
+        if run.call_pending {
             self.begin_call(id);
         } else {
             self.finish(id);
         }
     }
 
-    /// Ends a run that waits at its call, as its request is over.
+    /// Aborts a run that waits for its call, because its request has ended.
     pub fn on_request_end(&mut self, id: &str) {
         if self.runs.get(id).is_some_and(|run| matches!(run.state, RunState::Blocked(_))) {
-            self.cut(id);
+            self.abort(id);
         }
     }
 
-    /// Ends a run without a result.
-    fn cut(&mut self, id: &str) {
+    /// Ends a run without a result and notifies the server.
+    fn abort(&mut self, id: &str) {
         let Some(run) = self.runs.remove(id) else { return };
         self.report_usage();
         self.notify(json!({"op": "finished", "id": id, "end": "cut", "ms": run.used_ms}));
     }
 
     fn begin_call(&mut self, id: &str) {
-        if self.shared.request_ends.await_end(id, &self.request_ended) {
-            return self.cut(id);
+        if self.shared.request_ends.register_waiting_run(id, &self.ended_requests) {
+            return self.abort(id);
         }
         let notice = self.notices.next_number();
         let Some(run) = self.runs.get_mut(id) else { return };
-        run.call_due = false;
-        run.left_ms *= 1.0 - WORK_BEFORE_CALL;
+        run.call_pending = false;
+        run.remaining_ms *= 1.0 - WORK_FRACTION_BEFORE_CALL;
         run.state = RunState::Blocked(notice);
         let class = run.class;
         self.report_usage();
         let body = BASE64.encode(self.platform.classes[class].name);
-        // The remark that may stand before a notice would take its number.
+        // Sent without faults: a `chatter` notice before it would take the number stored in
+        // `RunState::Blocked`.
         self.notices.send(json!({"op": "blocked", "id": id, "body": body}));
     }
 
--- a/crates/fakes/src/worker_pool/mod.rs
+++ b/crates/fakes/src/worker_pool/mod.rs
@@ -1,4 +1,5 @@
-//! The worker pool: owns the cores of one machine, runs what it is told to, and reports in numbered notices.
+//! The fake worker pool: owns the cores of one machine, executes the server's commands and reports in
+//! numbered notices.
 
 mod commands;
 mod delays;
--- a/crates/fakes/src/worker_pool/notices.rs
+++ b/crates/fakes/src/worker_pool/notices.rs
@@ -1,4 +1,4 @@
-//! The numbered notices of a worker pool and the link that they are written on.
+//! The numbered notices of a worker pool and the link to which they are written.
 
 use crate::worker_pool::faults::WorkerPoolFaults;
 use async_channel::Sender;
@@ -7,10 +7,10 @@
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 
-/// Notices that are kept for a link that comes later.
+/// Maximum number of notices that are kept for a later link.
 const MAX_KEPT_NOTICES: usize = 4000;
 
-/// The notices that are kept, and the current link.
+/// The kept notices and the current link.
 ///
 /// # Invariants
 /// Notices are numbered from 1 without gaps.
@@ -33,7 +33,8 @@
         self.last_number = 0;
     }
 
-    /// Takes a new link, to which all kept notices after that number are written. The link before ends.
+    /// Replaces the link and writes to it all kept notices whose number is above `after`. The previous link
+    /// is closed.
     pub fn connect(&mut self, link: Sender<String>, after: u64) {
         for (number, line) in &self.kept {
             if *number > after {
@@ -43,19 +44,19 @@
         self.link = Some(link);
     }
 
-    /// Ends the link.
+    /// Closes the link.
     pub fn disconnect(&mut self) {
         self.link = None;
     }
 
-    /// Writes a line on the link, if there is one. A link that does not take it ends.
+    /// Writes a line to the link, if there is one. The link is closed if its queue is full.
     pub fn write(&mut self, line: String) {
         if self.link.as_ref().is_some_and(|link| link.try_send(line).is_err()) {
             self.link = None;
         }
     }
 
-    /// Numbers a notice, keeps it and writes it, with the faults that chance brings.
+    /// Numbers a notice, keeps it and writes it, with random faults.
     pub fn send_with_faults(&mut self, notice: Value, faults: &WorkerPoolFaults, rng: &mut ChaCha8Rng) {
         if rng.random::<f64>() < faults.chatter {
             self.send(json!({"op": "chatter", "end": "all is well"}));
--- a/crates/fakes/src/worker_pool/occupancy.rs
+++ b/crates/fakes/src/worker_pool/occupancy.rs
@@ -1,17 +1,17 @@
-//! What the worker pools on one machine use of it together.
+//! The usage of one machine by all its worker pools.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What one worker pool uses.
+/// Usage of a machine by one worker pool, or by all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PoolUsage {
-    /// Runs on the cores.
+    /// Number of runs on the cores.
     pub running: usize,
-    /// Runs in memory: those on the cores, and those that wait for a call or are paused.
-    pub held: usize,
+    /// Number of runs in memory: those on the cores and those that wait for a call or are paused.
+    pub in_memory: usize,
 }
 
-/// One worker pool's part in the usage of a machine.
+/// One worker pool's handle on the usage of a machine.
 #[derive(Clone)]
 pub(crate) struct Occupancy {
     pools: Arc<Mutex<Vec<PoolUsage>>>,
@@ -19,29 +19,29 @@
 }
 
 impl Occupancy {
-    /// Returns the part of the first worker pool of a machine.
+    /// Returns the handle of the first worker pool on a new machine.
     pub fn of_new_machine() -> Occupancy {
         Occupancy { pools: Arc::new(Mutex::new(vec![PoolUsage::default()])), index: 0 }
     }
 
-    /// Returns the part of a further worker pool on the same machine.
-    pub fn beside(&self) -> Occupancy {
+    /// Returns the handle of a further worker pool on the same machine.
+    pub fn for_further_pool(&self) -> Occupancy {
         let mut pools = self.lock();
         pools.push(PoolUsage::default());
         Occupancy { pools: self.pools.clone(), index: pools.len() - 1 }
     }
 
-    /// Replaces what this worker pool uses.
+    /// Replaces the usage of this worker pool.
     pub fn report(&self, usage: PoolUsage) {
         self.lock()[self.index] = usage;
     }
 
-    /// Returns what all worker pools use.
+    /// Returns the sum of the usage of all worker pools.
     pub fn total(&self) -> PoolUsage {
         let pools = self.lock();
         PoolUsage {
             running: pools.iter().map(|pool| pool.running).sum(),
-            held: pools.iter().map(|pool| pool.held).sum(),
+            in_memory: pools.iter().map(|pool| pool.in_memory).sum(),
         }
     }
 
--- a/crates/fakes/src/worker_pool/request_ends.rs
+++ b/crates/fakes/src/worker_pool/request_ends.rs
@@ -1,50 +1,52 @@
-//! Which requests are over for their clients: a worker pool starts no run for them, and ends theirs at an upstream call.
+//! The requests that have ended for their clients. A worker pool starts no run for them, and aborts their
+//! runs at an upstream call.
 
 use async_channel::Sender;
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What all worker pools of a machine know of the ends of requests. Clients tell it.
+/// The ended requests, shared by all worker pools of a machine and reported by the clients.
 #[derive(Clone, Default)]
 pub struct RequestEnds(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
-    over: HashSet<String>,
-    /// The runs that wait at an upstream call, each with what its worker pool hears of the end by.
-    waiting: HashMap<String, Sender<String>>,
+    ended: HashSet<String>,
+    /// For each run at an upstream call, the channel that notifies its worker pool when the request ends.
+    waiting_runs: HashMap<String, Sender<String>>,
 }
 
 impl RequestEnds {
-    /// Tells the worker pools that a request was answered or is given up; it has the id that its run has.
+    /// Notifies the worker pools that a request was answered or that its client gave up; `id` is also the id
+    /// of its run.
     pub fn end(&self, id: &str) {
         let mut state = self.lock();
-        state.over.insert(id.to_owned());
-        if let Some(pool) = state.waiting.remove(id) {
+        state.ended.insert(id.to_owned());
+        if let Some(pool) = state.waiting_runs.remove(id) {
             // The queue is unbounded; it is closed once the worker pool has ended.
             let _ = pool.try_send(id.to_owned());
         }
     }
 
-    /// Returns whether a request is over.
-    pub(crate) fn is_over(&self, id: &str) -> bool {
-        self.lock().over.contains(id)
+    /// Returns whether a request has ended.
+    pub(crate) fn has_ended(&self, id: &str) -> bool {
+        self.lock().ended.contains(id)
     }
 
-    /// Notes that the run of a request waits, and which worker pool is to hear of the request's end; returns whether the
-    /// request is over already.
-    pub(crate) fn await_end(&self, id: &str, pool: &Sender<String>) -> bool {
+    /// Returns whether a request has already ended; if not, registers its run as waiting, so that `pool` is
+    /// notified when the request ends.
+    pub(crate) fn register_waiting_run(&self, id: &str, pool: &Sender<String>) -> bool {
         let mut state = self.lock();
-        let is_over = state.over.contains(id);
-        if !is_over {
-            state.waiting.insert(id.to_owned(), pool.clone());
+        let has_ended = state.ended.contains(id);
+        if !has_ended {
+            state.waiting_runs.insert(id.to_owned(), pool.clone());
         }
-        is_over
+        has_ended
     }
 
-    /// Notes that the run of a request goes on.
-    pub(crate) fn stop_awaiting(&self, id: &str) {
-        self.lock().waiting.remove(id);
+    /// Removes the run of a request from the waiting runs, because it continues.
+    pub(crate) fn unregister_waiting_run(&self, id: &str) {
+        self.lock().waiting_runs.remove(id);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
--- a/crates/fakes/src/worker_pool/run_log.rs
+++ b/crates/fakes/src/worker_pool/run_log.rs
@@ -1,28 +1,28 @@
-//! The runs that were begun on a machine.
+//! The log of the runs that were started on a machine.
 
 use crate::clock::unix_ms;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A run that was begun.
+/// A started run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedRun {
-    /// The id that the server gave it.
+    /// Id assigned by the server.
     pub id: String,
-    /// Its class.
+    /// Name of the request class.
     pub class: &'static str,
-    /// Its body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// When it was begun, Unix ms.
+    /// Start time, Unix ms.
     pub started_ms: u64,
 }
 
-/// The log that all worker pools of a machine share, in the order of the starts.
+/// The started runs of all worker pools of a machine, in the order of their starts.
 #[derive(Clone, Default)]
 pub(crate) struct RunLog(Arc<Mutex<Vec<StartedRun>>>);
 
 impl RunLog {
-    /// Adds a run that begins now.
+    /// Adds a run that starts now.
     pub fn add(&self, id: &str, class: &'static str, body: &[u8]) {
         let run = StartedRun { id: id.to_owned(), class, body: body.to_vec(), started_ms: unix_ms() };
         self.lock().push(run);
@@ -33,7 +33,7 @@
         self.lock().clone()
     }
 
-    /// Returns how often each body was begun to run.
+    /// Returns the number of started runs for each request body.
     pub fn counts(&self) -> HashMap<Vec<u8>, u32> {
         let mut counts = HashMap::new();
         for run in self.lock().iter() {
