--- a/crates/ctl/src/clock.rs
+++ b/crates/ctl/src/clock.rs
@@ -1,7 +1,7 @@
 //! The wall clock.
 
-/// Returns the Unix time now, ms.
+/// Returns the current Unix time, ms.
 pub fn now_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |d| d.as_millis() as u64)
+    since.map_or(0, |duration| duration.as_millis() as u64)
 }
--- a/crates/ctl/src/demo.rs
+++ b/crates/ctl/src/demo.rs
@@ -1,4 +1,4 @@
-//! `try`: the newcomer's first run, one server among fakes under a mixed load.
+//! `try`: runs one server with fake peers under a mixed load and prints the results.
 
 use crate::server_process::ServerProcess;
 use crate::table::table;
@@ -13,19 +13,19 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The part of link messages and calls that go wrong, with faults.
+/// Fraction of link messages and upstream calls that fail when faults are enabled.
 const FAULT_RATE: f64 = 0.02;
-/// The mean time of an upstream call, ms.
+/// Mean duration of an upstream call, ms.
 const UPSTREAM_CALL_MS: f64 = 8.0;
-/// A load that ran further behind its times than this, ms, is reported.
-const LATE_LOAD_MS: f64 = 20.0;
-/// Time between two updates of the progress shown.
+/// Maximum delay of the clients in sending a request above which a warning is printed, ms.
+const SEND_DELAY_WARNING_MS: f64 = 20.0;
+/// Interval between updates of the progress bar.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a server may take beyond its time for a graceful shutdown.
+/// Extra time for a graceful shutdown, in addition to the platform's limit.
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(2);
-/// The class with idempotency keys; its requests' bodies start with this.
+/// Name of the class with idempotency keys, which is also the prefix of its request bodies.
 const IDEMPOTENT_CLASS: &[u8] = b"pour-entry";
-/// Tenants that send.
+/// Tenants of the requests.
 const TENANTS: [&str; 9] = [
     "aluva",
     "angamaly",
@@ -38,45 +38,45 @@
     "thrissur",
 ];
 
-/// Settings of a trial.
+/// Settings of `try`.
 #[derive(Args)]
 pub struct Demo {
-    /// For how long to send, seconds.
+    /// Duration of the load, seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Offered load as a part of what the played cores can do.
+    /// Offered load as a fraction of the capacity of the simulated cores.
     #[arg(long, default_value_t = 0.8)]
     load: f64,
-    /// Cores of the played machine.
+    /// Number of cores of the simulated machine.
     #[arg(long, default_value_t = 6)]
     cores: usize,
-    /// Where chance comes from.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Have the worker pool's link and the calls go wrong now and then.
+    /// Inject random faults into the link to the worker pool and into upstream calls.
     #[arg(long)]
     faults: bool,
-    /// Bill what is answered to nine societies, in a ledger that is thrown away: off, interval or strict.
+    /// Bill answered requests to nine tenants in a temporary ledger: off, interval or strict.
     #[arg(long, value_enum, default_value_t = Billing::Off)]
     ledger: Billing,
-    /// Another build of the daemon to try.
+    /// Run this build of the daemon instead of the one in this program.
     #[arg(long, value_name = "FILE")]
     daemon: Option<PathBuf>,
 }
 
-/// How answers are billed.
+/// Billing mode of the ledger.
 #[derive(Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 enum Billing {
-    /// Not at all.
+    /// Requests are not billed.
     Off,
-    /// At once, made durable every 50 ms.
+    /// Requests are billed at once; ledger lines become durable every 50 ms.
     Interval,
-    /// Durable before the answer leaves.
+    /// Ledger lines are durable before the answer is sent.
     Strict,
 }
 
-/// The server of a demo and the fakes around it.
-struct Surroundings {
+/// A server and the fakes of its peers.
+struct Environment {
     server: ServerProcess,
     pool: FakeWorkerPool,
     _upstream: FakeUpstream,
@@ -85,41 +85,41 @@
 }
 
 impl Demo {
-    /// Runs it and prints what came of it.
+    /// Runs the server under load and prints the results.
     ///
     /// # Errors
-    /// If a fake or the server cannot be started.
+    /// Returns an error if a fake or the server cannot be started.
     pub fn run(&self) -> Result<ExitCode> {
-        let folder = tempfile::tempdir().context("making a folder")?;
-        let mut around = self.start_surroundings(folder.path())?;
-        let rate = self.load * around.platform.capacity();
+        let folder = tempfile::tempdir().context("creating a temporary directory")?;
+        let mut environment = self.start_environment(folder.path())?;
+        let rate = self.load * environment.platform.capacity();
         let requests = (rate * self.seconds).round().max(1.0) as u64;
         println!(
-            "One round server before {} played cores, {rate:.0} requests a second for {:.0} s ({:.0}% of what the cores \
-             can do).",
-            around.platform.cores,
+            "One server with {} simulated cores, {rate:.0} requests per second for {:.0} s \
+             ({:.0}% of their capacity).",
+            environment.platform.cores,
             self.seconds,
             self.load * 100.0
         );
-        let cpu_before = around.server.cpu_ms().unwrap_or(0.0);
-        let tally = self.send_load(&around, rate, requests)?;
-        println!("{}", outcome_table(&around.platform, &tally));
-        if let Some(cpu) = around.server.cpu_ms() {
+        let cpu_before = environment.server.cpu_ms().unwrap_or(0.0);
+        let tally = self.send_load(&environment, rate, requests)?;
+        println!("{}", outcome_table(&environment.platform, &tally));
+        if let Some(cpu) = environment.server.cpu_ms() {
             println!(
-                "the round server used {:.0} µs of processor a request",
+                "CPU time of the server per request: {:.0} µs",
                 (cpu - cpu_before) * 1000.0 / requests as f64
             );
         }
-        if tally.max_send_delay_ms > LATE_LOAD_MS {
+        if tally.max_send_delay_ms > SEND_DELAY_WARNING_MS {
             println!(
-                "The load itself ran up to {:.0} ms behind: this machine was too busy.",
+                "The clients sent requests up to {:.0} ms late: this machine was overloaded.",
                 tally.max_send_delay_ms
             );
         }
-        check_rules(&mut around, &tally)
+        check_invariants(&mut environment, &tally)
     }
 
-    fn start_surroundings(&self, folder: &Path) -> Result<Surroundings> {
+    fn start_environment(&self, folder: &Path) -> Result<Environment> {
         let platform = PlatformSettings::rounds(self.cores.max(1));
         let rate = if self.faults { FAULT_RATE } else { 0.0 };
         let pool_faults =
@@ -128,24 +128,25 @@
         let pool =
             FakeWorkerPool::start(&platform, self.seed, pool_faults).context("starting the worker pool")?;
         let upstream = FakeUpstream::start(UPSTREAM_CALL_MS, self.seed, upstream_faults)
-            .context("starting the index")?;
-        let registry = FakeRegistry::start().context("starting the catalog")?;
+            .context("starting the upstream service")?;
+        let registry = FakeRegistry::start().context("starting the registry")?;
         let operator = self.ledger.operator_file(&folder.join("ledger"));
         let mut server = ServerProcess::new(folder, "n1", self.daemon.as_deref(), operator.as_deref())?;
         server.start(|listen| {
             platform.config("n1", listen, pool.address(), registry.address(), Some(upstream.address()))
         })?;
-        Ok(Surroundings { server, pool, _upstream: upstream, _registry: registry, platform })
+        Ok(Environment { server, pool, _upstream: upstream, _registry: registry, platform })
     }
 
-    /// Sends the load, shows how far it is, and returns what became of it.
-    fn send_load(&self, around: &Surroundings, rate: f64, requests: u64) -> Result<Tally> {
-        let address = around.server.address().context("the round server's address")?;
+    /// Sends the load with a progress bar and returns the clients' tally.
+    fn send_load(&self, environment: &Environment, rate: f64, requests: u64) -> Result<Tally> {
+        let address = environment.server.address().context("the server has no address")?;
         let tenants = TENANTS.map(|tenant| Some(tenant.to_owned())).to_vec();
         let load = Load { rate, requests, tenants, seed: self.seed };
-        let clients = FakeClients::start(&around.platform, vec![address], load, ClientBehavior::default())?;
+        let clients =
+            FakeClients::start(&environment.platform, vec![address], load, ClientBehavior::default())?;
         let bar = ProgressBar::new(requests);
-        bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} answered, {msg} open")?);
+        bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} finished, {msg} in progress")?);
         while !bar.is_finished() {
             let progress = clients.progress();
             bar.set_position(progress.finished);
@@ -160,7 +161,7 @@
 }
 
 impl Billing {
-    /// Returns the operators' file of a server that bills in this way; `None` without billing.
+    /// Returns the operators' file for this billing mode; `None` if billing is off.
     fn operator_file(self, directory: &Path) -> Option<String> {
         let mode = match self {
             Billing::Off => return None,
@@ -172,32 +173,33 @@
     }
 }
 
-/// Shuts the server down and prints whether every rule held; fails if one did not.
-fn check_rules(around: &mut Surroundings, tally: &Tally) -> Result<ExitCode> {
-    let runs = around.pool.run_counts();
+/// Shuts the server down, checks the invariants and prints the counts; returns a failure code if an invariant
+/// does not hold.
+fn check_invariants(environment: &mut Environment, tally: &Tally) -> Result<ExitCode> {
+    let runs = environment.pool.run_counts();
     let run_twice = runs.iter().filter(|(body, n)| **n > 1 && body.starts_with(IDEMPOTENT_CLASS)).count();
-    let timeout = Duration::from_millis(around.platform.shutdown_ms) + SHUTDOWN_MARGIN;
-    let graceful = around.server.shut_down(timeout)?;
-    let lost = tally.sum(|_, _| true)[AttemptOutcome::Cut as usize];
+    let timeout = Duration::from_millis(environment.platform.shutdown_ms) + SHUTDOWN_MARGIN;
+    let graceful = environment.server.shut_down(timeout)?;
+    let unanswered = tally.sum(|_, _| true)[AttemptOutcome::Cut as usize];
     println!(
-        "wrong results {}, second answers {}, keyed requests run twice {run_twice}, answers lost {lost}, left in good \
-         order: {}",
+        "wrong results {}, duplicate answers {}, keyed requests run twice {run_twice}, \
+         unanswered requests {unanswered}, graceful shutdown: {}",
         tally.wrong_results,
         tally.duplicate_answers,
         if graceful { "yes" } else { "no" }
     );
-    if tally.wrong_results + tally.duplicate_answers + run_twice as u64 + lost > 0 || !graceful {
-        println!("The round server's log:\n{}", around.server.recent_log());
+    if tally.wrong_results + tally.duplicate_answers + run_twice as u64 + unanswered > 0 || !graceful {
+        println!("Server log:\n{}", environment.server.recent_log());
         return Ok(ExitCode::FAILURE);
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Returns a table of what became of the attempts, by class.
+/// Returns a table of the outcomes of attempts by class.
 fn outcome_table(platform: &PlatformSettings, tally: &Tally) -> String {
     let mut table = table(&[
         "class",
-        "tries",
+        "attempts",
         "in time",
         "late",
         "refused",
@@ -206,7 +208,7 @@
         "p50 ms",
         "p90 ms",
         "p99 ms",
-        "aim ms",
+        "objective ms",
     ]);
     for (index, class) in platform.classes.iter().enumerate() {
         let counts = tally.sum(|other, _| other == index);
@@ -214,15 +216,15 @@
             let histogram = tally.latency.get(index).and_then(Option::as_ref);
             histogram.map_or("-".to_owned(), |h| format!("{:.1}", h.value_at_percentile(p) as f64 / 1000.0))
         };
-        let of = |outcome: AttemptOutcome| counts[outcome as usize].to_string();
+        let count_of = |outcome: AttemptOutcome| counts[outcome as usize].to_string();
         table.add_row([
             class.name.to_owned(),
             counts.iter().sum::<u64>().to_string(),
-            of(AttemptOutcome::Completed),
-            of(AttemptOutcome::Late),
-            of(AttemptOutcome::Rejected),
-            of(AttemptOutcome::Failed),
-            of(AttemptOutcome::Withdrawn),
+            count_of(AttemptOutcome::Completed),
+            count_of(AttemptOutcome::Late),
+            count_of(AttemptOutcome::Rejected),
+            count_of(AttemptOutcome::Failed),
+            count_of(AttemptOutcome::Withdrawn),
             percentile(50.0),
             percentile(90.0),
             percentile(99.0),
--- a/crates/ctl/src/ledger/close.rs
+++ b/crates/ctl/src/ledger/close.rs
@@ -1,4 +1,4 @@
-//! `ledger close`: closes all periods up to now.
+//! `ledger close`: closes all periods up to the current time.
 
 use crate::clock::now_ms;
 use crate::ledger::location::LedgerLocation;
@@ -13,16 +13,16 @@
 pub struct ClosePeriods {
     #[command(flatten)]
     location: LedgerLocation,
-    /// Answer as JSON.
+    /// Print the answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
 impl ClosePeriods {
-    /// Closes the periods.
+    /// Closes all periods up to the current time and prints the answer.
     ///
     /// # Errors
-    /// If the ledger cannot be opened or the server that has it open does not answer.
+    /// Returns an error if the ledger cannot be opened or the server that has it open does not answer.
     pub fn run(&self) -> Result<ExitCode> {
         let ledger = self.location.open()?;
         let options = RequestOptions { token: None, json: self.json };
--- a/crates/ctl/src/ledger/crash_drill.rs
+++ b/crates/ctl/src/ledger/crash_drill.rs
@@ -1,5 +1,6 @@
-//! `ledger drill`: real servers on loopback under load, killed at random, their exports interrupted. What the clients
-//! counted is the truth; the ledgers, and what the collector has of them, have to agree with it to the request.
+//! `ledger drill`: runs real servers on loopback under load, kills them at random times and interrupts their
+//! exports. The clients' counts are the reference: the ledgers and the exports at the collector must match
+//! them to the request.
 
 use crate::ledger::drill_comparison::Comparison;
 use crate::ledger::drill_fleet::{DrillFleet, FleetOptions, Instance};
@@ -17,71 +18,72 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long the exports may take to get through after the load, at most.
+/// Maximum time from the end of the load until all exports have reached the collector.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(25);
-/// Time between two looks at the exports.
+/// Interval at which the exports are polled.
 const EXPORT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time between two updates of the progress shown.
+/// Interval between updates of the progress bar.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(50);
-/// Tenants that send, beside requests without one.
+/// Number of tenants that send, in addition to requests without a tenant.
 const TENANTS: u64 = 9;
-/// The part of the load in which servers are killed. Not its end: there has to be load to be cut.
+/// Fraction of the load's duration in which servers are killed. The end is left out, because a kill must
+/// interrupt load.
 const KILL_SPAN: Range<f64> = 0.05..0.9;
-/// Chance that a kill takes the machine's worker pool as well.
+/// Probability that a kill also restarts the machine's worker pool.
 const POOL_KILL_CHANCE: f64 = 0.5;
-/// How long a killed server stays down, ms.
-const DOWN_MS: Range<u64> = 0..200;
-/// Sets the seed of the kills apart from that of the load.
+/// Range of the time for which a killed server stays down, ms.
+const DOWNTIME_MS: Range<u64> = 0..200;
+/// Mask that makes the seed of the kills differ from the seed of the load.
 const KILL_SEED_MASK: u64 = 0x6b69_6c6c;
 
-/// Settings of a drill.
+/// Settings of `drill`.
 #[derive(Args)]
 pub struct CrashDrill {
-    /// Round servers.
+    /// Number of servers.
     #[arg(long, default_value_t = 4)]
     instances: usize,
-    /// Requests in all.
+    /// Total number of requests.
     #[arg(long, default_value_t = 20_000)]
     requests: u64,
-    /// Kills in all.
+    /// Total number of kills.
     #[arg(long, default_value_t = 20)]
     kills: u32,
-    /// Where chance comes from.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Requests a second in all; as many as the cores can do without it.
+    /// Total requests per second; by default the capacity of all cores.
     #[arg(long)]
     rate: Option<f64>,
-    /// The part of exchanges with the collector that go wrong.
+    /// Fraction of exchanges with the collector that fail.
     #[arg(long, default_value_t = 0.3)]
     export_faults: f64,
     /// Print only the last line, as JSON.
     #[arg(long)]
     json: bool,
-    /// Keep ledgers and exports here.
+    /// Directory in which to keep the ledgers and exports.
     #[arg(long, value_name = "DIR")]
     keep: Option<PathBuf>,
-    /// Another build of the daemon to drill.
+    /// Run this build of the daemon instead of the one in this program.
     #[arg(long, value_name = "FILE")]
     daemon: Option<PathBuf>,
 }
 
-/// How a drill ended.
+/// Result of a drill.
 struct DrillResult {
-    began_at: Instant,
+    started_at: Instant,
     tally: Tally,
     kills: u32,
-    /// The collector had all periods in time.
+    /// Whether the collector received all periods in time.
     exported: bool,
-    /// All servers ended by themselves and successfully.
+    /// Whether all servers shut down gracefully.
     graceful: bool,
     exports: ExportCounts,
     comparison: Comparison,
 }
 
-/// What the collector counted.
+/// Counts of the collector.
 struct ExportCounts {
-    taken: u64,
+    accepted: u64,
     retries: u64,
     conflicts: u64,
 }
@@ -90,7 +92,7 @@
     fn new(counts: &CollectorCounts) -> ExportCounts {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         ExportCounts {
-            taken: count(&counts.accepted),
+            accepted: count(&counts.accepted),
             retries: count(&counts.duplicates) + count(&counts.faults),
             conflicts: count(&counts.conflicts),
         }
@@ -108,7 +110,7 @@
             return;
         }
         println!(
-            "exported in time: {}, left in good order: {}, conflicts: {}",
+            "exported in time: {}, graceful shutdown: {}, conflicts: {}",
             self.exported, self.graceful, self.exports.conflicts
         );
         for instance in instances {
@@ -124,25 +126,25 @@
                 "answered": comparison.answered, "billed": comparison.billed,
                 "cut_in_flight": comparison.cut_in_flight, "lost": comparison.lost,
                 "doubled": comparison.doubled, "exported": comparison.exported,
-                "exports": self.exports.taken, "export_retries": self.exports.retries,
+                "exports": self.exports.accepted, "export_retries": self.exports.retries,
                 "conflicts": self.exports.conflicts, "kills": self.kills,
                 "withdrawn": comparison.withdrawn, "wrong": self.tally.wrong_results,
                 "second_answers": self.tally.duplicate_answers, "seed": seed,
-                "seconds": self.began_at.elapsed().as_secs_f64().round(), "ok": self.passed(),
+                "seconds": self.started_at.elapsed().as_secs_f64().round(), "ok": self.passed(),
             })
         );
     }
 }
 
 impl CrashDrill {
-    /// Runs it; the last line printed is one JSON object.
+    /// Runs the drill and prints its result; the last printed line is a JSON object.
     ///
     /// # Errors
-    /// If a fake or a server cannot be started, or a ledger cannot be read.
+    /// Returns an error if a fake or a server cannot be started, or a ledger cannot be read.
     pub fn run(&self) -> Result<ExitCode> {
-        let temporary = tempfile::tempdir().context("making a folder")?;
+        let temporary = tempfile::tempdir().context("creating a temporary directory")?;
         let folder = self.keep.clone().unwrap_or_else(|| temporary.path().to_owned());
-        std::fs::create_dir_all(&folder).with_context(|| format!("making {}", folder.display()))?;
+        std::fs::create_dir_all(&folder).with_context(|| format!("creating {}", folder.display()))?;
         let mut fleet = DrillFleet::start(&FleetOptions {
             folder: &folder,
             instances: self.instances,
@@ -154,7 +156,7 @@
         let clients = self.start_load(&fleet, rate)?;
         let bar = ProgressBar::new(self.requests);
         bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} requests, {msg}")?);
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         let kills = self.kill_servers(&mut fleet, rate, &clients, &bar)?;
         while clients.progress().finished < self.requests {
             bar.set_position(clients.progress().finished);
@@ -162,16 +164,16 @@
         }
         let tally = clients.finish();
         bar.set_message("waiting for the exports".to_owned());
-        let exported = await_exports(&fleet);
+        let exported = wait_for_exports(&fleet);
         bar.finish_and_clear();
         let graceful = fleet.shut_down()?;
         let DrillFleet { instances, collector, exports, .. } = fleet;
         let export_counts = ExportCounts::new(collector.counts());
-        // Its folder is free for another look once it has ended.
+        // The exports can be opened for reading only after the collector has stopped.
         drop(collector);
         let comparison = Comparison::new(&instances, &exports, &tally)?;
         let result =
-            DrillResult { began_at, tally, kills, exported, graceful, exports: export_counts, comparison };
+            DrillResult { started_at, tally, kills, exported, graceful, exports: export_counts, comparison };
         if !self.json {
             result.print_table(&instances);
         }
@@ -186,7 +188,7 @@
         Ok(FakeClients::start(fleet.platform(), fleet.addresses(), load, behavior)?)
     }
 
-    /// Kills servers at random times under load and starts them again; returns the number of kills.
+    /// Kills servers at random times under load and restarts them; returns the number of kills.
     fn kill_servers(
         &self,
         fleet: &mut DrillFleet,
@@ -196,25 +198,25 @@
     ) -> Result<u32> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ KILL_SEED_MASK);
         let load_seconds = self.requests as f64 / rate;
-        let mut times: Vec<f64> =
+        let mut kill_times: Vec<f64> =
             (0..self.kills).map(|_| rng.random_range(KILL_SPAN) * load_seconds).collect();
-        times.sort_by(f64::total_cmp);
-        let (began_at, mut kills) = (Instant::now(), 0);
-        for seconds in times {
-            let due = began_at + Duration::from_secs_f64(seconds);
+        kill_times.sort_by(f64::total_cmp);
+        let (started_at, mut kills) = (Instant::now(), 0);
+        for seconds in kill_times {
+            let due = started_at + Duration::from_secs_f64(seconds);
             while Instant::now() < due {
-                let left = due.saturating_duration_since(Instant::now());
-                std::thread::sleep(left.min(PROGRESS_INTERVAL));
+                let remaining = due.saturating_duration_since(Instant::now());
+                std::thread::sleep(remaining.min(PROGRESS_INTERVAL));
                 bar.set_position(clients.progress().finished);
             }
-            let number = rng.random_range(0..fleet.instances.len());
-            let instance = &mut fleet.instances[number];
+            let index = rng.random_range(0..fleet.instances.len());
+            let instance = &mut fleet.instances[index];
             instance.server.kill();
             if rng.random_bool(POOL_KILL_CHANCE) {
                 instance.pool.kill();
             }
-            std::thread::sleep(Duration::from_millis(rng.random_range(DOWN_MS)));
-            fleet.restart(number)?;
+            std::thread::sleep(Duration::from_millis(rng.random_range(DOWNTIME_MS)));
+            fleet.restart(index)?;
             kills += 1;
             bar.set_message(format!("{kills} kills"));
         }
@@ -222,12 +224,13 @@
     }
 }
 
-/// Waits until the collector has every period up to now from each server; returns whether it has them in time.
-fn await_exports(fleet: &DrillFleet) -> bool {
+/// Waits until the collector has all periods up to now from every server; returns whether it received them in
+/// time.
+fn wait_for_exports(fleet: &DrillFleet) -> bool {
     let (now, waiting_since) = (unix_ms(), Instant::now());
     loop {
         let mut instances = fleet.instances.iter();
-        if instances.all(|instance| exported_to(&fleet.exports, &instance.server.name) > now) {
+        if instances.all(|instance| exported_until(&fleet.exports, &instance.server.name) > now) {
             return true;
         }
         if waiting_since.elapsed() > EXPORT_TIMEOUT {
@@ -237,12 +240,13 @@
     }
 }
 
-/// Returns the end, Unix ms, of the periods that the collector has from that server, by the files in its folder.
-fn exported_to(exports: &Path, server: &str) -> u64 {
+/// Returns the end of the periods that the collector has from a server, Unix ms, read from the collector's
+/// files; 0 if it has no batch or only some of the batches of the last close.
+fn exported_until(exports: &Path, server: &str) -> u64 {
     let Ok(entries) = std::fs::read_dir(exports) else { return 0 };
     let suffix = format!("@{server}.batch");
     let names = entries.flatten().filter_map(|entry| entry.file_name().into_string().ok());
-    // The numbers in the names go up; only the last file can be the furthest.
+    // File names contain ascending numbers, so the last file holds the most recent batch.
     let last = names.filter(|name| name.ends_with(&suffix)).max();
     let bytes = last.and_then(|name| std::fs::read(exports.join(name)).ok());
     let batch = bytes.and_then(|bytes| Batch::parse(&bytes).ok());
--- a/crates/ctl/src/ledger/drill_comparison.rs
+++ b/crates/ctl/src/ledger/drill_comparison.rs
@@ -1,4 +1,4 @@
-//! Compares what the clients of a crash drill counted with the ledgers, and the ledgers with their exports.
+//! Compares the counts of the clients of a crash drill with the ledgers, and the ledgers with their exports.
 
 use crate::ledger::drill_fleet::Instance;
 use crate::ledger::location::OpenLedger;
@@ -12,37 +12,37 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The requests of one tenant.
+/// Request counts of one tenant.
 #[derive(Debug)]
 struct TenantCounts {
     tenant: String,
     answered: u64,
     withdrawn: u64,
-    /// Sent on a connection that ended without an answer: they may be billed.
+    /// Requests sent on a connection that ended without an answer. They may be billed or not.
     cut: u64,
     billed: u64,
 }
 
-/// What the comparison found, summed over all tenants.
+/// Result of the comparison, summed over all tenants.
 #[derive(Debug, Default)]
 pub struct Comparison {
-    /// Requests that were answered.
+    /// Number of answered requests.
     pub answered: u64,
-    /// Requests that the clients withdrew.
+    /// Number of requests that the clients withdrew.
     pub withdrawn: u64,
-    /// Requests in the ledgers.
+    /// Number of requests in the ledgers.
     pub billed: u64,
-    /// Requests in the exports.
+    /// Number of requests in the exports.
     pub exported: u64,
-    /// Billed requests whose connection ended without an answer.
+    /// Number of billed requests whose connection ended without an answer.
     pub cut_in_flight: u64,
-    /// Answered or withdrawn requests that are in no ledger.
+    /// Number of answered or withdrawn requests that are in no ledger.
     pub lost: u64,
-    /// Requests that were billed more often than sent.
+    /// Number of billed requests in excess of those that were sent.
     pub doubled: u64,
-    /// Servers whose export differs from their ledger.
+    /// Names of the servers whose export differs from their ledger.
     export_mismatches: Vec<String>,
-    /// Wrong results and second answers.
+    /// Number of wrong results and duplicate answers.
     wrong_answers: u64,
     tenants: Vec<TenantCounts>,
 }
@@ -51,7 +51,7 @@
     /// Compares the clients' counts with the ledgers, and the ledgers with the exports.
     ///
     /// # Errors
-    /// If a ledger or the exports cannot be read.
+    /// Returns an error if a ledger or the exports cannot be read.
     pub fn new(instances: &[Instance], exports: &Path, tally: &Tally) -> Result<Comparison> {
         let mut comparison = Comparison {
             wrong_answers: tally.wrong_results + tally.duplicate_answers,
@@ -63,14 +63,14 @@
             let counts = tenant_counts(tally, tenant.as_deref(), &mut billed);
             comparison.add_tenant(counts);
         }
-        // Usage by tenants that sent nothing.
-        let unsent = billed.values().sum::<u64>();
-        comparison.doubled += unsent;
-        comparison.billed += unsent;
+        // The remaining entries are billed to tenants that sent nothing.
+        let never_sent = billed.values().sum::<u64>();
+        comparison.doubled += never_sent;
+        comparison.billed += never_sent;
         Ok(comparison)
     }
 
-    /// Compares each ledger with its export and returns the requests of all ledgers by tenant.
+    /// Compares each ledger with its export and returns the billed requests of all ledgers by tenant.
     fn add_ledgers(&mut self, instances: &[Instance], exports: &Path) -> Result<BTreeMap<String, u64>> {
         let receiver = BatchReceiver::open(Arc::new(RealDisk::new(exports)?))?;
         let mut billed: BTreeMap<String, u64> = BTreeMap::new();
@@ -92,27 +92,27 @@
 
     fn add_tenant(&mut self, counts: TenantCounts) {
         let TenantCounts { answered, withdrawn, cut, billed, .. } = counts;
-        let certain = answered + withdrawn;
-        self.lost += certain.saturating_sub(billed);
-        self.doubled += billed.saturating_sub(certain + cut);
-        self.cut_in_flight += billed.saturating_sub(certain).min(cut);
+        let must_be_billed = answered + withdrawn;
+        self.lost += must_be_billed.saturating_sub(billed);
+        self.doubled += billed.saturating_sub(must_be_billed + cut);
+        self.cut_in_flight += billed.saturating_sub(must_be_billed).min(cut);
         self.answered += answered;
         self.withdrawn += withdrawn;
         self.billed += billed;
         self.tenants.push(counts);
     }
 
-    /// Returns whether every request is billed exactly once and exported as it is billed.
+    /// Returns whether every request is billed exactly once and exported as billed.
     pub fn agrees(&self) -> bool {
-        let adds_up = self.billed == self.answered + self.withdrawn + self.cut_in_flight;
-        adds_up
+        let sums_match = self.billed == self.answered + self.withdrawn + self.cut_in_flight;
+        sums_match
             && self.lost == 0
             && self.doubled == 0
             && self.wrong_answers == 0
             && self.export_mismatches.is_empty()
     }
 
-    /// Prints the counts by tenant and the servers whose export differs.
+    /// Prints the counts by tenant and the servers whose export differs from their ledger.
     pub fn print(&self) {
         let mut rows = table(&["society", "answered", "withdrawn", "cut", "billed"]);
         for counts in &self.tenants {
@@ -122,23 +122,23 @@
         }
         println!("{rows}");
         for server in &self.export_mismatches {
-            println!("{server}: the export is not what the ledger says");
+            println!("{server}: the export differs from the ledger");
         }
     }
 }
 
-/// Returns a tenant's requests and takes those of its ledger entries out of `billed`.
+/// Returns the counts of a tenant and removes its entry from `billed`.
 fn tenant_counts(tally: &Tally, tenant: Option<&str>, billed: &mut BTreeMap<String, u64>) -> TenantCounts {
     let counts = tally.sum(|_, other| other == tenant);
-    let of = |outcome: AttemptOutcome| counts[outcome as usize];
+    let count_of = |outcome: AttemptOutcome| counts[outcome as usize];
     let name = tenant.unwrap_or(UNATTRIBUTED).to_owned();
     TenantCounts {
-        answered: of(AttemptOutcome::Completed)
-            + of(AttemptOutcome::Late)
-            + of(AttemptOutcome::Rejected)
-            + of(AttemptOutcome::Failed),
-        withdrawn: of(AttemptOutcome::Withdrawn),
-        cut: of(AttemptOutcome::Cut),
+        answered: count_of(AttemptOutcome::Completed)
+            + count_of(AttemptOutcome::Late)
+            + count_of(AttemptOutcome::Rejected)
+            + count_of(AttemptOutcome::Failed),
+        withdrawn: count_of(AttemptOutcome::Withdrawn),
+        cut: count_of(AttemptOutcome::Cut),
         billed: billed.remove(&name).unwrap_or(0),
         tenant: name,
     }
--- a/crates/ctl/src/ledger/drill_fleet.rs
+++ b/crates/ctl/src/ledger/drill_fleet.rs
@@ -1,4 +1,4 @@
-//! The servers of a crash drill and the fakes around them.
+//! The servers of a crash drill and the fakes of their peers.
 
 use crate::server_process::ServerProcess;
 use anyhow::{Context as _, Result};
@@ -10,44 +10,44 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The length of the ledgers' periods, ms.
+/// Length of the ledgers' periods, ms.
 const PERIOD_MS: u64 = 2000;
-/// The ledgers' grace after a period, ms.
+/// Grace time of the ledgers after the end of a period, ms.
 const GRACE_MS: u64 = 200;
-/// Lines in one exported batch, at most.
+/// Maximum number of lines in an exported batch.
 const BATCH_LINES: u32 = 50;
-/// Cores of each fake machine.
+/// Number of cores of each fake machine.
 const CORES: usize = 8;
-/// The mean time of an upstream call, ms.
+/// Mean duration of an upstream call, ms.
 const UPSTREAM_CALL_MS: f64 = 4.0;
-/// How long a server may take for a graceful shutdown.
+/// Maximum time for the graceful shutdown of a server.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a fleet is started with.
+/// Options for starting a fleet.
 pub struct FleetOptions<'a> {
-    /// The folder of ledgers, exports and configuration files.
+    /// Folder of the ledgers, exports and configuration files.
     pub folder: &'a Path,
-    /// Servers.
+    /// Number of servers.
     pub instances: usize,
-    /// Where chance comes from.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The part of exchanges with the collector that go wrong.
+    /// Fraction of exchanges with the collector that fail.
     pub export_faults: f64,
-    /// The daemon to run; this program's own without one.
+    /// Daemon to run; `None` runs the daemon in this program.
     pub daemon: Option<&'a Path>,
 }
 
-/// One server and its machine.
+/// A server and its machine.
 pub struct Instance {
-    /// The server.
+    /// The server process.
     pub server: ServerProcess,
     /// The worker pool of its machine.
     pub pool: FakeWorkerPool,
-    /// The folder of its ledger.
+    /// Folder of the server's ledger.
     pub ledger: PathBuf,
 }
 
-/// The fakes that all servers share.
+/// The fakes shared by all servers.
 struct SharedFakes {
     platform: PlatformSettings,
     upstream: FakeUpstream,
@@ -84,20 +84,20 @@
 
 /// Running servers with their fakes.
 pub struct DrillFleet {
-    /// The servers.
+    /// The servers and their machines.
     pub instances: Vec<Instance>,
     /// The collector of exports.
     pub collector: FakeCollector,
-    /// The folder of what the collector has taken.
+    /// Folder of the batches that the collector has accepted.
     pub exports: PathBuf,
     shared: SharedFakes,
 }
 
 impl DrillFleet {
-    /// Starts the fakes, then the servers one after the other.
+    /// Starts the fakes, then the servers one after another.
     ///
     /// # Errors
-    /// If a fake or a server cannot be started.
+    /// Returns an error if a fake or a server cannot be started.
     pub fn start(options: &FleetOptions<'_>) -> Result<DrillFleet> {
         let platform = PlatformSettings::rounds(CORES);
         let upstream = FakeUpstream::start(UPSTREAM_CALL_MS, options.seed, UpstreamFaults::default())?;
@@ -117,7 +117,7 @@
         &self.shared.platform
     }
 
-    /// Returns the requests a second that all machines can complete.
+    /// Returns the number of requests per second that all machines together can complete.
     pub fn capacity(&self) -> f64 {
         self.shared.platform.capacity() * self.instances.len() as f64
     }
@@ -127,20 +127,20 @@
         self.instances.iter().filter_map(|instance| instance.server.address()).collect()
     }
 
-    /// Starts a killed server again, at the same address.
+    /// Restarts a killed server at the same address.
     ///
     /// # Errors
-    /// If it does not serve in time.
+    /// Returns an error if the server cannot be started or does not serve in time.
     pub fn restart(&mut self, number: usize) -> Result<()> {
         let instance = &mut self.instances[number];
         let name = instance.server.name.clone();
         instance.server.start(|listen| self.shared.config(&name, listen, &instance.pool))
     }
 
-    /// Shuts all servers down; returns whether each ended by itself and successfully.
+    /// Shuts all servers down; returns whether each of them exited successfully in time.
     ///
     /// # Errors
-    /// If a server cannot be told or waited for.
+    /// Returns an error if a server cannot be signaled or waited for.
     pub fn shut_down(&mut self) -> Result<bool> {
         let mut graceful = true;
         for instance in &mut self.instances {
--- a/crates/ctl/src/ledger/export.rs
+++ b/crates/ctl/src/ledger/export.rs
@@ -1,4 +1,4 @@
-//! `ledger export`: the usage of closed periods as JSON lines or a Parquet file.
+//! `ledger export`: writes the usage of closed periods as JSON lines or a Parquet file.
 
 use crate::ledger::format::usage_json;
 use crate::ledger::location::LedgerLocation;
@@ -15,9 +15,9 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-/// Rows between two updates of the progress shown.
+/// Number of rows between updates of the progress display.
 const ROWS_PER_UPDATE: u64 = 1000;
-/// Usage groups summed up at a time, at most.
+/// Maximum number of usage groups that are summed at a time.
 const MAX_GROUPS: usize = 1_000_000;
 
 /// Settings of `export`.
@@ -25,21 +25,21 @@
 pub struct Export {
     #[command(flatten)]
     location: LedgerLocation,
-    /// The directory is not a ledger but a folder of exported batches, of any number of servers.
+    /// Read the directory as a folder of exported batches from any number of servers instead of a ledger.
     #[arg(long)]
     batches: bool,
-    /// Write a Parquet file; `docs/formats/export.md` has its schema.
+    /// Write a Parquet file; its schema is in `docs/formats/export.md`.
     #[arg(long, value_name = "FILE")]
     parquet: Option<PathBuf>,
-    /// Only periods from this time on, Unix ms.
+    /// Include only periods that start at or after this time, Unix ms.
     #[arg(long, default_value_t = 0)]
     from: u64,
-    /// Only periods before this time, Unix ms.
+    /// Include only periods that start before this time, Unix ms.
     #[arg(long, default_value_t = u64::MAX)]
     to: u64,
 }
 
-/// Where the rows go: a Parquet file, or JSON lines without one.
+/// Output of the rows: a Parquet file, or JSON lines on standard output if there is no file.
 struct Output {
     file: Option<UsageFile>,
     progress: ProgressBar,
@@ -78,10 +78,10 @@
 }
 
 impl Export {
-    /// Writes the file, or JSON lines without one.
+    /// Writes the Parquet file, or JSON lines if no file was given.
     ///
     /// # Errors
-    /// If the ledger or the batches cannot be read, or the file cannot be written.
+    /// Returns an error if the ledger or the batches cannot be read, or the file cannot be written.
     pub fn run(&self) -> Result<ExitCode> {
         let mut output = Output::create(self.parquet.as_deref())?;
         if self.batches {
@@ -141,7 +141,7 @@
     }
 }
 
-/// Carries out the write unless an earlier one has failed.
+/// Executes `write` unless an earlier write has failed, and stores its result.
 fn keep_first_error(result: &mut Result<()>, write: impl FnOnce() -> Result<()>) {
     if result.is_ok() {
         *result = write();
--- a/crates/ctl/src/ledger/line_json.rs
+++ b/crates/ctl/src/ledger/line_json.rs
@@ -1,15 +1,15 @@
-//! The content of one ledger line as JSON, as `ledger show --lines` prints it.
+//! Converts a ledger line to JSON for `ledger show --lines`.
 
 use dunlinspread_ledger::batch::hex;
 use dunlinspread_ledger::{Line, LineIdText, LineKind, Outcome};
 use serde_json::{Value, json};
 
-/// What of the lines is shown.
+/// Selects the content of lines that is shown.
 #[derive(Clone, Copy)]
 pub struct LineSelection<'a> {
-    /// Only usage and corrections of this tenant, if one is given.
+    /// If set, only usage and corrections of this tenant are shown.
     pub tenant: Option<&'a str>,
-    /// The names of the classes, by the indexes in usage lines.
+    /// Names of the classes; usage lines refer to them by index.
     pub classes: &'a [String],
 }
 
@@ -27,7 +27,7 @@
     Outcome::try_from(outcome).unwrap_or(Outcome::Unknown).as_str()
 }
 
-/// Returns a line's content; `None` if nothing of it is selected.
+/// Returns the selected content of a line; `None` if nothing in it is selected.
 pub fn line_json(line: &Line, selection: LineSelection<'_>) -> Option<Value> {
     let content = match line.kind.as_ref()? {
         LineKind::Start(start) => json!({"start": start.start, "period_ms": start.period_ms,
--- a/crates/ctl/src/ledger/location.rs
+++ b/crates/ctl/src/ledger/location.rs
@@ -1,4 +1,4 @@
-//! The directory of a ledger, as the commands over ledgers take it, and the server that it belongs to.
+//! The command-line arguments that locate a ledger: its directory and the server that it belongs to.
 
 use anyhow::{Context as _, Result, bail};
 use clap::Args;
@@ -6,32 +6,32 @@
 use dunlinspread_store::{Disk as _, RealDisk};
 use std::path::{Path, PathBuf};
 
-/// Where a ledger lies.
+/// Location of a ledger.
 #[derive(Args)]
 pub struct LedgerLocation {
     /// The ledger's directory.
     pub directory: PathBuf,
-    /// The server it belongs to; found out from the files without it.
+    /// The server that the ledger belongs to; read from the ledger's files by default.
     #[arg(long)]
     pub server: Option<String>,
 }
 
-/// The disk of a ledger and the name of the server that it belongs to.
+/// A ledger that is open for reading: its disk and the name of the server that it belongs to.
 pub struct OpenLedger {
-    /// The disk.
+    /// Disk of the ledger's directory.
     pub disk: RealDisk,
-    /// The server's name.
+    /// Name of the server.
     pub server: String,
 }
 
 impl LedgerLocation {
-    /// Returns the ledger's disk and the name of its server, without taking the ledger's lock.
+    /// Opens the ledger without acquiring its lock.
     ///
     /// # Errors
-    /// If the directory is none, holds no ledger or cannot be read.
+    /// Returns an error if the directory does not exist, contains no ledger or cannot be read.
     pub fn open(&self) -> Result<OpenLedger> {
         if !self.directory.is_dir() {
-            bail!("{} is no directory", self.directory.display());
+            bail!("{} is not a directory", self.directory.display());
         }
         let disk = RealDisk::new(&self.directory)?;
         let server = match &self.server {
@@ -42,11 +42,11 @@
     }
 }
 
-/// Returns the owner that the header of the store's first file names.
+/// Returns the owner in the header of the store's first file.
 fn read_owner(disk: &RealDisk, directory: &Path) -> Result<String> {
     let names = disk.list().with_context(|| format!("listing {}", directory.display()))?;
     let name = names.iter().find(|name| parse_file_name(name).is_some());
-    let name = name.with_context(|| format!("{} holds no ledger", directory.display()))?;
+    let name = name.with_context(|| format!("{} contains no ledger", directory.display()))?;
     let bytes = std::fs::read(directory.join(name)).with_context(|| format!("reading {name}"))?;
     match FileHeader::decode(&bytes) {
         Ok(header) => Ok(header.owner),
--- a/crates/ctl/src/ledger/mod.rs
+++ b/crates/ctl/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! `dunlinspreadctl ledger`: the operators' commands over ledgers and their exports.
+//! `dunlinspreadctl ledger`: the operators' commands for ledgers and their exports.
 
 mod close;
 mod correct;
@@ -28,30 +28,32 @@
 use std::process::ExitCode;
 use verify::Verify;
 
-/// The commands.
+/// Commands for ledgers and their exports.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Show what was used, by society, class and outcome. The ledger may be in use.
+    /// Show usage by tenant, class and outcome. The ledger may be in use.
     Show(Show),
-    /// Walk over a whole store and check every line against those before it.
+    /// Read a whole ledger and check every line against those before it.
     Verify(Verify),
-    /// Enter a correction: a new line that names the one it corrects. The ledger may be in use.
+    /// Enter a correction: a new line that refers to the line it corrects. The ledger may be in use.
     Correct(Correct),
-    /// Close all periods up to now before their time. The ledger may be in use.
+    /// Close all periods up to the current time early. The ledger may be in use.
     Close(ClosePeriods),
-    /// Write what was used in closed periods to a file, from a ledger or from a folder of exports.
+    /// Export the usage of closed periods from a ledger or from a folder of exported batches.
     Export(Export),
-    /// Add up what several servers exported, and say who is awaited and what disagrees.
+    /// Sum the exports of several servers, and report discrepancies and servers that have not closed a
+    /// period.
     Reconcile(Reconcile),
-    /// Kill round servers under load and interrupt their exports, then hold every count against the proxies' own.
+    /// Kill servers under load and interrupt their exports, then compare all counts with those of the
+    /// clients.
     Drill(CrashDrill),
 }
 
 impl Command {
-    /// Runs it.
+    /// Runs the command.
     ///
     /// # Errors
-    /// As the command that is run.
+    /// Returns the error of the command.
     pub fn run(&self) -> Result<ExitCode> {
         match self {
             Command::Show(show) => show.run(),
--- a/crates/ctl/src/ledger/offline_request.rs
+++ b/crates/ctl/src/ledger/offline_request.rs
@@ -12,21 +12,21 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The longest record, bytes.
+/// Maximum size of a record, bytes.
 const MAX_RECORD_BYTES: usize = 2 << 20;
 
-/// A ledger that was opened for writing.
+/// A ledger that is open for writing.
 struct WritableLedger {
     log: Log,
     recovered: RecoveredLedger,
-    /// The line that the request's token has entered before, if it has.
-    entered_before: Option<LineId>,
+    /// The correction line that was already entered with the request's token, if any.
+    existing_entry: Option<LineId>,
 }
 
-/// Executes a request as a start of the ledger of its own and returns the answer.
+/// Executes a request and returns the answer. The execution counts as a separate start of the ledger.
 ///
 /// # Errors
-/// If the ledger cannot be opened or written, or was never used.
+/// Returns an error if the ledger cannot be opened or written, or was never used.
 pub fn execute_offline(
     directory: &Path,
     server: &str,
@@ -34,8 +34,8 @@
     token: &str,
 ) -> Result<String> {
     let now = now_ms();
-    let WritableLedger { mut log, recovered, entered_before } = open_ledger(directory, server, token, now)?;
-    if let Some(line) = entered_before {
+    let WritableLedger { mut log, recovered, existing_entry } = open_ledger(directory, server, token, now)?;
+    if let Some(line) = existing_entry {
         log.close()?;
         return Ok(format!("done {}", LineIdText(&line)));
     }
@@ -57,13 +57,13 @@
             let id = LineId { server: server.to_owned(), start, number };
             Ok(format!("done {}", LineIdText(&id)))
         }
-        None => Ok("error: the ledger does not take this".to_owned()),
+        None => Ok("error: the ledger rejected the request".to_owned()),
     }
 }
 
 fn open_ledger(directory: &Path, server: &str, token: &str, now: u64) -> Result<WritableLedger> {
     let disk = Arc::new(RealDisk::new(directory)?);
-    let (mut state, mut start, mut entered_before) = (LedgerState::default(), 0, None);
+    let (mut state, mut start, mut existing_entry) = (LedgerState::default(), 0, None);
     let options = Options { now_ms: now, max_record: MAX_RECORD_BYTES, ..Options::new(server) };
     let (log, recovery) = Log::open(disk, options, |item| {
         match item {
@@ -74,9 +74,9 @@
                 let line = Line::parse(bytes).map_err(ReplayRejection::new)?;
                 state.apply(number, &line).map_err(ReplayRejection::new)?;
                 match line.kind {
-                    Some(LineKind::Start(started)) => start = started.start,
+                    Some(LineKind::Start(start_line)) => start = start_line.start,
                     Some(LineKind::Correction(correction)) if correction.token == token => {
-                        entered_before = Some(LineId { server: server.to_owned(), start, number });
+                        existing_entry = Some(LineId { server: server.to_owned(), start, number });
                     }
                     _ => {}
                 }
@@ -86,10 +86,10 @@
     })?;
     let recovered =
         RecoveredLedger { state, next_line: recovery.next_record, closed_cleanly: recovery.closed_cleanly };
-    Ok(WritableLedger { log, recovered, entered_before })
+    Ok(WritableLedger { log, recovered, existing_entry })
 }
 
-/// Returns settings with the periods and classes of the ledger's last start.
+/// Returns settings with the period and the classes of the ledger's last start.
 fn settings_of_last_start(state: &LedgerState) -> Result<LedgerSettings> {
     let last_start = state.start.clone().context("this ledger was never used")?;
     Ok(LedgerSettings {
@@ -103,7 +103,7 @@
     })
 }
 
-/// Commits records until no action is left, and returns the last line that an entry or a close became.
+/// Commits records until no action is left, and returns the number of the last entry line or close line.
 fn commit_all(
     log: &mut Log,
     accumulator: &mut UsageAccumulator,
--- a/crates/ctl/src/ledger/operator_requests.rs
+++ b/crates/ctl/src/ledger/operator_requests.rs
@@ -1,5 +1,5 @@
-//! Submits an operator's request to a ledger: to the server that has the ledger open, by a file in its folder, or else
-//! to the store itself.
+//! Submits an operator's request to a ledger. If a server has the ledger open, the request is passed to it as
+//! a file in the ledger's folder; otherwise it is executed on the store directly.
 
 use crate::clock::now_ms;
 use crate::ledger::location::OpenLedger;
@@ -14,24 +14,25 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// How long a server may take to answer.
+/// Maximum time to wait for a server's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time between two looks for the answer.
+/// Interval at which the answer file is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a request is submitted and its answer printed.
+/// Options for submitting a request and printing its answer.
 #[derive(Clone, Copy)]
 pub struct RequestOptions<'a> {
-    /// Makes the request idempotent; a new one is made if there is none.
+    /// Token that makes the request idempotent; a new one is generated if it is `None`.
     pub token: Option<&'a str>,
-    /// Print the answer as JSON.
+    /// Whether to print the answer as JSON.
     pub json: bool,
 }
 
-/// Submits a request to the ledger in that directory and prints the answer.
+/// Submits a request to the ledger in `directory` and prints the answer.
 ///
 /// # Errors
-/// If the token or the request is invalid, the ledger cannot be opened, or no answer comes.
+/// Returns an error if the token or the request is invalid, the ledger cannot be opened, or no answer
+/// arrives in time.
 pub fn submit(
     directory: &Path,
     ledger: &OpenLedger,
@@ -40,9 +41,9 @@
 ) -> Result<ExitCode> {
     let token = options.token.map_or_else(new_token, str::to_owned);
     let (name, _) = RequestFile::file_names(&token);
-    ensure!(RequestFile::token(&name).is_some(), "--token: {token} is not made of letters and digits");
+    ensure!(RequestFile::token(&name).is_some(), "--token: {token} must consist of letters and digits");
     let file = RequestFile { request: Some(request) };
-    // What the server would reject is rejected here, with the same words.
+    // A request that the server would reject is rejected here with the same message.
     let request = RequestFile::parse(&file.encode_to_vec())?;
     let answer = match ledger.disk.lock() {
         Ok(()) => {
@@ -61,12 +62,12 @@
     Ok(if succeeded { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Returns a token that nobody used before.
+/// Returns a new unique token, made of the current time and a random hash.
 fn new_token() -> String {
     format!("{:016x}{:016x}", now_ms(), RandomState::new().hash_one(std::process::id()))
 }
 
-/// Leaves a request for the server that has the ledger open, and waits for its answer.
+/// Writes a request file for the server that has the ledger open, and waits for the answer file.
 fn submit_to_server(directory: &Path, request: &RequestFile, token: &str) -> Result<String> {
     let folder = directory.join(REQUESTS_FOLDER);
     let (request_name, answer_name) = RequestFile::file_names(token);
@@ -84,5 +85,5 @@
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    bail!("the round server has not answered yet; ask again with --token {token}: it is entered once at most")
+    bail!("the server has not answered yet; retry with --token {token}: a token is entered at most once")
 }
--- a/crates/ctl/src/ledger/parquet_file.rs
+++ b/crates/ctl/src/ledger/parquet_file.rs
@@ -1,4 +1,4 @@
-//! A Parquet file of usage; `docs/formats/export.md` has its schema.
+//! Writes usage to a Parquet file; the schema is in `docs/formats/export.md`.
 
 use anyhow::{Context as _, Result};
 use dunlinspread_ledger::{NetUsage, UsageGroup};
@@ -11,33 +11,33 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Rows of one group in a Parquet file.
+/// Number of rows in a row group of the Parquet file.
 const ROWS_PER_GROUP: usize = 64 * 1024;
 
-/// One row of a file.
+/// A row of the file.
 pub struct UsageRow {
-    /// The server that served the requests.
+    /// Name of the server that served the requests.
     pub server: String,
-    /// The group that is summed up.
+    /// Usage group over which the row sums.
     pub group: UsageGroup,
-    /// Its net usage.
+    /// Net usage of the group.
     pub net: NetUsage,
 }
 
-/// The values of a column.
+/// Type of a column and the function that returns its value for a row.
 enum ColumnValues {
     Text(fn(&UsageRow) -> &str),
     Number(fn(&UsageRow) -> i128),
     OptionalNumber(fn(&UsageRow) -> Option<u64>),
 }
 
-/// A column's name and values.
+/// A column of the schema.
 struct Column {
     name: &'static str,
     values: ColumnValues,
 }
 
-/// The columns, in the order of the schema.
+/// All columns, in the order of the schema.
 const COLUMNS: [Column; 10] = [
     Column { name: "server", values: ColumnValues::Text(|row| &row.server) },
     Column { name: "society", values: ColumnValues::Text(|row| &row.group.tenant) },
@@ -87,7 +87,7 @@
 }
 
 fn to_i64(sum: i128) -> Result<i64> {
-    i64::try_from(sum).context("a sum is out of range")
+    i64::try_from(sum).context("a sum exceeds the range of a 64-bit integer")
 }
 
 /// A Parquet file that is being written.
@@ -102,22 +102,22 @@
     /// Creates the file under a temporary name.
     ///
     /// # Errors
-    /// If the file cannot be created.
+    /// Returns an error if the file cannot be created.
     pub fn create(path: &Path) -> Result<UsageFile> {
         let columns = COLUMNS.iter().map(|column| Ok(Arc::new(column.schema()?)));
         let columns = columns.collect::<Result<Vec<_>>>()?;
         let schema = Type::group_type_builder("usage").with_fields(columns).build()?;
         let properties = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
         let temporary = path.with_extension("tmp");
-        let file = File::create(&temporary).with_context(|| format!("making {}", temporary.display()))?;
+        let file = File::create(&temporary).with_context(|| format!("creating {}", temporary.display()))?;
         let writer = SerializedFileWriter::new(file, Arc::new(schema), Arc::new(properties))?;
         Ok(UsageFile { path: path.to_owned(), temporary, writer, rows: Vec::new() })
     }
 
-    /// Appends a row; rows are written a group at a time.
+    /// Appends a row; rows are buffered and written one row group at a time.
     ///
     /// # Errors
-    /// If a group cannot be written.
+    /// Returns an error if a row group cannot be written.
     pub fn write(&mut self, row: UsageRow) -> Result<()> {
         self.rows.push(row);
         if self.rows.len() >= ROWS_PER_GROUP { self.flush() } else { Ok(()) }
@@ -138,10 +138,10 @@
         Ok(())
     }
 
-    /// Completes the file and gives it its name.
+    /// Completes the file and renames it to its final name.
     ///
     /// # Errors
-    /// If the file cannot be written or renamed.
+    /// Returns an error if the file cannot be written or renamed.
     pub fn finish(mut self) -> Result<()> {
         self.flush()?;
         self.writer.close()?;
--- a/crates/ctl/src/ledger/reconcile.rs
+++ b/crates/ctl/src/ledger/reconcile.rs
@@ -1,4 +1,5 @@
-//! `ledger reconcile`: adds up what several servers exported and reports what is missing or disagrees.
+//! `ledger reconcile`: sums the exports of several servers and reports discrepancies and servers
+//! that have not closed a period.
 
 use crate::clock::now_ms;
 use crate::ledger::format::utc_text;
@@ -16,26 +17,28 @@
 /// Settings of `reconcile`.
 #[derive(Args)]
 pub struct Reconcile {
-    /// A folder of exported batches, of any number of servers.
+    /// Folder of exported batches from any number of servers.
     exports: PathBuf,
-    /// The catalog's record of who was listed when: a JSON object from names to lists of pairs of Unix ms.
+    /// The registry's record of when each server was listed: a JSON object that maps server names to lists of
+    /// pairs of Unix ms.
     #[arg(long = "catalog", value_name = "FILE")]
     registry_record: Option<PathBuf>,
-    /// The length of periods, by which awaited servers are told.
+    /// Length of a period, used to report the servers that have not closed one.
     #[arg(long, default_value = "15m")]
     period: humantime::Duration,
-    /// One JSON object.
+    /// Print the result as one JSON object.
     #[arg(long)]
     json: bool,
 }
 
 impl Reconcile {
-    /// Prints the sums and what is wrong; fails if something disagrees or a server's export is awaited.
+    /// Prints the sums, the servers that have not closed a period and the discrepancies; returns a failure
+    /// code if there are such servers or discrepancies.
     ///
     /// # Errors
-    /// If the exports or the registry's record cannot be read.
+    /// Returns an error if the exports or the registry's record cannot be read.
     pub fn run(&self) -> Result<ExitCode> {
-        ensure!(self.exports.is_dir(), "{} is no directory", self.exports.display());
+        ensure!(self.exports.is_dir(), "{} is not a directory", self.exports.display());
         let listed = match &self.registry_record {
             Some(path) => read_registry_record(path)?,
             None => ListedSpans::new(),
@@ -100,10 +103,10 @@
     println!("{rows}\n{ledgers} ledgers");
     for (period, servers) in &report.awaited {
         let servers: Vec<&str> = servers.iter().map(String::as_str).collect();
-        println!("awaited in {}: {}", utc_text(*period), servers.join(", "));
+        println!("period {} not closed by: {}", utc_text(*period), servers.join(", "));
     }
-    report.discrepancies.iter().for_each(|discrepancy| println!("disagrees: {discrepancy}"));
+    report.discrepancies.iter().for_each(|discrepancy| println!("discrepancy: {discrepancy}"));
     if complete {
-        println!("all adds up");
+        println!("all periods closed, no discrepancies");
     }
 }
--- a/crates/ctl/src/ledger/replay.rs
+++ b/crates/ctl/src/ledger/replay.rs
@@ -1,4 +1,4 @@
-//! Reading a ledger from its first line to its last, with each line checked against those before it.
+//! Replays a ledger from its first line to its last and checks each line against those before it.
 
 use crate::ledger::location::OpenLedger;
 use anyhow::Result;
@@ -7,25 +7,25 @@
 use prost::Message as _;
 use std::collections::BTreeMap;
 
-/// Requests that the ledger states to be in no line.
+/// Requests that a ledger reports as unbilled: no usage line contains them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnbilledRequests {
-    /// Requests known to be in no line.
+    /// Number of requests known to be unbilled.
     pub known: u64,
-    /// Further requests that may be in none, at most.
+    /// Maximum number of further requests that may be unbilled.
     pub at_most: u64,
 }
 
-/// What a replay of a ledger's lines found.
+/// Summary of a replay of a ledger.
 #[derive(Default)]
 pub struct ReplaySummary {
-    /// The state after the last line.
+    /// State after the last line.
     pub state: LedgerState,
-    /// The number of the first line that is there; 0 if there is none.
+    /// Number of the first line in the ledger; 0 if there is none.
     pub first_line: u64,
-    /// Lines by kind.
+    /// Number of lines by kind.
     pub lines_by_kind: BTreeMap<&'static str, u64>,
-    /// Requests that the lines state to be in none.
+    /// Requests that the ledger reports as unbilled.
     pub unbilled: UnbilledRequests,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns the name of a line's kind, as `verify` prints it.
+/// Returns the name of a line's kind for the output of `verify`.
 fn kind_name(line: &Line) -> &'static str {
     match &line.kind {
         Some(LineKind::Start(_)) => "start",
@@ -52,10 +52,10 @@
     }
 }
 
-/// Replays all lines, checks each against those before it and calls `visit` with its number and content.
+/// Replays all lines: checks each against those before it and calls `visit` with its number and content.
 ///
 /// # Errors
-/// If the store cannot be read or a line does not follow from those before it.
+/// Returns an error if the store cannot be read or a line is inconsistent with those before it.
 pub fn replay_lines(ledger: &OpenLedger, mut visit: impl FnMut(u64, &Line)) -> Result<ReplaySummary> {
     let mut summary = ReplaySummary::default();
     Log::read(&ledger.disk, &ledger.server, |item| {
@@ -79,13 +79,13 @@
     Ok(summary)
 }
 
-/// Requests by tenant and outcome.
+/// Number of requests by tenant and outcome.
 pub type RequestsByTenant = BTreeMap<(String, Outcome), u64>;
 
-/// Returns the requests in the usage lines of a ledger, and the summary of the replay.
+/// Returns the requests in the usage lines of a ledger by tenant and outcome, and the summary of the replay.
 ///
 /// # Errors
-/// As [`replay_lines`].
+/// Returns the errors of [`replay_lines`].
 pub fn requests_by_tenant(ledger: &OpenLedger) -> Result<(RequestsByTenant, ReplaySummary)> {
     let mut requests = RequestsByTenant::new();
     let summary = replay_lines(ledger, |_, line| {
--- a/crates/ctl/src/ledger/show.rs
+++ b/crates/ctl/src/ledger/show.rs
@@ -1,4 +1,4 @@
-//! `ledger show`: usage by tenant, class and outcome, or the lines themselves.
+//! `ledger show`: prints usage by tenant, class and outcome, or the individual lines.
 
 use crate::ledger::format::{usage_json, utc_text};
 use crate::ledger::line_json::{LineSelection, line_json};
@@ -12,7 +12,7 @@
 use serde_json::json;
 use std::process::ExitCode;
 
-/// Usage groups summed up at a time, at most.
+/// Maximum number of usage groups that are summed at a time.
 const MAX_GROUPS: usize = 1_000_000;
 
 /// Settings of `show`.
@@ -20,19 +20,20 @@
 pub struct Show {
     #[command(flatten)]
     location: LedgerLocation,
-    /// Only this society.
+    /// Show only this tenant.
     #[arg(long = "society", value_name = "SOCIETY")]
     tenant: Option<String>,
-    /// Only periods from this time on, Unix ms.
+    /// Show only periods that start at or after this time, Unix ms; with `--lines`, lines written at or after
+    /// it.
     #[arg(long, default_value_t = 0)]
     from: u64,
-    /// Only periods before this time, Unix ms.
+    /// Show only periods that start before this time, Unix ms; with `--lines`, lines written before it.
     #[arg(long, default_value_t = u64::MAX)]
     to: u64,
-    /// The lines themselves, each with its id, instead of sums.
+    /// Show the individual lines with their ids instead of sums.
     #[arg(long)]
     lines: bool,
-    /// One JSON object a sum or line.
+    /// Print one JSON object per sum or line.
     #[arg(long)]
     json: bool,
 }
@@ -41,7 +42,7 @@
     /// Prints the usage or the lines.
     ///
     /// # Errors
-    /// If the ledger cannot be read.
+    /// Returns an error if the ledger cannot be read.
     pub fn run(&self) -> Result<ExitCode> {
         let ledger = self.location.open()?;
         if self.lines {
@@ -52,15 +53,15 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Prints the usage of each group, and the sum of all in a table.
+    /// Prints the usage of each group: as JSON lines, or as a table followed by the totals.
     fn show_usage(&self, ledger: &OpenLedger) -> Result<()> {
-        // The last line that is there now: a ledger in use goes on growing.
+        // Reading stops at the current last line, because a ledger in use keeps growing.
         let mut last_line = 0;
         let first_line = replay_lines(ledger, |number, _| last_line = number)?.first_line.max(1);
         let lines = first_line..last_line + 1;
         let mut rows =
             table(&["society", "period", "class", "outcome", "requests", "pool s", "kB in", "kB out"]);
-        let mut all = NetUsage::default();
+        let mut sum = NetUsage::default();
         totals(
             &[],
             MAX_GROUPS,
@@ -70,8 +71,8 @@
                 if self.tenant.as_ref().is_some_and(|tenant| *tenant != group.tenant) {
                     return;
                 }
-                all.requests += net.requests;
-                all.pool_us += net.pool_us;
+                sum.requests += net.requests;
+                sum.pool_us += net.pool_us;
                 if self.json {
                     println!("{}", usage_json(&group, &net));
                 } else {
@@ -80,18 +81,18 @@
             },
         )?;
         if !self.json {
-            let pool_seconds = all.pool_us as f64 / 1e6;
-            println!("{rows}\n{} requests, {pool_seconds:.3} s in the worker pool", all.requests);
+            let pool_seconds = sum.pool_us as f64 / 1e6;
+            println!("{rows}\n{} requests, {pool_seconds:.3} s in the worker pool", sum.requests);
         }
         Ok(())
     }
 
-    /// Prints the lines as they stand, one a row.
+    /// Prints each ledger line on its own row.
     fn show_lines(&self, ledger: &OpenLedger) -> Result<()> {
         let (mut start, mut classes) = (0, Vec::new());
         replay_lines(ledger, |number, line| {
-            if let Some(LineKind::Start(started)) = &line.kind {
-                (start, classes) = (started.start, started.classes.clone());
+            if let Some(LineKind::Start(start_line)) = &line.kind {
+                (start, classes) = (start_line.start, start_line.classes.clone());
             }
             if !(self.from..self.to).contains(&line.at_ms) {
                 return;
--- a/crates/ctl/src/ledger/verify.rs
+++ b/crates/ctl/src/ledger/verify.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::process::ExitCode;
 
-/// Lines between two updates of the progress shown.
+/// Number of lines between updates of the progress display.
 const LINES_PER_UPDATE: u64 = 10_000;
 
 /// Settings of `verify`.
@@ -18,16 +18,16 @@
 pub struct Verify {
     #[command(flatten)]
     location: LedgerLocation,
-    /// One JSON object.
+    /// Print the result as one JSON object.
     #[arg(long)]
     json: bool,
 }
 
 impl Verify {
-    /// Replays the ledger and prints what it holds.
+    /// Replays the ledger and prints a summary of its content.
     ///
     /// # Errors
-    /// If the ledger cannot be read or a line does not follow from those before it.
+    /// Returns an error if the ledger cannot be read or a line is inconsistent with those before it.
     pub fn run(&self) -> Result<ExitCode> {
         let ledger = self.location.open()?;
         let summary = match replay_with_progress(&ledger) {
@@ -37,7 +37,7 @@
                     let fault = format!("{e:#}");
                     println!("{}", json!({"ok": false, "server": ledger.server, "fault": fault}));
                 }
-                return Err(e.context("the ledger is not in order"));
+                return Err(e.context("the ledger is invalid"));
             }
         };
         if self.json {
@@ -86,9 +86,9 @@
     for (kind, count) in &summary.lines_by_kind {
         rows.add_row([(*kind).to_owned(), count.to_string()]);
     }
-    println!("{rows}\nserver {server}: in order; closed to {}", utc_text(summary.state.closed_to));
+    println!("{rows}\nserver {server}: valid; closed to {}", utc_text(summary.state.closed_to));
     println!(
-        "batches prepared {}, acknowledged {}; requests known to be in no line {}, possibly up to {} more",
+        "batches prepared {}, acknowledged {}; requests known to be unbilled {}, possibly up to {} more",
         summary.state.last_batch,
         acknowledged_batches(summary),
         summary.unbilled.known,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: trying the program out, and the subsystems' own commands.
+//! The operators' command line: a demo run of the server, and the commands of its subsystems.
 #![forbid(unsafe_code)]
 
 mod clock;
@@ -10,7 +10,7 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// Tools for those who run round servers.
+/// Command-line tools for operators of the server.
 #[derive(Parser)]
 #[command(name = "dunlinspreadctl", version, about)]
 struct Cli {
@@ -20,15 +20,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Start a round server among played parties, send it a mixed load for some seconds, and show what came of it.
+    /// Start a server with simulated peers, send it a mixed load for a few seconds, and show the results.
     Try(demo::Demo),
-    /// The ledger of use by society: look at it, check it, drill it.
+    /// Inspect, verify, correct, export and test the ledger of usage by tenant.
     #[command(subcommand)]
     Ledger(ledger::Command),
-    /// Run the round server itself; `try` and the drills start it so.
+    /// Run the server itself; `try` and `ledger drill` start it with this command.
     #[command(hide = true, disable_help_flag = true)]
     Serve {
-        /// Its arguments.
+        /// Arguments of the server.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         arguments: Vec<std::ffi::OsString>,
     },
--- a/crates/ctl/src/server_process.rs
+++ b/crates/ctl/src/server_process.rs
@@ -1,4 +1,5 @@
-//! A server as a process of its own: started, waited for, killed and started again at the same address.
+//! Runs a server as a child process: starts it, waits until it serves, kills it and restarts it at the same
+//! address.
 
 use anyhow::{Context as _, Result, bail};
 use std::io::{BufRead, BufReader};
@@ -9,20 +10,22 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a start may take before it counts as failed.
+/// Maximum time from the start of a server until it serves; a longer start counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Log lines that are kept to be shown when something goes wrong.
+/// Maximum number of recent log lines that are kept to be printed after a failure.
 const MAX_LOG_LINES: usize = 200;
-/// Time between two looks for the end of a process.
+/// Interval at which a process is polled for its exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Milliseconds of one tick in `/proc/PID/stat`: the kernel reports hundredths of a second, whatever its own tick is.
+/// Milliseconds per clock tick in `/proc/PID/stat`. The kernel reports hundredths of a second, whatever its
+/// internal tick rate is.
 const MS_PER_TICK: f64 = 10.0;
-/// The positions of a process's user and system time in `/proc/PID/stat`, counted from the field after the name.
+/// Indexes of a process's user and system time in `/proc/PID/stat`, counted from the field after the process
+/// name.
 const CPU_TIME_FIELDS: [usize; 2] = [11, 12];
 
-/// A server, running or not. Dropping it kills the process.
+/// A server process, which may be running or not. Dropping it kills the process.
 pub struct ServerProcess {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
     program: Option<PathBuf>,
     config: PathBuf,
@@ -33,11 +36,11 @@
 }
 
 impl ServerProcess {
-    /// Returns one that is not started yet, with its files in `folder`; `program` is the daemon to run, without one it
-    /// is this program.
+    /// Returns a server that is not started yet, with its configuration files in `folder`. `program` is the
+    /// daemon to run; `None` runs the daemon in this program.
     ///
     /// # Errors
-    /// If the operators' file cannot be written.
+    /// Returns an error if the operators' file cannot be written.
     pub fn new(
         folder: &Path,
         name: &str,
@@ -64,48 +67,48 @@
         })
     }
 
-    /// Returns the address on which it listens, once it was started.
+    /// Returns the address on which the server listens; `None` before its first start.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Starts it and waits until it serves, from the second start on at the same address. `config` returns the platform's
-    /// configuration for the address to listen on.
+    /// Starts the server and waits until it serves. Every start after the first uses the same address.
+    /// `config` returns the platform's configuration for the address to listen on.
     ///
     /// # Errors
-    /// If it cannot be started or does not serve in time.
+    /// Returns an error if the server cannot be started or does not serve in time.
     pub fn start(&mut self, config: impl Fn(&str) -> String) -> Result<()> {
         let listen = self.address.map_or("127.0.0.1:0".to_owned(), |address| address.to_string());
         std::fs::write(&self.config, config(&listen))
             .with_context(|| format!("writing {}", self.config.display()))?;
         let mut command = self.command()?;
         let mut child = command.spawn().with_context(|| format!("starting {command:?}"))?;
-        let stderr = child.stderr.take().context("its log")?;
+        let stderr = child.stderr.take().context("the server's standard error is not captured")?;
         self.child = Some(child);
         match self.read_log(stderr).recv_timeout(START_TIMEOUT) {
             Ok(Some(address)) => {
                 self.address = Some(address);
                 Ok(())
             }
-            _ => bail!("{} does not serve; its log:\n{}", self.name, self.recent_log()),
+            _ => bail!("{} did not start serving; its log:\n{}", self.name, self.recent_log()),
         }
     }
 
     fn command(&self) -> Result<Command> {
-        let this_program = std::env::current_exe().context("finding this program")?;
+        let this_program = std::env::current_exe().context("finding the path of this program")?;
         let mut command = Command::new(self.program.as_ref().unwrap_or(&this_program));
         command.arg("serve").arg("--log-format").arg("json").arg("--config").arg(&self.config);
         if let Some(operator) = &self.operator {
             command.arg("--operator").arg(operator);
         }
-        // A build from before there were arguments passes them over and reads this.
+        // Builds that predate the command-line arguments ignore them and read this variable.
         command.env("RELAY_CONFIG", &self.config);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         Ok(command)
     }
 
-    /// Keeps the log's last lines on a thread of its own. The receiver is given the address of each line that says that
-    /// the server serves, `None` if the address is unreadable.
+    /// Starts a thread that keeps the most recent log lines. The receiver gets the address from each log line
+    /// that reports that the server serves; `None` if the address cannot be parsed.
     fn read_log(&self, stderr: ChildStderr) -> Receiver<Option<SocketAddr>> {
         let (sender, receiver) = mpsc::channel();
         let log = self.log.clone();
@@ -124,16 +127,16 @@
         receiver
     }
 
-    /// Returns its last log lines.
+    /// Returns the most recent log lines.
     pub fn recent_log(&self) -> String {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).join("\n")
     }
 
-    /// Returns the processor time that it has used, ms.
+    /// Returns the CPU time used by the process, ms; `None` if it is not running or `/proc` cannot be read.
     pub fn cpu_ms(&self) -> Option<f64> {
         let pid = self.child.as_ref()?.id();
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name in brackets may hold anything.
+        // The process name in parentheses may contain spaces and parentheses.
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let mut ticks = 0.0;
         for index in CPU_TIME_FIELDS {
@@ -142,7 +145,7 @@
         Some(ticks * MS_PER_TICK)
     }
 
-    /// Kills it with SIGKILL.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -150,17 +153,18 @@
         }
     }
 
-    /// Requests a graceful shutdown and waits for the end; returns whether it ended by itself and successfully.
+    /// Sends SIGTERM and waits for the process to exit; returns whether it exited successfully within
+    /// `timeout`. After the timeout it is killed.
     ///
     /// # Errors
-    /// If the signal cannot be sent or the process cannot be waited for.
+    /// Returns an error if the signal cannot be sent or the process cannot be waited for.
     pub fn shut_down(&mut self, timeout: Duration) -> Result<bool> {
         let Some(mut child) = self.child.take() else { return Ok(false) };
         let sent = Command::new("kill").args(["-s", "TERM", &child.id().to_string()]).status();
         sent.context("sending SIGTERM")?;
-        let requested_at = Instant::now();
-        while requested_at.elapsed() < timeout {
-            if let Some(status) = child.try_wait().context("waiting for its end")? {
+        let signaled_at = Instant::now();
+        while signaled_at.elapsed() < timeout {
+            if let Some(status) = child.try_wait().context("waiting for the server to exit")? {
                 return Ok(status.success());
             }
             std::thread::sleep(EXIT_POLL_INTERVAL);
@@ -171,7 +175,8 @@
     }
 }
 
-/// Returns the address in a log line, as JSON or as text, that says that the server serves; `None` for other lines.
+/// Returns the address from a log line, JSON or text, that reports that the server serves; `None` for other
+/// lines.
 fn parse_serving_line(line: &str) -> Option<Option<SocketAddr>> {
     if let Ok(fields) = serde_json::from_str::<serde_json::Value>(line) {
         let address = || fields["listen"].as_str().and_then(|address| address.parse().ok());
--- a/crates/ctl/tests/ledger_commands.rs
+++ b/crates/ctl/tests/ledger_commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands over the ledger of a server that runs, and of one that does not.
+//! The operators' ledger commands, run on the ledger of a running server and of a stopped one.
 
 mod support;
 
@@ -9,16 +9,16 @@
 use std::path::{Path, PathBuf};
 use support::{CommandOutput, RunningServer, ServerOptions, ctl, requests_of, send_load, text};
 
-/// The tenant that sends, beside requests without one.
+/// The only tenant in the load, which also has requests without a tenant.
 const TENANT: &str = "aluva";
-/// Whom requests without a tenant are billed to.
+/// The name under which requests without a tenant are billed.
 const UNATTRIBUTED: &str = "unattributed";
-/// The column of the tenant in a Parquet file.
+/// Index of the tenant's column in a Parquet file.
 const TENANT_COLUMN: usize = 1;
-/// The column of the requests in a Parquet file.
+/// Index of the requests' column in a Parquet file.
 const REQUESTS_COLUMN: usize = 6;
 
-/// The places of a ledger and its exports, and what was sent to its server.
+/// The locations of a ledger and its exports, and the tally of the load that its server received.
 struct Scenario {
     ledger: String,
     exports: String,
@@ -26,7 +26,7 @@
     tally: Tally,
 }
 
-/// A line of the ledger with usage of the tenant, as `show --lines` prints it.
+/// A ledger line with usage of [`TENANT`], as printed by `show --lines`.
 struct UsageLine {
     id: String,
     class: String,
@@ -39,17 +39,17 @@
         Scenario { ledger, exports, folder: folder.to_owned(), tally }
     }
 
-    /// Returns the requests that were sent for a tenant.
+    /// Returns the number of requests that were sent for a tenant.
     fn sent(&self, tenant: Option<&str>) -> i64 {
         self.tally.sum(|_, other| other == tenant).iter().sum::<u64>() as i64
     }
 
-    /// Runs a command over the ledger.
+    /// Runs a ledger command on the ledger.
     fn run(&self, command: &str, options: &[&str]) -> CommandOutput {
         ctl(&[&["ledger", command, &self.ledger], options].concat())
     }
 
-    /// Corrects a line of the tenant by one request less.
+    /// Enters a correction of -1 request for a usage line of [`TENANT`].
     fn correct(&self, usage: &UsageLine, line: &str, reason: &str, token: &str) -> CommandOutput {
         let line = ["--line", line, "--society", TENANT, "--class", &usage.class];
         let change = ["--outcome", &usage.outcome, "--requests", "-1"];
@@ -58,7 +58,7 @@
 
     fn usage_line(&self) -> UsageLine {
         let lines = self.run("show", &["--lines", "--json", "--society", TENANT]).rows;
-        let line = lines.iter().find(|line| line["line"]["usage"].is_array()).expect("a line of use");
+        let line = lines.iter().find(|line| line["line"]["usage"].is_array()).expect("a usage line");
         let entry = &line["line"]["usage"][0];
         UsageLine {
             id: line["id"].as_str().expect("an id").to_owned(),
@@ -76,21 +76,21 @@
     let load = Load { rate: 100.0, requests: 100, tenants, seed: 5 };
     let scenario = Scenario::new(folder.path(), send_load(&platform, &server, load));
 
-    // While it runs: look, correct, close.
+    // The server is running and has the ledger open.
     check_shown_usage(&scenario);
     let usage = scenario.usage_line();
     check_corrections(&scenario, &usage);
     let closed = scenario.run("close", &["--json"]);
     assert!(closed.succeeded, "{:?} {}", closed.rows, closed.error);
 
-    // It ends in good order; the same commands work on what it leaves.
+    // After a graceful shutdown the same commands work on the closed ledger.
     server.shut_down();
     check_offline_correction(&scenario, &usage);
     check_verified(&scenario);
     check_reconciled(&scenario);
     check_registry_record(&scenario);
     check_parquet(&scenario, &scenario.ledger, &[], 0);
-    // A ledger's sums are of use; batches have corrections as well.
+    // Sums from a ledger contain usage only; batches contain corrections as well.
     check_parquet(&scenario, &scenario.exports, &["--batches"], 1);
     check_damage_is_named(&scenario);
 }
@@ -104,36 +104,36 @@
     );
 }
 
-/// Corrects a line twice with one token, and tries corrections that are rejected.
+/// Corrects a line twice with the same token, and tries corrections that must be rejected.
 fn check_corrections(scenario: &Scenario, usage: &UsageLine) {
     let corrected = scenario.correct(usage, &usage.id, "billed twice by mistake", "first");
     assert!(corrected.succeeded, "{:?} {}", corrected.rows, corrected.error);
     let again = scenario.correct(usage, &usage.id, "billed twice by mistake", "first");
     assert!(again.succeeded, "{:?}", again.rows);
-    assert_eq!(again.rows, corrected.rows, "asked twice, entered once");
+    assert_eq!(again.rows, corrected.rows, "submitted twice, entered once");
     assert!(!scenario.correct(usage, &usage.id, " ", "second").succeeded, "a correction needs a reason");
     let unknown_line = scenario.correct(usage, "n1/1/1", "x", "third");
     assert!(unknown_line.error.contains("there is no line n1/1/1"));
     let other_ledger = scenario.correct(usage, "n2/1/1", "x", "third");
-    assert!(other_ledger.error.contains("this ledger is n1's"));
+    assert!(other_ledger.error.contains("this ledger belongs to server n1; use the ledger of n2"));
 }
 
 fn check_offline_correction(scenario: &Scenario, usage: &UsageLine) {
     let corrected = scenario.correct(usage, &usage.id, "and once more", "fourth");
     assert!(corrected.succeeded, "{:?} {}", corrected.rows, corrected.error);
     let again = scenario.correct(usage, &usage.id, "and once more", "fourth");
-    assert_eq!(again.rows, corrected.rows, "asked twice, entered once");
+    assert_eq!(again.rows, corrected.rows, "submitted twice, entered once");
 }
 
 fn check_verified(scenario: &Scenario) {
     let verified = scenario.run("verify", &["--json"]);
     assert!(verified.succeeded, "{}", verified.error);
-    let found = &verified.rows[0];
-    assert_eq!((&found["lines"]["start"], &found["ok"]), (&2.into(), &true.into()));
-    assert_eq!(found["lines"]["correction"].as_u64(), Some(2), "{found:?}");
+    let summary = &verified.rows[0];
+    assert_eq!((&summary["lines"]["start"], &summary["ok"]), (&2.into(), &true.into()));
+    assert_eq!(summary["lines"]["correction"].as_u64(), Some(2), "{summary:?}");
 }
 
-/// The exports have what was closed, the first correction in it.
+/// Checks that the exports contain the closed periods with the first correction.
 fn check_reconciled(scenario: &Scenario) {
     let reconciled = ctl(&["ledger", "reconcile", &scenario.exports, "--json"]);
     assert!(reconciled.succeeded, "{:?} {}", reconciled.rows, reconciled.error);
@@ -153,10 +153,10 @@
     assert!(report["disagreements"].to_string().contains("was not listed"), "{report:?}");
 }
 
-/// Exports to Parquet and reads it back; `corrected` requests less than sent are in it.
-fn check_parquet(scenario: &Scenario, place: &str, options: &[&str], corrected: i64) {
+/// Exports to a Parquet file and checks that it contains the sent requests less `corrected`.
+fn check_parquet(scenario: &Scenario, location: &str, options: &[&str], corrected: i64) {
     let file = text(scenario.folder.join("usage.parquet"));
-    assert!(ctl(&[&["ledger", "export", place, "--parquet", &file], options].concat()).succeeded);
+    assert!(ctl(&[&["ledger", "export", location, "--parquet", &file], options].concat()).succeeded);
     let reader = SerializedFileReader::new(std::fs::File::open(&file).expect("a file")).expect("Parquet");
     let mut requests = 0;
     for row in reader.get_row_iter(None).expect("rows") {
@@ -168,10 +168,11 @@
     assert_eq!(requests, scenario.sent(Some(TENANT)) - corrected);
 }
 
-/// A damaged store is named by its file.
+/// Checks that the error for a damaged store names the damaged file.
 fn check_damage_is_named(scenario: &Scenario) {
     let files = std::fs::read_dir(&scenario.ledger).expect("a folder").flatten().map(|entry| entry.path());
-    let mut segments = files.into_iter().filter(|path| path.extension().is_some_and(|e| e == "log"));
+    let mut segments =
+        files.into_iter().filter(|path| path.extension().is_some_and(|suffix| suffix == "log"));
     let segment = segments.next().expect("a segment");
     let mut bytes = std::fs::read(&segment).expect("bytes");
     bytes[300] ^= 1;
@@ -186,7 +187,7 @@
 #[test]
 fn what_is_no_ledger_is_said_so() {
     let folder = tempfile::tempdir().expect("a folder");
-    let place = folder.path().to_str().expect("text");
-    assert!(ctl(&["ledger", "verify", place]).error.contains("holds no ledger"));
-    assert!(ctl(&["ledger", "show", "/nowhere"]).error.contains("/nowhere is no directory"));
+    let location = folder.path().to_str().expect("text");
+    assert!(ctl(&["ledger", "verify", location]).error.contains("contains no ledger"));
+    assert!(ctl(&["ledger", "show", "/nowhere"]).error.contains("/nowhere is not a directory"));
 }
--- a/crates/ctl/tests/ledger_recovery.rs
+++ b/crates/ctl/tests/ledger_recovery.rs
@@ -1,4 +1,4 @@
-//! The ledger of a server that runs: retention, a full disk, and an old copy put back.
+//! The ledger of a running server: retention of lines, a full disk, and a ledger restored from an old copy.
 
 mod support;
 
@@ -13,10 +13,10 @@
 use std::time::Duration;
 use support::{RunningServer, ServerOptions, ctl, requests_of, send_load, text};
 
-/// Whom requests without a tenant are billed to.
+/// The name under which requests without a tenant are billed.
 const UNATTRIBUTED: &str = "unattributed";
 
-/// Returns what `verify` finds in the ledger of a server whose files are in `folder`.
+/// Returns the JSON output of `verify` for the ledger of the server with its files in `folder`.
 fn verify(folder: &Path) -> Value {
     ctl(&["ledger", "verify", &text(folder.join("ledger")), "--json"]).rows.pop().unwrap_or_default()
 }
@@ -29,7 +29,8 @@
     tally.sum(|_, _| true).iter().sum()
 }
 
-/// Lines that are exported and old enough go; what they came to stays, across a kill as well.
+/// Exported lines past their retention time are removed; the exports keep their sums, also after the server
+/// is killed.
 #[test]
 fn old_lines_go_and_the_ledger_goes_on() {
     let (platform, folder) = (PlatformSettings::rounds(40), tempfile::tempdir().expect("a folder"));
@@ -37,13 +38,14 @@
     let options = ServerOptions::new(folder, "period = \"100ms\"\n  grace = \"0s\"\n  keep = \"1s\"");
     let mut server = RunningServer::start(&platform, &options);
     let mut sent = 0;
-    // Each round is a second of load; on a slow machine it takes a few more until enough lines are old.
+    // Each round is one second of load. A slow machine needs more rounds until enough lines are past their
+    // retention time.
     for round in 0.. {
         sent += attempts(&send_load(&platform, &server, load(700.0, 700, round)));
         if verify(folder)["first"].as_u64().is_some_and(|first| first > 1000) {
             break;
         }
-        assert!(round < 30, "no line has gone: {}", verify(folder));
+        assert!(round < 30, "too few lines were removed: {}", verify(folder));
     }
     let before = verify(folder);
     server.child.kill().expect("killed");
@@ -53,28 +55,31 @@
     assert_eq!((&after["ok"], &after["born"]), (&true.into(), &before["born"]), "{after}");
     assert!(after["first"].as_u64() >= before["first"].as_u64(), "{before} {after}");
     drop(server);
-    // The exports have what the ledger has let go.
+    // The exports still contain the usage of the removed lines.
     let reconciled = ctl(&["ledger", "reconcile", &text(folder.join("exports")), "--json"]).rows;
     let exported = requests_of(reconciled[0]["accounts"].as_array().expect("accounts"), UNATTRIBUTED);
     assert!(exported as u64 <= sent && exported > 700, "{exported} of {sent}");
 }
 
-/// Returns whether a health check is answered with good health.
+/// Returns whether the server answers a health check as healthy.
 fn is_healthy(address: SocketAddr) -> bool {
-    let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.write_all(&[0x94, 0, 1, 0xa6, b'i', b's', b'W', b'e', b'l', b'l', 0x91, 0x80]).expect("it takes");
+    let mut stream = TcpStream::connect(address).expect("the server listens");
+    stream
+        .write_all(&[0x94, 0, 1, 0xa6, b'i', b's', b'W', b'e', b'l', b'l', 0x91, 0x80])
+        .expect("the request is sent");
     let mut head = [0; 5];
-    stream.read_exact(&mut head).expect("it answers");
+    stream.read_exact(&mut head).expect("the server answers");
     // [1, 1, nil, [GOOD, ...
     head[3] == 0xc0 && {
         let mut rest = [0; 1];
-        stream.read_exact(&mut rest).expect("it answers");
+        stream.read_exact(&mut rest).expect("the server answers");
         rest[0] == 0xc3
     }
 }
 
-/// The disk is full in service and comes back: nothing is taken on meanwhile or all of it, as set, and every answer is in
-/// a line or in the count of those that are in none.
+/// The disk becomes full while the server runs, and recovers. Meanwhile the server rejects all requests or
+/// continues to serve, depending on `on_failure`. Every answer must be in a ledger line or counted as
+/// unbilled.
 #[test]
 fn a_full_disk_is_borne_as_set() {
     for (on_failure, rejects) in [("refuse", true), ("continue", false)] {
@@ -88,7 +93,7 @@
             if server.find_log("lines cannot be written").is_some() {
                 break;
             }
-            assert!(seed < 30, "the disk is never full");
+            assert!(seed < 30, "the ledger never reached the file size limit");
             sent += attempts(&send(&server, seed));
         }
         assert_eq!(is_healthy(server.address), !rejects);
@@ -111,7 +116,8 @@
     assert!(lifted.success());
 }
 
-/// Every attempt is in a line or in the count of those that are in none; there are such if `rejects`.
+/// Checks that every attempt is either billed or counted as unbilled, and that there are unbilled ones if and
+/// only if `rejects` is set.
 fn check_all_counted(folder: &Path, sent: u64, rejects: bool) {
     let ledger = text(folder.join("ledger"));
     let verified = ctl(&["ledger", "verify", &ledger, "--json"]);
@@ -122,14 +128,14 @@
     assert_eq!(unbilled > 0, rejects, "{unbilled}");
 }
 
-/// Returns the last batch of `n1` that the server which answers there knows.
+/// Returns the number of the last batch of `n1` that is known to the server at `peer`.
 fn last_known_batch(peer: &str) -> u64 {
-    let mut stream = TcpStream::connect(peer).expect("it answers");
+    let mut stream = TcpStream::connect(peer).expect("the peer listens");
     let request = DigestClaims { reporter: "test".to_owned(), claims: Vec::new() }.encode_to_vec();
     let frame = [&b"DLSPWIT1"[..], &(request.len() as u32).to_le_bytes(), &request].concat();
-    stream.write_all(&frame).expect("it takes");
+    stream.write_all(&frame).expect("the peer reads the request");
     let mut reply = Vec::new();
-    stream.read_to_end(&mut reply).expect("it tells");
+    stream.read_to_end(&mut reply).expect("the peer replies");
     let known = DigestClaims::decode(&reply[12..]).expect("claims");
     known.claims.iter().filter(|claim| claim.server == "n1").map(|claim| claim.batch).max().unwrap_or(0)
 }
@@ -141,7 +147,8 @@
     }
 }
 
-/// A ledger that is put back from an old copy: the server is told by another that knew it before.
+/// A ledger is restored from an old copy. The server detects this by the digests of a peer that has seen
+/// later batches.
 #[test]
 fn an_old_copy_of_a_ledger_is_noticed_by_the_others() {
     let (platform, folder) = (PlatformSettings::rounds(8), tempfile::tempdir().expect("a folder"));
@@ -163,10 +170,10 @@
     server.shut_down();
     copy_files(&folder.join("ledger"), &folder.join("copy"));
     let known = last_known_batch(peer);
-    // It makes further batches, which the other hears of.
+    // The server exports further batches, whose digests the other server receives.
     let mut server = start();
     server.wait_for_log("batch exported");
-    // Until the other knows of a batch that the copy does not.
+    // Wait until the other server knows a batch that is not in the copy.
     while last_known_batch(peer) <= known {
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -180,6 +187,6 @@
         mismatch.is_some_and(|text| text.contains("n2 knows batch") || text.contains("of n1 has one")),
         "{logged}"
     );
-    // The collector notices as well, by its watermark or the content.
+    // The collector also detects the old copy, by its watermark or by the content of a batch.
     server.wait_for_log("exports stopped");
 }
--- a/crates/ctl/tests/support/mod.rs
+++ b/crates/ctl/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A server with a ledger among fakes, as a process, and the commands of `dunlinspreadctl`.
+//! Runs a server with a ledger as a process with fake peers, and runs `dunlinspreadctl` commands.
 
 use dunlinspread_fakes::{
     ClientBehavior, FakeClients, FakeRegistry, FakeWorkerPool, Load, PlatformSettings, Tally,
@@ -13,42 +13,43 @@
 use std::time::{Duration, Instant};
 
 const CTL: &str = env!("CARGO_BIN_EXE_dunlinspreadctl");
-/// How long a log line may take: far beyond any delay of a working program.
+/// Maximum time to wait for a log line, far longer than any delay of a working server.
 const LOG_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time between two looks at the log.
+/// Interval at which the log is polled.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a server is started with.
+/// Options for starting a server.
 pub struct ServerOptions<'a> {
-    /// The server's name.
+    /// Name of the server.
     pub name: &'a str,
-    /// The folder of its files: the ledger is in `ledger`, the exports in `exports`.
+    /// Folder of the server's files: the ledger is in `ledger`, the exports in `exports`.
     pub folder: &'a Path,
-    /// Settings of the ledger, beside its folders.
+    /// Settings of the ledger, without those of its folders.
     pub settings: &'a str,
-    /// The limit of a file, in blocks of 512 bytes, or `unlimited`.
+    /// File size limit of the process, in blocks of 512 bytes, or `unlimited`.
     pub file_blocks: &'a str,
 }
 
 impl<'a> ServerOptions<'a> {
-    /// Returns the options of the server `n1`.
+    /// Returns options for the server `n1` without a file size limit.
     pub fn new(folder: &'a Path, settings: &'a str) -> ServerOptions<'a> {
         ServerOptions { name: "n1", folder, settings, file_blocks: "unlimited" }
     }
 }
 
-/// A server with a ledger, and its machine. Dropping it kills the process: a test that fails must not leave it behind.
+/// A server with a ledger, and the fakes of its peers. Dropping it kills the process, so that a failing test
+/// leaves no process behind.
 pub struct RunningServer {
-    /// The process.
+    /// The server process.
     pub child: Child,
-    /// The address on which it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
     _fakes: (FakeWorkerPool, FakeRegistry),
 }
 
 impl RunningServer {
-    /// Starts one and waits until it serves.
+    /// Starts a server and waits until it serves.
     pub fn start(platform: &PlatformSettings, options: &ServerOptions<'_>) -> RunningServer {
         let pool = FakeWorkerPool::start(platform, 1, WorkerPoolFaults::default()).expect("a pool");
         let registry = FakeRegistry::start().expect("a registry");
@@ -56,39 +57,40 @@
         let mut child = spawn(options, &config);
         let lines = BufReader::new(child.stderr.take().expect("a log")).lines().map_while(Result::ok);
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
-        std::thread::spawn(move || lines.for_each(|line| kept.lock().expect("whole").push(line)));
+        let log_lines = log.clone();
+        std::thread::spawn(move || lines.for_each(|line| log_lines.lock().expect("not poisoned").push(line)));
         let address = "127.0.0.1:0".parse().expect("an address");
         let mut server = RunningServer { child, address, log, _fakes: (pool, registry) };
         let serving = server.wait_for_log("\"serving\"");
-        server.address = serving["listen"].as_str().and_then(|a| a.parse().ok()).expect("an address");
+        server.address =
+            serving["listen"].as_str().and_then(|address| address.parse().ok()).expect("an address");
         server
     }
 
-    /// Returns the log line with these words, if there is one.
+    /// Returns the first log line that contains `words`, if there is one.
     pub fn find_log(&self, words: &str) -> Option<Value> {
-        let log = self.log.lock().expect("whole");
+        let log = self.log.lock().expect("not poisoned");
         let line = log.iter().find(|line| line.contains(words))?;
         Some(serde_json::from_str(line).expect("JSON"))
     }
 
-    /// Waits for a log line with these words and returns it.
+    /// Waits for a log line that contains `words` and returns it.
     pub fn wait_for_log(&self, words: &str) -> Value {
-        let until = Instant::now() + LOG_TIMEOUT;
+        let deadline = Instant::now() + LOG_TIMEOUT;
         loop {
             match self.find_log(words) {
                 Some(line) => return line,
-                None if Instant::now() > until => panic!("not logged: {words}; {:?}", self.log),
+                None if Instant::now() > deadline => panic!("not logged: {words}; {:?}", self.log),
                 None => std::thread::sleep(LOG_POLL_INTERVAL),
             }
         }
     }
 
-    /// Requests a graceful shutdown, which has to succeed.
+    /// Requests a graceful shutdown and checks that it succeeds.
     pub fn shut_down(&mut self) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", "TERM", &pid]).status().expect("kill").success());
-        assert!(self.child.wait().expect("it ends").success());
+        assert!(self.child.wait().expect("the server exits").success());
     }
 }
 
@@ -99,7 +101,7 @@
     }
 }
 
-/// Writes the server's files and starts its process.
+/// Writes the server's configuration files and starts its process.
 fn spawn(options: &ServerOptions<'_>, config: &str) -> Child {
     let ServerOptions { folder, settings, file_blocks, .. } = options;
     let operator = format!(
@@ -119,28 +121,28 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts")
+        .expect("the server starts")
 }
 
-/// Sends a load to a server and returns what became of it.
+/// Sends a load to a server and returns the clients' tally.
 pub fn send_load(platform: &PlatformSettings, server: &RunningServer, load: Load) -> Tally {
     let clients = FakeClients::start(platform, vec![server.address], load, ClientBehavior::default());
     clients.expect("clients").finish()
 }
 
-/// How a command ended.
+/// Result of a command.
 pub struct CommandOutput {
-    /// Its exit status was 0.
+    /// Whether the exit status was 0.
     pub succeeded: bool,
-    /// Its output's lines of JSON.
+    /// JSON lines of the standard output.
     pub rows: Vec<Value>,
-    /// What it wrote to standard error.
+    /// Text of the standard error.
     pub error: String,
 }
 
-/// Runs a command.
+/// Runs `dunlinspreadctl` with these arguments.
 pub fn ctl(args: &[&str]) -> CommandOutput {
-    let output = Command::new(CTL).args(args).output().expect("it runs");
+    let output = Command::new(CTL).args(args).output().expect("the command runs");
     let text = String::from_utf8_lossy(&output.stdout);
     CommandOutput {
         succeeded: output.status.success(),
@@ -149,10 +151,10 @@
     }
 }
 
-/// Returns the requests of a tenant in rows of usage.
+/// Returns the sum of a tenant's requests in rows of usage.
 pub fn requests_of(rows: &[Value], tenant: &str) -> i64 {
-    let own = rows.iter().filter(|row| row["society"] == tenant);
-    own.filter_map(|row| row["requests"].as_i64()).sum()
+    let tenant_rows = rows.iter().filter(|row| row["society"] == tenant);
+    tenant_rows.filter_map(|row| row["requests"].as_i64()).sum()
 }
 
 /// Returns a path as text.
