--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,5 @@
-//! The built host of the simulator's instances, driven over pipes.
+//! Tests of the built `dunlinspread-wirehost` binary, which hosts simulator instances and reads its input
+//! from a pipe.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,19 +10,19 @@
 specifics.memory_kb=10000 specifics.key_kb=10 specifics.run_factor=4 specifics.say=share_of \
 safety.fall_multiple=5 brand.new_key=x,y tick_ms=5";
 
-fn drive(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_dunlinspread-wirehost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    child.stdin.take().expect("stdin").write_all(input.as_bytes()).expect("input is taken");
-    child.wait_with_output().expect("the adapter ends")
+    child.stdin.take().expect("stdin").write_all(input.as_bytes()).expect("writing the input");
+    child.wait_with_output().expect("waiting for the adapter to exit")
 }
 
 fn replies(input: &str) -> Vec<String> {
-    let output = drive(input);
+    let output = run_adapter(input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).expect("utf-8");
     text.split_terminator("END\n").map(str::to_owned).collect()
@@ -44,12 +45,12 @@
     let lines: Vec<&str> = replies[0].lines().collect();
     assert!(lines.contains(&"HINT_OUT i=3 level=1"));
     assert!(lines.contains(&"REPORT_HEALTH i=3 active=1 from_state=1"));
-    let at = |start: &str| {
+    let index_of = |start: &str| {
         let position = lines.iter().position(|line| line.starts_with(start));
         position.unwrap_or_else(|| panic!("{start}: {lines:?}"))
     };
-    assert!(at("REMEMBER i=3 xid=c:a keep_for_ms=") < at("PROCESS i=3 xid=c:a"));
-    assert!(at("PROCESS i=3 xid=c:a") < at("ECHO i=3 xid=c:b"));
+    assert!(index_of("REMEMBER i=3 xid=c:a keep_for_ms=") < index_of("PROCESS i=3 xid=c:a"));
+    assert!(index_of("PROCESS i=3 xid=c:a") < index_of("ECHO i=3 xid=c:b"));
     assert!(replies[1].starts_with("WAKE_ME i=3 mark=1 offset_ms="));
 }
 
@@ -70,13 +71,13 @@
     let one = "ARRIVAL i=3 xid=c:a profile=0 mem_kb=5";
     let alone = replies(&format!("CLOCK time_ms=1\n{BOOT}\n{one}\nFLUSH\n"));
     let both = replies(&format!("CLOCK time_ms=1\n{other}\n{BOOT}\n{one}\nFLUSH\n"));
-    let of_3: Vec<&str> = both[0].lines().filter(|line| line.contains("i=3")).collect();
-    assert_eq!(alone[0].lines().collect::<Vec<_>>(), of_3);
+    let lines_of_instance_3: Vec<&str> = both[0].lines().filter(|line| line.contains("i=3")).collect();
+    assert_eq!(alone[0].lines().collect::<Vec<_>>(), lines_of_instance_3);
 }
 
 #[test]
 fn malformed_input_ends_it_with_the_line_and_field_and_no_partial_reply() {
-    for (bad, words) in [
+    for (bad, parts) in [
         ("WHATEVER i=3", vec!["line 3", "WHATEVER", "unknown"]),
         ("ARRIVAL i=3 profile=0", vec!["line 3", "ARRIVAL", "`xid`"]),
         ("ARRIVAL i=3 xid=c:a profile=many", vec!["line 3", "`profile`", "many"]),
@@ -86,16 +87,16 @@
         ("WIND_DOWN i=3", vec!["line 3", "`deadline_ms`"]),
         ("CLOCK time_ms=2", vec!["line 3", "CLOCK"]),
     ] {
-        let output = drive(&format!("CLOCK time_ms=1\n{BOOT}\n{bad}\nFLUSH\n"));
+        let output = run_adapter(&format!("CLOCK time_ms=1\n{BOOT}\n{bad}\nFLUSH\n"));
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{bad}");
         assert!(output.stdout.is_empty(), "{bad}");
-        assert!(words.iter().all(|word| error.contains(word)), "{bad}: {error}");
+        assert!(parts.iter().all(|part| error.contains(part)), "{bad}: {error}");
         assert!(!error.contains("panicked"));
     }
-    let output = drive(&format!("CLOCK time_ms=1\n{BOOT}\n"));
+    let output = run_adapter(&format!("CLOCK time_ms=1\n{BOOT}\n"));
     assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("inside a batch"));
-    let output = drive("FLUSH\n");
+    let output = run_adapter("FLUSH\n");
     assert!(!output.status.success());
 }
 
@@ -118,7 +119,7 @@
         ("RING i=3 mark=1 stats=core_use:high", "RING: field `stats` has an invalid value: high"),
         ("BOOT i=4", "BOOT: field `nonce64` is missing"),
     ] {
-        let output = drive(&format!("{start}{message}\nFLUSH\n"));
+        let output = run_adapter(&format!("{start}{message}\nFLUSH\n"));
         let expected = format!("dunlinspread-wirehost: line 3: {error}\n");
         assert_eq!(String::from_utf8_lossy(&output.stderr), expected);
     }
@@ -127,7 +128,7 @@
         ("CLOCK time_ms=1\n", "line 2: the input ends inside a batch"),
         ("CLOCK\n", "line 1: CLOCK: field `time_ms` is missing"),
     ] {
-        let output = drive(input);
+        let output = run_adapter(input);
         assert_eq!(String::from_utf8_lossy(&output.stderr), format!("dunlinspread-wirehost: {error}\n"));
     }
 }
--- a/tests/admission/mod.rs
+++ b/tests/admission/mod.rs
@@ -1,6 +1,6 @@
-//! The parts of the admission controller that the request table is made of and asked by, as they stand, so that their
-//! own interfaces can be tested.
-#![allow(dead_code, reason = "of the parts as they stand, some is not used here")]
+//! Tests of the request table and of the parts of the admission controller that query it, through their
+//! internal interfaces. The source files are included unchanged.
+#![allow(dead_code, reason = "the files are included unchanged, and only a part of them is used")]
 
 #[path = "../../src/admission/action.rs"]
 mod action;
--- a/tests/admission/operations.rs
+++ b/tests/admission/operations.rs
@@ -1,4 +1,4 @@
-//! Random changes of requests.
+//! Random operations on the request table.
 
 use super::event::RequestId;
 use super::request::{Request, RequestState};
@@ -8,25 +8,26 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// The ids are below this, so that most changes meet a request that is there.
+/// Upper bound of the request ids, so small that most operations find an existing request.
 pub(super) const IDS: RequestId = 24;
-/// The number of classes.
+/// Number of classes.
 pub(super) const CLASSES: usize = 4;
 
-/// The variable of the seed, and the seed where the environment sets none.
+/// Environment variable with the seed.
 const SEED_VARIABLE: &str = "REQUEST_TABLE_SEED";
+/// Seed used if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
 
-/// Returns the configuration of so many cases; prints the seed.
+/// Returns a configuration with the given number of cases and the seed, which it prints.
 pub(super) fn seeded(cases: u32) -> ProptestConfig {
-    let stated = std::env::var(SEED_VARIABLE).ok();
-    let seed = stated.map_or(DEFAULT_SEED, |seed| seed.parse().expect("a number in REQUEST_TABLE_SEED"));
+    let seed_text = std::env::var(SEED_VARIABLE).ok();
+    let seed = seed_text.map_or(DEFAULT_SEED, |seed| seed.parse().expect("a number in REQUEST_TABLE_SEED"));
     println!("{SEED_VARIABLE}={seed}");
     let rng_seed = RngSeed::Fixed(seed);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-/// A change.
+/// An operation on the request table, the reservations or the run estimates.
 #[derive(Clone, Debug)]
 pub(super) enum Operation {
     Insert(RequestId, Request),
@@ -40,11 +41,11 @@
         class: usize,
         took_ms: f64,
     },
-    /// Time goes on, or back by a negative amount.
+    /// Advances time, ms; a negative amount turns it back.
     Wait(f64),
 }
 
-/// Returns settings with classes that differ in what becomes of late requests.
+/// Returns settings with classes that treat late requests differently.
 pub(super) fn settings(preemption: Preemption) -> Settings {
     let class = |retry_safety, late_weight| Class {
         retry_safety,
@@ -71,12 +72,12 @@
     }
 }
 
-/// Returns a sequence of changes.
+/// Returns sequences of operations.
 pub(super) fn operations() -> impl Strategy<Value = Vec<Operation>> {
     vec(operation(), 1..120)
 }
 
-/// Returns a way to preempt.
+/// Returns preemption modes.
 pub(super) fn preemption() -> impl Strategy<Value = Preemption> {
     prop_oneof![Just(Preemption::Off), Just(Preemption::Abort), Just(Preemption::Suspend)]
 }
@@ -108,7 +109,7 @@
     ]
 }
 
-/// Times are often equal, and some differ by less than a value can show.
+/// Returns times that are often equal; some differ by less than the precision of a request's value.
 fn time() -> impl Strategy<Value = f64> {
     (0..30_u32, prop_oneof![3 => Just(0.0), 1 => Just(1e-9), 1 => Just(2e-9)])
         .prop_map(|(step, shift)| f64::from(step) * 10.0 + shift)
--- a/tests/admission/plain_table.rs
+++ b/tests/admission/plain_table.rs
@@ -1,4 +1,4 @@
-//! The table of requests without any index: every question walks over all requests.
+//! Reference table of requests without an index: each query visits all requests.
 
 use super::event::RequestId;
 use super::idempotency::IdempotencyReservations;
@@ -9,18 +9,18 @@
 use super::shutdown::Shutdown;
 use std::collections::BTreeMap;
 
-/// Value of an ms until the latency objective, as the scheduler has it.
+/// Value of 1 ms until the latency objective, equal to the scheduler's.
 const URGENCY_PER_MS: f64 = 1e-12;
-/// Time by which a request is answered early beside two ticks, ms.
+/// Time by which a request is answered early in addition to two ticks, ms.
 const TIMER_PERIOD_MS: f64 = 50.0;
 
-/// The table.
+/// Reference table of requests.
 #[derive(Default)]
 pub(super) struct PlainTable {
     pub(super) requests: BTreeMap<RequestId, Request>,
 }
 
-/// What questions depend on beside the requests.
+/// Inputs of the queries other than the requests.
 pub(super) struct Moment<'a> {
     pub(super) now: f64,
     pub(super) idle: bool,
@@ -41,13 +41,13 @@
 
     pub(super) fn promote_duplicate(&mut self, id: RequestId) -> Option<RequestId> {
         let duplicates = self.queued_duplicates(id);
-        let heir = *duplicates.first()?;
+        let promoted = *duplicates.first()?;
         for duplicate in duplicates {
             if let Some(request) = self.requests.get_mut(&duplicate) {
-                request.duplicate_of = (duplicate != heir).then_some(heir);
+                request.duplicate_of = (duplicate != promoted).then_some(promoted);
             }
         }
-        Some(heir)
+        Some(promoted)
     }
 
     pub(super) fn queued_duplicates(&self, id: RequestId) -> Vec<RequestId> {
@@ -138,9 +138,9 @@
             RequestState::Queued => {
                 let too_late =
                     moment.shutdown.is_some_and(|shutdown| shutdown.is_after_grace(request.arrived_at));
-                let missed = moment.misses_objective(request);
+                let misses_objective = moment.misses_objective(request);
                 too_late && !self.waits_for_original(request)
-                    || missed && (class.late_weight <= 0.0 || moment.overloaded)
+                    || misses_objective && (class.late_weight <= 0.0 || moment.overloaded)
             }
             RequestState::Running => {
                 moment.settings.preemption != Preemption::Off && moment.is_worthless(request, class)
--- a/tests/admission/reservations.rs
+++ b/tests/admission/reservations.rs
@@ -1,4 +1,4 @@
-//! The reservations against a plain map.
+//! Compares the reservations of idempotency keys with a map.
 
 use super::action::Action;
 use super::event::RequestId;
@@ -10,12 +10,12 @@
 use proptest::{prop_assert_eq, proptest};
 use std::collections::BTreeMap;
 
-/// How long a result is shared, ms.
+/// Time during which a result is shared, ms.
 const SHARED_RESULT_TTL_MS: f64 = 30.0;
-/// The ids are below this.
+/// Upper bound of the request ids.
 const IDS: RequestId = 8;
 
-/// A change.
+/// An operation on the reservations.
 #[derive(Clone, Debug)]
 enum Operation {
     Reserve { id: RequestId, class: usize },
@@ -36,7 +36,7 @@
     ]
 }
 
-/// Returns the ids that the actions release.
+/// Returns the ids of the requests whose keys the actions release.
 fn released(actions: &[Action]) -> Vec<RequestId> {
     let id = |action: &Action| match action {
         Action::ReleaseKey(id) => Some(*id),
@@ -48,11 +48,12 @@
 proptest! {
     #![proptest_config(seeded(512))]
 
-    /// Guards against a reservation that expires early, late or never because its place in the order was left behind.
+    /// Guards against a reservation that expires early, late or never because its entry in the expiry order
+    /// is stale.
     #[test]
     fn reservations_expire_as_a_walk_over_all_of_them_does(operations in vec(operation(), 1..80)) {
-        let stated = settings(Preemption::Off);
-        let settings = Settings { shared_result_ttl_ms: SHARED_RESULT_TTL_MS, ..stated };
+        let base = settings(Preemption::Off);
+        let settings = Settings { shared_result_ttl_ms: SHARED_RESULT_TTL_MS, ..base };
         let mut reservations = IdempotencyReservations::new(&settings);
         let mut plain: BTreeMap<RequestId, f64> = BTreeMap::new();
         let mut now = 0.0;
--- a/tests/admission/table.rs
+++ b/tests/admission/table.rs
@@ -1,4 +1,4 @@
-//! The request table against the plain one.
+//! Compares the request table with the reference table.
 
 use super::concurrency_limit::SaturatedClasses;
 use super::deadlines::DeadlineCheck;
@@ -16,10 +16,10 @@
 use proptest::test_runner::TestCaseError;
 use proptest::{prop_assert_eq, proptest};
 
-/// Part of the larger of two sums of memory by which rounding may set them apart.
+/// Relative difference of two sums of memory that rounding may cause.
 const ROUNDING: f64 = 1e-12;
 
-/// Both tables, and what questions depend on.
+/// Both tables, and the other inputs of their queries.
 struct Pair {
     settings: Settings,
     estimates: RunEstimates,
@@ -115,7 +115,7 @@
         let settings = Settings { memory_kb: 0.0, run_memory_factor: 3.0, ..self.settings.clone() };
         let used_kb = -MemoryBudget::new(&settings).free_kb(totals, 0);
         let plain_kb = self.plain.used_kb(settings.run_memory_factor);
-        assert!((used_kb - plain_kb).abs() <= ROUNDING * plain_kb, "{used_kb} kB, walked {plain_kb} kB");
+        assert!((used_kb - plain_kb).abs() <= ROUNDING * plain_kb, "{used_kb} kB, reference {plain_kb} kB");
         Ok(())
     }
 
@@ -160,8 +160,8 @@
         for closed_class in [None, Some(0), Some(1)] {
             let is_open = |class: usize| Some(class) != closed_class;
             let best = scheduler.best(|group: ReadyGroup| is_open(group.class), fits);
-            let walked = self.plain.best(&moment, |request| is_open(request.class) && fits(request));
-            prop_assert_eq!(best, walked);
+            let expected = self.plain.best(&moment, |request| is_open(request.class) && fits(request));
+            prop_assert_eq!(best, expected);
         }
         Ok(())
     }
@@ -182,7 +182,7 @@
 proptest! {
     #![proptest_config(seeded(512))]
 
-    /// Guards against an index that a change of a request leaves behind.
+    /// Guards against an index that becomes stale when a request changes.
     #[test]
     fn the_table_answers_as_a_walk_over_all_requests_does(preemption in preemption(), operations in operations()) {
         let mut pair = Pair::new(preemption);
--- a/tests/allowances.rs
+++ b/tests/allowances.rs
@@ -1,5 +1,6 @@
-//! Tenants' counters that decay one by one decide as those did that were all decayed with each timer and summed with
-//! each arrival: the controller, compiled here a second time over that old computation, does the same, event by event.
+//! Compares the admission controller with a second copy of it, compiled over a simple implementation of the
+//! tenants' decaying counts. The simple implementation decays all counts at each timer and sums them at each
+//! arrival. Both controllers must return the same actions for each event.
 
 use common::settings;
 use dunlinspread::{
@@ -14,7 +15,7 @@
 
 mod common;
 
-/// The old computation, which walks through all members, in place of `src/decaying_counts.rs`.
+/// Reference implementation, which visits all members, in place of `src/decaying_counts.rs`.
 mod decaying_counts {
     #[derive(Default)]
     pub struct DecayingCounts(Vec<f64>);
@@ -50,25 +51,29 @@
     }
 }
 
-#[allow(dead_code, unused_imports, reason = "the module as it stands, of which a part is used here")]
+#[allow(
+    dead_code,
+    unused_imports,
+    reason = "the module is included unchanged, and only a part of it is used"
+)]
 #[path = "../src/admission/mod.rs"]
 mod admission;
 
-/// Builds a struct of the second controller from the fields, all of them, of the first one's.
+/// Builds a struct of the reference controller from all fields of the tested controller's struct.
 macro_rules! copy_fields {
     ($target:ident, $source:expr, $($field:ident),+ $(,)?) => {
         admission::$target { $($field: $source.$field.clone()),+ }
     };
 }
 
-/// The variant of the second controller's enum that has the same name.
+/// Converts an enum value to the variant of the same name in the reference controller.
 macro_rules! same_variant {
     ($enum:ident, $value:expr, $($variant:ident),+ $(,)?) => {
         match $value { $($enum::$variant => admission::$enum::$variant),+ }
     };
 }
 
-fn second_class(class: &Class) -> admission::Class {
+fn reference_class(class: &Class) -> admission::Class {
     let retry_safety = same_variant!(RetrySafety, class.retry_safety, Idempotent, IdempotencyKey, AtMostOnce);
     admission::Class {
         retry_safety,
@@ -83,7 +88,7 @@
     }
 }
 
-fn second_settings(settings: &Settings) -> admission::Settings {
+fn reference_settings(settings: &Settings) -> admission::Settings {
     admission::Settings {
         seed: settings.seed,
         server_count: settings.server_count,
@@ -112,13 +117,13 @@
         client_count: settings.client_count,
         client_idle_timeout_ms: settings.client_idle_timeout_ms,
         over_quota_weight: settings.over_quota_weight,
-        classes: settings.classes.iter().map(second_class).collect(),
+        classes: settings.classes.iter().map(reference_class).collect(),
         tenant_quotas: settings.tenant_quotas.clone(),
         class_limits: settings.class_limits.clone(),
     }
 }
 
-fn second_outcome(outcome: Outcome) -> admission::Outcome {
+fn reference_outcome(outcome: Outcome) -> admission::Outcome {
     same_variant!(
         Outcome,
         outcome,
@@ -134,8 +139,8 @@
     )
 }
 
-/// The same event for the second controller.
-fn second_event(event: &Event) -> admission::Event {
+/// Converts an event for the reference controller.
+fn reference_event(event: &Event) -> admission::Event {
     match event {
         Event::Start => admission::Event::Start,
         Event::Arrival(arrival) => admission::Event::Arrival(copy_fields!(
@@ -154,7 +159,7 @@
             duplicate_of,
         )),
         Event::RunEnded { id, outcome, took_ms } => {
-            let outcome = second_outcome(*outcome);
+            let outcome = reference_outcome(*outcome);
             admission::Event::RunEnded { id: *id, outcome, took_ms: *took_ms }
         }
         Event::ClientGone(id) => admission::Event::ClientGone(*id),
@@ -162,50 +167,50 @@
             let gauges = copy_fields!(Gauges, gauges, busy, run_queue, memory, connections);
             admission::Event::Timer { token: *token, gauges }
         }
-        other => panic!("no play has this event: {other:?}"),
+        other => panic!("event is not part of the comparison: {other:?}"),
     }
 }
 
-/// What a play is made of.
+/// Parameters of a generated sequence of events.
 #[derive(Clone, Debug)]
-struct Plan {
+struct Scenario {
     seed: u64,
     tenants: usize,
     servers: f64,
-    /// Timers in all, beside those of long idle times.
+    /// Number of timers outside of the idle time.
     timers: usize,
-    /// Timers of the one long idle time.
+    /// Number of timers in the one long idle time.
     idle_timers: usize,
 }
 
-/// Both modules, told the same.
-struct Play {
-    plan: Plan,
+/// The tested controller and the reference controller, which receive the same events.
+struct Comparison {
+    scenario: Scenario,
     rng: ChaCha8Rng,
-    new: AdmissionController,
-    old: admission::AdmissionController,
+    controller: AdmissionController,
+    reference: admission::AdmissionController,
     now: f64,
     next: RequestId,
     running: VecDeque<RequestId>,
     open: BTreeSet<RequestId>,
-    /// Rejections under the threshold, the action that depends most on quotas.
+    /// Number of rejections below the priority threshold, the action that depends most on quotas.
     shed: usize,
-    /// Arrivals admitted under the same conditions.
+    /// Number of arrivals admitted under the same conditions.
     admitted: usize,
 }
 
-impl Play {
-    fn new(plan: Plan) -> Play {
-        let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
+impl Comparison {
+    fn new(scenario: Scenario) -> Comparison {
+        let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
         let allowances = [0.0, 0.0, 0.01, 1.0, 5.0, 20.0, 400.0, 1e9];
         let usual = allowances[rng.random_range(2..allowances.len())];
-        let tenants = (0..plan.tenants).map(|_| match rng.random_range(0..3) {
+        let tenants = (0..scenario.tenants).map(|_| match rng.random_range(0..3) {
             0 => allowances[rng.random_range(0..allowances.len())],
             _ => usual,
         });
         let tenants = tenants.collect();
         let settings = Settings {
-            server_count: plan.servers,
+            server_count: scenario.servers,
             tenant_quotas: tenants,
             memory_kb: 3000.0,
             retry_after: true,
@@ -213,10 +218,10 @@
             over_quota_weight: 0.05,
             ..settings()
         };
-        Play {
-            new: AdmissionController::new(0.0, settings.clone()),
-            old: admission::AdmissionController::new(0.0, second_settings(&settings)),
-            plan,
+        Comparison {
+            controller: AdmissionController::new(0.0, settings.clone()),
+            reference: admission::AdmissionController::new(0.0, reference_settings(&settings)),
+            scenario,
             rng,
             now: 0.0,
             next: 0,
@@ -227,20 +232,21 @@
         }
     }
 
-    /// Tells both, which have to do the same, and notes what was done.
+    /// Sends an event to both controllers, asserts that both behave the same, and records the actions.
     fn dispatch_event(&mut self, event: Event) {
-        let (mut new, mut old) = (Vec::new(), Vec::new());
-        let context = format!("{:?}, at {} ms: {event:?}", self.plan, self.now);
-        self.old.on_event(self.now, second_event(&event), &mut old);
-        self.new.on_event(self.now, event, &mut new);
-        // The text of a number gives it to the last digit; NaN alone would equal itself here.
-        let (new_text, old_text) = (format!("{new:?}"), format!("{old:?}"));
-        assert!(!new_text.contains("NaN"), "{context}: {new_text}");
-        assert_eq!(new_text, old_text, "{context}");
-        let new_state = (self.new.level(), self.new.priority_threshold());
-        let old_state = (self.old.level(), self.old.priority_threshold());
-        assert_eq!(new_state, old_state, "{context}");
-        for action in new {
+        let (mut actions, mut reference_actions) = (Vec::new(), Vec::new());
+        let context = format!("{:?}, at {} ms: {event:?}", self.scenario, self.now);
+        self.reference.on_event(self.now, reference_event(&event), &mut reference_actions);
+        self.controller.on_event(self.now, event, &mut actions);
+        // Numbers are formatted exactly, so that equal texts mean equal actions; NaN is excluded because its
+        // text would equal itself.
+        let (text, reference_text) = (format!("{actions:?}"), format!("{reference_actions:?}"));
+        assert!(!text.contains("NaN"), "{context}: {text}");
+        assert_eq!(text, reference_text, "{context}");
+        let state = (self.controller.level(), self.controller.priority_threshold());
+        let reference_state = (self.reference.level(), self.reference.priority_threshold());
+        assert_eq!(state, reference_state, "{context}");
+        for action in actions {
             match action {
                 Action::Run(id) => self.running.push_back(id),
                 Action::Reject { id, do_not_retry: last, .. } => {
@@ -262,7 +268,8 @@
             class: if self.rng.random_bool(0.2) { 2 } else { 0 },
             tenant,
             request_kb: 20.0,
-            // Mostly of the highest priority: what the threshold then rejects is over its quota.
+            // Mostly of the highest priority: a request that the threshold then rejects is over its tenant's
+            // quota.
             priority: if self.rng.random_bool(0.7) { 1.0 } else { self.rng.random() },
             is_retry: self.rng.random_bool(0.05),
             ..Arrival::default()
@@ -284,29 +291,29 @@
         self.dispatch_event(Event::Timer { token: 1, gauges });
     }
 
-    /// A tenant: the flooding one, or one of few by an uneven chance, or any.
+    /// Returns the flooding tenant, or a random one: low numbers are drawn far more often than high ones.
     fn tenant(&mut self, flood: Option<usize>) -> usize {
-        let tenants = self.plan.tenants;
+        let tenants = self.scenario.tenants;
         match flood {
             Some(tenant) if self.rng.random_bool(0.9) => tenant,
-            // One past the list has no allowance.
+            // The number after the last tenant has no quota.
             _ if self.rng.random_bool(0.01) => tenants,
             _ => (self.rng.random::<f64>().powi(6) * tenants as f64) as usize,
         }
     }
 
-    fn play(mut self) -> Play {
+    fn run(mut self) -> Comparison {
         self.dispatch_event(Event::Start);
-        let (mut flood, mut most, mut loaded) = (None, 4, false);
-        let idle_at = self.rng.random_range(0..self.plan.timers);
-        for at in 0..self.plan.timers {
+        let (mut flood, mut max_arrivals, mut is_loaded) = (None, 4, false);
+        let idle_at = self.rng.random_range(0..self.scenario.timers);
+        for at in 0..self.scenario.timers {
             if at % 100 == 0 {
-                let tenant = self.rng.random_range(0..self.plan.tenants);
+                let tenant = self.rng.random_range(0..self.scenario.tenants);
                 flood = self.rng.random_bool(0.5).then_some(tenant);
-                most = [1, 4, 20][self.rng.random_range(0..3)];
-                loaded = self.rng.random_bool(0.7);
+                max_arrivals = [1, 4, 20][self.rng.random_range(0..3)];
+                is_loaded = self.rng.random_bool(0.7);
             }
-            for _ in 0..self.rng.random_range(0..=most) {
+            for _ in 0..self.rng.random_range(0..=max_arrivals) {
                 self.now += self.rng.random_range(0.0..2.0);
                 let tenant = self.tenant(flood);
                 self.arrive(tenant);
@@ -321,21 +328,21 @@
             }
             (0..2).for_each(|_| self.end_one());
             self.now += 50.0;
-            let queue = if loaded { 30.0 } else { 1.0 };
-            self.timer(if loaded { 1.0 } else { 0.4 }, queue);
+            let queue = if is_loaded { 30.0 } else { 1.0 };
+            self.timer(if is_loaded { 1.0 } else { 0.4 }, queue);
             if at == idle_at {
-                self.rest();
+                self.idle();
             }
         }
         self
     }
 
-    /// Nothing arrives for long.
-    fn rest(&mut self) {
+    /// Ends all runs, and advances through the idle time, in which nothing arrives.
+    fn idle(&mut self) {
         while !self.running.is_empty() {
             self.end_one();
         }
-        for _ in 0..self.plan.idle_timers {
+        for _ in 0..self.scenario.idle_timers {
             self.now += 50.0;
             self.timer(0.0, 0.0);
         }
@@ -349,14 +356,15 @@
         for seed in 0..6 {
             let servers = [1.0, 20.0, 7100.0][seed as usize % 3];
             let idle_timers = [100, 1000, 12_000][seed as usize / 2 % 3] * 200 / tenants.max(200);
-            let play = Play::new(Plan { seed, tenants, servers, timers: 200, idle_timers }).play();
-            (shed, admitted) = (shed + play.shed, admitted + play.admitted);
+            let comparison =
+                Comparison::new(Scenario { seed, tenants, servers, timers: 200, idle_timers }).run();
+            (shed, admitted) = (shed + comparison.shed, admitted + comparison.admitted);
         }
     }
-    println!("{shed} arrivals fell under the threshold, {admitted} were admitted");
+    println!("{shed} arrivals were below the threshold, {admitted} were admitted");
     assert!(
         shed > 1000 && admitted > 1000,
-        "{shed} fell under the threshold, {admitted} were admitted: too few to tell"
+        "{shed} were below the threshold, {admitted} were admitted: too few to compare"
     );
 }
 
@@ -371,6 +379,6 @@
         timers in 1_usize..150,
         idle_timers in prop_oneof![Just(0), 1_usize..300, 300_usize..3000],
     ) {
-        Play::new(Plan { seed, tenants, servers, timers, idle_timers }).play();
+        Comparison::new(Scenario { seed, tenants, servers, timers, idle_timers }).run();
     }
 }
--- a/tests/body_hasher.rs
+++ b/tests/body_hasher.rs
@@ -1,4 +1,4 @@
-//! The hash of request bodies: an HMAC-SHA256 that depends on its key and on the whole body.
+//! Tests of the hash of request bodies, an HMAC-SHA256 that depends on its key and on the whole body.
 
 use dunlinspread::server::dispatcher::{BODY_HASH_KEY_BYTES, BodyHasher};
 
@@ -9,7 +9,7 @@
     padded
 }
 
-/// Cases 1 and 2 of RFC 4231, cut to their first 64 bits.
+/// Checks test cases 1 and 2 of RFC 4231, truncated to their first 64 bits.
 #[test]
 fn the_hash_is_the_start_of_an_hmac_sha256() {
     assert_eq!(BodyHasher::with_key(padded(&[0x0b; 20])).hash(b"Hi There"), 0xb034_4c61_d8db_3853);
@@ -24,7 +24,7 @@
     let long = vec![7; 100_000];
     for body in [&b""[..], b"a", b"b", &long] {
         assert_eq!(one.hash(body), same.hash(body));
-        assert_ne!(one.hash(body), other.hash(body), "two drawn keys are the same");
+        assert_ne!(one.hash(body), other.hash(body), "two random keys are equal");
     }
     assert_ne!(one.hash(b"a"), one.hash(b"b"));
     assert_ne!(one.hash(&long), one.hash(&long[1..]));
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: the output and the errors of `check`, and the formats of the log.
+//! Tests of the command line: the output and errors of `check`, and the formats of the log.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -6,13 +6,13 @@
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
-/// Writes the configuration files of one test to a separate folder.
+/// Writes the configuration files of one test to a separate folder and returns their paths.
 fn files(test: &str, operator: &str) -> (PathBuf, PathBuf) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&folder).expect("a folder");
     let (config, hcl) = (folder.join("config.json"), folder.join("operator.hcl"));
-    std::fs::write(&config, play::config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", &[])).expect("written");
-    std::fs::write(&hcl, operator).expect("written");
+    std::fs::write(&config, play::config("127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", &[])).expect("writing");
+    std::fs::write(&hcl, operator).expect("writing");
     (config, hcl)
 }
 
@@ -42,15 +42,15 @@
 fn check_fails_naming_file_and_key() {
     let (config, hcl) = files("check_faulty", "log {\n  colour = true\n}\n");
     let out = run(&["check"], &config, &hcl);
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(1));
-    assert!(said.contains("operator.hcl:2: log: `colour`: unknown field"), "{said}");
-    std::fs::write(&config, "{\"name\":7}").expect("written");
-    let said = String::from_utf8_lossy(&run(&["check"], &config, &hcl).stderr).into_owned();
-    assert!(said.contains("config.json: `name`: is not a non-empty string"), "{said}");
+    assert!(stderr.contains("operator.hcl:2: log: `colour`: unknown field"), "{stderr}");
+    std::fs::write(&config, "{\"name\":7}").expect("writing");
+    let stderr = String::from_utf8_lossy(&run(&["check"], &config, &hcl).stderr).into_owned();
+    assert!(stderr.contains("config.json: `name`: is not a non-empty string"), "{stderr}");
 }
 
-/// The program must accept the example file in `deploy/`.
+/// Asserts that the program accepts the example file in `deploy/`.
 #[test]
 fn the_example_is_valid() {
     let (config, _) = files("check_example", "");
@@ -62,7 +62,7 @@
 #[test]
 fn json_log_lines_are_valid_json() {
     let (config, hcl) = files("log_json", "");
-    // Nothing listens on the worker pool's address; the line `serving` is expected all the same.
+    // Nothing listens on the worker pool's address; the server still logs `serving`.
     let mut child = Command::new(env!("CARGO_BIN_EXE_dunlinspread"))
         .args(["serve", "--log-format", "json"])
         .env("RELAY_CONFIG", &config)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,11 @@
-//! A small driver for tests of the controller: plain settings, and a log of what was done.
+//! A small driver for tests of the admission controller, with simple settings.
 #![allow(dead_code)]
 
 use dunlinspread::{
     Action, AdmissionController, Arrival, Class, Event, Gauges, Outcome, RetrySafety, Settings, Signal,
 };
 
+/// Returns a class with the given retry safety.
 pub fn class(retry_safety: RetrySafety) -> Class {
     Class {
         retry_safety,
@@ -19,7 +20,8 @@
     }
 }
 
-/// Two cores; class 0 safe, 1 keyed, 2 unsafe.
+/// Returns settings with two cores and three classes: 0 is idempotent, 1 has idempotency keys, 2 runs at most
+/// once.
 pub fn settings() -> Settings {
     Settings {
         seed: 1,
@@ -44,6 +46,7 @@
     }
 }
 
+/// An admission controller in virtual time.
 pub struct Driver {
     pub controller: AdmissionController,
     pub now: f64,
@@ -57,45 +60,50 @@
         driver
     }
 
+    /// Sends an event to the controller and returns its actions.
     pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.controller.on_event(self.now, event, &mut actions);
         actions
     }
 
+    /// Returns an arrival of the class with a new id and medium priority.
     pub fn arrival(&mut self, class: usize) -> Arrival {
         self.next += 1;
         Arrival { id: self.next, class, request_kb: 20.0, priority: 0.5, ..Arrival::default() }
     }
 
-    /// An arrival of the class at a middling rank: its id and what was done.
+    /// Sends an arrival of the class and returns its id and the actions.
     pub fn arrive(&mut self, class: usize) -> (u64, Vec<Action>) {
         let arrival = self.arrival(class);
         (arrival.id, self.send(Event::Arrival(arrival)))
     }
 
+    /// Sends a duplicate of a request and returns its id and the actions.
     pub fn repeat(&mut self, class: usize, duplicate_of: u64) -> (u64, Vec<Action>) {
         let arrival = Arrival { duplicate_of: Some(duplicate_of), ..self.arrival(class) };
         (arrival.id, self.send(Event::Arrival(arrival)))
     }
 
+    /// Ends a run after 100 ms and returns the actions.
     pub fn end(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
         self.send(Event::RunEnded { id, outcome, took_ms: 100.0 })
     }
 
-    /// A running request makes progress: it comes to a call, which is answered.
+    /// Has a running request make progress: it needs an upstream call, which succeeds.
     pub fn progress(&mut self, id: u64) {
         self.send(Event::UpstreamCallNeeded(id));
         self.send(Event::UpstreamCallEnded { id, outcome: Outcome::Ok, took_ms: 1.0 });
     }
 
-    /// The periodic timer, with these gauges, 50 ms on.
+    /// Advances time by 50 ms and sends the periodic timer with these gauges.
     pub fn tick(&mut self, busy: f64, run_queue: f64) -> Vec<Action> {
         self.now += 50.0;
         let gauges = Gauges { busy: Some(busy), run_queue: Some(run_queue), ..Gauges::default() };
         self.send(Event::Timer { token: 1, gauges })
     }
 
+    /// Sends periodic timers under full load until the given time and returns all actions.
     pub fn run_until(&mut self, until: f64) -> Vec<Action> {
         let mut all = Vec::new();
         while self.now < until {
@@ -105,16 +113,19 @@
     }
 }
 
+/// Returns whether the actions run the request.
 pub fn runs(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Run(id))
 }
 
+/// Returns how often the actions fail or reject the request.
 pub fn answers(actions: &[Action], id: u64) -> usize {
     let answers =
         |action: &&Action| matches!(action, Action::Fail(x) | Action::Reject { id: x, .. } if *x == id);
     actions.iter().filter(answers).count()
 }
 
+/// Returns whether the actions reject the request.
 pub fn rejected(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { id: x, .. } if *x == id))
 }
--- a/tests/config_sync.rs
+++ b/tests/config_sync.rs
@@ -1,4 +1,4 @@
-//! The built server with distributed configuration, on real sockets with a publisher and a relay.
+//! Tests of distributed configuration in the built server, on real sockets with a publisher and a relay.
 
 mod fleet;
 
@@ -40,7 +40,7 @@
     site.fleet.put(vec![put_route("shelf", "print"), put_tenant("new", 50)]);
     assert_eq!(client.request("shelf", "new"), ResponseKind::Completed);
     assert_eq!(site.pool.started(), ["read", "print"]);
-    // A class's own name comes before a route's.
+    // The name of a class takes precedence over a route of the same name.
     site.fleet.put(vec![put_route("read", "print"), put_route("shelf", "read")]);
     assert_eq!(
         (client.request("read", "t0"), client.request("shelf", "t0")),
@@ -50,10 +50,15 @@
     site.fleet.put(vec![delete_route("shelf"), delete_tenant("new"), delete_tenant("t1")]);
     assert_eq!(client.request("shelf", "t0"), ResponseKind::Invalid);
     assert_eq!(client.request("read", "new"), ResponseKind::Invalid);
-    assert_eq!(client.request("read", "t1"), ResponseKind::Completed, "the platform's tenant stays");
+    assert_eq!(
+        client.request("read", "t1"),
+        ResponseKind::Completed,
+        "a tenant of the platform's settings is kept"
+    );
 }
 
-/// An attempt with an idempotency key is recognised after its route was led to another class.
+/// Sends two attempts with one idempotency key to a route, and one to the class itself, which has its own
+/// keys.
 #[test]
 fn an_idempotent_request_is_not_run_again_when_its_route_moves() {
     let folder = folder("route-moves");
@@ -66,7 +71,7 @@
     assert_eq!(
         client.request_with_key("write", "t0", Some("k1")),
         ResponseKind::Completed,
-        "a key of the class's own"
+        "the class itself has separate keys"
     );
     assert_eq!(site.pool.started(), ["write", "write"]);
 }
@@ -80,16 +85,20 @@
     (0..3).for_each(|_| _ = client.send("read", "t0"));
     site.pool.wait_running(3);
     site.fleet.put(vec![put_limit("read", 2)]);
-    assert_eq!(site.pool.running(), ["read"; 3], "what runs goes on");
+    assert_eq!(site.pool.running(), ["read"; 3], "running requests continue");
     (0..2).for_each(|_| _ = client.send("read", "t0"));
     client.send("print", "t0");
     site.pool.wait_running(4);
-    assert_eq!(site.pool.running(), ["read", "read", "read", "print"], "held ones wait, others go on");
+    assert_eq!(
+        site.pool.running(),
+        ["read", "read", "read", "print"],
+        "requests above the limit wait, other classes continue"
+    );
     site.pool.finish("read");
     assert_eq!(client.next_response().1, ResponseKind::Completed);
     client.send("print", "t0");
     site.pool.wait_running(4);
-    assert_eq!(site.pool.running(), ["read", "read", "print", "print"], "two still run");
+    assert_eq!(site.pool.running(), ["read", "read", "print", "print"], "two still run, which is the limit");
     site.pool.finish("read");
     assert_eq!(client.next_response().1, ResponseKind::Completed);
     site.pool.wait_running(4);
@@ -107,36 +116,37 @@
     let folder = folder("refused");
     let site = site(&folder, "max_routes = 2");
     site.fleet.put(vec![put_route("shelf", "print")]);
-    // The publisher takes the class from the limit that comes with it; this server has none of that name.
-    let refused = site.fleet.propose(vec![
+    // The publisher accepts the class because of the limit in the same transaction; this server has no class
+    // `sing`.
+    let rejected = site.fleet.propose(vec![
         put_route("shelf", "read"),
         put_tenant("new", 50),
         put_limit("sing", 3),
         put_route("choir", "sing"),
     ]);
-    site.fleet.wait_in_force(refused);
+    site.fleet.wait_in_force(rejected);
     let mut reasons = Vec::new();
-    wait_for("the refusal is reported", || {
+    wait_for("the rejection is reported", || {
         reasons.extend(site.fleet.publisher.take_refusals());
         !reasons.is_empty()
     });
-    assert_eq!((&*reasons[0].member, reasons[0].position), ("n3", refused));
+    assert_eq!((&*reasons[0].member, reasons[0].position), ("n3", rejected));
     assert!(reasons[0].reason.contains("class `sing` is not known"), "{reasons:?}");
     let line = site.daemon.wait_for_log("configuration change rejected");
     assert!(line.contains("class `sing` is not known"), "{line}");
     let mut client = Client::new(site.daemon.address);
     assert_eq!(client.request("shelf", "t0"), ResponseKind::Completed);
-    assert_eq!(site.pool.started(), ["print"], "the route leads where it did");
+    assert_eq!(site.pool.started(), ["print"], "the route still leads to its previous class");
     assert_eq!(client.request("read", "new"), ResponseKind::Invalid);
     assert_eq!(client.request("choir", "t0"), ResponseKind::Invalid);
-    // Later changes come in force.
+    // Later changes are applied.
     site.fleet.put(vec![put_tenant("newer", 1), put_route("second", "read")]);
     assert_eq!(client.request("second", "newer"), ResponseKind::Completed);
 }
 
-/// Requests run on several connections while tenants and routes come and go: each gets one response, which is its result
-/// or a rejection (pauses of a busy machine look like a stall to the controller), none fails or is invalid, and the pool
-/// ran exactly those that were completed.
+/// Sends requests on several connections while tenants and routes are added and removed. Each request gets
+/// one response: its result or a rejection (the controller takes pauses of a busy machine for a stall). None
+/// fails or is invalid, and the pool ran exactly the completed requests.
 #[test]
 fn changes_are_applied_while_requests_run_and_none_is_lost() {
     const CLIENTS: usize = 4;
@@ -144,12 +154,12 @@
     let folder = folder("while-requests-run");
     let site = site(&folder, "");
     site.fleet.put(vec![put_route("moving", "read"), put_tenant("shared", 1000)]);
-    let is_over = AtomicBool::new(false);
+    let stop = AtomicBool::new(false);
     let counts = std::thread::scope(|scope| {
         let load = || {
             let mut client = Client::new(site.daemon.address);
             let mut completed = 0u64;
-            while !is_over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let ids: Vec<u64> = (0..10)
                     .map(|at| client.send(["moving", "read"][at % 2], ["shared", "t0", "t1"][at % 3]))
                     .collect();
@@ -164,7 +174,7 @@
                     completed += u64::from(kind == ResponseKind::Completed);
                 }
                 answered.sort_unstable();
-                assert_eq!(answered, ids, "each once");
+                assert_eq!(answered, ids, "each request is answered once");
             }
             completed
         };
@@ -179,15 +189,18 @@
                 put_tenant("t0", 100 + number),
             ]);
         }
-        is_over.store(true, Ordering::Relaxed);
-        clients.into_iter().map(|client| client.join().expect("its requests were answered")).sum::<u64>()
+        stop.store(true, Ordering::Relaxed);
+        clients
+            .into_iter()
+            .map(|client| client.join().expect("the client's requests are answered"))
+            .sum::<u64>()
     });
     assert_eq!(site.pool.started().len() as u64, counts);
     let started = site.pool.started();
     let printed = started.iter().filter(|class| *class == "print").count();
     assert!(
         printed > 0 && printed < started.len(),
-        "{printed} of {} took the route's other class",
+        "{printed} of {} ran as the route's other class",
         started.len()
     );
 }
@@ -207,12 +220,16 @@
     let more = state_directory(&folder);
     let daemon = Daemon::start(&folder, pool.address(), &OperatorFile::ConfigSync { relay, more: &more });
     let mut client = Client::new(daemon.address);
-    assert_eq!(client.request("shelf", "new"), ResponseKind::Completed, "the first request after the start");
+    assert_eq!(
+        client.request("shelf", "new"),
+        ResponseKind::Completed,
+        "the first request after the restart"
+    );
     pool.hold_runs();
     (0..2).for_each(|_| _ = client.send("read", "new"));
     client.send("print", "new");
     pool.wait_running(2);
-    assert_eq!(pool.running(), ["read", "print"], "the limit is in force as well");
+    assert_eq!(pool.running(), ["read", "print"], "the class limit is also restored");
 }
 
 #[test]
@@ -235,22 +252,25 @@
     let pool = FakeWorkerPool::new();
     drop(Daemon::start(&folder, pool.address(), &OperatorFile::Empty));
     let key_file = folder.join("short.key");
-    std::fs::write(&key_file, "short secret").expect("it is written");
+    std::fs::write(&key_file, "short secret").expect("writing the file");
     let text = format!(
         "config_sync {{\n zone = \"z\"\n region = \"r\"\n key_file = \"{}\"\n relay \"a\" {{\n  \
          address = \"127.0.0.1:1\"\n }}\n}}\n",
         key_file.display()
     );
-    std::fs::write(&operator, text).expect("it is written");
+    std::fs::write(&operator, text).expect("writing the file");
     let ended = std::process::Command::new(env!("CARGO_BIN_EXE_dunlinspread"))
         .env("RELAY_CONFIG", &config)
         .env("DUNLINSPREAD_OPERATOR", &operator)
         .output()
-        .expect("it runs");
-    let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert_eq!(ended.status.code(), Some(1), "{said}");
-    assert!(said.contains("`key_file`") && said.contains("expected a key of 16 to 1024 bytes"), "{said}");
-    assert!(!said.contains("short secret"), "{said}");
+        .expect("running the program");
+    let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
+    assert_eq!(ended.status.code(), Some(1), "{stderr}");
+    assert!(
+        stderr.contains("`key_file`") && stderr.contains("expected a key of 16 to 1024 bytes"),
+        "{stderr}"
+    );
+    assert!(!stderr.contains("short secret"), "{stderr}");
 }
 
 #[test]
@@ -265,6 +285,6 @@
     assert!(threads.iter().all(|name| !name.contains("config")), "{threads:?}");
     let other = fleet::folder("off-beside-on");
     let on = site(&other, "");
-    // A thread names itself once it runs, which may be after the daemon has opened its port.
+    // A thread sets its name when it starts to run, which may be after the daemon has opened its port.
     wait_for("the subscriber's thread", || on.daemon.threads().iter().any(|name| name == "config-sync"));
 }
--- a/tests/connection_state.rs
+++ b/tests/connection_state.rs
@@ -1,5 +1,6 @@
-//! The state machine of a connection under any order of events: reads, responses, partial messages, time, eviction,
-//! shutdown and the end of the process. A plain model beside it records what is owed and what was notified.
+//! Tests of the state machine of a connection under any order of events: reads, responses, partial messages,
+//! time, eviction, shutdown and the end of the process. A simple model records the responses owed and whether
+//! the client was notified.
 
 use dunlinspread::server::frontend::connection_state::{
     CLOSE_GRACE_MS, CloseCause, ConnectionPolicy, ConnectionState, EVICTION_GRACE_MS, FinishReason,
@@ -9,14 +10,15 @@
 
 #[derive(Clone, Debug)]
 enum ConnectionEvent {
-    /// A whole request is read, or a part of a message.
+    /// A whole request is read.
     Request,
+    /// A part of a message is read.
     PartialMessage,
     /// The oldest open request gets its response.
     Response,
-    /// Time passes, and the listener sweeps.
+    /// Time passes, ms, and the listener then advances the connection.
     TimePasses(f64),
-    /// The event loop stalled for so long, and the listener excludes that time.
+    /// The event loop stalled for this time, ms, which the listener excludes.
     Stall(f64),
     Evict,
     ServerDrains,
@@ -73,9 +75,9 @@
                     connection.exclude_stall(ms);
                 }
                 ConnectionEvent::Evict => {
-                    let may = connection.eviction_rank(now, responses_owed > 0).is_some();
-                    prop_assert!(!may || responses_owed == 0 && connection.accepts_requests(), "evicted while a response is owed");
-                    if may {
+                    let may_evict = connection.eviction_rank(now, responses_owed > 0).is_some();
+                    prop_assert!(!may_evict || responses_owed == 0 && connection.accepts_requests(), "evicted while a response is owed");
+                    if may_evict {
                         transition = connection.evict(now);
                         prop_assert!(connection.accepts_requests(), "a request that crosses an eviction is not accepted");
                         prop_assert!(connection.eviction_rank(now, false).is_none(), "evicted twice");
@@ -91,23 +93,25 @@
                     prop_assert!(connection.accepts_requests(), "a request that crosses the notification is not accepted");
                 }
                 Transition::Finish => {
-                    prop_assert!(responses_owed == 0 || policy.finish_all, "closed over {responses_owed} responses");
+                    prop_assert!(responses_owed == 0 || policy.finish_all, "closed with {responses_owed} responses owed");
                     prop_assert!(!connection.accepts_requests(), "a request is accepted on a connection that finishes");
                 }
                 Transition::Stay => {}
             }
         }
-        // Left alone with nothing owed it finishes from any state: notified after its idle timeout, and closed after that.
+        // Without further events and with nothing owed, a connection finishes from any state: it is notified
+        // after its idle timeout, and closed after that.
         let limit = now + idle_timeout_ms.max(MESSAGE_TIMEOUT_MS) + 2.0 * CLOSE_GRACE_MS + 100.0;
         while connection.accepts_requests() && now < limit {
             now += 25.0;
             connection.advance(now, false, policy);
         }
-        prop_assert!(!connection.accepts_requests(), "it stays open for ever");
+        prop_assert!(!connection.accepts_requests(), "the connection stays open indefinitely");
     }
 }
 
-/// Unread bytes hold a connection open for a bounded time, which a stall doesn't shorten and a request begins anew.
+/// Asserts that unread bytes hold a connection open for a bounded time, which a stall doesn't shorten and
+/// which starts again with each request.
 #[test]
 fn unread_bytes_hold_a_connection_open_until_the_grace_is_over() {
     const STALL_MS: f64 = 700.0;
@@ -136,7 +140,8 @@
     connection
 }
 
-/// What crosses the notification of an eviction is served, and the connection finishes once that was answered.
+/// Asserts that a request that crosses the eviction notice is served, and that the connection finishes after
+/// its response and a further grace period.
 #[test]
 fn an_evicted_connection_is_served_until_its_grace_is_over() {
     const SENT_AT_MS: f64 = EVICTION_GRACE_MS - 1.0;
@@ -153,7 +158,8 @@
     assert_eq!(connection.finishing_since(), Some((finishes_at_ms, FinishReason::Evicted)));
 }
 
-/// A client that was notified before it is evicted isn't notified again, and the time since then counts.
+/// Asserts that a client that was notified before its eviction isn't notified again, and that the grace
+/// period counts from the first notification.
 #[test]
 fn a_notified_connection_is_evicted_without_a_further_notification() {
     const EVICTED_AT_MS: f64 = 2.0 * EVICTION_GRACE_MS;
@@ -164,7 +170,8 @@
     assert_eq!(connection.advance(EVICTED_AT_MS, false, draining), Transition::Finish);
 }
 
-/// Where descriptors are short, an evicted connection is kept for as long after its last bytes as any other after its end.
+/// Asserts that an evicted connection lingers for the minimum time after its last bytes when descriptors are
+/// short.
 #[test]
 fn an_evicted_connection_lingers_from_its_last_bytes() {
     let mut silent = answered_connection();
@@ -180,21 +187,22 @@
     assert!(served.may_stop_lingering(last_bytes_at_ms + MIN_LINGER_MS));
 }
 
-/// Guards against a close over the rest of a first request at its time limit, where its beginning was unread, and then read,
-/// as the connection was to make room.
+/// Guards against a connection closed at the time limit of its first request while the rest of the request is
+/// unread. The fault came about when the start of the request was unread at an eviction attempt and read
+/// afterwards: the grace period that the eviction began was then counted against the time limit.
 #[test]
 fn what_was_unread_at_an_eviction_takes_nothing_of_the_grace_at_a_time_limit() {
-    const FOUND_AT_MS: f64 = 100.0;
+    const UNREAD_AT_MS: f64 = 100.0;
     let mut connection = ConnectionState::new(0.0);
-    assert!(connection.hold_open_for_unread_bytes(FOUND_AT_MS, CloseCause::Eviction));
-    connection.record_activity(FOUND_AT_MS);
+    assert!(connection.hold_open_for_unread_bytes(UNREAD_AT_MS, CloseCause::Eviction));
+    connection.record_activity(UNREAD_AT_MS);
     connection.record_read(ReadProgress { completed_message: false, ends_in_partial_message: true });
     assert!(connection.would_finish(MESSAGE_TIMEOUT_MS, false, SERVING));
     assert!(connection.hold_open_for_unread_bytes(MESSAGE_TIMEOUT_MS, CloseCause::TimeLimit));
     assert!(
         !connection.hold_open_for_unread_bytes(MESSAGE_TIMEOUT_MS, CloseCause::Eviction),
-        "held for good"
+        "held open without limit"
     );
     let end_ms = MESSAGE_TIMEOUT_MS + UNREAD_GRACE_MS;
-    assert!(!connection.hold_open_for_unread_bytes(end_ms, CloseCause::TimeLimit), "held for good");
+    assert!(!connection.hold_open_for_unread_bytes(end_ms, CloseCause::TimeLimit), "held open without limit");
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,5 +1,5 @@
-//! The control endpoint over real sockets: each call, each refusal, and answers in time beside callers that hold
-//! connections.
+//! Tests of the control endpoint over real sockets: each call, each refusal, and answers in time while other
+//! callers hold connections.
 
 use control_support::{
     ANSWER_TIME, Endpoint, MAX_CONNECTIONS, Reply, assert_answered_in_time, connect, read_to_end, request,
@@ -62,12 +62,12 @@
             let reply = endpoint.request("PUT", path);
             assert_eq!((reply.status, reply.body), (200, format!("{{\"evacuated\":{evacuated}}}")));
             assert_eq!(endpoint.status.is_evacuated(), evacuated);
-            assert_eq!(endpoint.changes.try_recv().is_ok(), attempt == 0, "told of a change alone");
+            assert_eq!(endpoint.changes.try_recv().is_ok(), attempt == 0, "only a change is reported");
         }
     }
 }
 
-/// Calls that are refused, with the status of the answer.
+/// Returns calls that are refused, each with the status of its answer.
 fn refused_calls() -> Vec<(u16, String)> {
     let put = |fields: &str, body: &str| format!("PUT /api/evacuate HTTP/1.1\r\n{fields}\r\n\r\n{body}");
     vec![
@@ -139,8 +139,8 @@
     let mut stream = endpoint.connect();
     stream.set_nodelay(true).expect("no delay");
     for byte in b"PUT /api/evacuate HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n" {
-        assert!(!endpoint.status.is_evacuated(), "carried out before it was whole");
-        stream.write_all(&[*byte]).expect("written");
+        assert!(!endpoint.status.is_evacuated(), "the call took effect before it was complete");
+        stream.write_all(&[*byte]).expect("writing");
     }
     assert_eq!(Reply::read(&mut stream).status, 200);
     assert!(endpoint.status.is_evacuated());
@@ -153,7 +153,7 @@
     call.push_str(&request("PUT", "/api/evacuate"));
     call.push_str(&"x".repeat(32 * 1024));
     assert_eq!(endpoint.call(call.as_bytes()).status, 200);
-    assert!(!endpoint.status.is_evacuated(), "one call to a connection");
+    assert!(!endpoint.status.is_evacuated(), "a connection carries only one call");
 }
 
 #[test]
@@ -161,7 +161,7 @@
     let endpoint = Endpoint::start();
     for (call, status) in [(request("GET", "/api/telemetry"), 200), ("GET /api/tele".to_owned(), 400)] {
         let mut stream = endpoint.connect();
-        stream.write_all(call.as_bytes()).expect("written");
+        stream.write_all(call.as_bytes()).expect("writing");
         stream.shutdown(Shutdown::Write).expect("ended");
         assert_eq!(Reply::read(&mut stream).status, status, "{call:?}");
     }
@@ -171,7 +171,7 @@
 fn a_call_that_is_not_whole_in_time_is_refused() {
     let endpoint = Endpoint::start();
     let mut stream = endpoint.connect();
-    stream.write_all(b"GET /api/ready HTTP/1.1\r\n").expect("written");
+    stream.write_all(b"GET /api/ready HTTP/1.1\r\n").expect("writing");
     assert_eq!(Reply::read(&mut stream).status, 408);
 }
 
@@ -182,20 +182,20 @@
     for count in 0..100 {
         let mut stream = endpoint.connect();
         if count % 2 == 1 {
-            stream.write_all(b"GET /api/ready HT").expect("written");
+            stream.write_all(b"GET /api/ready HT").expect("writing");
         }
         held.push(stream);
         assert_answered_in_time(endpoint.endpoint.address());
     }
-    // The oldest were closed for the new ones; the newest are still open.
+    // The oldest connections were closed in favor of new ones; the newest are still open.
     assert_eq!(read_to_end(&mut held[0]), b"", "closed without an answer");
-    let newest = held.last_mut().expect("one is held");
-    newest.set_nonblocking(true).expect("set");
+    let newest = held.last_mut().expect("a held connection");
+    newest.set_nonblocking(true).expect("setting non-blocking mode");
     let read = std::io::Read::read(newest, &mut [0; 16]);
     assert_eq!(read.expect_err("nothing to read").kind(), ErrorKind::WouldBlock);
 }
 
-/// 200 silent connections a second, each held for longer than the test lasts, for three seconds.
+/// Opens 200 silent connections a second for three seconds, each held for longer than the test lasts.
 #[test]
 fn many_new_silent_connections_hold_up_nobody() {
     const PAUSE: Duration = Duration::from_millis(5);
@@ -220,14 +220,14 @@
     assert!(held > 4 * MAX_CONNECTIONS, "only {held} connections were made");
 }
 
-/// Callers that send a call and never close, as many as the endpoint holds and more.
+/// Opens four times as many connections as the endpoint holds, each of which sends a call and stays open.
 #[test]
 fn callers_that_do_not_close_hold_up_nobody() {
     let endpoint = Endpoint::start();
     let mut held = Vec::new();
     for _ in 0..4 * MAX_CONNECTIONS {
         let mut stream = endpoint.connect();
-        stream.write_all(request("GET", "/api/telemetry").as_bytes()).expect("written");
+        stream.write_all(request("GET", "/api/telemetry").as_bytes()).expect("writing");
         held.push(stream);
     }
     assert_answered_in_time(endpoint.endpoint.address());
@@ -243,7 +243,7 @@
     let held = connect(address);
     let dropped_at = Instant::now();
     drop(endpoint);
-    assert!(dropped_at.elapsed() < ANSWER_TIME, "an open connection does not delay the end");
+    assert!(dropped_at.elapsed() < ANSWER_TIME, "an open connection delayed the end of the endpoint");
     assert_eq!(Arc::strong_count(&status), 1, "the thread has ended");
     assert!(TcpStream::connect(address).is_err());
     assert_eq!(failures.try_recv(), Err(async_channel::TryRecvError::Closed));
@@ -252,12 +252,12 @@
 
 #[test]
 fn an_address_in_use_is_an_error() {
-    let taken = Endpoint::start();
-    let options = ControlOptions { address: taken.endpoint.address(), max_connections: MAX_CONNECTIONS };
+    let occupied = Endpoint::start();
+    let options = ControlOptions { address: occupied.endpoint.address(), max_connections: MAX_CONNECTIONS };
     let status = ServingStatus::new(&[], async_channel::bounded(1).0);
     let failures = async_channel::unbounded().0;
     let log = Logger::root(Discard, o!());
-    let error = ControlEndpoint::start(options, status, failures, &log).expect_err("the address is taken");
+    let error = ControlEndpoint::start(options, status, failures, &log).expect_err("the address is occupied");
     assert_eq!(error.kind(), ErrorKind::AddrInUse);
 }
 
@@ -269,6 +269,6 @@
     supervise_thread("control", || false, &failed);
     assert_eq!(failures.try_recv(), Ok(TaskFailure::Ended { task: "control" }));
     supervise_thread("control", || panic!("deliberate"), &failed);
-    let failure = failures.try_recv().expect("a report");
+    let failure = failures.try_recv().expect("a reported failure");
     assert_eq!(failure.to_string(), "task failed: control panicked: deliberate");
 }
--- a/tests/control_parser.rs
+++ b/tests/control_parser.rs
@@ -1,23 +1,24 @@
-//! The parser of calls: no bytes panic it, and what it reads does not depend on how they are split.
+//! Tests of the parser of control calls: it panics on no input, and its result does not depend on how the
+//! bytes are split.
 
 use dunlinspread::server::control::CallError;
 use dunlinspread::server::control::call::{Call, CallParser};
 use proptest::prelude::{Just, ProptestConfig, Strategy, any, prop_oneof, proptest};
 use proptest::sample::Index;
 
-/// Feeds pieces until one gives a call or an error.
+/// Feeds the pieces to a parser until it returns a call or an error.
 fn parse<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<Option<Call>, CallError> {
     let mut parser = CallParser::default();
     for piece in pieces {
-        let fed = parser.feed(piece);
-        if fed != Ok(None) {
-            return fed;
+        let result = parser.feed(piece);
+        if result != Ok(None) {
+            return result;
         }
     }
     Ok(None)
 }
 
-/// Splits bytes at some places.
+/// Splits bytes at the given places.
 fn split<'a>(bytes: &'a [u8], places: &[Index]) -> Vec<&'a [u8]> {
     let mut ends: Vec<usize> = places.iter().map(|place| place.index(bytes.len() + 1)).collect();
     ends.push(bytes.len());
@@ -31,7 +32,7 @@
     pieces
 }
 
-/// Pieces that calls are made of, so that many are whole and many nearly so.
+/// Returns parts of calls, of which many complete and many nearly complete calls can be made.
 fn fragment() -> impl Strategy<Value = Vec<u8>> {
     let words = [
         "GET /api/ready HTTP/1.1\r\n",
@@ -71,7 +72,7 @@
     fn no_bytes_panic_the_parser(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut parser = CallParser::default();
         for byte in &bytes {
-            // What it makes of them is not judged here; feeding goes on after an error.
+            // Only panics are checked here; feeding continues after an error.
             let _ = parser.feed(&[*byte]);
         }
     }
@@ -101,5 +102,5 @@
         };
         counts[kind] += 1;
     }
-    assert!(counts.iter().all(|count| *count > 200), "whole, unfinished, refused: {counts:?}");
+    assert!(counts.iter().all(|count| *count > 200), "complete, incomplete, refused: {counts:?}");
 }
--- a/tests/control_process.rs
+++ b/tests/control_process.rs
@@ -1,4 +1,5 @@
-//! The control endpoint of the built program: what operators do reaches health checks and the registry.
+//! Tests of the built program's control endpoint: evacuation by an operator reaches health checks and the
+//! registry.
 
 use control_support::registry::Registry;
 use control_support::{call, request};
@@ -13,16 +14,18 @@
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
-/// Time limit of what a test waits for: far beyond all that is expected.
+/// Time limit of each wait, far beyond any expected delay.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// An address that nobody listens on.
-const NOBODY: &str = "127.0.0.1:1";
-/// A health check, and the beginnings of its answers.
+/// Address on which no process listens.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
+/// Health check request, escaped.
 const HEALTH_CHECK: &str = r"\x94\x00\x01\xa6isWell\x91\x80";
+/// Start of the response to a health check of a healthy server.
 const HEALTHY: &str = r"\x94\x01\x01\xc0\x92\xc3";
+/// Start of the response to a health check of an unhealthy server.
 const UNHEALTHY: &str = r"\x94\x01\x01\xc0\x92\xc2";
 
-/// The program with a control endpoint; its registry is the test's.
+/// The program with a control endpoint, and the test's registry to which it reports.
 struct Server {
     process: Child,
     listen: String,
@@ -38,11 +41,11 @@
     }
 }
 
-/// Returns the configuration with an address for operators.
+/// Returns a configuration with a control endpoint.
 fn config(registry: &str, control: &str) -> String {
     let listen = r#""listen":"127.0.0.1:0""#;
     let with_control = format!(r#"{listen},"control":"{control}""#);
-    play::config(NOBODY, registry, NOBODY, &[(listen.to_owned(), with_control)])
+    play::config(UNUSED_ADDRESS, registry, UNUSED_ADDRESS, &[(listen.to_owned(), with_control)])
 }
 
 impl Server {
@@ -59,37 +62,37 @@
         Server { process, listen, control, log, registry }
     }
 
-    /// Makes a call that is granted.
-    fn ask(&self, method: &str, path: &str) -> String {
+    /// Makes a call to the control endpoint, asserts that it succeeds, and returns the body of its answer.
+    fn control_call(&self, method: &str, path: &str) -> String {
         let reply = call(self.control, request(method, path).as_bytes());
         assert_eq!(reply.status, 200, "{reply:?}");
         reply.body
     }
 
-    /// Returns the answer to a health check.
+    /// Sends a health check and returns the response, escaped.
     fn check(&self) -> String {
-        let mut stream = TcpStream::connect(&self.listen).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
-        stream.write_all(&play::unescape(HEALTH_CHECK)).expect("written");
+        let mut stream = TcpStream::connect(&self.listen).expect("connecting to the server");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
+        stream.write_all(&play::unescape(HEALTH_CHECK)).expect("writing");
         play::message(&mut stream)
     }
 
-    /// Returns the next report that differs from the one before.
+    /// Returns the body of the next health report that differs from the previous one.
     fn report(&self) -> String {
         self.registry.changes.recv_timeout(TEST_TIMEOUT).expect("a report")
     }
 
     fn signal(&self, signal: &str) {
         let sent = Command::new("kill").args(["-s", signal, &self.process.id().to_string()]).status();
-        assert!(sent.expect("kill is there").success());
+        assert!(sent.expect("running kill").success());
     }
 
     fn wait_for_log(&self, words: &str) {
-        while !self.log.recv_timeout(TEST_TIMEOUT).expect("a further line").contains(words) {}
+        while !self.log.recv_timeout(TEST_TIMEOUT).expect("a further log line").contains(words) {}
     }
 }
 
-/// Returns the address after a key, in the next log line that has it.
+/// Returns the address after a key in the next log line that contains the key.
 fn address_after(key: &str, log: &Receiver<String>) -> String {
     loop {
         let line = log.recv_timeout(TEST_TIMEOUT).expect("a line with an address");
@@ -106,17 +109,17 @@
     assert!(server.report().contains("passing"));
     assert!(server.check().starts_with(HEALTHY));
     for _ in 0..3 {
-        assert_eq!(server.ask("PUT", "/api/evacuate"), "{\"evacuated\":true}");
+        assert_eq!(server.control_call("PUT", "/api/evacuate"), "{\"evacuated\":true}");
         let answer = server.check();
         assert!(answer.starts_with(UNHEALTHY), "the first check after the call: {answer}");
         assert!(server.report().contains("critical"));
         server.wait_for_log("evacuation changed, evacuated: true");
-        assert_eq!(server.ask("PUT", "/api/rejoin"), "{\"evacuated\":false}");
+        assert_eq!(server.control_call("PUT", "/api/rejoin"), "{\"evacuated\":false}");
         let answer = server.check();
         assert!(answer.starts_with(HEALTHY), "the first check after the call: {answer}");
         assert!(server.report().contains("passing"));
     }
-    let figures = server.ask("GET", "/api/telemetry");
+    let figures = server.control_call("GET", "/api/telemetry");
     assert!(
         figures.contains(r#""route-sheet":{"served":0,"refused":0,"failed":0,"attempts":0}"#),
         "{figures}"
@@ -127,12 +130,12 @@
 fn no_return_ends_a_shutdown() {
     let server = Server::start();
     assert!(server.report().contains("passing"));
-    // It holds the shutdown up, which is over once all connections are closed.
-    let held = TcpStream::connect(&server.listen).expect("it listens");
+    // The open connection delays the end of the shutdown, which waits until all connections are closed.
+    let held = TcpStream::connect(&server.listen).expect("connecting to the server");
     server.signal("TERM");
     assert!(server.report().contains("critical"));
     for (path, evacuated) in [("/api/evacuate", true), ("/api/rejoin", false)] {
-        server.ask("PUT", path);
+        server.control_call("PUT", path);
         server.wait_for_log(&format!("evacuation changed, evacuated: {evacuated}"));
         assert!(server.check().starts_with(UNHEALTHY), "after {path}");
     }
@@ -141,12 +144,17 @@
 
 #[test]
 fn an_address_in_use_ends_the_start_and_is_named() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = taken.local_addr().expect("an address").to_string();
-    let ended = play::start(&config(NOBODY, &address)).wait_with_output().expect("it ends");
-    let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-    assert_eq!(ended.status.code(), Some(1), "{said}");
-    assert!(said.contains(&format!("dunlinspread: `control`: {address}: Address already in use")), "{said}");
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = occupied.local_addr().expect("an address").to_string();
+    let ended = play::start(&config(UNUSED_ADDRESS, &address))
+        .wait_with_output()
+        .expect("waiting for the program to exit");
+    let stderr = String::from_utf8_lossy(&ended.stderr).into_owned();
+    assert_eq!(ended.status.code(), Some(1), "{stderr}");
+    assert!(
+        stderr.contains(&format!("dunlinspread: `control`: {address}: Address already in use")),
+        "{stderr}"
+    );
 }
 
 /// Returns the names of the threads of a process.
@@ -159,10 +167,10 @@
 #[test]
 fn without_an_address_there_is_no_thread_for_it() {
     let server = Server::start();
-    // The thread has its name once it runs.
-    server.ask("GET", "/api/telemetry");
+    // The thread has its name once it runs, and it runs once a call is answered.
+    server.control_call("GET", "/api/telemetry");
     assert!(threads(server.process.id()).contains(&"control".to_owned()));
-    let mut process = play::start(&play::config(NOBODY, NOBODY, NOBODY, &[]));
+    let mut process = play::start(&play::config(UNUSED_ADDRESS, UNUSED_ADDRESS, UNUSED_ADDRESS, &[]));
     let stderr = BufReader::new(process.stderr.take().expect("a log"));
     let lines: Vec<String> =
         stderr.lines().map_while(Result::ok).take_while(|line| !line.contains("serving")).collect();
--- a/tests/control_support/mod.rs
+++ b/tests/control_support/mod.rs
@@ -1,4 +1,4 @@
-//! A control endpoint on a free port of the loopback, and callers of it.
+//! A control endpoint on a free loopback port, and callers of it.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 pub mod registry;
@@ -12,14 +12,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Connections that the endpoint of a test holds at most.
+/// Maximum number of connections of a test's endpoint.
 pub const MAX_CONNECTIONS: usize = 32;
-/// Time in which an answer is owed.
+/// Time within which a call is to be answered.
 pub const ANSWER_TIME: Duration = Duration::from_secs(1);
-/// Time limit of what a test waits for: far beyond all that is expected.
+/// Time limit of each wait, far beyond any expected delay.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An endpoint, its status, and what it tells.
+/// An endpoint, its status, and its reports of changes and failures.
 pub struct Endpoint {
     pub endpoint: ControlEndpoint,
     pub status: Arc<ServingStatus>,
@@ -46,18 +46,18 @@
         connect(self.endpoint.address())
     }
 
-    /// Makes a call of these bytes and returns its answer.
+    /// Sends the bytes of a call and returns the answer.
     pub fn call(&self, bytes: &[u8]) -> Reply {
         call(self.endpoint.address(), bytes)
     }
 
-    /// Makes a call without headers or body.
+    /// Makes a call without a body and returns the answer.
     pub fn request(&self, method: &str, path: &str) -> Reply {
         self.call(request(method, path).as_bytes())
     }
 }
 
-/// An answer as a caller reads it.
+/// An answer, as a caller reads it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
     pub status: u16,
@@ -66,11 +66,11 @@
 }
 
 impl Reply {
-    /// Reads an answer up to the end of the connection.
+    /// Reads an answer and the end of the connection.
     pub fn read(stream: &mut TcpStream) -> Reply {
         let mut text = String::new();
         stream.read_to_string(&mut text).expect("an answer and the end of the connection");
-        let (head, body) = text.split_once("\r\n\r\n").unwrap_or_else(|| panic!("a whole head: {text:?}"));
+        let (head, body) = text.split_once("\r\n\r\n").unwrap_or_else(|| panic!("incomplete head: {text:?}"));
         let status = head.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)).expect("a status line");
         let length = format!("Content-Length: {}", body.len());
         assert!(head.lines().any(|line| line == length), "{length} in {head}");
@@ -82,8 +82,8 @@
 
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
-    stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
+    stream.set_write_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
     stream
 }
 
@@ -93,7 +93,7 @@
     Reply::read(&mut stream)
 }
 
-/// Makes the calls that only read and checks that each is answered in time.
+/// Makes the calls that change nothing, and asserts that each is answered in time.
 pub fn assert_answered_in_time(address: SocketAddr) {
     for (path, expected) in [("/api/ready", 503), ("/api/telemetry", 200)] {
         let started_at = Instant::now();
@@ -108,7 +108,7 @@
     format!("{method} {path} HTTP/1.1\r\nHost: control\r\n\r\n")
 }
 
-/// Waits until the other side has ended the connection, and returns the bytes that it sent before.
+/// Reads until the other side ends the connection and returns the bytes that it sent.
 pub fn read_to_end(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
--- a/tests/control_support/registry.rs
+++ b/tests/control_support/registry.rs
@@ -1,16 +1,17 @@
 //! A registry that accepts all reports.
 //!
-//! A change of health closes the connection of a report that is on its way, here as anywhere: that ends the connection
-//! alone. Connections are read one after the other, so that reports are seen in the order in which they were made.
+//! The server closes the connection of a pending report when its health changes; the registry then accepts
+//! the next connection. Connections are read one after the other, so that reports are received in the order
+//! in which they were made.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{Receiver, channel};
 
-/// A registry on a port of its own.
+/// A registry on a free port.
 pub struct Registry {
     pub address: SocketAddr,
-    /// The bodies of reports, each that differs from the one before.
+    /// Bodies of the reports that differ from the previous report.
     pub changes: Receiver<String>,
 }
 
@@ -38,7 +39,7 @@
     }
 }
 
-/// Reads a report and returns its body; none at the end of the connection.
+/// Reads a report and returns its body, or `None` at the end of the connection.
 fn read_report(reader: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
     let mut length = 0;
     loop {
--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -1,5 +1,6 @@
-//! The operators' calls to a real process under load: its figures against the clients' own counts, evacuation and its end,
-//! and clients that send in pieces, leave, or say nothing while the registry is down.
+//! Tests of operators' calls to a real process under load: its counts are compared with the clients' own, it
+//! is evacuated and rejoins, and clients send incomplete messages, leave or stay silent while the registry is
+//! down.
 //!
 //! `DAILY_SEED` sets the seed.
 
@@ -22,9 +23,9 @@
 use upgrade_support::site::Site;
 use upgrade_support::{from_environment, run_for, wait_for};
 
-/// The seed where the environment sets none.
+/// Seed used if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// The first digits of the ids of clients that leave; no other client draws them.
+/// Prefix of the attempt ids of clients that leave, which no other client generates.
 const LEAVING_IDS: u64 = 0xfeed_0000_0000_0000;
 
 fn seed() -> u64 {
@@ -35,12 +36,13 @@
     LoadSettings { seed, rate: 100.0, shared_connections: 8, withdrawals: false }
 }
 
-/// After a load that the machine can't bear, with runs that fail, the figures are those that the clients counted.
+/// Asserts that the process reports the clients' own counts after an overload of the machine with failing
+/// runs.
 #[test]
 fn figures_are_those_that_clients_count() {
     let seed = seed();
     let faults = WorkerPoolFaults { bad: 0.1, ..WorkerPoolFaults::default() };
-    // Heavy runs: what is full is the machine and not the event loop.
+    // Runs are expensive, so that the machine is overloaded and not the event loop.
     let mut site = Site::with_platform(seed, platform_with_work(6.0), faults);
     let process = site.start_first();
     let load = LoadSettings { rate: 200.0, shared_connections: 40, ..light_load(seed) };
@@ -58,26 +60,27 @@
     assert!(verdict.rejected > 100 && verdict.failed > 10, "seed {seed}: too little to compare: {verdict}");
     assert_eq!(verdict.broken_rules(), 0, "seed {seed}: a rule is broken: {verdict}");
     assert_eq!(verdict.without_response(), 0, "seed {seed}: requests without a response: {verdict}");
-    // Counts may lag by half a second.
+    // Reported counts may lag by half a second.
     run_for(Duration::from_millis(500));
-    let stated = telemetry(&process);
-    let differences = differences(&[&stated], &records, &site);
+    let reported = telemetry(&process);
+    let differences = differences(&[&reported], &records, &site);
     assert!(differences.is_empty(), "seed {seed}: {differences:?}\n{verdict}");
-    assert!(in_flight(&stated) <= COUNT_TOLERANCE as u64, "seed {seed}: {stated}");
+    assert!(in_flight(&reported) <= COUNT_TOLERANCE as u64, "seed {seed}: {reported}");
 }
 
-/// Opens connections to the control endpoint that never send a whole call.
+/// Opens connections to the control endpoint that never send a complete call.
 fn hold_control_connections(process: &ServerProcess) -> Vec<TcpStream> {
-    let control = process.control.expect("it has a control endpoint");
+    let control = process.control.expect("the process has a control endpoint");
     let hold = |bytes: &[u8]| {
-        let mut stream = TcpStream::connect(control).expect("it listens");
+        let mut stream = TcpStream::connect(control).expect("connecting to the server");
         stream.write_all(bytes).expect("the connection is open");
         stream
     };
     (0..10).flat_map(|_| [hold(b""), hold(b"GET /api/ready HTTP/1.1\r\nHo")]).collect()
 }
 
-/// While the machine holds its runs, the requests in flight are those that clients wait for.
+/// Asserts that the reported requests in flight are those that clients wait for while the worker pool is
+/// stalled.
 #[test]
 fn requests_in_flight_are_those_that_clients_wait_for() {
     const MIN_OPEN: u64 = 12;
@@ -92,10 +95,10 @@
     let mut agreeing = 0;
     wait_for(seed, "figures that agree", || {
         let before = clients.open();
-        let stated = in_flight(&telemetry(&process));
+        let reported = in_flight(&telemetry(&process));
         let after = clients.open();
-        println!("in flight {stated}, clients wait for {before}, then {after}");
-        let agrees = is_in_flight(stated, before.min(after)..=before.max(after));
+        println!("in flight {reported}, clients wait for {before}, then {after}");
+        let agrees = is_in_flight(reported, before.min(after)..=before.max(after));
         agreeing = if agrees && before.min(after) >= MIN_OPEN { agreeing + 1 } else { 0 };
         agreeing == AGREEING_SAMPLES
     });
@@ -106,18 +109,19 @@
     wait_for(seed, "nothing in flight", || in_flight(&telemetry(&process)) == 0);
 }
 
-/// Returns the answers to health checks that were made from one time to another, Unix ms.
+/// Returns the answers to health checks between two times, Unix ms.
 fn health_between(records: &Records, from_ms: u64, to_ms: u64) -> Vec<HealthAnswer> {
     let between = records.health.iter().filter(|(at, _)| (from_ms..to_ms).contains(at));
     between.map(|(_, answer)| *answer).collect()
 }
 
-/// Evacuation turns health bad within a second and nothing else; the end of it turns health good within two.
+/// Asserts that an evacuation makes the server unhealthy within 1 s and costs no request, and that the server
+/// is healthy again within 2 s of its rejoin.
 #[test]
 fn evacuation_shows_in_health_and_costs_no_request() {
     const BAD_WITHIN_MS: u64 = 1000;
     const GOOD_WITHIN_MS: u64 = 2000;
-    const STAY: Duration = Duration::from_millis(2500);
+    const STATE_TIME: Duration = Duration::from_millis(2500);
     const SHARE_TOLERANCE: f64 = 0.05;
     let seed = seed();
     let mut site = Site::start(seed);
@@ -126,10 +130,10 @@
     run_for(Duration::from_millis(500));
     let evacuated_ms = unix_ms();
     assert!(operators_call(&process, "PUT", "/api/evacuate").is_success());
-    run_for(STAY);
+    run_for(STATE_TIME);
     let rejoined_ms = unix_ms();
     assert!(operators_call(&process, "PUT", "/api/rejoin").is_success());
-    run_for(STAY);
+    run_for(STATE_TIME);
     let end_ms = unix_ms();
     assert!(process.exit_status().is_none(), "seed {seed}: the process ended");
     let records = clients.finish();
@@ -148,19 +152,22 @@
     assert!(!evacuated.is_empty(), "seed {seed}: no health checks");
     assert!(evacuated.iter().all(|answer| *answer == HealthAnswer::Bad), "seed {seed}: {evacuated:?}");
     let rejoined = health_between(&records, rejoined_ms + GOOD_WITHIN_MS, end_ms);
-    assert!(!rejoined.is_empty(), "seed {seed}: no health checks after the end");
+    assert!(!rejoined.is_empty(), "seed {seed}: no health checks after the rejoin");
     assert!(rejoined.iter().all(|answer| *answer == HealthAnswer::Good), "seed {seed}: {rejoined:?}");
     assert_reports(seed, &site, evacuated_ms, rejoined_ms);
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
     assert_eq!(verdict.failed + verdict.turned_away, 0, "seed {seed}: {verdict}");
     let evacuated = served_share(&records, evacuated_ms, rejoined_ms);
     let others = served_share(&records, 0, evacuated_ms).min(served_share(&records, rejoined_ms, u64::MAX));
-    println!("served while evacuated {evacuated:.3}, before or after {others:.3} at least");
-    // A machine that is short of cores has some requests rejected at any time.
-    assert!(evacuated >= others - SHARE_TOLERANCE, "seed {seed}: {evacuated:.3} of {others:.3}: {verdict}");
+    println!("share served while evacuated {evacuated:.3}, before or after at least {others:.3}");
+    // A machine that is short of CPU time causes some rejections at any time.
+    assert!(
+        evacuated >= others - SHARE_TOLERANCE,
+        "seed {seed}: {evacuated:.3} served while evacuated, {others:.3} otherwise: {verdict}"
+    );
 }
 
-/// Returns the part of the attempts that were served, of those that ended from one time to another, Unix ms.
+/// Returns the served share of the attempts that ended between two times, Unix ms.
 fn served_share(records: &Records, from_ms: u64, to_ms: u64) -> f64 {
     let ended = records.attempts.iter().filter(|attempt| (from_ms..to_ms).contains(&attempt.ended_ms));
     let ended: Vec<_> = ended.collect();
@@ -168,7 +175,7 @@
     ended.iter().filter(|attempt| attempt.outcome == Outcome::Served).count() as f64 / ended.len() as f64
 }
 
-/// Asserts that the registry heard of the evacuation and of its end.
+/// Asserts that the registry received reports of the evacuation and of its end.
 fn assert_reports(seed: u64, site: &Site, evacuated_ms: u64, rejoined_ms: u64) {
     let reports = site.registry().reports();
     assert!(reports.iter().all(|report| report.server == SERVER_NAME), "seed {seed}: {reports:?}");
@@ -184,8 +191,8 @@
     assert_eq!(after.last(), Some(&true), "seed {seed}: no passing report afterwards: {after:?}");
 }
 
-/// Clients that send in pieces, withdraw, leave with requests open, or hold silent connections, with the registry down:
-/// nothing is lost for the others, and nothing stays in flight.
+/// Asserts that clients that withdraw requests, leave with requests open or hold silent connections, with the
+/// registry down, cost the other clients no response, and that no request stays in flight.
 #[test]
 fn pieces_leaving_clients_and_silence_with_the_registry_down() {
     const ROUNDS: u64 = 40;
@@ -209,17 +216,17 @@
     let records = clients.finish();
     drop(silent);
     let mut runs = site.started_runs();
-    let of_leaving = format!("{:08x}", LEAVING_IDS >> 32);
-    runs.retain(|run| !run.id.starts_with(&of_leaving));
+    let leaving_prefix = format!("{:08x}", LEAVING_IDS >> 32);
+    runs.retain(|run| !run.id.starts_with(&leaving_prefix));
     let verdict = judge(&records, &runs);
-    println!("less room, seed {seed}: {verdict}");
+    println!("leaving and silent clients, seed {seed}: {verdict}");
     assert!(process.exit_status().is_none(), "seed {seed}: the process ended");
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
     assert_eq!(verdict.turned_away, 0, "seed {seed}: {verdict}");
     wait_for(seed, "nothing in flight", || in_flight(&telemetry(&process)) == 0);
 }
 
-/// Opens a connection that never sends a whole message.
+/// Opens a connection that never sends a complete message.
 fn open_silent(address: SocketAddr, round: u64) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(address).ok()?;
     if round % 2 == 0 {
@@ -228,9 +235,9 @@
     Some(stream)
 }
 
-/// Sends a request and leaves without reading the response.
+/// Sends a request and closes the connection without reading the response.
 fn leave_with_a_request(site: &Site, call: u64) {
-    let mut stream = TcpStream::connect(site.listen).expect("it listens");
+    let mut stream = TcpStream::connect(site.listen).expect("connecting to the server");
     let fields = RequestFields {
         call,
         received_ms: unix_ms(),
--- a/tests/decaying_counts.rs
+++ b/tests/decaying_counts.rs
@@ -1,4 +1,4 @@
-//! Compares decaying counts with counts that are all decayed at every step.
+//! Tests that compare [`DecayingCounts`] with counts that are all decayed at each step.
 
 use dunlinspread::decaying_counts::DecayingCounts;
 use proptest::prelude::*;
@@ -7,11 +7,11 @@
 /// Decay factor of one 50 ms step with a time constant of 10 s.
 const FACTOR: f64 = 0.995_012_479_192_682_3;
 
-fn close(a: f64, b: f64) -> bool {
+fn is_close(a: f64, b: f64) -> bool {
     (a - b).abs() <= 1e-9 * a.abs().max(b.abs())
 }
 
-/// An arrival: the member, and the number of decay steps before it.
+/// An arrival: its member, and the number of decay steps before it.
 type Step = (usize, u32);
 
 proptest! {
@@ -19,8 +19,8 @@
         cases: 200, rng_seed: RngSeed::Fixed(30), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// Member 0 gets most arrivals, so that the others are often a tiny share of the sum; some pauses span
-    /// several scalings.
+    /// Adds most arrivals to member 0, so that the others are often a tiny share of the sum, and makes some
+    /// pauses so long that they span several rescalings.
     #[test]
     fn counts_are_those_of_decaying_each(
         members in 1_usize..6,
@@ -31,29 +31,30 @@
         ),
     ) {
         let steps: Vec<Step> = steps;
-        let (mut counts, mut each) = (DecayingCounts::new(members), vec![0.0_f64; members]);
+        let (mut counts, mut expected) = (DecayingCounts::new(members), vec![0.0_f64; members]);
         for (member, pause) in steps {
             for _ in 0..pause {
                 counts.decay(FACTOR);
-                each.iter_mut().for_each(|count| *count *= FACTOR);
+                expected.iter_mut().for_each(|count| *count *= FACTOR);
             }
             let Some(added) = counts.add(member) else {
                 prop_assert!(member >= members);
                 continue;
             };
-            each[member] += 1.0;
-            let others: f64 = each.iter().enumerate().filter(|(at, _)| *at != member).map(|(_, c)| c).sum();
-            prop_assert!(close(added.own, each[member]), "{added:?} for {each:?}");
+            expected[member] += 1.0;
+            let others: f64 =
+                expected.iter().enumerate().filter(|(at, _)| *at != member).map(|(_, count)| count).sum();
+            prop_assert!(is_close(added.own, expected[member]), "{added:?} for {expected:?}");
             // The sum has twice the precision of the member's own count, which leaves an error of 10^-30 of
             // that count.
-            let precise = (added.others - others).abs() <= 1e-9 * others + 1e-30 * each[member];
-            prop_assert!(precise, "{added:?} for {each:?}");
+            let precise = (added.others - others).abs() <= 1e-9 * others + 1e-30 * expected[member];
+            prop_assert!(precise, "{added:?} for {expected:?}");
         }
     }
 }
 
-/// One member floods the counts while another one's single arrival decays. The decayed count of the second
-/// member stays exact until it is about 10^-15 of the flood; a plain sum would lose it far earlier.
+/// Floods one member's count while the single arrival of another member decays. The decayed count of the
+/// second member stays exact until it is about 10^-15 of the flood; a plain sum would lose it far earlier.
 #[test]
 fn the_rest_beside_a_flood_is_no_rounding_error() {
     let (mut counts, mut other) = (DecayingCounts::new(2), 1.0);
@@ -64,12 +65,12 @@
         let mut last = None;
         (0..20).for_each(|_| last = counts.add(0));
         let added = last.expect("the member exists");
-        assert!(close(added.others, other), "{added:?}, {other}");
+        assert!(is_close(added.others, other), "{added:?}, {other}");
     }
     assert!(other < 1e-10, "{other}");
 }
 
-/// With a single member, the sum of all others is exactly zero.
+/// Asserts that the sum of all others is exactly zero with a single member.
 #[test]
 fn one_member_alone_has_no_others() {
     let mut counts = DecayingCounts::new(1);
@@ -82,7 +83,7 @@
     }
 }
 
-/// Counts decay to zero after a long time, and factors out of range are clamped.
+/// Asserts that counts decay to zero after a long time, and that factors out of range are clamped.
 #[test]
 fn counts_end_at_zero() {
     let mut counts = DecayingCounts::new(2);
--- a/tests/deployments.rs
+++ b/tests/deployments.rs
@@ -1,7 +1,8 @@
-//! The same days under the settings of many deployments: with and without told waits, pause, calls, tenants and keys.
-//! Each case is played on seeds against a small machine, with troubles (runs that fail, a hang, a flood of one
-//! tenant, a drain), and the platform's four rules are judged from what was done. What holds here holds by the
-//! settings, not by one site's figures.
+//! Tests of the controller under the settings of many deployments: with and without deadlines in requests,
+//! preemption, upstream calls, tenant quotas and idempotency keys. Each deployment runs with several seeds
+//! against a small simulated machine with faults (failing runs, a stall, a flood by one tenant, a drain), and
+//! the platform's four rules are checked on the controller's actions. They show that the rules don't depend
+//! on the figures of one site.
 
 mod common;
 mod machine;
@@ -10,7 +11,7 @@
 use dunlinspread::{Class, Preemption, RetrySafety, Settings, Signal};
 use machine::Machine;
 
-/// What can differ between deployments.
+/// Settings that differ between deployments.
 struct Deployment {
     passes_deadline: bool,
     preemption: Preemption,
@@ -52,7 +53,7 @@
             retry_after: true,
             memory_kb: if self.passes_deadline { 1500.0 } else { 4000.0 },
             max_retry_after_ms: 1000.0,
-            // The two sites' slack and grace, and one with neither.
+            // Slack and grace of the two sites, and a deployment without grace.
             response_slack_ms: if self.passes_deadline { 60.0 } else { 80.0 },
             drain_grace_ms: if self.tenant_quotas.is_empty() { 0.0 } else { 700.0 },
             cold_start: !self.passes_deadline,
@@ -66,18 +67,19 @@
     }
 }
 
-/// Every deployment that the settings can describe in what changes the controller's duties, by name.
+/// Returns all combinations of the settings that change the controller's obligations, each with its name.
 fn deployments() -> Vec<(String, Settings)> {
     let preemptions =
-        [("keeps", Preemption::Off), ("drops", Preemption::Abort), ("pauses", Preemption::Suspend)];
-    let upstreams = [("alone", false, None), ("tier", true, None), ("shared", true, Some(2.0))];
+        [("no preemption", Preemption::Off), ("abort", Preemption::Abort), ("suspend", Preemption::Suspend)];
+    let upstreams =
+        [("no upstream", false, None), ("upstream", true, None), ("shared upstream", true, Some(2.0))];
     let mut all = Vec::new();
-    for (deadlines, passes_deadline) in [("untold", false), ("told", true)] {
-        for (halt, preemption) in preemptions {
+    for (deadlines, passes_deadline) in [("no deadlines", false), ("deadlines", true)] {
+        for (preemption_name, preemption) in preemptions {
             for (upstream, has_upstream, upstream_call_share) in upstreams {
                 for tenant_quotas in [vec![], vec![20.0, 10.0, 5.0]] {
                     let tenants = tenant_quotas.len();
-                    let name = format!("{deadlines}, {halt}, {upstream}, {tenants} tenants");
+                    let name = format!("{deadlines}, {preemption_name}, {upstream}, {tenants} tenants");
                     let deployment = Deployment {
                         passes_deadline,
                         preemption,
@@ -93,8 +95,9 @@
     all
 }
 
-/// Plays every deployment on seeds of its own; what broke, with the case and the seed.
-fn play(seeds: std::ops::Range<u64>, change: fn(&mut Machine)) -> Vec<String> {
+/// Runs each deployment with the given seeds, and returns the violated rules with the deployment and the
+/// seed.
+fn run_deployments(seeds: std::ops::Range<u64>, change: fn(&mut Machine)) -> Vec<String> {
     let mut violations = Vec::new();
     for (name, settings) in deployments() {
         for seed in seeds.clone() {
@@ -102,47 +105,59 @@
             change(&mut machine);
             machine.play();
             assert!(machine.served > 20, "{name}, seed {seed}: only {} served", machine.served);
-            violations.extend(machine.violations.iter().map(|what| format!("{name}, seed {seed}: {what}")));
+            violations.extend(
+                machine.violations.iter().map(|violation| format!("{name}, seed {seed}: {violation}")),
+            );
         }
     }
     violations
 }
 
-/// Work that stands still from the start, before any run has shown what it takes: once it goes on, so does service. An
-/// estimate learnt from the runs that stood still must not turn everything away for good.
+/// Guards against a run time estimate that rejects all requests for good. It would come about in a stall from
+/// the start, when only the stalled runs have been measured; once the stall is over, requests must be served
+/// again.
 #[test]
 fn a_stall_at_the_start_is_over_once_it_is_over() {
     for (name, mut settings) in deployments() {
-        // Where late answers are worth nothing, what looks late is not run.
+        // A request that is expected to be late is not run if late responses are worth nothing.
         settings.classes.iter_mut().for_each(|c| c.late_weight = 0.0);
         let mut machine = Machine::new(7, settings);
         machine.stall_from_start(3000.0);
         machine.play();
         assert!(machine.violations.is_empty(), "{name}: {:?}", machine.violations);
-        let least = machine.served_after.iter().min();
-        assert!(least.is_some_and(|n| *n > 10), "{name}: by class {:?} after the hang", machine.served_after);
+        let fewest = machine.served_after.iter().min();
+        assert!(
+            fewest.is_some_and(|count| *count > 10),
+            "{name}: served by class after the stall: {:?}",
+            machine.served_after
+        );
     }
 }
 
 #[test]
 fn the_rules_hold_under_every_deployment() {
-    let violations = play(1..4, |_| {});
+    let violations = run_deployments(1..4, |_| {});
     assert!(
         violations.is_empty(),
-        "{} broken:\n{}",
+        "{} violations:\n{}",
         violations.len(),
         violations[..violations.len().min(10)].join("\n")
     );
 }
 
-/// The fault of the first play on a second deployment: waits that are told, but not to the controller.
+/// Asserts that the checks detect requests whose deadlines are not passed to the controller.
 #[test]
 fn a_deadline_that_the_controller_does_not_hear_is_caught() {
-    let violations = play(1..4, |machine| machine.hides_deadlines = true);
-    assert!(violations.iter().all(|b| b.starts_with("told")), "{violations:?}");
-    let violations: Vec<&String> = violations.iter().filter(|b| b.contains("no answer to")).collect();
-    let told = deployments().iter().filter(|(name, _)| name.starts_with("told")).count();
-    let seen: std::collections::BTreeSet<&str> =
-        violations.iter().filter_map(|b| b.split(", seed").next()).collect();
-    assert!(seen.len() * 2 > told, "of {told} deployments with told waits only {} show it", seen.len());
+    let violations = run_deployments(1..4, |machine| machine.hides_deadlines = true);
+    assert!(violations.iter().all(|violation| violation.starts_with("deadlines")), "{violations:?}");
+    let violations: Vec<&String> =
+        violations.iter().filter(|violation| violation.contains("no answer to")).collect();
+    let with_deadlines = deployments().iter().filter(|(name, _)| name.starts_with("deadlines")).count();
+    let detected_in: std::collections::BTreeSet<&str> =
+        violations.iter().filter_map(|violation| violation.split(", seed").next()).collect();
+    assert!(
+        detected_in.len() * 2 > with_deadlines,
+        "only {} of {with_deadlines} deployments with deadlines have violations",
+        detected_in.len()
+    );
 }
--- a/tests/evacuation_model.rs
+++ b/tests/evacuation_model.rs
@@ -1,17 +1,18 @@
-//! Health reports as a model, over the real `ServiceHealth`: admission controller, ledger, operators and the end of the
-//! process change it in any order, and a report may take any time on its way to the registry. Wherever nothing is on
-//! its way, the registry has the last health.
+//! Model of health reports over the real `ServiceHealth`. The admission controller, the ledger, operators and
+//! the shutdown of the process change the health in any order, and a report may take any time to reach the
+//! registry. Whenever no report is in transit, the registry has the last health.
 //!
-//! The reporter makes a report at each change and one a period. Reports that stay in order need the first alone. Where a
-//! late one may overtake a newer one, as on two connections, the registry has a wrong health until the next period: the
-//! model finds that without periodic reports, and holds with them.
+//! The reporter makes a report at each change and one in each period. The reports at changes are enough if
+//! reports stay in order. If an older report may arrive after a newer one, as on two connections, the
+//! registry has a wrong health until the next period: the model finds this fault without periodic reports,
+//! and finds none with them.
 
 use dunlinspread::server::evacuation::{HealthInput, ServiceHealth, ServiceState};
 use stateright::{Checker, Model, Property};
 
-/// Changes played.
+/// Maximum number of inputs in a behavior of the model.
 const MAX_INPUTS: usize = 6;
-/// Reports on their way at most; a further change waits until one has arrived.
+/// Maximum number of reports in transit; a further change waits until one has arrived.
 const MAX_REPORTS: usize = 3;
 
 const INPUTS: [HealthInput; 7] = [
@@ -24,130 +25,133 @@
     HealthInput::Shutdown,
 ];
 
-const FOLLOWS: &str = "once nothing is on its way, the registry has the last health";
-const NO_GOOD_REPORT: &str = "no good report is made outside of service";
+const REGISTRY_IS_CURRENT: &str = "whenever no report is in transit, the registry has the last health";
+const NO_WRONG_REPORT: &str = "no healthy report is made while evacuated or shutting down";
 
-/// What may happen to reports on their way.
+/// Order in which reports arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Link {
-    /// They arrive in the order in which they were made.
+    /// Reports arrive in the order in which they were made.
     InOrder,
-    /// A late one may arrive after a newer one.
+    /// An older report may arrive after a newer one.
     Overtaking,
 }
 
-struct Reports {
+/// The model's parameters.
+struct ReportModel {
     link: Link,
     /// Whether a report is made each period as well as at each change.
     periodic: bool,
 }
 
+/// State of the server, of the reports in transit and of the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     health: ServiceHealth,
+    /// Number of inputs so far.
     inputs: usize,
-    /// Reports on their way, the oldest first.
-    on_their_way: Vec<bool>,
+    /// Reports in transit, the oldest first.
+    in_transit: Vec<bool>,
     /// The health that the registry has.
     registry: bool,
-    /// Whether the last report was made while no other was on its way.
+    /// Whether the last report was made while no other was in transit.
     settled: bool,
-    /// Whether a good report was made while the server was evacuated or shutting down.
+    /// Whether a healthy report was made while the server was evacuated or shutting down.
     wrong_report: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Input(HealthInput),
-    /// The report of a period is made.
+    /// The periodic report is made.
     Period,
-    /// The report at this place arrives.
+    /// The report at this index arrives.
     Arrive(usize),
 }
 
-impl World {
+impl SystemState {
     fn make_report(&mut self, health: bool) {
-        self.settled = self.on_their_way.is_empty();
+        self.settled = self.in_transit.is_empty();
         self.wrong_report |= health && self.health.state() != ServiceState::Serving;
-        self.on_their_way.push(health);
+        self.in_transit.push(health);
     }
 }
 
-impl Model for Reports {
-    type State = World;
+impl Model for ReportModel {
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<SystemState> {
         let health = ServiceHealth::default();
         let registry = health.is_healthy();
-        vec![World {
+        vec![SystemState {
             health,
             inputs: 0,
-            on_their_way: Vec::new(),
+            in_transit: Vec::new(),
             registry,
             settled: true,
             wrong_report: false,
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let has_room = world.on_their_way.len() < MAX_REPORTS;
-        if has_room && world.inputs < MAX_INPUTS {
+    fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
+        let has_room = state.in_transit.len() < MAX_REPORTS;
+        if has_room && state.inputs < MAX_INPUTS {
             steps.extend(INPUTS.map(Step::Input));
         }
         if has_room && self.periodic {
             steps.push(Step::Period);
         }
         let arriving = match self.link {
-            Link::InOrder => world.on_their_way.len().min(1),
-            Link::Overtaking => world.on_their_way.len(),
+            Link::InOrder => state.in_transit.len().min(1),
+            Link::Overtaking => state.in_transit.len(),
         };
         steps.extend((0..arriving).map(Step::Arrive));
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, last: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = last.clone();
         match step {
             Step::Input(input) => {
-                world.inputs += 1;
-                if let Some(report) = world.health.on_inputs(&[input]) {
-                    world.make_report(report);
+                state.inputs += 1;
+                if let Some(report) = state.health.on_inputs(&[input]) {
+                    state.make_report(report);
                 }
             }
             Step::Period => {
-                let report = world.health.is_healthy();
-                world.make_report(report);
+                let report = state.health.is_healthy();
+                state.make_report(report);
             }
-            Step::Arrive(place) => world.registry = world.on_their_way.remove(place),
+            Step::Arrive(index) => state.registry = state.in_transit.remove(index),
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(FOLLOWS, |model: &Reports, world: &World| {
-                // A period later at the latest, where there are periodic reports.
-                let is_quiet = world.on_their_way.is_empty() && (!model.periodic || world.settled);
-                !is_quiet || world.registry == world.health.is_healthy()
+            Property::always(REGISTRY_IS_CURRENT, |model: &ReportModel, state: &SystemState| {
+                // With periodic reports, the registry may lag until the next period.
+                let is_quiet = state.in_transit.is_empty() && (!model.periodic || state.settled);
+                !is_quiet || state.registry == state.health.is_healthy()
             }),
-            Property::always(NO_GOOD_REPORT, |_, world: &World| !world.wrong_report),
-            Property::sometimes("the registry knows of an evacuation", |_, world: &World| {
-                world.health.state() == ServiceState::Evacuated && !world.registry
+            Property::always(NO_WRONG_REPORT, |_, state: &SystemState| !state.wrong_report),
+            Property::sometimes("the registry has the health of an evacuation", |_, state: &SystemState| {
+                state.health.state() == ServiceState::Evacuated && !state.registry
             }),
-            Property::sometimes("the registry knows of the return", |_, world: &World| {
-                world.inputs > 1 && world.registry && world.health.is_healthy()
+            Property::sometimes("the registry has the health after a rejoin", |_, state: &SystemState| {
+                state.inputs > 1 && state.registry && state.health.is_healthy()
             }),
-            Property::sometimes("a shutdown while evacuated", |_, world: &World| {
-                world.health.state() == ServiceState::ShuttingDown && world.inputs > 1
+            Property::sometimes("a shutdown while evacuated", |_, state: &SystemState| {
+                state.health.state() == ServiceState::ShuttingDown && state.inputs > 1
             }),
         ]
     }
 }
 
-fn explore(link: Link, periodic: bool) -> impl Checker<Reports> {
-    let checker = Reports { link, periodic }.checker().threads(2).spawn_bfs().join();
+fn explore(link: Link, periodic: bool) -> impl Checker<ReportModel> {
+    let checker = ReportModel { link, periodic }.checker().threads(2).spawn_bfs().join();
     println!(
-        "{link:?}, periodic {periodic}: {} states in all, {} different",
+        "{link:?}, periodic {periodic}: {} states generated, {} unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -164,11 +168,13 @@
     explore(Link::Overtaking, true).assert_properties();
 }
 
-/// The model can fail: without periodic reports, a late one that overtakes a newer one is never put right.
+/// Asserts that the model can detect the fault: without periodic reports, the wrong health is never corrected
+/// after an older report arrives after a newer one.
 #[test]
 fn a_late_report_that_overtakes_a_newer_one_is_found() {
     let checker = explore(Link::Overtaking, false);
-    let path = checker.discovery(FOLLOWS).expect("a registry with an old health is found");
+    let path =
+        checker.discovery(REGISTRY_IS_CURRENT).expect("the model finds a registry with a wrong health");
     let last = path.last_state();
     assert_ne!(last.registry, last.health.is_healthy());
 }
--- a/tests/event_loop_lag.rs
+++ b/tests/event_loop_lag.rs
@@ -1,11 +1,11 @@
-//! What is remembered of the event loop's lag: the greatest, which decays, in virtual time.
+//! Tests, in virtual time, of the greatest lag of the event loop, which decays with its age.
 
 use dunlinspread::server::event_loop_lag::EventLoopLag;
 use proptest::prelude::*;
 
-/// Time in which half of a lag is forgotten, ms.
+/// Time in which the recorded lag decays to half, ms.
 const HALF_LIFE_MS: f64 = 30_000.0;
-/// Slack of floating-point numbers.
+/// Tolerance for floating-point errors.
 const SLACK: f64 = 1e-6;
 
 #[test]
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    /// Each lag counts by what its age leaves of it, and nothing else does.
+    /// Compares the greatest lag with the maximum of all observed lags, each decayed by its age.
     #[test]
     fn what_is_remembered_is_the_greatest_of_the_decayed_lags(
         observed in prop::collection::vec((0.0..20_000.0_f64, 0.0..500.0_f64), 1..40),
--- a/tests/event_loop_order.rs
+++ b/tests/event_loop_order.rs
@@ -1,6 +1,6 @@
-//! The order in which the event loop does its work when it has too little time: what a server has read ends once, by its due
-//! time, whatever else there is to read. Each message costs the server a set time, so that no test depends on its build or on
-//! other load of the machine.
+//! Tests of the order in which an overloaded event loop does its work: each request that the server has read
+//! ends once, by its due time, whatever else there is to read. Each message costs the server a fixed time, so
+//! that no test depends on the build profile or on other load of the machine.
 //!
 //! `DAILY_SEED` sets the seed.
 
@@ -26,18 +26,19 @@
 use upgrade_support::site::Site;
 use upgrade_support::{from_environment, run_for, wait_for};
 
-/// The seed where the environment sets none.
+/// Seed used if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// Requests a second of the good clients: with the costs above about a twentieth of the server's time.
+/// Requests per second of the good clients: with [`COSTS`] about a twentieth of the server's time.
 const RATE: f64 = 20.0;
-/// Time for which the good clients send.
+/// Time during which the good clients send.
 const LOAD_TIME: Duration = Duration::from_millis(2500);
 
 fn load(seed: u64, rate: f64) -> LoadSettings {
     LoadSettings { seed, rate, shared_connections: 8, withdrawals: false }
 }
 
-/// Has good clients send to a slowed server, and asserts that each request and each health check is answered in its time.
+/// Has good clients send to a slowed server, and asserts that each request and each health check is answered
+/// in time.
 fn assert_all_answered_under_load(seed: u64, costs: &str, rate: f64, is_flooded: bool) {
     let mut site = Site::start(seed);
     site.variables.push((SLOW_AT, costs.to_owned()));
@@ -64,7 +65,7 @@
     answered.filter_map(|attempt| Some(attempt.ended_ms - attempt.written_ms?)).max().unwrap_or(0)
 }
 
-/// Shows that the server bears the load of the good clients.
+/// Asserts that the server can serve the load of the good clients alone, as a baseline of the tests below.
 #[test]
 fn a_slowed_server_answers_good_clients() {
     let _core = wait_for_core();
@@ -72,17 +73,18 @@
     assert_all_answered_under_load(seed, COSTS, RATE, false);
 }
 
-/// Connections that never cease to send keep nobody else from the server.
+/// Asserts that good clients are answered in time while other connections send without pause.
 #[test]
 fn a_flood_of_notifications_keeps_no_answer_from_good_clients() {
     let _core = wait_for_core();
     assert_all_answered_under_load(from_environment("DAILY_SEED", DEFAULT_SEED), COSTS, RATE, true);
 }
 
-/// Requests a second that the server has no time to run, and hardly the time to refuse.
+/// Requests per second of clients that the server has no time to serve, and hardly the time to reject.
 const OVERLOAD_RATE: f64 = 400.0;
 
-/// Requests that the server has the time to refuse, and not to run: each ends once, in time.
+/// Asserts that each request ends once and in time if the server has the time to reject the requests, but not
+/// to run them.
 #[test]
 fn more_requests_than_can_be_run_end_in_time() {
     const COSTS: &str = "message:500us,decision:1500us";
@@ -90,7 +92,8 @@
     assert_all_answered_under_load(from_environment("DAILY_SEED", DEFAULT_SEED), COSTS, OVERLOAD_RATE, false);
 }
 
-/// Requests that come faster than the server could refuse them, and that it could refuse within their clients' time.
+/// Asserts that each request ends once and in time if requests arrive faster than the server can reject them,
+/// but few enough that it can reject all of them within their clients' timeout.
 #[test]
 fn more_requests_than_can_be_decided_end_in_time() {
     const COSTS: &str = "message:500us,decision:3000us";
@@ -98,7 +101,8 @@
     assert_all_answered_under_load(from_environment("DAILY_SEED", DEFAULT_SEED), COSTS, OVERLOAD_RATE, false);
 }
 
-/// A server that is to end hears of it, answers what it owes and ends before its kill, however much there is to read.
+/// Asserts that a server receives SIGTERM during a flood, answers its open requests and ends before its
+/// SIGKILL.
 #[test]
 fn a_shutdown_beside_a_flood_ends_in_time() {
     const KILL_AFTER: Duration = Duration::from_millis(STOP_MS);
@@ -122,14 +126,17 @@
     let verdict = judge(&records, &site.started_runs());
     println!("seed {seed}, {status:?} after {took:?}: {verdict}");
     print_attempts(&records, &[Outcome::Lost, Outcome::Unanswered]);
-    assert!(status.is_some_and(|status| status.success()), "seed {seed}: not ended before its kill");
+    assert!(
+        status.is_some_and(|status| status.success()),
+        "seed {seed}: the server did not end before its SIGKILL"
+    );
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
 }
 
-/// Opens clients whose requests all run, and returns when the last one was asked.
+/// Connects clients and returns them once the requests of all of them run.
 fn clients_with_runs(site: &HeldSite, timeout: Duration) -> Vec<TimedClient> {
     const CLIENTS: usize = 4;
-    // The server lets more run once it has seen runs end.
+    // The server raises its concurrency limit once runs have ended.
     let mut clients = site.answered_clients(CLIENTS);
     site.pool.hold_runs();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -139,12 +146,12 @@
     clients
 }
 
-/// The result of a run that ends while a flood is read comes to its client in time: what the worker pool reports, the decision
-/// and the writing go before further reads.
+/// Asserts that the result of a run that ends during a flood reaches its client in time: reports of the
+/// worker pool, decisions and writes take precedence over further reads.
 #[test]
 fn a_run_that_ends_beside_a_flood_is_completed_in_time() {
     const TIMEOUT: Duration = Duration::from_millis(2500);
-    /// From the report to the end of the clients' time.
+    /// Time from the end of the runs to the clients' timeout.
     const LEFT: Duration = Duration::from_millis(500);
     let _core = wait_for_core();
     let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
@@ -154,10 +161,11 @@
     run_for((TIMEOUT - LEFT).saturating_sub(clients[0].asked_at.elapsed()));
     site.pool.release_runs();
     let completed = assert_answered_in(seed, "runs that end", 2, TIMEOUT, &mut clients);
-    assert_eq!(completed, clients.len(), "seed {seed}: runs had ended in time and were not told");
+    assert_eq!(completed, clients.len(), "seed {seed}: runs ended in time, but their results were not sent");
 }
 
-/// A request whose run never ends is answered by its due time: timers go before further reads.
+/// Asserts that a request whose run never ends is answered by its due time: timers take precedence over
+/// further reads.
 #[test]
 fn a_request_that_is_due_beside_a_flood_is_answered_in_time() {
     const TIMEOUT: Duration = Duration::from_millis(2500);
@@ -169,7 +177,8 @@
     assert_answered_in(seed, "runs that never end", 2, TIMEOUT, &mut clients);
 }
 
-/// Requests on connections that were open before a flood, and on those that are opened in it.
+/// Asserts that requests are answered in time on connections that were open before a flood, and on
+/// connections opened during it.
 #[test]
 fn requests_beside_a_flood_are_answered_in_time() {
     const CLIENTS: usize = 16;
@@ -182,11 +191,12 @@
     for (number, client) in open.iter_mut().chain(&mut new).enumerate() {
         client.ask(2, [UNKEYED, KEYED][number % 2], CLIENT_TIMEOUT);
     }
-    assert_answered_in(seed, "open before", 2, CLIENT_TIMEOUT, &mut open);
-    assert_answered_in(seed, "opened in it", 2, CLIENT_TIMEOUT, &mut new);
+    assert_answered_in(seed, "open before the flood", 2, CLIENT_TIMEOUT, &mut open);
+    assert_answered_in(seed, "opened during the flood", 2, CLIENT_TIMEOUT, &mut new);
 }
 
-/// Asserts that requests are answered once where the server stops at this point, with the first of them in its hands.
+/// Asserts that each request is answered once if the server is stopped at this point while it handles the
+/// first of them.
 fn assert_answered_once_after_a_stop_at(point: &str) {
     const CLIENTS: usize = 4;
     const STOPS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(1200)];
@@ -200,11 +210,14 @@
         site.server.wait_until_stopped();
         run_for(stop);
         site.server.resume();
-        let what = format!("a stop of {stop:?} at {point}");
-        assert_answered_in(seed, &what, 2, CLIENT_TIMEOUT, &mut clients);
+        let context = format!("a stop of {stop:?} at {point}");
+        assert_answered_in(seed, &context, 2, CLIENT_TIMEOUT, &mut clients);
         for client in &mut clients {
             let next = client.client.check();
-            assert!(next.starts_with(r"\x94\x01\x01\xc0\x92"), "seed {seed}, {what}: then came `{next}`");
+            assert!(
+                next.starts_with(r"\x94\x01\x01\xc0\x92"),
+                "seed {seed}, {context}: followed by `{next}`"
+            );
         }
     }
 }
@@ -219,7 +232,8 @@
     assert_answered_once_after_a_stop_at("response-decided");
 }
 
-/// The answers to a client that reads nothing for a while lie in its own system, and no other client waits for it.
+/// Asserts that the answers to a client that reads nothing for a while reach its socket buffer in time, and
+/// that no other client waits for it.
 #[test]
 fn a_client_that_stands_still_has_its_answers_and_delays_nobody() {
     const REQUESTS: u64 = 16;
@@ -228,22 +242,22 @@
     let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
     let site = HeldSite::slowed();
     let mut others = site.answered_clients(OTHERS);
-    let mut still = site.client();
-    (0..REQUESTS).for_each(|id| still.ask(id, UNKEYED, CLIENT_TIMEOUT));
+    let mut paused = site.client();
+    (0..REQUESTS).for_each(|id| paused.ask(id, UNKEYED, CLIENT_TIMEOUT));
     others.iter_mut().for_each(|client| client.ask(2, KEYED, CLIENT_TIMEOUT));
-    assert_answered_in(seed, "beside a client that stands still", 2, CLIENT_TIMEOUT, &mut others);
-    wait_for(seed, "all answers lie at the client", || responses_in(&still.client.unread()) == REQUESTS);
-    let took = still.asked_at.elapsed();
-    println!("seed {seed}: all answers lay at the client that stands still after {took:?}");
+    assert_answered_in(seed, "beside a client that does not read", 2, CLIENT_TIMEOUT, &mut others);
+    wait_for(seed, "all answers at the client", || responses_in(&paused.client.unread()) == REQUESTS);
+    let took = paused.asked_at.elapsed();
+    println!("seed {seed}: all answers in the buffer of the client that does not read after {took:?}");
     assert!(took <= CLIENT_TIMEOUT, "seed {seed}: only after {took:?}");
-    let mut ids: Vec<String> = (0..REQUESTS).map(|_| still.client.response()).collect();
+    let mut ids: Vec<String> = (0..REQUESTS).map(|_| paused.client.response()).collect();
     ids.iter_mut().for_each(|text| text.truncate(r"\x94\x01\x00".len()));
     ids.sort();
     ids.dedup();
     assert_eq!(ids.len() as u64, REQUESTS, "seed {seed}: answered twice: {ids:?}");
 }
 
-/// Returns the number of whole messages in these bytes.
+/// Returns the number of complete messages in these bytes.
 fn responses_in(bytes: &[u8]) -> u64 {
     let (mut rest, mut count) = (bytes, 0);
     while let Some((_, length)) = decode(rest) {
@@ -252,11 +266,12 @@
     count
 }
 
-/// What a message of a client costs where a connection's own messages keep its request waiting.
+/// Cost of each client message in the tests in which a connection's own messages delay its request.
 const OWN_COST: &str = "message:5000us";
 
-/// Asserts that a request behind so many withdrawals of the same client is answered, on a connection that is idle by the
-/// server's clock while they are handled. All are written before its client is told anything.
+/// Asserts that a request behind the given number of withdrawals is answered, on a connection that exceeds
+/// the idle timeout while the server handles the withdrawals. The client writes all messages before it
+/// receives any.
 fn assert_idle_limit_spares_a_request_behind(withdrawals: usize) {
     let _core = wait_for_core();
     let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
@@ -264,23 +279,26 @@
     let site = HeldSite::start(&idle_limit, SLOW_AT, OWN_COST);
     let mut clients = site.answered_clients(1);
     clients[0].ask_behind(withdrawals, 2, UNKEYED, CLIENT_TIMEOUT);
-    let what = format!("behind {withdrawals} withdrawals");
-    assert_answered_in(seed, &what, 2, CLIENT_TIMEOUT, &mut clients);
+    let context = format!("behind {withdrawals} withdrawals");
+    assert_answered_in(seed, &context, 2, CLIENT_TIMEOUT, &mut clients);
 }
 
-/// The request is in the server's hands, and not handled as the time ends that its client has to close the connection.
+/// Guards against a connection closed over a request that the server has read but not handled when the time
+/// ends in which the notified client is to close the connection.
 #[test]
 fn a_request_that_was_read_is_not_closed_over() {
     assert_idle_limit_spares_a_request_behind(340);
 }
 
-/// The request lies in the system's buffer for longer than unread bytes keep a connection open.
+/// Guards against a connection closed over a request that is in the socket buffer for longer than unread
+/// bytes keep a connection open.
 #[test]
 fn a_request_that_lies_unread_for_long_is_not_closed_over() {
     assert_idle_limit_spares_a_request_behind(640);
 }
 
-/// The request was read and is not handled as its connection has to make room for others.
+/// Guards against the eviction of a connection whose request was read but is not handled when other
+/// connections need room.
 #[test]
 fn a_request_that_was_read_is_not_evicted() {
     const WITHDRAWALS: usize = 160;
--- a/tests/event_loop_support/flood.rs
+++ b/tests/event_loop_support/flood.rs
@@ -1,4 +1,5 @@
-//! Connections that keep the server's reads busy without end: notifications that nobody knows, as fast as they are taken.
+//! Connections that keep the server's reads busy: they send unknown notifications as fast as the server reads
+//! them.
 
 use crate::upgrade_support::TEST_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
@@ -8,47 +9,50 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Connections that flood.
+/// Number of flooding connections.
 pub const CONNECTIONS: usize = 24;
-/// Time between two writes on a connection; what the systems hold unread lasts far longer.
+/// Time between two writes on a connection, far shorter than the server needs to read the bytes in the socket
+/// buffers.
 const WRITE_INTERVAL: Duration = Duration::from_millis(5);
-/// The first message: a connection that never sent a request would be closed for it.
+/// First message of a connection, as the server closes connections that never send a request.
 const HEALTH_CHECK: &[u8] = b"\x94\x00\x01\xa6isWell\x91\x80";
-/// A notification that nobody knows, and how many are written at once.
+/// A notification that the server does not know.
 const NOTIFICATION: &[u8] = b"\x93\x02\xa4none\x90";
+/// Number of notifications in one write.
 const NOTIFICATIONS: usize = 512;
 
-/// A running flood; it ends when this is dropped.
+/// A running flood, which ends when the value is dropped.
 pub struct Flood {
-    is_over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     closed: Arc<AtomicUsize>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Flood {
-    /// Starts a flood. Once this returns the server has accepted its connections, and they hold more than it reads in a while.
+    /// Starts a flood. When this returns, the server has accepted the connections, and they hold more unread
+    /// bytes than it reads in a while.
     pub fn start(address: SocketAddr) -> Flood {
-        let (is_over, closed) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
+        let (stop, closed) = (Arc::<AtomicBool>::default(), Arc::<AtomicUsize>::default());
         let mut sources: Vec<Source> = (0..CONNECTIONS).map(|_| Source::connect(address)).collect();
         for source in &mut sources {
             assert!(source.write(), "the server closed a connection at once");
         }
-        let (over, count) = (is_over.clone(), closed.clone());
+        let (stop_requested, closed_count) = (stop.clone(), closed.clone());
         let thread = std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stop_requested.load(Ordering::Relaxed) {
                 for source in sources.iter_mut().filter(|source| !source.is_closed) {
                     if !source.write() {
                         source.is_closed = true;
-                        count.fetch_add(1, Ordering::Relaxed);
+                        closed_count.fetch_add(1, Ordering::Relaxed);
                     }
                 }
                 std::thread::sleep(WRITE_INTERVAL);
             }
         });
-        Flood { is_over, closed, thread: Some(thread) }
+        Flood { stop, closed, thread: Some(thread) }
     }
 
-    /// Returns how many of its connections the server has closed.
+    /// Returns the number of the flood's connections that the server has closed.
     pub fn closed(&self) -> usize {
         self.closed.load(Ordering::Relaxed)
     }
@@ -56,7 +60,7 @@
 
 impl Drop for Flood {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -66,8 +70,9 @@
 /// One connection of a flood.
 struct Source {
     stream: TcpStream,
-    /// What is being written, and how much of it was taken.
+    /// Bytes of the current write.
     bytes: Vec<u8>,
+    /// Number of `bytes` that the socket has accepted.
     written: usize,
     is_closed: bool,
 }
@@ -75,15 +80,16 @@
 impl Source {
     /// Connects, and waits for the answer to a health check.
     fn connect(address: SocketAddr) -> Source {
-        let mut stream = TcpStream::connect(address).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
+        let mut stream = TcpStream::connect(address).expect("connecting to the server");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
         stream.write_all(HEALTH_CHECK).expect("the connection is open");
         assert_ne!(stream.read(&mut [0; 64]).expect("an answer"), 0, "the server closed the connection");
-        stream.set_nonblocking(true).expect("a socket");
+        stream.set_nonblocking(true).expect("setting the blocking mode");
         Source { stream, bytes: Vec::new(), written: 0, is_closed: false }
     }
 
-    /// Writes what the connection takes, without an end in the middle of a message; returns whether it stands.
+    /// Writes as much as the socket accepts and continues a partly written message; returns whether the
+    /// connection is open.
     fn write(&mut self) -> bool {
         loop {
             if self.written == self.bytes.len() {
--- a/tests/event_loop_support/held_site.rs
+++ b/tests/event_loop_support/held_site.rs
@@ -1,4 +1,4 @@
-//! A slowed server whose runs begin and end as the test says, and clients that are read one message at a time.
+//! A slowed server whose runs the test starts and ends, and clients that read one message at a time.
 
 use super::{COSTS, SLOW_AT};
 use crate::fleet::FakeWorkerPool;
@@ -8,19 +8,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A class without an idempotency key, and one with.
+/// Class without idempotency keys.
 pub const UNKEYED: &str = "route-sheet";
+/// Class with idempotency keys.
 pub const KEYED: &str = "pour-entry";
-/// How long the clients of these tests wait, as the platform's do.
+/// Client timeout of these tests, equal to the platform's.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// How long clients wait, and half of that as the objective.
+/// Configuration changes that set the client timeout to [`CLIENT_TIMEOUT`] and the latency objective to half
+/// of it.
 const CLIENT_TIMES: [(&str, &str); 2] =
     [(r#""give_up_ms":90000"#, r#""give_up_ms":5000"#), (r#""target_ms":80000"#, r#""target_ms":2500"#)];
-/// The withdrawal of a request that is not open.
+/// Withdrawal of a request that is not open.
 const WITHDRAWAL: &[u8] = b"\x93\x02\xa6forget\x91\x00";
 
-/// The number of the last attempt: each has one of its own.
+/// Number of the last attempt; numbers are unique in the test program.
 static LAST_ATTEMPT: AtomicU64 = AtomicU64::new(0);
 
 /// The server and its worker pool.
@@ -35,7 +37,8 @@
         HeldSite::start(&[], SLOW_AT, COSTS)
     }
 
-    /// Starts a server with a variable and with each `from` of the configuration replaced by its `to`.
+    /// Starts a server with the environment variable `name` set to `value`. Each change replaces its first
+    /// text in the configuration by its second one.
     pub fn start(changes: &[(&str, &str)], name: &str, value: &str) -> HeldSite {
         let pool = FakeWorkerPool::new();
         let changes = CLIENT_TIMES.iter().chain(changes);
@@ -44,7 +47,7 @@
         HeldSite { pool, server: Alone::with_variable(&config, name, value) }
     }
 
-    /// Returns where clients connect.
+    /// Returns the address at which clients connect.
     pub fn listen(&self) -> SocketAddr {
         self.server.address.parse().expect("an address")
     }
@@ -54,7 +57,7 @@
         TimedClient { client: Client::new(&self.server.address), asked_at: Instant::now() }
     }
 
-    /// Connects clients, each of which was answered a first request.
+    /// Connects clients and returns them after a first request of each was completed.
     pub fn answered_clients(&self, count: usize) -> Vec<TimedClient> {
         let mut clients: Vec<TimedClient> = (0..count).map(|_| self.client()).collect();
         for client in &mut clients {
@@ -65,28 +68,28 @@
     }
 }
 
-/// An answer and when it came.
+/// An answer and its time of arrival.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Whether it is the response to the request that was asked.
+    /// Whether the answer is the response to the client's request.
     pub is_response: bool,
-    /// Whether it is the result of the run.
+    /// Whether the answer is the result of the run.
     pub is_completed: bool,
-    /// Time from the writing of the request.
+    /// Time from the write of the request to the answer.
     pub took: Duration,
-    /// What came, escaped.
+    /// Bytes of the answer, escaped.
     #[allow(dead_code, reason = "it is printed")]
     pub text: String,
 }
 
 impl Answer {
-    /// Returns whether the request was answered while its client waited.
+    /// Returns whether the request was answered within the limit.
     pub fn is_in_time(&self, limit: Duration) -> bool {
         self.is_response && self.took <= limit
     }
 }
 
-/// A client that notes when it asked.
+/// A client that records the time of its last request.
 pub struct TimedClient {
     pub client: Client,
     pub asked_at: Instant,
@@ -98,7 +101,7 @@
         self.ask_behind(0, id, class, timeout);
     }
 
-    /// Writes so many withdrawals, of requests that are not open, and a request behind them, all at once.
+    /// Writes withdrawals of requests that are not open, and a request behind them, in one write.
     pub fn ask_behind(&mut self, withdrawals: usize, id: u64, class: &str, timeout: Duration) {
         let attempt = LAST_ATTEMPT.fetch_add(1, Ordering::Relaxed) + 1;
         let key = if class == KEYED { format!(" dedupe={attempt:032x}") } else { String::new() };
@@ -108,7 +111,7 @@
         self.client.ask_behind(&WITHDRAWAL.repeat(withdrawals), id, &request);
     }
 
-    /// Reads the next response, which is to be the one to this request.
+    /// Reads the next response, which is expected to answer this request.
     pub fn answer_to(&mut self, id: u64) -> Answer {
         let text = self.client.response();
         Answer {
@@ -120,11 +123,11 @@
     }
 }
 
-/// Reads the responses to a request that each client asked, asserts that all came in time, and returns how many of them are
-/// results.
+/// Reads each client's response to request `id`, asserts that all arrived in time, and returns the number of
+/// responses that are results.
 pub fn assert_answered_in(
     seed: u64,
-    what: &str,
+    context: &str,
     id: u64,
     limit: Duration,
     clients: &mut [TimedClient],
@@ -134,11 +137,11 @@
     let slowest = answers.iter().map(|answer| answer.took).max();
     let completed = answers.iter().filter(|answer| answer.is_completed).count();
     println!(
-        "seed {seed}, {what}: {} asked, {completed} completed, {} late or lost, slowest {slowest:?}",
+        "seed {seed}, {context}: {} requests, {completed} completed, {} late or lost, slowest {slowest:?}",
         answers.len(),
         late.len()
     );
     late.iter().for_each(|answer| println!("  {answer:?}"));
-    assert!(late.is_empty(), "seed {seed}, {what}: {} not answered within {limit:?}", late.len());
+    assert!(late.is_empty(), "seed {seed}, {context}: {} not answered within {limit:?}", late.len());
     completed
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,4 +1,5 @@
-//! Recorded exchanges of bytes with the built round server; each text file in `exchanges/` is one test.
+//! Tests that replay recorded exchanges of bytes with the built server; each text file in `exchanges/` is one
+//! test.
 
 use dunlinspread::codec::{http, json, msgpack};
 use dunlinspread::config::ResourceLimits;
@@ -25,7 +26,7 @@
     accept_queue bad_input bad_peers call_given_up calls cold crowd cut_then_gone cut_then_unknown descriptors drain due_while_running due_without_link full heir idle keyed leave leave_kinds new_pool no_pool other_body half read_late reload relink sent_again sent_again_after_call sent_again_full sent_again_refused serve signals slow_reader stopped told_wait unknown_runs unread unwanted window
 }
 
-/// A faulty configuration ends the program, which names the key.
+/// Asserts that an invalid configuration ends the program with an error that names the key.
 #[test]
 fn faulty_configurations() {
     let changes = [
@@ -49,15 +50,16 @@
     for (from, to) in changes {
         let text =
             play::config("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", &[(from.to_owned(), to.to_owned())]);
-        let ended = play::start(&text).wait_with_output().expect("it ends");
-        let said = play::without_file(&String::from_utf8_lossy(&ended.stderr));
-        out += &format!("{from} -> {to}\n    {said}{}\n", ended.status);
+        let ended = play::start(&text).wait_with_output().expect("waiting for the program to exit");
+        let stderr = play::without_file(&String::from_utf8_lossy(&ended.stderr));
+        out += &format!("{from} -> {to}\n    {stderr}{}\n", ended.status);
     }
     insta::assert_snapshot!(out);
 }
 
-/// Nobody else has to be up for the program to be ready: with pool, index and catalog out of reach it listens and answers
-/// a health check. How long that took is printed; the platform allows 30 s.
+/// Asserts that the program is ready without any peer: it listens and answers a health check while the worker
+/// pool, the upstream service and the registry are unreachable. The platform allows 30 s; the time is
+/// printed.
 #[test]
 fn ready_while_nobody_else_is_up() {
     let since = std::time::Instant::now();
@@ -67,15 +69,16 @@
     assert_eq!(answer, r"\x94\x01\x01\xc0\x92\xc3\x80");
 }
 
-/// What the process may hold stays within its limits, and still holds a busy minute, at every size in service.
+/// Asserts that the derived limits fit into the process's memory and descriptors and still suffice for a busy
+/// minute, at each size in service.
 #[test]
 fn the_bounds_fit_the_limits() {
     for (memory_mb, sockets) in [(32, 384), (48, 512), (192, 384), (192, 1024)] {
         let limits = ResourceLimits::new(memory_mb << 20, sockets);
         let held = limits.client_connections * (32 << 10)
             + (limits.requests + limits.dispatcher_mailbox) * (5 << 10);
-        let all = held + limits.idempotency_keys * 400 + limits.result_bytes + limits.log_lines * 1024;
-        assert!(all < (memory_mb << 20) * 7 / 8, "{limits:?} hold {all} bytes");
+        let total = held + limits.idempotency_keys * 400 + limits.result_bytes + limits.log_lines * 1024;
+        assert!(total < (memory_mb << 20) * 7 / 8, "{limits:?} hold {total} bytes");
         let descriptors =
             limits.client_connections + limits.upstream_connections + limits.control_connections;
         assert!(descriptors < sockets && limits.control_connections >= 4, "{limits:?}");
@@ -89,8 +92,8 @@
     }
 }
 
-/// Reads a stream in pieces of that size; what was found, up to the first fault.
-type Reading = fn(&[u8], usize) -> Vec<String>;
+/// Function that reads a stream in pieces of the given size and returns its messages up to the first error.
+type StreamReader = fn(&[u8], usize) -> Vec<String>;
 
 fn read_msgpack(bytes: &[u8], size: usize) -> Vec<String> {
     let (mut decoder, mut out) = (msgpack::Decoder::default(), Vec::new());
@@ -138,23 +141,23 @@
     out
 }
 
-/// The recorded streams read alike whole and byte by byte. Cut short, or with any one byte changed, they may read as
-/// anything, but never panic.
-fn read_streams(script: &str, reading: Reading) -> String {
+/// Asserts that each recorded stream is read the same whole and byte by byte, and returns its messages.
+/// Truncated streams and streams with one changed byte may give any result, but no panic.
+fn read_streams(script: &str, read: StreamReader) -> String {
     let mut out = String::new();
     for text in script.lines() {
         let bytes = play::unescape(text);
-        let found = reading(&bytes, usize::MAX);
-        assert_eq!(found, reading(&bytes, 1), "{text}");
+        let messages = read(&bytes, usize::MAX);
+        assert_eq!(messages, read(&bytes, 1), "{text}");
         for at in 0..bytes.len() {
-            reading(&bytes[..at], 7);
+            read(&bytes[..at], 7);
             for other in [0x00, 0x0a, 0x22, 0x39, 0x7f, 0xc6, 0xdd, 0xff] {
                 let mut changed = bytes.clone();
                 changed[at] = other;
-                reading(&changed, 5);
+                read(&changed, 5);
             }
         }
-        out += &format!("{text}\n    {}\n", found.join("\n    "));
+        out += &format!("{text}\n    {}\n", messages.join("\n    "));
     }
     out
 }
--- a/tests/fleet/daemon.rs
+++ b/tests/fleet/daemon.rs
@@ -1,4 +1,4 @@
-//! The built server with its files.
+//! The built server as a process, with its files.
 
 use super::{TEST_TIMEOUT, wait_for};
 use std::io::{BufRead, BufReader};
@@ -20,11 +20,11 @@
 "below":"off","keepalive_max_ms":32000000000,"clients":1,
 "gauges":["core_use","on_cores","heap_share","links"]}}"#;
 
-/// The text of the operator file.
+/// Content of the operator file.
 pub enum OperatorFile<'a> {
-    /// Nothing.
+    /// No content.
     Empty,
-    /// The block `config_sync` with this relay, and lines of the test's own.
+    /// The block `config_sync` with this relay and with further lines of the test.
     ConfigSync { relay: SocketAddr, more: &'a str },
 }
 
@@ -52,8 +52,8 @@
 "settings":{SETTINGS}}}"#
         );
         let (config_path, operator_path) = (folder.join("config.json"), folder.join("operator.hcl"));
-        std::fs::write(&config_path, config).expect("it is written");
-        std::fs::write(&operator_path, operator_text(folder, operator)).expect("it is written");
+        std::fs::write(&config_path, config).expect("writing the file");
+        std::fs::write(&operator_path, operator_text(folder, operator)).expect("writing the file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_dunlinspread"))
             .env("RELAY_CONFIG", &config_path)
             .env("DUNLINSPREAD_OPERATOR", &operator_path)
@@ -82,9 +82,9 @@
         }
     }
 
-    /// Returns the names of the threads of the process.
+    /// Returns the sorted names of the process's threads.
     pub fn threads(&self) -> Vec<String> {
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("it runs");
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the process runs");
         let names = tasks.filter_map(|task| std::fs::read_to_string(task.ok()?.path().join("comm")).ok());
         let mut names: Vec<String> = names.map(|name| name.trim().to_owned()).collect();
         names.sort();
@@ -93,35 +93,36 @@
 
     /// Returns the resident memory, kB.
     pub fn resident_kb(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a figure");
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("the process runs");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("the VmRSS line");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
     /// Sends a signal.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill is there").success());
+        assert!(sent.expect("running kill").success());
     }
 
     /// Requests a shutdown and waits for its success.
     pub fn shut_down(mut self) {
         self.signal("TERM");
-        wait_for("its end", || self.child.try_wait().expect("it can be asked").is_some());
-        assert!(self.child.wait().expect("it ended").success());
+        wait_for("the end of the process", || self.child.try_wait().expect("polling the process").is_some());
+        assert!(self.child.wait().expect("waiting for the process").success());
     }
 
     /// Replaces the operator file.
     pub fn rewrite_operator(&self, operator: &OperatorFile) {
         let text = operator_text(&self.folder, operator);
-        std::fs::write(self.folder.join("operator.hcl"), text).expect("it is written");
+        std::fs::write(self.folder.join("operator.hcl"), text).expect("writing the file");
     }
 }
 
 fn operator_text(folder: &Path, operator: &OperatorFile) -> String {
     let OperatorFile::ConfigSync { relay, more } = operator else { return String::new() };
     let key_file = folder.join("fleet.key");
-    std::fs::write(&key_file, KEY).expect("it is written");
+    std::fs::write(&key_file, KEY).expect("writing the file");
     let key_file = key_file.display();
     format!(
         "config_sync {{\n  zone = \"z1\"\n  region = \"r1\"\n  key_file = \"{key_file}\"\n  {more}\n  \
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A real server with a fake worker pool, a publisher and a relay, all on loopback. Every wait is for an event, with a
-//! time limit far beyond what a working program takes.
+//! A real server with a fake worker pool, a publisher and a relay, all on loopback. Each wait is for an
+//! event, with a time limit far beyond any delay of a working program.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 mod client;
@@ -23,16 +23,16 @@
 /// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Waits until the condition holds.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until `holds` returns true; `condition` names what it checks in the failure message.
+pub fn wait_for(condition: &str, mut holds: impl FnMut() -> bool) {
     let since = Instant::now();
     while !holds() {
-        assert!(since.elapsed() < TEST_TIMEOUT, "timed out waiting for: {what}");
+        assert!(since.elapsed() < TEST_TIMEOUT, "timed out waiting for: {condition}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Returns an empty folder of one test.
+/// Creates an empty folder for a test and returns its path.
 pub fn folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{test}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -48,19 +48,19 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-/// A publisher, and the one relay that servers watch.
+/// A publisher and the one relay from which servers receive changes.
 pub struct Fleet {
     pub publisher: PublisherNode,
     relay: Option<RelayNode>,
 }
 
 impl Fleet {
-    /// Starts both; routes may lead to these classes.
+    /// Starts a publisher, which accepts routes to these classes, and a relay.
     pub fn new(folder: &Path, classes: &[&str]) -> Fleet {
         let mut settings = PublisherNodeSettings::new("publisher", any_port(), KEY);
         settings.known_classes = classes.iter().map(|class| (*class).into()).collect();
-        let publisher =
-            PublisherNode::open(settings, &folder.join("publisher"), discard_log()).expect("it opens");
+        let publisher = PublisherNode::open(settings, &folder.join("publisher"), discard_log())
+            .expect("opening the publisher");
         let relay = relay(&publisher);
         Fleet { publisher, relay: Some(relay) }
     }
@@ -68,12 +68,12 @@
     /// Waits until the relay serves all published changes.
     pub fn wait_relay_at_head(&self) {
         let head = self.publisher.head();
-        wait_for("the relay has all", || self.relay.as_ref().is_some_and(|relay| relay.head() == head));
+        wait_for("relay at its head", || self.relay.as_ref().is_some_and(|relay| relay.head() == head));
     }
 
     /// Returns the address at which servers connect.
     pub fn relay_address(&self) -> SocketAddr {
-        self.relay.as_ref().expect("it runs").address()
+        self.relay.as_ref().expect("the relay runs").address()
     }
 
     /// Stops the relay.
@@ -81,9 +81,9 @@
         self.relay = None;
     }
 
-    /// Publishes changes.
+    /// Publishes changes and returns their position.
     pub fn propose(&self, changes: Vec<Change>) -> Position {
-        self.publisher.propose(changes).expect("it is accepted")
+        self.publisher.propose(changes).expect("the changes are accepted")
     }
 
     /// Publishes changes and waits until the server has applied or rejected them.
@@ -94,7 +94,7 @@
 
     /// Waits until the progress of all subscribers shows this position.
     pub fn wait_in_force(&self, position: Position) {
-        wait_for("in force by the publisher's account", || {
+        wait_for("the position in force in the publisher's progress", || {
             let zones = self.publisher.progress();
             zones.iter().any(|zone| zone.subscribers > 0)
                 && zones.iter().filter(|zone| zone.subscribers > 0).all(|zone| zone.least >= position)
@@ -103,40 +103,40 @@
 }
 
 fn relay(publisher: &PublisherNode) -> RelayNode {
-    let above =
+    let source =
         Server { name: "publisher".into(), address: publisher.address(), zone: None, region: "r1".into() };
     let member = Member { name: "relay".into(), zone: "z1".into(), region: "r1".into(), role: Role::Relay };
     let settings = RelayNodeSettings {
         member,
         listen: any_port(),
-        servers: vec![above],
+        servers: vec![source],
         fleet_key: KEY.to_vec(),
         seed: 7,
     };
-    RelayNode::start(settings, discard_log()).expect("it starts")
+    RelayNode::start(settings, discard_log()).expect("starting the relay")
 }
 
-/// Sets the quota of a tenant, in whole requests a second.
+/// Returns the change that sets the quota of a tenant, in whole requests per second.
 pub fn put_tenant(tenant: &str, per_second: u64) -> Change {
     Change::Put(Resource::TenantAllowance { tenant: tenant.into(), milli_per_second: per_second * 1000 })
 }
 
-/// Deletes the quota of a tenant.
+/// Returns the change that deletes the quota of a tenant.
 pub fn delete_tenant(tenant: &str) -> Change {
     Change::Delete(Key::Tenant(tenant.into()))
 }
 
-/// Leads a route to a class.
+/// Returns the change that maps a route to a class.
 pub fn put_route(route: &str, class: &str) -> Change {
     Change::Put(Resource::Route { route: route.into(), class: class.into() })
 }
 
-/// Removes a route.
+/// Returns the change that removes a route.
 pub fn delete_route(route: &str) -> Change {
     Change::Delete(Key::Route(route.into()))
 }
 
-/// Limits a class.
+/// Returns the change that limits the number of running requests of a class.
 pub fn put_limit(class: &str, max_running: u32) -> Change {
     Change::Put(Resource::ClassLimit { class: class.into(), max_running })
 }
--- a/tests/fleet/worker_pool.rs
+++ b/tests/fleet/worker_pool.rs
@@ -1,4 +1,4 @@
-//! A fake worker pool: completes runs at once or when the test says so, and records them.
+//! A fake worker pool, which completes runs at once or on request of the test, and records them.
 
 use super::wait_for;
 use dunlinspread::codec::json::{self, Value};
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A worker pool that accepts one link after the other.
+/// A worker pool that accepts one link at a time.
 pub struct FakeWorkerPool {
     address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -16,16 +16,17 @@
 #[derive(Default)]
 struct State {
     link: Option<TcpStream>,
-    /// Whether runs wait for the test.
+    /// Whether runs stay in progress until the test ends them.
     holds_runs: bool,
-    /// The number of the last notice.
+    /// Sequence number of the last notice.
     last_sequence: u64,
+    /// Runs in progress, in the order of their start.
     running: VecDeque<Run>,
-    /// The classes of all runs, in the order in which they were requested.
+    /// Classes of all runs, in the order of their start.
     started: Vec<String>,
 }
 
-/// A run that waits for the test.
+/// A run in progress.
 struct Run {
     id: String,
     class: String,
@@ -34,11 +35,12 @@
 impl State {
     fn write_line(&mut self, line: &str) {
         if let Some(link) = &mut self.link {
-            // The server may have ended.
+            // A write error means that the server has closed the link.
             let _ = link.write_all(format!("{line}\n").as_bytes());
         }
     }
 
+    /// Reports a run as completed.
     fn finish(&mut self, id: &str) {
         self.last_sequence += 1;
         let seq = self.last_sequence;
@@ -47,7 +49,8 @@
         ));
     }
 
-    fn cut(&mut self, id: &str) {
+    /// Reports a run in progress as stopped.
+    fn stop(&mut self, id: &str) {
         if let Some(at) = self.running.iter().position(|run| run.id == id) {
             self.running.remove(at);
             self.last_sequence += 1;
@@ -76,8 +79,8 @@
                     self.finish(&id);
                 }
             }
-            // The client of a run is gone.
-            "suspend" => self.cut(&word("id")),
+            // The client of the run has left.
+            "suspend" => self.stop(&word("id")),
             other => panic!("unknown command `{other}`"),
         }
     }
@@ -103,12 +106,12 @@
         self.address
     }
 
-    /// Keeps runs waiting until [`FakeWorkerPool::finish`].
+    /// Keeps further runs in progress until [`FakeWorkerPool::finish`] or [`FakeWorkerPool::release_runs`].
     pub fn hold_runs(&self) {
         self.lock().holds_runs = true;
     }
 
-    /// Completes all runs that wait, and further ones at once.
+    /// Completes all runs in progress, and further runs at once.
     pub fn release_runs(&self) {
         let mut state = self.lock();
         state.holds_runs = false;
@@ -117,26 +120,27 @@
         }
     }
 
-    /// Returns the classes of the runs that wait, in the order of their start.
+    /// Returns the classes of the runs in progress, in the order of their start.
     pub fn running(&self) -> Vec<String> {
         self.lock().running.iter().map(|run| run.class.clone()).collect()
     }
 
-    /// Returns the classes of all runs, in order.
+    /// Returns the classes of all runs, in the order of their start.
     pub fn started(&self) -> Vec<String> {
         self.lock().started.clone()
     }
 
-    /// Waits until so many runs wait.
+    /// Waits until `count` runs are in progress.
     pub fn wait_running(&self, count: usize) {
-        wait_for("runs under way", || self.lock().running.len() == count);
+        wait_for("runs in progress", || self.lock().running.len() == count);
     }
 
     /// Completes the oldest run of a class.
     pub fn finish(&self, class: &str) {
         let mut state = self.lock();
-        let at = state.running.iter().position(|run| run.class == class).expect("it runs");
-        let run = state.running.remove(at).expect("it is there");
+        let at =
+            state.running.iter().position(|run| run.class == class).expect("a run of the class in progress");
+        let run = state.running.remove(at).expect("the run at its index");
         state.finish(&run.id);
     }
 
@@ -145,9 +149,10 @@
     }
 }
 
+/// Handles the commands of one link up to its end.
 fn serve(state: &Mutex<State>, stream: TcpStream) {
     let lock = || state.lock().unwrap_or_else(PoisonError::into_inner);
-    let writer = stream.try_clone().expect("a second handle");
+    let writer = stream.try_clone().expect("cloning the socket");
     lock().link = Some(writer);
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         let command = json::parse(line.as_bytes()).expect("a command in JSON");
--- a/tests/handover_deadlines.rs
+++ b/tests/handover_deadlines.rs
@@ -1,7 +1,8 @@
-//! Requests that a server holds for its successor, or has forwarded to it, end by the time at which their clients stop
-//! waiting, whatever the successor does. The successor is the test itself, so that each order is forced without load.
+//! Tests that requests that a server holds for its successor, or has forwarded to it, end before their
+//! clients time out, whatever the successor does. The test acts as the successor, so that each order is
+//! forced without load.
 //!
-//! `UPGRADE_SEED` sets the seed that a failure prints; nothing here is drawn.
+//! `UPGRADE_SEED` sets the seed that a failure prints; these tests use no random numbers.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod event_loop_support;
@@ -21,23 +22,23 @@
 use tempfile::TempDir;
 use upgrade_support::{from_environment, wait_for};
 
-/// The seed where the environment sets none.
+/// Seed used if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// The variable that names the directory in which a successor finds the server.
+/// Environment variable with the directory in which a successor finds the server's socket.
 const TEMPORARY_DIRECTORY: &str = "TMPDIR";
-/// Upgrades are on where operators have an address.
+/// Configuration change that adds a control endpoint, without which upgrades are off.
 const WITH_CONTROL: [(&str, &str); 1] =
     [(r#""listen":"127.0.0.1:0""#, r#""listen":"127.0.0.1:0","control":"127.0.0.1:0""#)];
-/// How long clients wait: less than the second for which a transfer waits for its successor.
+/// Client timeout: less than the 1 s for which a transfer waits for its successor.
 const TIMEOUT: Duration = Duration::from_millis(500);
-/// As above, where requests are asked before the transfer begins.
+/// Client timeout of requests that are sent before the transfer begins.
 const TIMEOUT_OF_QUEUED: Duration = Duration::from_millis(800);
 
 fn seed() -> u64 {
     from_environment("UPGRADE_SEED", DEFAULT_SEED)
 }
 
-/// A server that a successor finds.
+/// A server to which a successor can connect.
 struct UpgradedSite {
     site: HeldSite,
     temporary: TempDir,
@@ -46,7 +47,7 @@
 impl UpgradedSite {
     fn start() -> UpgradedSite {
         let temporary = tempfile::tempdir().expect("a directory");
-        let path = temporary.path().to_str().expect("a path of letters");
+        let path = temporary.path().to_str().expect("a UTF-8 path");
         UpgradedSite { site: HeldSite::start(&WITH_CONTROL, TEMPORARY_DIRECTORY, path), temporary }
     }
 
@@ -55,17 +56,17 @@
     }
 }
 
-/// Asks a request of each class by turns, one on each connection.
-fn ask(clients: &mut [TimedClient], id: u64, timeout: Duration) {
+/// Sends one request on each connection, alternating between the classes.
+fn send_requests(clients: &mut [TimedClient], id: u64, timeout: Duration) {
     for (number, client) in clients.iter_mut().enumerate() {
         client.ask(id, [UNKEYED, KEYED][number % 2], timeout);
     }
 }
 
-/// Asserts that the next message is the answer to a health check: no second response came before it.
+/// Asserts that the next message is the response to a health check, so that no second response preceded it.
 fn assert_answered_once(seed: u64, client: &mut TimedClient) {
     let next = client.client.check();
-    assert!(next.starts_with(r"\x94\x01\x01\xc0"), "seed {seed}: then came `{next}`");
+    assert!(next.starts_with(r"\x94\x01\x01\xc0"), "seed {seed}: followed by `{next}`");
 }
 
 #[test]
@@ -75,9 +76,9 @@
     let server = UpgradedSite::start();
     let mut clients = server.site.answered_clients(CLIENTS);
     let _silent = server.begin_transfer();
-    ask(&mut clients, 2, TIMEOUT);
-    let completed = assert_answered_in(seed, "asked in a transfer", 2, TIMEOUT, &mut clients);
-    assert_eq!(completed, 0, "seed {seed}: run while its key may be on its way");
+    send_requests(&mut clients, 2, TIMEOUT);
+    let completed = assert_answered_in(seed, "sent during a transfer", 2, TIMEOUT, &mut clients);
+    assert_eq!(completed, 0, "seed {seed}: run while its key may be in transit");
     clients.iter_mut().for_each(|client| assert_answered_once(seed, client));
 }
 
@@ -88,7 +89,7 @@
     let server = UpgradedSite::start();
     let mut clients = server.site.answered_clients(CLIENTS);
     server.site.pool.hold_runs();
-    ask(&mut clients, 2, TIMEOUT_OF_QUEUED);
+    send_requests(&mut clients, 2, TIMEOUT_OF_QUEUED);
     wait_for(seed, "a run", || !server.site.pool.running().is_empty());
     let _silent = server.begin_transfer();
     assert_answered_in(seed, "queued before a transfer", 2, TIMEOUT_OF_QUEUED, &mut clients);
@@ -107,13 +108,14 @@
         let completed = assert_answered_in(seed, "forwarded, not answered", id, TIMEOUT, &mut clients);
         assert_eq!(completed, 0, "seed {seed}");
         silent.wait_cancelled(forwarded.request);
-        // It comes too late, and is passed on to nobody.
+        // This response is too late and is discarded.
         silent.send(&response(forwarded.request));
         assert_answered_once(seed, &mut clients[0]);
     }
 }
 
-/// The successor knows by when its response has to be here, so that it decides on the request and not its predecessor.
+/// Asserts that a forwarded request carries a timeout shorter than the client's, so that the successor's
+/// decision reaches the predecessor before that one answers the request itself.
 #[test]
 fn the_successor_is_told_of_a_time_that_leaves_room_for_passing_its_response_on() {
     let seed = seed();
@@ -123,9 +125,12 @@
     successor.take_over();
     clients[0].ask(2, KEYED, CLIENT_TIMEOUT);
     let forwarded = successor.forwarded();
-    let told = forwarded.timeout_ms.expect("a time");
-    let waits = CLIENT_TIMEOUT.as_secs_f64() * 1000.0;
-    assert!(told < waits && told > waits / 2.0, "seed {seed}: {told} ms of {waits}");
+    let forwarded_ms = forwarded.timeout_ms.expect("a timeout");
+    let client_ms = CLIENT_TIMEOUT.as_secs_f64() * 1000.0;
+    assert!(
+        forwarded_ms < client_ms && forwarded_ms > client_ms / 2.0,
+        "seed {seed}: {forwarded_ms} ms of {client_ms}"
+    );
     successor.send(&response(forwarded.request));
     let completed = assert_answered_in(seed, "forwarded and answered", 2, CLIENT_TIMEOUT, &mut clients);
     assert_eq!(completed, 1, "seed {seed}: its result was not passed on");
--- a/tests/handover_frames.rs
+++ b/tests/handover_frames.rs
@@ -1,4 +1,5 @@
-//! A connection between two processes of one server: frames in any split, descriptors, and the end of a link.
+//! Tests of the connection between two processes of one server: frames in any split, descriptors, and the end
+//! of a link.
 
 use dunlinspread::server::handover::{
     HandoverSocketError, HandoverStream, LinkEvent, MAX_FRAME_BYTES, OutgoingFrame, run_link,
@@ -16,7 +17,7 @@
 use std::os::unix::net::UnixStream;
 use std::time::Duration;
 
-/// Time limit of what must happen.
+/// Time limit of each operation.
 const TIME_LIMIT: Duration = Duration::from_secs(60);
 
 fn stream_pair() -> (HandoverStream, HandoverStream) {
@@ -24,7 +25,7 @@
     (HandoverStream::new(left).expect("a stream"), HandoverStream::new(right).expect("a stream"))
 }
 
-/// A stream and the bare socket on its other side.
+/// Returns a stream and the raw socket of its other side.
 fn raw_pair() -> (HandoverStream, UnixStream) {
     let (left, right) = UnixStream::pair().expect("a pair");
     (HandoverStream::new(left).expect("a stream"), right)
@@ -35,7 +36,7 @@
     [&length.to_be_bytes(), frame].concat()
 }
 
-/// Runs `future`, or fails the test at the time limit.
+/// Runs `future` to completion; fails the test at the time limit.
 fn run_within_limit<T>(future: impl Future<Output = T>) -> T {
     let timed_out = async {
         async_io::Timer::after(TIME_LIMIT).await;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Pieces that are written at once, around the lengths of headers and buffers.
+/// Returns sizes of single writes, around the lengths of headers and buffers.
 fn piece_sizes() -> impl Strategy<Value = Vec<usize>> {
     let size = proptest::prop_oneof![4 => 1_usize..9, 3 => 9_usize..5_000, 1 => Just(200_000)];
     proptest::collection::vec(size, 1..40)
@@ -80,7 +81,7 @@
             let mut remaining = &bytes[..];
             for size in sizes.iter().cycle() {
                 let (piece, rest) = remaining.split_at((*size).min(remaining.len()));
-                (&raw).write_all(piece).expect("written");
+                (&raw).write_all(piece).expect("writing");
                 remaining = rest;
                 if remaining.is_empty() {
                     return;
@@ -91,11 +92,12 @@
         while let Some(frame) = run_within_limit(stream.receive()).expect("a frame") {
             read.push(frame.bytes);
         }
-        writer.join().expect("written");
+        writer.join().expect("the writer thread");
         prop_assert_eq!(read, frames);
     }
 
-    /// Both directions at once; a descriptor comes with its own frame and no other.
+    /// Sends frames in both directions at once, and asserts that a descriptor arrives with its own frame and
+    /// no other.
     #[test]
     fn descriptors_come_with_their_frames(frames in frames(), with_descriptor in any::<u8>()) {
         let (left, right) = stream_pair();
@@ -123,14 +125,14 @@
             prop_assert_eq!(read.len(), frames.len());
             for (at, frame) in read.into_iter().enumerate() {
                 prop_assert_eq!(&frame.bytes, &frames[at]);
-                let found = frame.descriptor.map(|found| File::from(found).metadata().expect("a file").ino());
-                prop_assert_eq!(found, has_descriptor(at).then_some(inode));
+                let actual = frame.descriptor.map(|file| File::from(file).metadata().expect("a file").ino());
+                prop_assert_eq!(actual, has_descriptor(at).then_some(inode));
             }
         }
     }
 }
 
-/// A call of `receive` that is dropped within a frame loses nothing.
+/// Asserts that dropping the future of `receive` within a frame loses no bytes.
 #[test]
 fn a_dropped_read_is_gone_on_with() {
     let (stream, raw) = raw_pair();
@@ -140,13 +142,13 @@
             pin!(receive);
             assert!(block_on(poll_once(receive)).is_none());
         }
-        (&raw).write_all(&[byte]).expect("written");
+        (&raw).write_all(&[byte]).expect("writing");
     }
     let frame = run_within_limit(stream.receive()).expect("read").expect("a frame");
     assert_eq!(frame.bytes, b"piecewise");
 }
 
-/// A frame that was begun and dropped must not be followed by another.
+/// Asserts that no frame is written after a frame whose write was begun and dropped.
 #[test]
 fn nothing_is_written_behind_an_unfinished_frame() {
     let (stream, _raw) = raw_pair();
@@ -166,7 +168,7 @@
     block_on(stream.send(b"short", None)).expect("nothing was begun");
     for length in [u32::MAX, 0x0010_0001] {
         let (stream, raw) = raw_pair();
-        (&raw).write_all(&length.to_be_bytes()).expect("written");
+        (&raw).write_all(&length.to_be_bytes()).expect("writing");
         let error = run_within_limit(stream.receive()).expect_err("too long");
         assert!(
             matches!(error, HandoverSocketError::FrameTooLong { length: seen, .. } if seen == length as usize),
@@ -176,14 +178,15 @@
     drop(raw);
 }
 
-/// A connection that waited in the queue while the socket changed hands is accepted.
+/// Asserts that a connection is accepted that waited in the accept queue while the listening socket was
+/// handed over.
 #[test]
 fn a_listening_socket_is_handed_over() {
     let (predecessor, successor) = stream_pair();
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
     let mut queued = TcpStream::connect(address).expect("a connection");
-    queued.write_all(b"request").expect("written");
+    queued.write_all(b"request").expect("writing");
     block_on(predecessor.send(b"the listening socket", Some(listener.as_fd()))).expect("sent");
     drop(listener);
 
@@ -200,7 +203,7 @@
     listener.accept().expect("the later connection");
 }
 
-/// Of several descriptors the first is kept, and the others are closed.
+/// Asserts that the first of several descriptors is kept, and that the others are closed.
 #[test]
 fn further_descriptors_are_closed() {
     let (stream, raw) = raw_pair();
@@ -217,15 +220,15 @@
 
     let frame = run_within_limit(stream.receive()).expect("read").expect("a frame");
     let mut kept = UnixStream::from(frame.descriptor.expect("a descriptor"));
-    kept.write_all(b"kept").expect("written");
+    kept.write_all(b"kept").expect("writing");
     let mut read = [0; 4];
     other_end_of_first.read_exact(&mut read).expect("read");
     assert_eq!(&read, b"kept");
-    other_end_of_second.set_read_timeout(Some(TIME_LIMIT)).expect("a time limit");
+    other_end_of_second.set_read_timeout(Some(TIME_LIMIT)).expect("setting the timeout");
     assert_eq!(other_end_of_second.read(&mut read).expect("closed"), 0);
 }
 
-/// Frames with descriptors pass through two links; each end is told after all frames.
+/// Asserts that two links carry frames with descriptors, and that each reports the end after all frames.
 #[test]
 fn a_link_carries_frames_and_flushes_at_its_end() {
     let (left, right) = stream_pair();
@@ -241,7 +244,8 @@
     }
     let with_descriptor = OutgoingFrame { bytes: b"last".to_vec(), descriptor: Some(descriptor) };
     to_left.try_send(with_descriptor).expect("a queue");
-    // One side ends; the other's queue is still open when it reads the end, and what is in it is still written.
+    // One side ends. The queue of the other side is still open when that side reads the end, and its frames
+    // are still written.
     to_left.close();
     let links = zip(run_link(left, left_queue, left_events), run_link(right, right_queue, right_events));
     run_within_limit(links);
@@ -259,24 +263,25 @@
     }
     for events in [&from_left, &from_right] {
         assert!(matches!(events.try_recv(), Ok(LinkEvent::Closed { error: None })));
-        assert!(events.try_recv().is_err(), "something follows the end");
+        assert!(events.try_recv().is_err(), "an event follows the end");
     }
     assert!(to_right.is_closed());
 }
 
-/// Writing fails because the other process is gone; what it sent before is delivered, and then the end.
+/// Asserts that the frames that the other process sent before it ended are delivered before the end, although
+/// writing to it fails.
 #[test]
 fn all_frames_come_before_the_end_when_writing_fails() {
     let (stream, raw) = raw_pair();
     for number in 0..100_u32 {
-        (&raw).write_all(&encode(&number.to_be_bytes())).expect("written");
+        (&raw).write_all(&encode(&number.to_be_bytes())).expect("writing");
     }
     drop(raw);
     let (to_write, queue) = async_channel::bounded(8);
     for _ in 0..8 {
         to_write.try_send(outgoing(b"too late")).expect("a queue");
     }
-    // The link is held up by its events, so that writing fails long before the last frame is read.
+    // The link waits for room in its event channel, so that writing fails long before the last frame is read.
     let (events, incoming) = async_channel::bounded(1);
     let collect = async {
         let mut seen = Vec::new();
@@ -289,7 +294,7 @@
     let end = seen.pop();
     assert!(
         matches!(end, Some(LinkEvent::Closed { error: Some(HandoverSocketError::Write(_)) })),
-        "seen {end:?}"
+        "received {end:?}"
     );
     assert_eq!(seen.len(), 100);
     for (number, event) in (0_u32..).zip(seen) {
@@ -298,7 +303,8 @@
     assert!(to_write.is_closed());
 }
 
-/// The other side leaves frames unread and ends: what it sent is delivered, and the end is an error.
+/// Asserts that the frames of a process that ends with unread frames are delivered, and that the end is an
+/// error.
 #[test]
 fn all_frames_come_before_the_end_when_the_connection_is_reset() {
     let (stream, raw) = raw_pair();
@@ -309,29 +315,29 @@
         while !to_write.is_empty() {
             futures_lite::future::yield_now().await;
         }
-        (&raw).write_all(&encode(b"last words")).expect("written");
+        (&raw).write_all(&encode(b"last words")).expect("writing");
         drop(raw);
     };
     run_within_limit(zip(run_link(stream, queue, events), other_side));
     assert_eq!(frame_bytes(incoming.try_recv()), b"last words");
     let end = incoming.try_recv();
-    assert!(matches!(end, Ok(LinkEvent::Closed { error: Some(_) })), "seen {end:?}");
-    assert!(incoming.try_recv().is_err(), "something follows the end");
+    assert!(matches!(end, Ok(LinkEvent::Closed { error: Some(_) })), "received {end:?}");
+    assert!(incoming.try_recv().is_err(), "an event follows the end");
 }
 
-/// A receiver that takes no events stops the sender: one frame waits in the channel, one in the task, and the rest in
-/// the two sockets' buffers.
+/// Asserts that a receiver that reads no events blocks the sender: one frame waits in the channel, one in the
+/// task, and the others in the buffers of the two sockets.
 #[test]
 fn a_stalled_reader_holds_up_the_writer() {
     const FRAMES: usize = 64;
     let (stream, raw) = raw_pair();
-    raw.set_nonblocking(true).expect("a socket");
+    raw.set_nonblocking(true).expect("setting the blocking mode");
     let (_to_write, queue) = async_channel::unbounded();
     let (events, incoming) = async_channel::bounded(1);
     let sent = encode(&vec![1; MAX_FRAME_BYTES]).repeat(FRAMES);
     let mut link = Box::pin(run_link(stream, queue, events));
     let mut written = 0;
-    // Until a turn of the link moves nothing any more.
+    // Repeats until polling the link makes no progress.
     loop {
         let before = written;
         while let Ok(length) = (&raw).write(&sent[written..]) {
@@ -342,9 +348,9 @@
             break;
         }
     }
-    assert!(written < 4 * MAX_FRAME_BYTES, "{written} bytes were taken");
-    raw.set_nonblocking(false).expect("a socket");
-    let writer = std::thread::spawn(move || (&raw).write_all(&sent[written..]).expect("written"));
+    assert!(written < 4 * MAX_FRAME_BYTES, "{written} bytes were accepted");
+    raw.set_nonblocking(false).expect("setting the blocking mode");
+    let writer = std::thread::spawn(move || (&raw).write_all(&sent[written..]).expect("writing"));
     let collect = async {
         let mut frames = 0;
         while let Ok(LinkEvent::Frame(frame)) = incoming.recv().await {
@@ -354,5 +360,5 @@
         frames
     };
     assert_eq!(run_within_limit(zip(link, collect)).1, FRAMES);
-    writer.join().expect("written");
+    writer.join().expect("the writer thread");
 }
--- a/tests/handover_socket.rs
+++ b/tests/handover_socket.rs
@@ -1,4 +1,5 @@
-//! The socket between two processes of one server: its directory, its name, and processes that are killed.
+//! Tests of the socket between two processes of one server: its directory, its name, and processes that are
+//! killed.
 
 use dunlinspread::server::handover::{
     HandoverDirectory, HandoverListener, HandoverSocketError, HandoverStream, LinkEvent, connect, run_link,
@@ -13,12 +14,13 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// Set for a helper process: what it does, and the temporary directory.
+/// Environment variable with the task of a helper process.
 const HELPER_TASK: &str = "HANDOVER_HELPER_TASK";
+/// Environment variable with the temporary directory of a helper process.
 const HELPER_DIRECTORY: &str = "HANDOVER_HELPER_DIRECTORY";
-/// Time limit of what must happen.
+/// Time limit of each operation.
 const TIME_LIMIT: Duration = Duration::from_secs(60);
-/// The user and group of nobody.
+/// User and group id of `nobody`.
 const OTHER_USER: u32 = 65_534;
 
 fn directory() -> (TempDir, HandoverDirectory) {
@@ -32,7 +34,7 @@
     [&length.to_be_bytes(), frame].concat()
 }
 
-/// Runs `future`, or fails the test at the time limit.
+/// Runs `future` to completion; fails the test at the time limit.
 fn run_within_limit<T>(future: impl Future<Output = T>) -> T {
     let timed_out = async {
         async_io::Timer::after(TIME_LIMIT).await;
@@ -41,7 +43,8 @@
     block_on(or(future, timed_out))
 }
 
-/// Starts this test binary again as the process that does `task`, and waits until it says that it is done.
+/// Starts this test binary as a helper process with `task`, and waits until the helper prints that it is
+/// ready.
 fn start_helper(task: &str, temporary: &Path) -> Child {
     let mut helper = Command::new(std::env::current_exe().expect("this binary"))
         .args(["helper_process", "--exact", "--nocapture"])
@@ -51,12 +54,12 @@
         .spawn()
         .expect("a process");
     let mut output = helper.stdout.take().expect("its output");
-    let mut said = String::new();
+    let mut printed = String::new();
     let mut byte = [0];
-    while !said.contains("ready\n") {
+    while !printed.contains("ready\n") {
         let length = output.read(&mut byte).expect("output");
-        assert_ne!(length, 0, "the helper ended early: {said}");
-        said.push(char::from(byte[0]));
+        assert_ne!(length, 0, "the helper ended early: {printed}");
+        printed.push(char::from(byte[0]));
     }
     helper
 }
@@ -66,7 +69,7 @@
     helper.wait().expect("its end");
 }
 
-/// What a helper process does; nothing in a run of the tests themselves.
+/// Runs the task of a helper process; does nothing in an ordinary test run.
 #[test]
 fn helper_process() {
     let Ok(task) = std::env::var(HELPER_TASK) else { return };
@@ -79,7 +82,7 @@
         "send" => {
             let stream = UnixStream::connect(directory.socket_path()).expect("a connection");
             let whole = encode(b"whole");
-            (&stream).write_all(&[&whole[..], &whole, &encode(b"cut")[..6]].concat()).expect("written");
+            (&stream).write_all(&[&whole[..], &whole, &encode(b"cut")[..6]].concat()).expect("writing");
             Box::new(stream)
         }
         other => panic!("unknown task {other}"),
@@ -95,7 +98,7 @@
     let (temporary, directory) = directory();
     assert_eq!(directory.path(), temporary.path().join("dunlinspread-round-1"));
     let mode = fs::metadata(directory.path()).expect("a directory").mode() & 0o7777;
-    assert_eq!(mode, 0o700, "seen {mode:o}");
+    assert_eq!(mode, 0o700, "mode {mode:o}");
     HandoverDirectory::open(temporary.path(), "round-1").expect("the directory that is there");
     for mode in [0o710, 0o701, 0o750, 0o777, 0o1777] {
         fs::set_permissions(directory.path(), Permissions::from_mode(mode)).expect("permissions");
@@ -134,14 +137,15 @@
     assert!(matches!(error, HandoverSocketError::Directory { .. }), "{error}");
 }
 
-/// Needs a user who may give a directory away and act as another user.
+/// Asserts that a directory and a process of another user are refused. Needs a user who may change the owner
+/// of a directory and act as another user.
 #[test]
 fn another_user_is_refused() {
     let temporary = tempfile::tempdir().expect("a directory");
-    let theirs = temporary.path().join("dunlinspread-theirs");
-    fs::create_dir(&theirs).expect("a directory");
-    let given = std::os::unix::fs::chown(&theirs, Some(OTHER_USER), Some(OTHER_USER));
-    if given.is_err_and(|error| error.kind() == ErrorKind::PermissionDenied) {
+    let foreign_path = temporary.path().join("dunlinspread-theirs");
+    fs::create_dir(&foreign_path).expect("a directory");
+    let changed_owner = std::os::unix::fs::chown(&foreign_path, Some(OTHER_USER), Some(OTHER_USER));
+    if changed_owner.is_err_and(|error| error.kind() == ErrorKind::PermissionDenied) {
         println!("not run: this user can't act as another one");
         return;
     }
@@ -165,15 +169,15 @@
 #[test]
 fn nobody_listens_and_somebody_listens() {
     let (_temporary, directory) = directory();
-    assert!(connect(&directory).expect("no fault").is_none());
+    assert!(connect(&directory).expect("no connection error").is_none());
     let listener = HandoverListener::bind(&directory).expect("a listener");
-    let client = connect(&directory).expect("no fault").expect("a connection");
+    let client = connect(&directory).expect("no connection error").expect("a connection");
     let server = block_on(listener.accept()).expect("a connection");
     block_on(client.send(b"hello", None)).expect("sent");
     assert_eq!(block_on(server.receive()).expect("read").expect("a frame").bytes, b"hello");
     drop(listener);
     assert!(!directory.socket_path().exists());
-    assert!(connect(&directory).expect("no fault").is_none());
+    assert!(connect(&directory).expect("no connection error").is_none());
 }
 
 #[test]
@@ -182,44 +186,44 @@
     let first = HandoverListener::bind(&directory).expect("a listener");
     let second = HandoverListener::bind(&directory).expect("a listener");
     drop(first);
-    let _client = connect(&directory).expect("no fault").expect("a connection to the second");
+    let _client = connect(&directory).expect("no connection error").expect("a connection to the second");
     run_within_limit(second.accept()).expect("a connection");
     drop(second);
     assert!(!directory.socket_path().exists());
     assert_eq!(fs::read_dir(directory.path()).expect("a directory").count(), 0, "files are left");
 }
 
-/// There is a listener at every moment of a change.
+/// Asserts that a listener exists at each moment while listeners replace each other.
 #[test]
 fn no_connection_is_refused_while_listeners_replace_each_other() {
     let (_temporary, directory) = directory();
     let mut listener = HandoverListener::bind(&directory).expect("a listener");
     let connecting_directory = directory.clone();
     let connecting = std::thread::spawn(move || {
-        (0..500).filter(|_| connect(&connecting_directory).expect("no fault").is_none()).count()
+        (0..500).filter(|_| connect(&connecting_directory).expect("no connection error").is_none()).count()
     });
     while !connecting.is_finished() {
         let next = HandoverListener::bind(&directory).expect("a listener");
         drop(std::mem::replace(&mut listener, next));
     }
-    assert_eq!(connecting.join().expect("a result"), 0, "connections found nobody");
+    assert_eq!(connecting.join().expect("a result"), 0, "connections found no listener");
 }
 
 #[test]
 fn files_of_a_killed_process_do_no_harm() {
     let (temporary, directory) = directory();
     let helper = start_helper("listen", temporary.path());
-    assert!(connect(&directory).expect("no fault").is_some());
+    assert!(connect(&directory).expect("no connection error").is_some());
     kill(helper);
     assert!(directory.socket_path().exists());
-    assert!(connect(&directory).expect("no fault").is_none());
+    assert!(connect(&directory).expect("no connection error").is_none());
     assert!(!directory.socket_path().exists(), "the stale file is left");
 
     kill(start_helper("listen", temporary.path()));
-    // A process that was killed between two steps.
+    // Leaves the file of a process that was killed between binding its socket and renaming it.
     drop(UnixListener::bind(directory.path().join("handover.new")).expect("a socket"));
     let listener = HandoverListener::bind(&directory).expect("a listener over stale files");
-    assert!(connect(&directory).expect("no fault").is_some());
+    assert!(connect(&directory).expect("no connection error").is_some());
     drop(listener);
     assert_eq!(fs::read_dir(directory.path()).expect("a directory").count(), 0, "files are left");
 }
@@ -240,7 +244,7 @@
     let end = incoming.try_recv();
     assert!(
         matches!(end, Ok(LinkEvent::Closed { error: Some(HandoverSocketError::TruncatedFrame) })),
-        "seen {end:?}"
+        "received {end:?}"
     );
-    assert!(incoming.try_recv().is_err(), "something follows the end");
+    assert!(incoming.try_recv().is_err(), "an event follows the end");
 }
--- a/tests/handover_support/mod.rs
+++ b/tests/handover_support/mod.rs
@@ -1,29 +1,30 @@
-//! A successor that does of the handover only what a test asks of it.
+//! A fake successor that takes only those steps of a handover that a test requests.
 
 use dunlinspread::server::handover::{HandoverDirectory, HandoverStream, connect};
 use dunlinspread_handover::{ForwardedRequest, PROTOCOL_VERSION, ServerIdentity, ToPredecessor, ToSuccessor};
 use futures_lite::future::block_on;
 use std::path::Path;
 
-/// The name of the server that the tests start, and its classes.
+/// Name of the server that the tests start.
 const NAME: &str = "n3";
+/// Classes of the server that the tests start.
 const CLASSES: [&str; 2] = ["route-sheet", "pour-entry"];
-/// The digest of no tenants.
+/// Digest of an empty list of tenants.
 const NO_TENANTS: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
 
 /// The successor's end of the link.
 pub struct FakeSuccessor {
     stream: HandoverStream,
-    /// Keys of the snapshot that was read.
+    /// Number of keys in the snapshot.
     keys: u64,
 }
 
 impl FakeSuccessor {
-    /// Connects to the server that has this temporary directory, and has the transfer begin: from its return on the server
-    /// holds what arrives.
+    /// Connects to the server with this temporary directory and requests the transfer. When this returns, the
+    /// server holds arriving requests.
     pub fn begin_transfer(temporary: &Path) -> FakeSuccessor {
         let directory = HandoverDirectory::open(temporary, NAME).expect("a private directory");
-        let stream = connect(&directory).expect("a socket").expect("a predecessor that listens");
+        let stream = connect(&directory).expect("no connection error").expect("a predecessor that listens");
         let mut successor = FakeSuccessor { stream, keys: 0 };
         let identity = ServerIdentity {
             name: NAME.to_owned(),
@@ -32,7 +33,7 @@
         };
         successor.send(&ToPredecessor::Hello { version: PROTOCOL_VERSION, identity });
         let welcome = successor.receive();
-        assert!(matches!(welcome, ToSuccessor::Welcome { .. }), "not welcomed: {welcome:?}");
+        assert!(matches!(welcome, ToSuccessor::Welcome { .. }), "not a welcome: {welcome:?}");
         successor.send(&ToPredecessor::RequestTransfer);
         loop {
             if let ToSuccessor::SnapshotEnd { keys } = successor.receive() {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Waits until the server withdraws this request.
+    /// Waits until the server cancels this request.
     pub fn wait_cancelled(&mut self, request: u64) {
         while self.receive() != (ToSuccessor::Cancel { request }) {}
     }
@@ -69,6 +70,6 @@
 
     fn receive(&self) -> ToSuccessor {
         let frame = block_on(self.stream.receive()).expect("the link is open").expect("a frame");
-        ToSuccessor::decode(&frame.bytes).expect("a frame of the protocol")
+        ToSuccessor::decode(&frame.bytes).expect("decoding a frame")
     }
 }
