--- a/tests/in_force.rs
+++ b/tests/in_force.rs
@@ -1,4 +1,4 @@
-//! Effective settings against a plain map of the resources, and the validation of changes.
+//! Compares the effective settings with a map of the resources, and tests the validation of changes.
 
 use dunlinspread::server::distributed_config::{
     Capacity, ChangeValidator, EffectiveSettings, PlatformSettings,
@@ -12,9 +12,10 @@
 use std::sync::Arc;
 
 const CLASSES: [&str; 3] = ["read", "write", "print"];
-/// The platform's tenants are the first of these.
+/// Names of the tenants; the first [`PLATFORM_TENANTS`] are in the platform's settings.
 const TENANTS: [&str; 8] = ["t0", "t1", "t2", "t3", "t4", "t5", "t6", "t7"];
-const OF_PLATFORM: usize = 3;
+/// Number of tenants in the platform's settings.
+const PLATFORM_TENANTS: usize = 3;
 const ROUTES: [&str; 5] = ["r0", "r1", "r2", "r3", "r4"];
 
 fn names(list: &[&str]) -> Arc<NameTable> {
@@ -25,7 +26,7 @@
 fn platform() -> PlatformSettings {
     PlatformSettings {
         classes: names(&CLASSES),
-        tenants: names(&TENANTS[..OF_PLATFORM]),
+        tenants: names(&TENANTS[..PLATFORM_TENANTS]),
         quotas: vec![10.0, 11.0, 12.0],
     }
 }
@@ -46,14 +47,16 @@
     prop_oneof![
         (0..TENANTS.len(), 0..5000u64).prop_map(|(tenant, milli)| put_tenant(TENANTS[tenant], milli)),
         (0..TENANTS.len()).prop_map(|tenant| Change::Delete(Key::Tenant(TENANTS[tenant].into()))),
-        (0..ROUTES.len(), 0..CLASSES.len()).prop_map(|(r, c)| put_route(ROUTES[r], CLASSES[c])),
+        (0..ROUTES.len(), 0..CLASSES.len())
+            .prop_map(|(route, class)| put_route(ROUTES[route], CLASSES[class])),
         (0..ROUTES.len()).prop_map(|route| Change::Delete(Key::Route(ROUTES[route].into()))),
-        (0..CLASSES.len(), 1..9u32).prop_map(|(class, most)| put_limit(CLASSES[class], most)),
+        (0..CLASSES.len(), 1..9u32).prop_map(|(class, max_running)| put_limit(CLASSES[class], max_running)),
         (0..CLASSES.len()).prop_map(|class| Change::Delete(Key::Class(CLASSES[class].into()))),
     ]
 }
 
-/// Changes that are applied together, each key at most once, and whether all requests decoded before them have reached the dispatcher.
+/// Returns changes that are applied together, each key at most once, and whether all requests decoded before
+/// them have reached the dispatcher.
 fn any_update() -> impl Strategy<Value = (Vec<Change>, bool)> {
     (prop::collection::vec(any_change(), 1..6), any::<bool>()).prop_map(|(changes, settled)| {
         let by_key: BTreeMap<Key, Change> = changes.into_iter().map(|c| (c.key(), c)).collect();
@@ -61,7 +64,7 @@
     })
 }
 
-/// A model of the admission controller: quotas and limits by position.
+/// Model of the admission controller: quotas by the positions of tenants, and limits by those of classes.
 #[derive(Default)]
 struct ControllerModel {
     quotas: BTreeMap<usize, f64>,
@@ -78,7 +81,7 @@
         }
         for ClassLimitChange { class, max_running } in &changes.class_limits {
             match max_running {
-                Some(most) => drop(self.limits.insert(*class, *most)),
+                Some(max_running) => drop(self.limits.insert(*class, *max_running)),
                 None => drop(self.limits.remove(class)),
             }
         }
@@ -93,8 +96,8 @@
         let mut effective = EffectiveSettings::new(Arc::new(platform()));
         let mut controller = ControllerModel { quotas: [(0, 10.0), (1, 11.0), (2, 12.0)].into(), ..ControllerModel::default() };
         let mut model: BTreeMap<Key, Resource> = BTreeMap::new();
-        // Positions that a request read before a change could still carry.
-        let mut carried: BTreeSet<usize> = BTreeSet::new();
+        // Positions of deleted tenants that a request decoded before the change may still carry.
+        let mut retired: BTreeSet<usize> = BTreeSet::new();
         for (changes, settled) in updates {
             let before: BTreeMap<&str, usize> =
                 TENANTS.iter().filter_map(|t| Some((*t, effective.tenant(t)?))).collect();
@@ -110,27 +113,29 @@
                 let after = effective.tenant(tenant);
                 match (before.get(tenant), after) {
                     (Some(before), Some(after)) => prop_assert_eq!(*before, after, "{} moved", tenant),
-                    (None, Some(after)) => prop_assert!(!carried.contains(&after), "{} reused too early", after),
-                    (Some(before), None) => drop(carried.insert(*before)),
+                    (None, Some(after)) => prop_assert!(!retired.contains(&after), "{} reused too early", after),
+                    (Some(before), None) => drop(retired.insert(*before)),
                     (None, None) => {}
                 }
-                prop_assert!(at >= OF_PLATFORM || after == Some(at));
+                prop_assert!(at >= PLATFORM_TENANTS || after == Some(at));
             }
             if settled {
                 effective.recycle_positions();
-                carried.clear();
+                retired.clear();
             }
         }
-        // All positions but the platform's are given back and serve anew.
+        // After all tenants are deleted and their positions recycled, only the positions of the platform's
+        // tenants are in use.
         let gone: Vec<Change> = TENANTS.iter().map(|t| Change::Delete(Key::Tenant((*t).into()))).collect();
         controller.apply(&effective.apply(&gone));
         effective.recycle_positions();
-        let most = controller.quotas.keys().max().copied().unwrap_or(0);
-        prop_assert_eq!(most, OF_PLATFORM - 1);
+        let last_position = controller.quotas.keys().max().copied().unwrap_or(0);
+        prop_assert_eq!(last_position, PLATFORM_TENANTS - 1);
         prop_assert_eq!(effective.tenant_count(), 0);
     }
 }
 
+/// Compares the effective settings and the controller's quotas and limits with the resources.
 fn check(
     effective: &EffectiveSettings,
     controller: &ControllerModel,
@@ -138,19 +143,19 @@
 ) -> Result<(), TestCaseError> {
     let mut positions = BTreeSet::new();
     for (at, tenant) in TENANTS.iter().enumerate() {
-        let stated = match model.get(&Key::Tenant((*tenant).into())) {
+        let expected = match model.get(&Key::Tenant((*tenant).into())) {
             Some(Resource::TenantAllowance { milli_per_second, .. }) => {
                 Some(*milli_per_second as f64 / 1000.0)
             }
-            _ if at < OF_PLATFORM => Some(10.0 + at as f64),
+            _ if at < PLATFORM_TENANTS => Some(10.0 + at as f64),
             _ => None,
         };
         let position = effective.tenant(tenant);
-        prop_assert_eq!(position.is_some(), stated.is_some(), "{}", tenant);
-        prop_assert_eq!(position.and_then(|p| controller.quotas.get(&p).copied()), stated, "{}", tenant);
-        prop_assert!(position.is_none_or(|p| positions.insert(p)), "a position stands for two tenants");
+        prop_assert_eq!(position.is_some(), expected.is_some(), "{}", tenant);
+        prop_assert_eq!(position.and_then(|p| controller.quotas.get(&p).copied()), expected, "{}", tenant);
+        prop_assert!(position.is_none_or(|p| positions.insert(p)), "two tenants have the same position");
     }
-    prop_assert_eq!(controller.quotas.len(), positions.len(), "a quota is left of a tenant that was deleted");
+    prop_assert_eq!(controller.quotas.len(), positions.len(), "the quota of a deleted tenant remains");
     for route in ROUTES {
         let class = match model.get(&Key::Route(route.into())) {
             Some(Resource::Route { class, .. }) => CLASSES.iter().position(|c| **c == **class),
@@ -171,7 +176,7 @@
 fn validator(max_tenants: usize, max_routes: usize) -> ChangeValidator {
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let capacity = Capacity { max_tenants, max_routes };
-    ChangeValidator::new(names(&CLASSES), names(&TENANTS[..OF_PLATFORM]), capacity, log)
+    ChangeValidator::new(names(&CLASSES), names(&TENANTS[..PLATFORM_TENANTS]), capacity, log)
 }
 
 #[test]
@@ -195,11 +200,11 @@
     assert_eq!(validator.judge(&[put_tenant("t3", 1), put_tenant("t4", 1)]), Ok(()));
     let full = Err(Rejection::new("6 tenants exceed this server's limit of 5"));
     assert_eq!(validator.judge(&[put_tenant("t5", 1)]), full);
-    // The platform's and those that are there may change.
+    // Existing tenants and those of the platform may change.
     assert_eq!(validator.judge(&[put_tenant("t0", 1), put_tenant("t4", 2)]), Ok(()));
     assert_eq!(validator.judge(&[put_tenant("t5", 1), Change::Delete(Key::Tenant("t4".into()))]), Ok(()));
     assert_eq!(validator.judge(&[put_tenant("t4", 1)]), full);
-    // Deleting a platform's tenant's allowance gives no place free: the platform's value comes back.
+    // Deleting the allowance of a platform's tenant frees no place: the platform's value applies again.
     assert_eq!(validator.judge(&[put_tenant("t4", 1), Change::Delete(Key::Tenant("t0".into()))]), full);
     assert_eq!(validator.judge(&[put_route("r0", "read")]), Ok(()));
     assert_eq!(validator.judge(&[put_route("r0", "write")]), Ok(()));
--- a/tests/key_classes.rs
+++ b/tests/key_classes.rs
@@ -1,15 +1,16 @@
-//! Idempotency keys of different classes are different keys, however many classes there are: the built server with 300
+//! Tests that equal idempotency keys in different classes are independent, in the built server with 300
 //! classes with idempotency keys.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
 
-/// Classes with idempotency keys in the configuration.
+/// Number of classes with idempotency keys in the configuration.
 const CLASSES: usize = 300;
-/// Classes this far apart have the same lowest byte.
+/// Distance of two class numbers with the same lowest byte.
 const BYTE_VALUES: usize = 256;
 
-/// A configuration line that puts classes `k0`, `k1` and so on, with idempotency keys, before the ordinary ones.
+/// Returns the script line that adds classes `k0`, `k1` and so on, with idempotency keys, before the default
+/// ones.
 fn keyed_classes() -> String {
     let class = |at: usize| {
         format!(
@@ -20,8 +21,8 @@
     format!("config \"profiles\":[ -> \"profiles\":[{classes}\n")
 }
 
-/// Adds the client's request `id` of that class with the one key, which has to be run; its result is the number of the
-/// class.
+/// Adds to the script a request `id` of a class, with the same key for all classes. The request has to be
+/// run, and its result is the number of the class.
 fn run_once(script: &mut String, id: usize, class: usize) {
     use base64::Engine as _;
     let result = base64::engine::general_purpose::STANDARD.encode(format!("{class:03}"));
--- a/tests/late_requests.rs
+++ b/tests/late_requests.rs
@@ -1,4 +1,5 @@
-//! The log line of a request that ends late: written with the stage that was late, and for no other request.
+//! Tests of the log line of a request that is answered late: it shows the times of the request's stages, and
+//! it is written for no request in time.
 //!
 //! `DAILY_SEED` sets the seed.
 
@@ -13,12 +14,13 @@
 use upgrade_support::site::Site;
 use upgrade_support::{TEST_TIMEOUT, from_environment, wait_for};
 
-/// The seed where the environment sets none.
+/// Seed used if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// How long the client of a late request waits, ms.
+/// Client timeout of the late request, ms.
 const SHORT_TIMEOUT_MS: u64 = 300;
-/// The attempts of a request in time and of a late one.
+/// Attempt id of the request in time.
 const IN_TIME: u64 = 1;
+/// Attempt id of the late request.
 const LATE: u64 = 2;
 
 /// A client with one connection.
@@ -29,12 +31,12 @@
 
 impl Client {
     fn connect(site: &Site) -> Client {
-        let stream = TcpStream::connect(site.listen).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time limit");
+        let stream = TcpStream::connect(site.listen).expect("connecting to the server");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("setting the timeout");
         Client { stream, bytes: Vec::new() }
     }
 
-    /// Writes a request, its attempt as the message id, and returns when it is due, Unix ms.
+    /// Writes a request with its attempt as the message id and returns its due time, Unix ms.
     fn send(&mut self, attempt: u64, timeout_ms: u64) -> u64 {
         let received_ms = unix_ms();
         let fields = RequestFields {
@@ -50,7 +52,7 @@
         received_ms + timeout_ms
     }
 
-    /// Reads until the response to an attempt is there.
+    /// Reads messages up to the response to an attempt.
     fn await_response(&mut self, attempt: u64) {
         let mut chunk = [0; 4096];
         loop {
@@ -67,29 +69,30 @@
     }
 }
 
-/// Returns the line of a late request.
+/// Returns the log line of a late request.
 fn late_line(process: &ServerProcess, attempt: u64) -> Option<String> {
     let attempt = format!("{attempt:016x}");
-    let is_of_attempt = |line: &String| line.contains("request answered late") && line.contains(&attempt);
-    process.log_lines().into_iter().find(is_of_attempt)
+    let is_late_line = |line: &String| line.contains("request answered late") && line.contains(&attempt);
+    process.log_lines().into_iter().find(is_late_line)
 }
 
-/// Returns a number of a log line.
-fn field(line: &str, name: &str) -> Option<u64> {
+/// Returns the value of a numeric field of a log line.
+fn field_value(line: &str, name: &str) -> Option<u64> {
     let (_, rest) = line.split_once(&format!("{name}: "))?;
     rest.split(',').next()?.parse().ok()
 }
 
-/// Stops a process, and waits until the system says so.
+/// Sends SIGSTOP to a process and waits until the system reports it as stopped.
 fn stop(seed: u64, process: &mut ServerProcess) {
     process.signal("STOP");
     let path = format!("/proc/{}/stat", process.id());
-    wait_for(seed, "the process stands still", || {
+    wait_for(seed, "the process is stopped", || {
         std::fs::read_to_string(&path).is_ok_and(|stat| stat.contains(") T "))
     });
 }
 
-/// A request that the server reads past its due time is told, with the ages of its stages; one in time before it is not.
+/// Asserts that a request that the server reads after its due time is logged with the times of its stages,
+/// and that an earlier request in time is not logged.
 #[test]
 fn a_request_that_is_read_late_is_told() {
     let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
@@ -104,14 +107,17 @@
     process.signal("CONT");
     client.await_response(LATE);
     wait_for(seed, "a line for the late request", || late_line(&process, LATE).is_some());
-    let line = late_line(&process, LATE).expect("it was there");
-    assert_eq!(field(&line, "due_ms"), Some(SHORT_TIMEOUT_MS), "seed {seed}: {line}");
-    assert!(field(&line, "read_ms") >= Some(SHORT_TIMEOUT_MS), "seed {seed}: {line}");
+    let line = late_line(&process, LATE).expect("the line was logged");
+    assert_eq!(field_value(&line, "due_ms"), Some(SHORT_TIMEOUT_MS), "seed {seed}: {line}");
+    assert!(field_value(&line, "read_ms") >= Some(SHORT_TIMEOUT_MS), "seed {seed}: {line}");
     for (earlier, later) in
         [("read_ms", "decided_ms"), ("decided_ms", "answered_ms"), ("answered_ms", "ended_ms")]
     {
-        assert!(field(&line, earlier) <= field(&line, later), "seed {seed}: {earlier}, {later}: {line}");
-        assert!(field(&line, earlier).is_some(), "seed {seed}: {earlier}: {line}");
+        assert!(
+            field_value(&line, earlier) <= field_value(&line, later),
+            "seed {seed}: {earlier}, {later}: {line}"
+        );
+        assert!(field_value(&line, earlier).is_some(), "seed {seed}: {earlier}: {line}");
     }
     assert!(line.contains("end: written"), "seed {seed}: {line}");
     assert_eq!(late_line(&process, IN_TIME), None, "seed {seed}");
--- a/tests/layout/cycles.rs
+++ b/tests/layout/cycles.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The most re-exports that one path is followed through.
+/// Maximum number of re-exports that are followed for one path.
 const MAX_RE_EXPORTS: usize = 8;
 
-/// Returns the groups of files below a crate's source folder in which each imports each other, directly or through
-/// others of the group.
+/// Returns the groups of files below a crate's source folder that import each other, directly or through
+/// other files of the group.
 pub fn import_cycles(source: &Path) -> Vec<Vec<String>> {
     let modules = read_modules(source);
     let reachable = reachable_files(&imported_files(&modules));
@@ -36,7 +36,7 @@
     files
 }
 
-/// Returns the file that defines what a path leads to.
+/// Returns the file that defines the item of a path.
 fn defining_file(modules: &Modules, path: &ImportPath) -> Option<String> {
     let mut path = path.clone();
     for _ in 0..MAX_RE_EXPORTS {
@@ -45,7 +45,7 @@
         let re_exported = path.get(length).and_then(|item| module.re_exports.get(item));
         match re_exported {
             Some(origin) => path = [origin.as_slice(), &path[length + 1..]].concat(),
-            // The module itself was imported, to name its items by it: they are seen where they are named.
+            // The path imports the module itself; its items are counted where they are used.
             None if length == path.len() => return None,
             None => return Some(module.file.clone()),
         }
@@ -58,10 +58,10 @@
     let mut all = BTreeMap::new();
     for file in imported.keys() {
         let mut seen = BTreeSet::new();
-        let mut open: Vec<&String> = imported[file].iter().collect();
-        while let Some(next) = open.pop() {
+        let mut pending: Vec<&String> = imported[file].iter().collect();
+        while let Some(next) = pending.pop() {
             if seen.insert(next.clone()) {
-                open.extend(&imported[next]);
+                pending.extend(&imported[next]);
             }
         }
         all.insert(file.clone(), seen);
--- a/tests/layout/imports.rs
+++ b/tests/layout/imports.rs
@@ -1,4 +1,4 @@
-//! The paths that a source file names, as absolute paths within its crate.
+//! Reads the paths that a source file uses, as absolute paths within its crate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use syn::visit::Visit;
@@ -6,18 +6,18 @@
 /// A path within a crate, without the leading `crate`.
 pub type ImportPath = Vec<String>;
 
-/// What a file names.
+/// Paths that a file uses.
 #[derive(Debug, Default)]
 pub struct Imports {
-    /// Paths that it uses, without its re-exports.
+    /// Paths that the file uses, without its re-exports.
     pub paths: Vec<ImportPath>,
-    /// Modules that it imports as a whole, by a glob.
+    /// Modules that the file imports by a glob.
     pub globs: Vec<ImportPath>,
-    /// Items that it re-exports, by the name that it gives them.
+    /// Items that the file re-exports, by their exported names.
     pub re_exports: BTreeMap<String, ImportPath>,
 }
 
-/// Reads the paths that a file names.
+/// Reads the paths that a file uses.
 pub fn read(file: &syn::File, module: &[String]) -> Imports {
     let children = file.items.iter().filter_map(|item| match item {
         syn::Item::Mod(child) => Some(child.ident.to_string()),
@@ -37,15 +37,15 @@
 struct Reader<'a> {
     module: &'a [String],
     children: BTreeSet<String>,
-    /// Imported names, with the paths that they stand for.
+    /// Imported names, with their absolute paths.
     aliases: BTreeMap<String, ImportPath>,
-    /// Paths as they are written outside of imports.
+    /// Paths outside of imports, as they are written.
     used: Vec<ImportPath>,
     imports: Imports,
 }
 
 impl Reader<'_> {
-    /// Returns a path as an absolute one, if it leads into this crate.
+    /// Returns the absolute form of a path within this crate, or `None` for other paths.
     fn absolute(&self, path: &[String]) -> Option<ImportPath> {
         let (first, mut rest) = path.split_first()?;
         let mut base = match first.as_str() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns all imports, with the paths outside of them resolved by the imported names.
+    /// Returns all paths, with those outside of imports resolved by the imported names.
     fn finish(mut self) -> Imports {
         for path in std::mem::take(&mut self.used) {
             let absolute = match self.aliases.get(&path[0]) {
--- a/tests/layout/mod.rs
+++ b/tests/layout/mod.rs
@@ -18,7 +18,7 @@
     roots
 }
 
-/// Returns all Rust files below a folder, in the order of their paths.
+/// Returns all Rust files below a folder, sorted by path.
 pub fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for path in entries(folder) {
@@ -31,6 +31,7 @@
     files
 }
 
+/// Returns the paths of a folder's entries, sorted.
 fn entries(folder: &Path) -> Vec<PathBuf> {
     let read = std::fs::read_dir(folder).unwrap_or_else(|error| panic!("{}: {error}", folder.display()));
     let mut paths: Vec<PathBuf> = read.map(|entry| entry.expect("an entry").path()).collect();
--- a/tests/layout/modules.rs
+++ b/tests/layout/modules.rs
@@ -1,4 +1,4 @@
-//! The modules of a crate, each with its file, its imports and its re-exports.
+//! Reads the modules of a crate, each with its file, its imports and its re-exports.
 
 use super::imports::{self, ImportPath};
 use super::rust_files;
@@ -10,18 +10,18 @@
 pub struct Module {
     /// The file, relative to the crate's source folder.
     pub file: String,
-    /// Paths that the file names, made absolute.
+    /// Absolute paths that the file uses.
     pub imports: Vec<ImportPath>,
-    /// Modules that the file imports as a whole.
+    /// Modules that the file imports by a glob.
     pub globs: Vec<ImportPath>,
-    /// Items that the module re-exports: the name that it gives them, and where they come from.
+    /// Items that the module re-exports: their exported names, with their absolute paths.
     pub re_exports: BTreeMap<String, ImportPath>,
 }
 
-/// The modules of a crate by their paths; the crate's root has an empty path.
+/// Modules of a crate by their paths; the crate's root has an empty path.
 pub type Modules = BTreeMap<ImportPath, Module>;
 
-/// Reads all modules below a crate's source folder. Files of `bin` are crates of their own and are left out.
+/// Reads all modules below a crate's source folder, except files of `bin`, which are separate crates.
 pub fn read_modules(source: &Path) -> Modules {
     let mut modules = Modules::new();
     for path in rust_files(source) {
