--- a/crates/config-sync/tests/backoff.rs
+++ b/crates/config-sync/tests/backoff.rs
@@ -1,4 +1,5 @@
-//! Back-off: bounds that double up to the cap, jitter over the whole range, the same from the same seed.
+//! Retry backoff: bounds double up to the cap, jitter covers the whole range, and delays are reproducible by
+//! seed.
 
 use dunlinspread_config_sync::backoff::{Backoff, BackoffSettings};
 use proptest::prelude::*;
@@ -36,7 +37,10 @@
         let delay = Backoff::new(settings, seed).next_delay_ms();
         tenths[(delay / 101).min(9) as usize] += 1;
     }
-    assert!(tenths.iter().all(|count| (140..=260).contains(count)), "uneven: {tenths:?}");
+    assert!(
+        tenths.iter().all(|count| (140..=260).contains(count)),
+        "uneven distribution over tenths of the range: {tenths:?}"
+    );
 }
 
 #[test]
--- a/crates/config-sync/tests/client_silence.rs
+++ b/crates/config-sync/tests/client_silence.rs
@@ -1,4 +1,5 @@
-//! A client that died without a word is noticed and no longer counted; one that has nothing to say says so, cheaply.
+//! A client that stops without closing its connection is detected and no longer counted. An idle client keeps
+//! its session with small keep-alive messages.
 
 mod client_support;
 
@@ -18,8 +19,8 @@
 };
 
 const SILENCE_MS: Millis = 15_000;
-/// Of TCP with its timestamps, and of IP.
-const HEADERS: usize = 32 + 20;
+/// Bytes of a TCP header with timestamps and of an IP header.
+const HEADER_BYTES: usize = 32 + 20;
 const HOUR_MS: Millis = 3_600_000;
 
 fn history() -> History {
@@ -28,20 +29,20 @@
     history
 }
 
-fn server_of(history: &History) -> Fanout {
+fn fanout_at(history: &History) -> Fanout {
     let mut fanout = Fanout::new(FanoutSettings::default());
     fanout.reset(0, history.position, history.table.clone(), 1, &mut Vec::new());
     fanout
 }
 
-/// The first messages of a client that has all of `history`, with all of it in force.
-fn watch(history: &History, session: u64, who: Member, subscribers: u32) -> Vec<FanoutEvent> {
+/// Returns the first events of a client that has applied all of `history`.
+fn watch_events(history: &History, session: u64, member: Member, subscribers: u32) -> Vec<FanoutEvent> {
     let id = SessionId(session);
     let (position, digest) = (history.position, history.table.digest());
-    let zones = vec![ZoneProgress { zone: who.zone.clone(), subscribers, least: position, refusing: 0 }];
+    let zones = vec![ZoneProgress { zone: member.zone.clone(), subscribers, least: position, refusing: 0 }];
     vec![
         FanoutEvent::Opened(id),
-        FanoutEvent::Received(id, ToServer::Watch { member: who, position, digest }),
+        FanoutEvent::Received(id, ToServer::Watch { member, position, digest }),
         FanoutEvent::Received(id, ToServer::Progress { zones, refusals: vec![] }),
     ]
 }
@@ -60,7 +61,7 @@
     closed.collect()
 }
 
-/// The position that is in force in the zone, and in how many.
+/// Returns each zone's number of subscribers and the least position in force among them.
 fn in_force(zones: &[ZoneProgress]) -> Vec<(u32, Position)> {
     zones.iter().map(|zone| (zone.subscribers, zone.least)).collect()
 }
@@ -68,10 +69,10 @@
 #[test]
 fn a_silent_client_is_closed_and_no_longer_counted_while_the_others_stay() {
     let mut history = history();
-    let mut fanout = server_of(&history);
+    let mut fanout = fanout_at(&history);
     let old = history.position;
-    feed(&mut fanout, 0, watch(&history, 1, member("dead", "a1", "a"), 1));
-    feed(&mut fanout, 0, watch(&history, 2, member("quiet", "a1", "a"), 1));
+    feed(&mut fanout, 0, watch_events(&history, 1, member("dead", "a1", "a"), 1));
+    feed(&mut fanout, 0, watch_events(&history, 2, member("quiet", "a1", "a"), 1));
     history.grow(1);
     let last = history.transactions.last().expect("a transaction").clone();
     fanout.publish(0, vec![last], &history.table, &mut Vec::new());
@@ -83,7 +84,7 @@
     let mut ended = Vec::new();
     while ended.is_empty() {
         assert_eq!(in_force(&fanout.zones()), [(2, old)], "at {now}");
-        assert!(now <= SILENCE_MS + 1_000, "it was never closed");
+        assert!(now <= SILENCE_MS + 1_000, "the silent session was not closed in time");
         now += 500;
         ended = closed(&feed(&mut fanout, now, vec![FanoutEvent::Tick]));
         if now % 7_500 == 0 {
@@ -92,16 +93,16 @@
     }
     assert!(now >= SILENCE_MS, "closed at {now}");
     assert_eq!(ended, [(SessionId(1), CloseReason::Silent { heartbeats: 15 })]);
-    assert_eq!(in_force(&fanout.zones()), [(1, history.position)], "at once");
+    assert_eq!(in_force(&fanout.zones()), [(1, history.position)], "the closed session is no longer counted");
     assert_eq!(fanout.sessions(), 1);
 }
 
 #[test]
 fn a_silent_relay_takes_what_it_reported_with_it() {
     let history = history();
-    let mut fanout = server_of(&history);
+    let mut fanout = fanout_at(&history);
     let relay = Member { role: Role::Relay, ..member("relay-1", "a1", "a") };
-    feed(&mut fanout, 0, watch(&history, 1, relay, 400));
+    feed(&mut fanout, 0, watch_events(&history, 1, relay, 400));
     assert_eq!(in_force(&fanout.zones()), [(400, history.position)]);
     let ended: Vec<_> = (1..=17)
         .flat_map(|second| closed(&feed(&mut fanout, second * 1_000, vec![FanoutEvent::Tick])))
@@ -123,13 +124,13 @@
     for message in std::iter::once(resync).chain(history.snapshot(&[])) {
         relay.on_event(0, RelayEvent::Upstream(FollowerEvent::Received(message)), &mut out);
     }
-    for event in watch(&history, 1, member("dead", "a1", "a"), 1) {
+    for event in watch_events(&history, 1, member("dead", "a1", "a"), 1) {
         relay.on_event(0, RelayEvent::Downstream(event), &mut out);
     }
     for step in 1..=64 {
         let now = step * 250;
-        let heard = FollowerEvent::Received(history.heartbeat());
-        relay.on_event(now, RelayEvent::Upstream(heard), &mut out);
+        let heartbeat = FollowerEvent::Received(history.heartbeat());
+        relay.on_event(now, RelayEvent::Upstream(heartbeat), &mut out);
         relay.on_event(now, RelayEvent::Tick, &mut out);
     }
     let reports = out.iter().filter_map(|action| match action {
@@ -137,38 +138,38 @@
         _ => None,
     });
     let reports: Vec<usize> = reports.collect();
-    assert_eq!(reports, [0, 1, 0], "none is left below it after 16 s");
+    assert_eq!(reports, [0, 1, 0], "the relay reports an empty list after 16 s");
 }
 
 #[test]
 fn a_server_that_was_itself_held_up_closes_nobody_for_it() {
     let history = history();
-    let mut fanout = server_of(&history);
-    feed(&mut fanout, 0, watch(&history, 1, member("server-1", "a1", "a"), 1));
+    let mut fanout = fanout_at(&history);
+    feed(&mut fanout, 0, watch_events(&history, 1, member("server-1", "a1", "a"), 1));
     for now in [1_000, 2_000, 62_000, 63_000, 130_000] {
         assert_eq!(closed(&feed(&mut fanout, now, vec![FanoutEvent::Tick])), []);
     }
 }
 
-struct TakesAll;
+struct AcceptsAll;
 
-impl Judge for TakesAll {
+impl Judge for AcceptsAll {
     fn judge(&self, _: &[Change]) -> Result<(), Rejection> {
         Ok(())
     }
 }
 
-/// A subscriber at the head of `history` that watches its only server.
+/// Returns a subscriber at the head of `history`, with a single server to watch.
 fn subscriber(history: &History) -> Subscriber {
     let servers: Vec<Server> = vec![server("zone-1", Some("a1"), "a")];
     let settings = SubscriberSettings::new(FollowerSettings::new(member("server-1", "a1", "a"), servers, 1));
-    let kept = PersistedState {
+    let stored = PersistedState {
         position: history.position,
         published_unix_ms: 1,
         mirror: history.table.clone(),
         held_back: vec![],
     };
-    Subscriber::resume(settings, Box::new(TakesAll), &kept, 0)
+    Subscriber::resume(settings, Box::new(AcceptsAll), &stored, 0)
 }
 
 fn sent(actions: &mut Vec<SubscriberAction>) -> Vec<ToServer> {
@@ -179,10 +180,11 @@
     sent.collect()
 }
 
-/// Of an idle hour between a real subscriber and a real fan-out: what the subscriber sent after the beginning.
+/// Runs a real subscriber against a real fan-out for an hour without changes; returns every message that the
+/// subscriber sent.
 fn idle_hour() -> Vec<ToServer> {
     let history = history();
-    let mut fanout = server_of(&history);
+    let mut fanout = fanout_at(&history);
     let mut subscriber = subscriber(&history);
     let (id, mut out) = (SessionId(1), Vec::new());
     let link = SubscriberEvent::Link;
@@ -215,13 +217,13 @@
 fn an_idle_subscriber_stays_for_less_than_20_bytes_a_second() {
     let messages = idle_hour();
     assert!(matches!(messages[..2], [ToServer::Watch { .. }, ToServer::Progress { .. }]));
-    let signs = &messages[2..];
-    assert!(signs.iter().all(|message| *message == ToServer::Alive), "{signs:?}");
+    let keep_alives = &messages[2..];
+    assert!(keep_alives.iter().all(|message| *message == ToServer::Alive), "{keep_alives:?}");
     let key = FrameKey::new(b"0123456789abcdef").expect("16 bytes");
     let frame = key.seal(|out| encode_to_server(&ToServer::Alive, out)).expect("short").len();
-    let acknowledgement = HEADERS;
-    let bytes = signs.len() * (frame + HEADERS + acknowledgement);
+    let acknowledgement = HEADER_BYTES;
+    let bytes = keep_alives.len() * (frame + HEADER_BYTES + acknowledgement);
     let per_second = bytes as f64 / (HOUR_MS / 1_000) as f64;
-    println!("{} signs of life of {frame} bytes in an hour, {per_second:.1} bytes/s", signs.len());
+    println!("{} keep-alives of {frame} bytes in an hour, {per_second:.1} bytes/s", keep_alives.len());
     assert!(per_second < 20.0, "{per_second} bytes/s");
 }
--- a/crates/config-sync/tests/client_support/mod.rs
+++ b/crates/config-sync/tests/client_support/mod.rs
@@ -1,5 +1,5 @@
-//! Shared by the tests of followers, subscribers and relays: a publisher's history, and servers to watch.
-#![allow(dead_code, reason = "each test binary uses its part")]
+//! Support for the tests of followers, subscribers and relays: a publisher's history, and servers to watch.
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 pub mod subscribed;
 
@@ -41,7 +41,7 @@
     Position { epoch, revision }
 }
 
-/// The value in a table, or 0 where there is none.
+/// Returns the tenant's allowance in `resource`, or 0 if there is none.
 pub fn value(resource: Option<&Resource>) -> u64 {
     match resource {
         Some(Resource::TenantAllowance { milli_per_second, .. }) => *milli_per_second,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What a publisher told, transaction by transaction.
+/// The transactions of a publisher, with the table after each of them.
 #[derive(Clone)]
 pub struct History {
     pub position: Position,
@@ -79,7 +79,7 @@
         transaction
     }
 
-    /// `count` transactions over a few tenants.
+    /// Appends `count` transactions over a few tenants.
     pub fn grow(&mut self, count: u64) {
         for step in 0..count {
             let revision = self.position.revision;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The transactions after `position`, as one message.
+    /// Returns the transactions after `position` as one message.
     pub fn since(&self, position: Position) -> ToClient {
         let later = self.transactions.iter().filter(|transaction| transaction.position > position);
         ToClient::Deltas(later.cloned().collect())
@@ -101,12 +101,12 @@
         self.heartbeat_aged(0)
     }
 
-    /// From a server whose state is so old.
+    /// Returns the heartbeat of a server whose state has the given age.
     pub fn heartbeat_aged(&self, age_ms: Millis) -> ToClient {
         ToClient::Heartbeat { head: self.position, age_ms }
     }
 
-    /// A snapshot for a client with these bucket digests, a bucket a piece.
+    /// Returns a snapshot for a client with these bucket digests, with one bucket per piece.
     pub fn snapshot(&self, bucket_digests: &[u64]) -> Vec<ToClient> {
         let numbers = self.table.differing(bucket_digests);
         let mut messages: Vec<ToClient> =
@@ -127,7 +127,7 @@
     }
 }
 
-/// A follower with its clock, and what it did at the last event.
+/// A follower with its clock and the actions that its last event produced.
 pub struct Driver {
     pub follower: Follower,
     pub now: Millis,
@@ -153,7 +153,7 @@
         self.event(FollowerEvent::Received(message))
     }
 
-    /// Moves the clock to where the follower wants to be woken, and wakes it.
+    /// Advances the clock to the follower's next deadline and sends it a tick.
     pub fn wake(&mut self) -> &[FollowerAction] {
         self.now = self.now.max(self.follower.deadline());
         self.event(FollowerEvent::Tick)
@@ -164,7 +164,7 @@
         self.event(FollowerEvent::Tick)
     }
 
-    /// Waits until the follower connects, accepts, and gives the server's name.
+    /// Ticks until the follower connects, accepts the connection, and returns the server's name.
     pub fn accept(&mut self) -> String {
         let name = self.next_attempt();
         self.event(FollowerEvent::Connected);
@@ -172,7 +172,7 @@
         name
     }
 
-    /// Waits until the follower connects and gives the server's name.
+    /// Ticks until the follower connects, and returns the server's name.
     pub fn next_attempt(&mut self) -> String {
         for _ in 0..10 {
             if let Some(name) = self.attempted() {
@@ -181,7 +181,7 @@
             }
             self.wake();
         }
-        panic!("no attempt to connect")
+        panic!("the follower made no connection attempt within 10 ticks")
     }
 
     pub fn attempted(&self) -> Option<String> {
@@ -214,7 +214,7 @@
         advances.collect()
     }
 
-    /// The bucket digests of the `FetchDifferences` that was sent last.
+    /// Returns the bucket digests of the `FetchDifferences` among the last event's actions.
     pub fn fetched(&self) -> Option<Vec<u64>> {
         self.sent().into_iter().find_map(|message| match message {
             ToServer::FetchDifferences { bucket_digests } => Some(bucket_digests),
--- a/crates/config-sync/tests/client_support/subscribed.rs
+++ b/crates/config-sync/tests/client_support/subscribed.rs
@@ -1,4 +1,5 @@
-//! A subscriber with its clock, a judge that can be told what to refuse, and the settings that its owner has in force.
+//! A subscriber with its clock, a judge with configurable refusals, and the settings that its owner has in
+//! force.
 
 use super::{History, at, member, server, value};
 use dunlinspread_config_sync::client::{Judge, Rejection, Update};
@@ -11,7 +12,8 @@
 use dunlinspread_config_sync::table::Table;
 use std::sync::{Arc, Mutex};
 
-/// Refuses every allowance that is 13 more than a multiple of 100, or all changes while it is told to.
+/// A judge that refuses each allowance that is 13 more than a multiple of 100, or all changes while
+/// `refuses_all` is set.
 #[derive(Clone, Default)]
 pub struct TestJudge {
     pub refuses_all: Arc<Mutex<bool>>,
@@ -43,18 +45,19 @@
     }
 }
 
-/// A subscriber and its owner, who applies each update as it comes and confirms when `confirms` is set.
+/// A subscriber and its owner. The owner applies each update immediately and confirms it if `confirms` is
+/// set.
 pub struct Subscribed {
     pub subscriber: Subscriber,
     pub judge: TestJudge,
     pub now: Millis,
     pub confirms: bool,
-    /// What the owner has in force.
+    /// Settings that the owner has in force.
     pub settings: Table,
     pub updates: Vec<Update>,
     pub reports: Vec<ZoneProgress>,
     pub refusals: Vec<Refusal>,
-    /// What is on disk.
+    /// State stored on disk.
     pub disk: PersistedState,
     pub records: usize,
     pub links: Vec<LinkAction>,
@@ -94,7 +97,7 @@
         subscribed
     }
 
-    /// One that is connected to a server and has all of `history`.
+    /// Returns a subscriber that is connected to a server and has received all of `history`.
     pub fn at_head_of(history: &History, settings: SubscriberSettings) -> Subscribed {
         let mut subscribed = Subscribed::start(settings, None);
         subscribed.connect();
@@ -111,14 +114,14 @@
         self.link(FollowerEvent::Connected);
     }
 
-    /// Resyncs to `history` and clears what was recorded on the way.
+    /// Answers the subscriber's `FetchDifferences` after a `Resync` with a snapshot of `history`.
     pub fn fetch(&mut self, history: &History) {
         self.receive(ToClient::Resync { head: history.position });
         let fetched = self.links.iter().rev().find_map(|action| match action {
             LinkAction::Send(ToServer::FetchDifferences { bucket_digests }) => Some(bucket_digests.clone()),
             _ => None,
         });
-        for message in history.snapshot(&fetched.expect("a Resync is answered")) {
+        for message in history.snapshot(&fetched.expect("`Resync` is answered with `FetchDifferences`")) {
             self.receive(message);
         }
     }
@@ -137,14 +140,14 @@
         self.carry_out(out);
     }
 
-    /// The owner confirms all that it applied.
+    /// Confirms every update that the owner has applied.
     pub fn confirm(&mut self) {
         let position = self.updates.last().map_or(Position::default(), |update| update.position);
         self.event(SubscriberEvent::Applied(position));
     }
 
-    pub fn pass(&mut self, time: Millis) {
-        self.now += time;
+    pub fn advance_clock(&mut self, duration: Millis) {
+        self.now += duration;
         self.link(FollowerEvent::Tick);
     }
 
@@ -177,7 +180,8 @@
         self.disk.apply(record);
     }
 
-    /// What the owner has in force for a tenant, which has to be what the subscriber says; 0 where there is nothing.
+    /// Returns the allowance that the owner has in force for a tenant, or 0 if there is none. Panics if the
+    /// subscriber reports another one.
     pub fn tenant(&self, tenant: &str) -> u64 {
         let key = super::tenant_key(tenant);
         assert_eq!(self.settings.get(&key), self.subscriber.in_force(&key), "{tenant}");
--- a/crates/config-sync/tests/codec.rs
+++ b/crates/config-sync/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Messages and records: what is encoded comes back, what is out of bounds is refused by the name of its field, and no
-//! bytes make a decoder panic.
+//! Encoding of messages and records: a round trip returns the same value, an out-of-bounds value is rejected
+//! with the name of its field, and no input makes a decoder panic.
 
 mod support;
 
@@ -53,16 +53,17 @@
 fn the_largest_transaction_the_fullest_deltas_and_the_largest_bucket_fit_in_a_frame() {
     let fanout = FanoutSettings::default();
     let bucket_bytes = PublisherSettings::default().max_bucket_bytes;
-    // Estimates from above, which the property below holds against the encoding.
-    let room = MAX_PAYLOAD - 1024;
-    assert!(MAX_TRANSACTION_BYTES <= room);
-    assert!(fanout.max_message_bytes <= room);
-    assert!(bucket_bytes.max(PIECE_BYTES) <= room);
+    // These are upper bounds on encoded sizes; a property test below checks them against the encoding.
+    let max_content = MAX_PAYLOAD - 1024;
+    assert!(MAX_TRANSACTION_BYTES <= max_content);
+    assert!(fanout.max_message_bytes <= max_content);
+    assert!(bucket_bytes.max(PIECE_BYTES) <= max_content);
     let changes: Vec<Change> = (0..MAX_TRANSACTION_BYTES / 300).map(route).collect();
     let largest = Arc::new(transaction(changes));
     assert!(transaction_bytes(&largest) > MAX_TRANSACTION_BYTES * 9 / 10);
-    let key = FrameKey::new(FLEET_KEY).expect("a good key");
-    key.seal(|out| encode_to_client(&ToClient::Deltas(vec![largest]), out)).expect("it fits");
+    let key = FrameKey::new(FLEET_KEY).expect("a valid key");
+    key.seal(|out| encode_to_client(&ToClient::Deltas(vec![largest]), out))
+        .expect("the message fits in a frame");
 }
 
 #[test]
@@ -76,9 +77,9 @@
         refusals: vec![refusal; MAX_REPORTED_REFUSALS],
     };
     let fetch = ToServer::FetchDifferences { bucket_digests: vec![u64::MAX; BUCKETS] };
-    let key = FrameKey::new(FLEET_KEY).expect("a good key");
+    let key = FrameKey::new(FLEET_KEY).expect("a valid key");
     for message in [progress, fetch] {
-        key.seal(|out| encode_to_server(&message, out)).expect("it fits");
+        key.seal(|out| encode_to_server(&message, out)).expect("the message fits in a frame");
         assert_eq!(decode_to_server(&server_bytes(&message)), Ok(message));
     }
 }
@@ -86,14 +87,14 @@
 #[test]
 fn messages_out_of_bounds_are_refused_by_field() {
     let long: Arc<str> = "x".repeat(MAX_NAME + 1).into();
-    let good: Arc<str> = "z".into();
+    let valid: Arc<str> = "z".into();
     let at = Position::default();
-    let zone = ZoneProgress { zone: good.clone(), subscribers: 1, least: at, refusing: 0 };
-    let refusal = Refusal { member: good.clone(), position: at, reason: "no".into() };
+    let zone = ZoneProgress { zone: valid.clone(), subscribers: 1, least: at, refusing: 0 };
+    let refusal = Refusal { member: valid.clone(), position: at, reason: "no".into() };
     let member = |name: &Arc<str>| Member {
         name: name.clone(),
-        zone: good.clone(),
-        region: good.clone(),
+        zone: valid.clone(),
+        region: valid.clone(),
         role: Role::Relay,
     };
     let watch =
@@ -160,7 +161,7 @@
     #[test]
     fn messages_to_servers_come_back(message in support::to_server()) {
         let bytes = server_bytes(&message);
-        // What went to a server is no message to a client, should it be sent back.
+        // A message to a server does not decode as one to a client, so that a reflected message is rejected.
         prop_assert!(decode_to_client(&bytes).is_err());
         prop_assert_eq!(decode_to_server(&bytes), Ok(message));
     }
@@ -179,11 +180,11 @@
     ) {
         let estimate: usize = transactions.iter().map(|transaction| transaction_bytes(transaction)).sum();
         let bytes = client_bytes(&ToClient::Deltas(transactions)).len();
-        prop_assert!(bytes <= estimate + 8, "{} over {}", bytes, estimate);
+        prop_assert!(bytes <= estimate + 8, "{} bytes exceed the estimate of {}", bytes, estimate);
         let estimate: usize = resources.iter().map(resource_bytes).sum();
         let bucket = BucketContent { bucket: BUCKETS as u16 - 1, resources };
         let bytes = client_bytes(&ToClient::Piece { sequence: u32::MAX, buckets: vec![bucket] }).len();
-        prop_assert!(bytes <= estimate + 32, "{} over {}", bytes, estimate);
+        prop_assert!(bytes <= estimate + 32, "{} bytes exceed the estimate of {}", bytes, estimate);
     }
 
     #[test]
@@ -203,9 +204,9 @@
         digest in support::digest(),
         held_back in vec(support::change(), 0..3),
     ) {
-        let resources_count = resources.len() as u64;
+        let resource_count = resources.len() as u64;
         let header =
-            SnapshotHeader { position, digest, published_unix_ms: 7, resources: resources_count, held_back };
+            SnapshotHeader { position, digest, published_unix_ms: 7, resources: resource_count, held_back };
         let bytes = encode_snapshot(&header, resources.iter());
         prop_assert_eq!(read_snapshot(&bytes), Ok((header, resources)));
         for cut in 0..bytes.len() {
--- a/crates/config-sync/tests/delta_log.rs
+++ b/crates/config-sync/tests/delta_log.rs
@@ -1,4 +1,4 @@
-//! What the log of deltas holds, and what it gives.
+//! Contents of the delta log and its answers to queries by position.
 
 mod server_support;
 
@@ -28,7 +28,7 @@
         for (number, size) in sizes.iter().enumerate() {
             let changes = (0..*size).map(|index| tenant(&format!("t{index}"), number as u64)).collect();
             let transaction = history.next(changes);
-            log.push(transaction.clone()).expect("it follows");
+            log.push(transaction.clone()).expect("the next transaction");
             digests.push(transaction.digest);
             all.push(transaction);
             prop_assert_eq!(log.head(), history.position);
@@ -37,13 +37,13 @@
         }
         let base = log.base().revision as usize;
         prop_assert_eq!(all.len() - base, log.len());
-        let held: usize = all[base..].iter().map(|transaction| transaction_bytes(transaction)).sum();
-        prop_assert_eq!(log.bytes(), held);
+        let held_bytes: usize = all[base..].iter().map(|transaction| transaction_bytes(transaction)).sum();
+        prop_assert_eq!(log.bytes(), held_bytes);
         for revision in 0..=all.len() + 2 {
-            let known = (base..=all.len()).contains(&revision);
+            let is_known = (base..=all.len()).contains(&revision);
             let position = at(revision as u64);
-            prop_assert_eq!(log.since(position), known.then(|| all[revision..].to_vec()));
-            prop_assert_eq!(log.digest_at(position), known.then(|| digests[revision]));
+            prop_assert_eq!(log.since(position), is_known.then(|| all[revision..].to_vec()));
+            prop_assert_eq!(log.digest_at(position), is_known.then(|| digests[revision]));
         }
     }
 }
@@ -55,14 +55,14 @@
     let (first, second, third) =
         (history.next(vec![tenant("a", 1)]), history.next(vec![tenant("a", 2)]), history.next(vec![]));
     assert!(log.push(second.clone()).is_err());
-    log.push(first.clone()).expect("it follows");
+    log.push(first.clone()).expect("the next transaction");
     assert!(log.push(first.clone()).is_err());
     assert!(log.push(third).is_err());
-    let mut elsewhere = (*second).clone();
-    elsewhere.position.epoch += 1;
-    assert!(log.push(elsewhere.into()).is_err());
+    let mut other_epoch = (*second).clone();
+    other_epoch.position.epoch += 1;
+    assert!(log.push(other_epoch.into()).is_err());
     assert_eq!(log.since(at(0)), Some(vec![first.clone()]));
-    log.push(second.clone()).expect("it follows");
+    log.push(second.clone()).expect("the next transaction");
     assert_eq!(log.since(at(0)), Some(vec![first, second]));
 }
 
@@ -70,7 +70,7 @@
 fn other_epochs_are_not_served() {
     let mut history = History::new();
     let mut log = log(10, 10_000);
-    log.push(history.next(vec![tenant("a", 1)])).expect("it follows");
+    log.push(history.next(vec![tenant("a", 1)])).expect("the next transaction");
     for epoch in [0, server_support::EPOCH - 1, server_support::EPOCH + 1, u64::MAX] {
         assert_eq!(log.since(Position { epoch, revision: 0 }), None);
         assert_eq!(log.digest_at(Position { epoch, revision: 1 }), None);
@@ -91,7 +91,7 @@
     let mut history = History::new();
     let mut log = log(10, 10_000);
     for transaction in history.tenants(3) {
-        log.push(transaction).expect("it follows");
+        log.push(transaction).expect("the next transaction");
     }
     log.reset(at(9), history.table.digest());
     assert!(log.is_empty());
--- a/crates/config-sync/tests/fanout_deltas.rs
+++ b/crates/config-sync/tests/fanout_deltas.rs
@@ -1,4 +1,4 @@
-//! Deltas: their order, their coalescing, their sharing, and who gets a `Resync` instead.
+//! Deltas of the fan-out: order, coalescing, sharing between sessions, and the cases that need a `Resync`.
 
 mod server_support;
 
@@ -19,12 +19,12 @@
     (server, History::new())
 }
 
-/// The lengths of the messages of deltas that a client got.
+/// Returns the number of transactions in each `Deltas` message that a client received.
 fn batches(server: &Server, id: u64) -> Vec<usize> {
     let payloads = server.client(id).payloads();
     let lengths = payloads.iter().map(|message| match message {
         ToClient::Deltas(transactions) => transactions.len(),
-        other => panic!("not deltas: {other:?}"),
+        other => panic!("expected deltas, got {other:?}"),
     });
     lengths.collect()
 }
@@ -59,7 +59,11 @@
         server.publish(&history, transactions);
         server.tick_after(2);
     }
-    assert_eq!(batches(&server, 1), [2], "the first went at once, the rest waits");
+    assert_eq!(
+        batches(&server, 1),
+        [2],
+        "the first transactions are sent at once, later ones wait for the flush"
+    );
     assert_eq!(server.fanout.deadline(), 120);
     server.tick_after(9);
     assert_eq!(batches(&server, 1), [2]);
@@ -83,7 +87,10 @@
         assert!(Arc::ptr_eq(&first[0], &deltas_of(&server, id)[0]));
     }
     for id in 5..=6 {
-        assert!(Arc::ptr_eq(&fourth[0], &deltas_of(&server, id)[0]), "those that begin share as well");
+        assert!(
+            Arc::ptr_eq(&fourth[0], &deltas_of(&server, id)[0]),
+            "new sessions share their messages as well"
+        );
     }
     for id in 1..=6 {
         assert_eq!(server.client(id).position, at(4));
@@ -107,7 +114,7 @@
     assert!(transaction_bytes(&large) > max_message_bytes);
     server.now += 100;
     server.publish(&history, vec![large]);
-    assert_eq!(server.client(1).position, at(101), "one that is larger goes alone");
+    assert_eq!(server.client(1).position, at(101), "a transaction over the bound is sent alone");
 }
 
 #[test]
@@ -120,12 +127,12 @@
     server.watch(1, at(0), &Table::new());
     let first = server.client(1).position;
     assert!(first > at(0) && first < at(100));
-    assert_eq!(server.fanout.deadline(), server.now + 20, "it wants to go on");
+    assert_eq!(server.fanout.deadline(), server.now + 20, "catching up continues after 20 ms");
 
     let backlog = |bytes| FanoutEvent::Backlog { session: SessionId(1), bytes };
     server.event(backlog(1_001));
     server.tick_after(20);
-    assert_eq!(server.client(1).position, first, "not while it reads slowly");
+    assert_eq!(server.client(1).position, first, "nothing is sent while the backlog exceeds its bound");
     server.event(backlog(0));
     let more = history.tenants(10);
     server.publish(&history, more);
@@ -137,7 +144,7 @@
     assert_eq!(server.client(1).resyncs, 0);
     let more = history.tenants(1);
     server.publish(&history, more);
-    assert_eq!(server.client(1).position, at(111), "live from then on");
+    assert_eq!(server.client(1).position, at(111), "changes are sent at once after the client has caught up");
 }
 
 #[test]
@@ -161,13 +168,13 @@
     let log = DeltaLogSettings { max_transactions: 4, ..DeltaLogSettings::default() };
     let (mut server, mut history) = server(FanoutSettings { log, ..FanoutSettings::default() });
     let transactions = history.tenants(3);
-    let (at_three, table_at_three) = (history.position, history.table.clone());
+    let (third_position, third_table) = (history.position, history.table.clone());
     server.publish(&history, transactions);
     let transactions = history.tenants(4);
     server.publish(&history, transactions);
     server.tick_after(20);
 
-    let answers = server.watch(1, at_three, &table_at_three);
+    let answers = server.watch(1, third_position, &third_table);
     assert!(answers.is_empty());
     assert_eq!((server.client(1).resyncs, server.client(1).position), (0, at(7)));
 
@@ -183,11 +190,11 @@
     let transactions = history.tenants(5);
     let good = history.table.clone();
     server.publish(&history, transactions);
-    let mut spoilt = good.clone();
-    spoilt.apply(&[tenant("tenant-1", 99), tenant("nobody", 1)]);
+    let mut corrupted = good.clone();
+    corrupted.apply(&[tenant("tenant-1", 99), tenant("nobody", 1)]);
     let older = Position { epoch: server_support::EPOCH - 1, revision: 900 };
     for (id, position, table) in
-        [(1, at(5), &spoilt), (2, older, &good), (3, Position::default(), &Table::new())]
+        [(1, at(5), &corrupted), (2, older, &good), (3, Position::default(), &Table::new())]
     {
         let answers = server.watch(id, position, table);
         assert_eq!(server.client(id).resyncs, 1);
@@ -196,7 +203,7 @@
         assert_eq!(server.client(id).table, history.table);
     }
     let fetched = server.client(2).payloads().len();
-    assert_eq!(fetched, 2, "an equal table needs no piece: Resync and SnapshotEnd");
+    assert_eq!(fetched, 2, "an equal table needs no piece, only `Resync` and `SnapshotEnd`");
 }
 
 #[test]
@@ -204,26 +211,26 @@
     let (mut server, mut history) = server(FanoutSettings::default());
     let transactions = history.tenants(6);
     let (early, late) = transactions.split_at(2);
-    let mut behind = History::new();
-    let _ = behind.tenants(2);
-    server.publish(&behind, early.to_vec());
+    let mut early_history = History::new();
+    let _ = early_history.tenants(2);
+    server.publish(&early_history, early.to_vec());
     server.watch(1, at(6), &history.table);
     server.watch(2, Position { epoch: server_support::EPOCH + 1, revision: 0 }, &Table::new());
     for id in [1, 2] {
-        assert_eq!(server.client(id).heads, [at(2)], "told the head");
-        assert!(server.client(id).payloads().is_empty(), "and nothing else");
+        assert_eq!(server.client(id).heads, [at(2)], "the client receives a heartbeat with the head");
+        assert!(server.client(id).payloads().is_empty(), "the client receives nothing else");
     }
     assert_eq!(server.fanout.sessions_ahead(), 2);
 
     server.now += 50;
     server.publish(&history, late.to_vec());
     assert!(server.client(1).payloads().is_empty());
-    assert_eq!(server.fanout.sessions_ahead(), 1, "the head is where it is");
+    assert_eq!(server.fanout.sessions_ahead(), 1, "the head has reached the position of client 1");
     server.now += 50;
     let more = history.tenants(1);
     server.publish(&history, more);
-    assert_eq!(batches(&server, 1), [1], "served on from what it has");
-    assert_eq!(server.fanout.sessions_ahead(), 1, "the higher epoch stays ahead");
+    assert_eq!(batches(&server, 1), [1], "deltas start after the client's own position");
+    assert_eq!(server.fanout.sessions_ahead(), 1, "the client with the higher epoch is still ahead");
 
     let next_epoch = Position { epoch: server_support::EPOCH + 1, revision: 1 };
     server.reset(next_epoch, &history.table);
@@ -244,7 +251,7 @@
     server.publish(&history, transactions);
     let transactions = history.tenants(1);
     server.publish(&history, transactions);
-    assert_eq!(server.client(1).position, at(1), "two wait for the flush");
+    assert_eq!(server.client(1).position, at(1), "two transactions wait for the flush");
     server.watch(2, at(2), &table);
     for id in [1, 2] {
         assert_eq!(server.client(id).position, at(3));
@@ -278,7 +285,7 @@
     assert_eq!((server.client(1).resyncs, server.client(1).position), (1, at(8)));
     assert_eq!((server.client(2).resyncs, server.client(2).position), (0, at(8)));
     server.reset(at(8), &history.table);
-    assert_eq!(server.client(1).resyncs, 1, "a jump to where it stands is none");
+    assert_eq!(server.client(1).resyncs, 1, "a reset to the current position does not resync");
 }
 
 #[test]
@@ -307,7 +314,7 @@
     let transactions = history.tenants(3);
     server.publish(&history, transactions);
     server.event(backlog(9_000));
-    assert_eq!(server.client(1).position, at(0), "nothing is sent to it any more");
+    assert_eq!(server.client(1).position, at(0), "nothing is sent to a closed session");
     server.watch(2, at(0), &Table::new());
     assert_eq!(server.client(2).position, at(3));
 }
@@ -353,7 +360,7 @@
             let watch = ToServer::Watch { member, position, digest: Digest(1) };
             server.fanout.on_event(0, FanoutEvent::Opened(SessionId(id)), &mut out);
             server.fanout.on_event(0, FanoutEvent::Received(SessionId(id), watch), &mut out);
-            assert_eq!(out.len(), 1, "{position:?}: a Resync or a head");
+            assert_eq!(out.len(), 1, "{position:?}: expected one `Resync` or one heartbeat");
         }
     }
 }
--- a/crates/config-sync/tests/fanout_progress.rs
+++ b/crates/config-sync/tests/fanout_progress.rs
@@ -1,4 +1,4 @@
-//! Progress by zone against a naive recomputation over all sessions.
+//! Progress by zone, compared with a naive recomputation over all sessions.
 
 mod server_support;
 
@@ -12,7 +12,7 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// What a session does next.
+/// An action of a session.
 #[derive(Clone, Debug)]
 enum Step {
     Watch { session: u64, zone: usize, relay: bool },
@@ -29,7 +29,7 @@
     ]
 }
 
-/// The sessions, each with its role, zone and last report.
+/// Reference model: each session's role, zone and last report.
 #[derive(Default)]
 struct Naive {
     sessions: BTreeMap<u64, (Role, usize, Vec<ZoneProgress>)>,
@@ -52,7 +52,7 @@
     }
 }
 
-/// A report that the role may send, from arbitrary entries.
+/// Builds a report that `role` may send from arbitrary entries.
 fn report(role: Role, zone: usize, entries: &[(usize, u32, u64, u32)]) -> Vec<ZoneProgress> {
     if role == Role::Subscriber {
         let (_, _, revision, refusing) = entries.first().copied().unwrap_or_default();
@@ -65,35 +65,35 @@
     rows.collect()
 }
 
-fn run(fanout: &mut Fanout, event: FanoutEvent) {
+fn send_event(fanout: &mut Fanout, event: FanoutEvent) {
     let mut out = Vec::new();
     fanout.on_event(0, event, &mut out);
 }
 
-fn take(fanout: &mut Fanout, naive: &mut Naive, step: Step) {
+fn apply_step(fanout: &mut Fanout, naive: &mut Naive, step: Step) {
     match step {
         Step::Watch { session, zone, relay } => {
             let role = if relay { Role::Relay } else { Role::Subscriber };
             let member = member(&format!("member-{session}"), ZONES[zone], role);
             let watch = ToServer::Watch { member, position: at(0), digest: Digest::default() };
-            run(fanout, FanoutEvent::Closed(SessionId(session)));
-            run(fanout, FanoutEvent::Opened(SessionId(session)));
-            run(fanout, FanoutEvent::Received(SessionId(session), watch));
-            let unknown =
+            send_event(fanout, FanoutEvent::Closed(SessionId(session)));
+            send_event(fanout, FanoutEvent::Opened(SessionId(session)));
+            send_event(fanout, FanoutEvent::Received(SessionId(session), watch));
+            let initial_report =
                 if relay { vec![] } else { vec![zone_progress(ZONES[zone], 1, Position::default(), 0)] };
-            naive.sessions.insert(session, (role, zone, unknown));
+            naive.sessions.insert(session, (role, zone, initial_report));
         }
         Step::Report { session, entries } => {
-            let Some((role, zone, kept)) = naive.sessions.get_mut(&session) else { return };
+            let Some((role, zone, last_report)) = naive.sessions.get_mut(&session) else { return };
             let zones = report(*role, *zone, &entries);
-            *kept = zones.iter().filter(|entry| entry.subscribers > 0).cloned().collect();
-            run(
+            *last_report = zones.iter().filter(|entry| entry.subscribers > 0).cloned().collect();
+            send_event(
                 fanout,
                 FanoutEvent::Received(SessionId(session), ToServer::Progress { zones, refusals: vec![] }),
             );
         }
         Step::Close { session } => {
-            run(fanout, FanoutEvent::Closed(SessionId(session)));
+            send_event(fanout, FanoutEvent::Closed(SessionId(session)));
             naive.sessions.remove(&session);
         }
     }
@@ -113,12 +113,12 @@
         let mut fanout = fanout(FanoutSettings::default());
         let mut naive = Naive::default();
         for step in steps {
-            take(&mut fanout, &mut naive, step);
+            apply_step(&mut fanout, &mut naive, step);
             prop_assert_eq!(fanout.zones(), naive.zones());
             prop_assert_eq!(fanout.sessions(), naive.sessions.len());
         }
         for session in 0..12 {
-            run(&mut fanout, FanoutEvent::Closed(SessionId(session)));
+            send_event(&mut fanout, FanoutEvent::Closed(SessionId(session)));
         }
         prop_assert!(fanout.zones().is_empty());
     }
@@ -127,12 +127,12 @@
 #[test]
 fn a_subscriber_that_did_not_report_holds_its_zone_back() {
     let (mut fanout, mut naive) = (fanout(FanoutSettings::default()), Naive::default());
-    take(&mut fanout, &mut naive, Step::Watch { session: 1, zone: 0, relay: false });
-    take(&mut fanout, &mut naive, Step::Report { session: 1, entries: vec![(0, 1, 5, 0)] });
+    apply_step(&mut fanout, &mut naive, Step::Watch { session: 1, zone: 0, relay: false });
+    apply_step(&mut fanout, &mut naive, Step::Report { session: 1, entries: vec![(0, 1, 5, 0)] });
     assert_eq!(fanout.zones(), [zone_progress("a", 1, at(5), 0)]);
-    take(&mut fanout, &mut naive, Step::Watch { session: 2, zone: 0, relay: false });
+    apply_step(&mut fanout, &mut naive, Step::Watch { session: 2, zone: 0, relay: false });
     assert_eq!(fanout.zones(), [zone_progress("a", 2, Position::default(), 0)]);
-    take(&mut fanout, &mut naive, Step::Close { session: 2 });
+    apply_step(&mut fanout, &mut naive, Step::Close { session: 2 });
     assert_eq!(fanout.zones(), [zone_progress("a", 1, at(5), 0)]);
 }
 
@@ -140,9 +140,9 @@
 fn sums_past_their_type_are_capped() {
     let (mut fanout, mut naive) = (fanout(FanoutSettings::default()), Naive::default());
     for session in 1..=3 {
-        take(&mut fanout, &mut naive, Step::Watch { session, zone: 0, relay: true });
+        apply_step(&mut fanout, &mut naive, Step::Watch { session, zone: 0, relay: true });
         let zones = vec![zone_progress("a", u32::MAX, at(u64::MAX), u32::MAX)];
-        run(
+        send_event(
             &mut fanout,
             FanoutEvent::Received(SessionId(session), ToServer::Progress { zones, refusals: vec![] }),
         );
@@ -155,11 +155,11 @@
     let max_refusals = MAX_REPORTED_REFUSALS + 4;
     let (mut fanout, mut naive) =
         (fanout(FanoutSettings { max_refusals, ..FanoutSettings::default() }), Naive::default());
-    take(&mut fanout, &mut naive, Step::Watch { session: 1, zone: 0, relay: true });
+    apply_step(&mut fanout, &mut naive, Step::Watch { session: 1, zone: 0, relay: true });
     let refusal = |revision| Refusal { member: "m".into(), position: at(revision), reason: "no".into() };
     for revision in 0..30 {
         let message = ToServer::Progress { zones: vec![], refusals: vec![refusal(revision)] };
-        run(&mut fanout, FanoutEvent::Received(SessionId(1), message));
+        send_event(&mut fanout, FanoutEvent::Received(SessionId(1), message));
     }
     let first = fanout.take_refusals();
     assert_eq!(first.len(), MAX_REPORTED_REFUSALS);
--- a/crates/config-sync/tests/fanout_protocol.rs
+++ b/crates/config-sync/tests/fanout_protocol.rs
@@ -1,4 +1,4 @@
-//! What the server does about clients that don't keep to the protocol, and about too many of them.
+//! Handling of clients that violate the protocol, and limits on sessions and zones.
 
 mod server_support;
 
@@ -45,13 +45,13 @@
 
 #[test]
 fn watch_comes_first_and_once() {
-    let before = [
+    let premature = [
         ToServer::FetchDifferences { bucket_digests: Vec::new() },
         ToServer::PieceTaken { sequence: 0 },
         progress(Vec::new(), Vec::new()),
     ];
     let mut server = server();
-    for (id, message) in before.into_iter().enumerate() {
+    for (id, message) in premature.into_iter().enumerate() {
         open(&mut server, id as u64);
         assert_eq!(send(&mut server, id as u64, message), Some(ProtocolFault::NotWatched.into()));
     }
@@ -66,11 +66,15 @@
 fn what_was_not_asked_for_ends_the_session() {
     let mut server = server();
     server.watch(1, at(0), &Table::new());
-    let odd = ToServer::FetchDifferences { bucket_digests: vec![0; 4_095] };
-    assert_eq!(send(&mut server, 1, odd), Some(ProtocolFault::BucketDigests(4_095).into()));
+    let wrong_length = ToServer::FetchDifferences { bucket_digests: vec![0; 4_095] };
+    assert_eq!(send(&mut server, 1, wrong_length), Some(ProtocolFault::BucketDigests(4_095).into()));
     server.watch(2, at(5), &Table::new());
     let fetch = ToServer::FetchDifferences { bucket_digests: Vec::new() };
-    assert_eq!(send(&mut server, 2, fetch), Some(ProtocolFault::UnexpectedFetch.into()), "it is ahead");
+    assert_eq!(
+        send(&mut server, 2, fetch),
+        Some(ProtocolFault::UnexpectedFetch.into()),
+        "a client ahead of the server may not fetch"
+    );
     server.watch(3, at(0), &Table::new());
     let taken = ToServer::PieceTaken { sequence: 0 };
     assert_eq!(send(&mut server, 3, taken), Some(ProtocolFault::UnexpectedPiece(0).into()));
@@ -124,7 +128,7 @@
     watch_as(&mut server, 3, "one", "a", Role::Subscriber);
     assert_eq!(server.closed(1), Some(CloseReason::Replaced));
     assert_eq!((server.closed(2), server.closed(3)), (None, None));
-    assert_eq!(server.fanout.zones()[0].subscribers, 2, "counted once");
+    assert_eq!(server.fanout.zones()[0].subscribers, 2, "a replaced session is not counted twice");
     watch_as(&mut server, 4, "one", "a", Role::Subscriber);
     assert_eq!(server.closed(3), Some(CloseReason::Replaced));
 }
@@ -165,7 +169,7 @@
         watch_as(&mut server, id, "subscriber", "a", Role::Subscriber);
         assert_eq!(send(&mut server, id, message), Some(ProtocolFault::NotItsOwn.into()));
     }
-    assert!(server.fanout.zones().is_empty(), "nothing of a faulty report is kept");
+    assert!(server.fanout.zones().is_empty(), "a faulty report is dropped whole");
     assert!(server.fanout.take_refusals().is_empty());
     watch_as(&mut server, 90, "subscriber", "a", Role::Subscriber);
     assert_eq!(send(&mut server, 90, progress(vec![own()], vec![refusal("subscriber")])), None);
--- a/crates/config-sync/tests/fanout_schedules.rs
+++ b/crates/config-sync/tests/fanout_schedules.rs
@@ -1,5 +1,6 @@
-//! Arbitrary schedules: whatever the order of changes, jumps, connections, confirmations and time, a client is never
-//! led backwards or astray (its checks in `server_support`), and one that stays ends with the server's table.
+//! Property test of the fan-out under arbitrary schedules of changes, jumps, connections, confirmations and
+//! time. A client never moves backwards and never holds an unpublished table (checked in `server_support`),
+//! and a client that stays connected ends with the server's table.
 
 mod server_support;
 
@@ -22,13 +23,13 @@
     Jump {
         count: u64,
     },
-    /// The client's connection ends and a new one begins, from what it has or from nothing.
+    /// Ends the client's connection and opens a new one, with the client's state or with an empty one.
     Connect {
         client: u64,
         keeps: bool,
     },
-    /// The server hears the next messages of a client.
-    Hear {
+    /// Delivers the next messages of a client to the server.
+    Receive {
         client: u64,
         count: usize,
     },
@@ -47,18 +48,18 @@
         4 => (1..6u64).prop_map(|count| Step::Publish { count }),
         1 => (1..4u64).prop_map(|count| Step::Jump { count }),
         2 => (client.clone(), any::<bool>()).prop_map(|(client, keeps)| Step::Connect { client, keeps }),
-        6 => (client.clone(), 1..4usize).prop_map(|(client, count)| Step::Hear { client, count }),
+        6 => (client.clone(), 1..4usize).prop_map(|(client, count)| Step::Receive { client, count }),
         1 => (client, 0..3_000usize).prop_map(|(client, bytes)| Step::Backlog { client, bytes }),
         4 => (1..40u64).prop_map(|millis| Step::Tick { millis }),
     ]
 }
 
-/// A server whose clients' messages wait until a step lets the server hear them.
+/// A server whose clients' messages are queued until a step delivers them.
 struct World {
     server: Server,
     history: History,
-    unheard: BTreeMap<SessionId, VecDeque<ToServer>>,
-    /// The session of each client; none at first.
+    undelivered: BTreeMap<SessionId, VecDeque<ToServer>>,
+    /// The current session of each client; empty at first.
     sessions: BTreeMap<u64, u64>,
     next_session: u64,
 }
@@ -76,16 +77,16 @@
         history.next((0..900).map(|number| tenant(&format!("first-{number}-{:0>100}", 0), 1)).collect());
         let mut server = Server::new(Fanout::new(settings));
         server.reset(history.position, &history.table);
-        World { server, history, unheard: BTreeMap::new(), sessions: BTreeMap::new(), next_session: 1 }
+        World { server, history, undelivered: BTreeMap::new(), sessions: BTreeMap::new(), next_session: 1 }
     }
 
     fn event(&mut self, event: FanoutEvent) {
         for (session, answer) in self.server.event_with_ids(event) {
-            self.unheard.entry(session).or_default().push_back(answer);
+            self.undelivered.entry(session).or_default().push_back(answer);
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::Publish { count } => {
                 let transactions = self.history.tenants(count);
@@ -96,10 +97,10 @@
                 let (position, table) = (self.history.position, self.history.table.clone());
                 let mut out = Vec::new();
                 self.server.fanout.reset(self.server.now, position, table, 1, &mut out);
-                self.queue(out);
+                self.deliver(out);
             }
             Step::Connect { client, keeps } => self.connect(client, keeps),
-            Step::Hear { client, count } => self.hear(client, count),
+            Step::Receive { client, count } => self.receive(client, count),
             Step::Backlog { client, bytes } => {
                 let Some(&session) = self.sessions.get(&client) else { return };
                 self.event(FanoutEvent::Backlog { session: SessionId(session), bytes });
@@ -117,21 +118,21 @@
     ) {
         let mut out = Vec::new();
         self.server.fanout.publish(self.server.now, transactions, &self.history.table, &mut out);
-        self.queue(out);
+        self.deliver(out);
     }
 
-    fn queue(&mut self, actions: Vec<dunlinspread_config_sync::fanout::FanoutAction>) {
+    fn deliver(&mut self, actions: Vec<dunlinspread_config_sync::fanout::FanoutAction>) {
         for (session, answer) in self.server.deliver(actions) {
-            self.unheard.entry(session).or_default().push_back(answer);
+            self.undelivered.entry(session).or_default().push_back(answer);
         }
     }
 
     fn connect(&mut self, client: u64, keeps: bool) {
-        let mut had = (Position::default(), Table::new());
+        let mut initial = (Position::default(), Table::new());
         if let Some(&session) = self.sessions.get(&client) {
             let last = self.server.client(session);
             if keeps {
-                had = (last.position, last.table.clone());
+                initial = (last.position, last.table.clone());
             }
             if last.closed.is_none() {
                 self.event(FanoutEvent::Closed(SessionId(session)));
@@ -140,20 +141,22 @@
         let session = self.next_session;
         self.next_session += 1;
         self.sessions.insert(client, session);
-        let answers = self.server.watch(session, had.0, &had.1);
-        self.unheard.entry(SessionId(session)).or_default().extend(answers);
+        let answers = self.server.watch(session, initial.0, &initial.1);
+        self.undelivered.entry(SessionId(session)).or_default().extend(answers);
     }
 
-    fn hear(&mut self, client: u64, count: usize) {
+    fn receive(&mut self, client: u64, count: usize) {
         let Some(&session) = self.sessions.get(&client) else { return };
         let session = SessionId(session);
         for _ in 0..count {
-            let Some(message) = self.unheard.get_mut(&session).and_then(VecDeque::pop_front) else { return };
+            let Some(message) = self.undelivered.get_mut(&session).and_then(VecDeque::pop_front) else {
+                return;
+            };
             self.event(FanoutEvent::Received(session, message));
         }
     }
 
-    /// Lets everything arrive, each client connecting again when it was closed.
+    /// Delivers all queued messages and reconnects each client whose session was closed.
     fn settle(&mut self) {
         for _ in 0..200 {
             for client in 0..CLIENTS {
@@ -163,24 +166,25 @@
                     self.connect(client, true);
                 }
                 self.event(FanoutEvent::Backlog { session: SessionId(self.sessions[&client]), bytes: 0 });
-                self.hear(client, usize::MAX);
+                self.receive(client, usize::MAX);
             }
             self.server.now += 20;
             self.event(FanoutEvent::Tick);
-            if self.settled() {
+            if self.is_settled() {
                 return;
             }
         }
     }
 
-    /// Whether nothing is on its way and every client is where the history is.
-    fn settled(&self) -> bool {
-        let at_the_end = |session: &u64| {
+    /// Returns whether no message is queued and every client is at the position of the history.
+    fn is_settled(&self) -> bool {
+        let is_at_end = |session: &u64| {
             let client = self.server.client(*session);
             client.closed.is_none() && client.position == self.history.position
         };
-        let heard = self.sessions.values().all(|&session| self.unheard[&SessionId(session)].is_empty());
-        heard && self.sessions.values().all(at_the_end)
+        let all_delivered =
+            self.sessions.values().all(|&session| self.undelivered[&SessionId(session)].is_empty());
+        all_delivered && self.sessions.values().all(is_at_end)
     }
 }
 
@@ -192,7 +196,7 @@
         let mut world = World::new();
         for step in steps {
             let head = world.server.fanout.head();
-            world.take(step);
+            world.apply_step(step);
             prop_assert!(world.server.fanout.head() >= head);
             prop_assert!(world.server.fanout.snapshots() <= 2);
             prop_assert!(world.server.fanout.log().len() <= 12);
--- a/crates/config-sync/tests/fanout_snapshots.rs
+++ b/crates/config-sync/tests/fanout_snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: their pieces, their window, their places, and what happens while changes flow.
+//! Snapshots of the fan-out: pieces, the window, the limit on concurrent snapshots, and concurrent changes.
 
 mod server_support;
 
@@ -13,7 +13,7 @@
 use server_support::{History, Server, at, tenant};
 use std::sync::Arc;
 
-/// A server whose table fills some 30 pieces.
+/// Returns a server whose table fills about 30 pieces.
 fn full_server(settings: FanoutSettings) -> (Server, History) {
     let mut history = History::new();
     for block in 0..40 {
@@ -43,7 +43,7 @@
     while !confirmations.is_empty() {
         let confirmed = confirmations.remove(0);
         let more = server.event(received(1, confirmed));
-        assert!(more.len() <= 1, "one for one");
+        assert!(more.len() <= 1, "at most one new piece per confirmation");
         confirmations.extend(more);
         assert!(confirmations.len() <= PIECE_WINDOW as usize);
     }
@@ -138,10 +138,10 @@
     let mut waits: Vec<u64> = (3..20).map(|id| server.client(id).busy[0]).collect();
     waits.sort_unstable();
     waits.dedup();
-    assert!(waits.len() > 5, "jittered: {waits:?}");
+    assert!(waits.len() > 5, "retry delays lack jitter: {waits:?}");
 
     server.watch(20, history.position, &history.table);
-    assert_eq!(server.closed(20), None, "one that needs none is served");
+    assert_eq!(server.closed(20), None, "a client that needs no snapshot is served");
     server.settle(1, first);
     assert_eq!(server.fanout.snapshots(), 1);
     server.event(FanoutEvent::Closed(SessionId(2)));
@@ -170,10 +170,10 @@
 fn a_client_that_finds_its_table_spoilt_may_fetch() {
     let (mut server, mut history) = full_server(FanoutSettings::default());
     server.watch(1, history.position, &history.table);
-    let mut spoilt = history.table.clone();
-    spoilt.apply(&[tenant("tenant-1-1", 77)]);
-    server.clients.get_mut(&SessionId(1)).expect("it is there").table = spoilt.clone();
-    let fetch = ToServer::FetchDifferences { bucket_digests: spoilt.bucket_digests() };
+    let mut corrupted = history.table.clone();
+    corrupted.apply(&[tenant("tenant-1-1", 77)]);
+    server.clients.get_mut(&SessionId(1)).expect("an open session").table = corrupted.clone();
+    let fetch = ToServer::FetchDifferences { bucket_digests: corrupted.bucket_digests() };
     server.settle(1, vec![fetch]);
     assert_eq!(server.client(1).table, history.table);
     let changed = history.tenants(2);
@@ -192,7 +192,7 @@
     server.now = 9_000;
     server.event(received(1, confirmations[0].clone()));
     server.tick_after(10_000);
-    assert_eq!(server.closed(1), None, "just in time");
+    assert_eq!(server.closed(1), None, "a confirmation within the limit keeps the session open");
     assert_eq!(server.closed(2), Some(CloseReason::NoFetch));
     server.tick_after(1_000);
     assert_eq!(server.closed(1), Some(CloseReason::Stalled));
--- a/crates/config-sync/tests/fleet.rs
+++ b/crates/config-sync/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Publisher, relays and subscribers together, by seed: whatever breaks, nobody ever has what was not published, nobody
-//! goes back, and in the end all have the same.
+//! Simulation of a publisher, relays and subscribers with seeded faults. No process ever holds an unpublished
+//! state or moves backwards, and at the end all hold the same state.
 
 mod fleet_support;
 
@@ -8,15 +8,16 @@
 use proptest::test_runner::RngSeed;
 
 const LOAD_MS: u64 = 60_000;
-/// A relay that was silent is left, one that was cut off is tried again, and reports go up: all within this time.
+/// Time within which clients leave a silent relay, retry a relay that was cut off, and reports reach the
+/// publisher.
 const SETTLE_MS: u64 = 60_000;
 
-/// Three hops of at most 500 ms, the publisher's disk and flushes.
+/// Limit until a change is in force: three hops of at most 500 ms, the publisher's disk and flushes.
 const IN_FORCE_MS: u64 = 1_600;
-/// Three reports, each after an interval and a hop of at most 500 ms.
+/// Limit until the publisher knows of it: three reports, each after an interval and a hop of at most 500 ms.
 const KNOWN_MS: u64 = 4_000;
 
-/// All have what the publisher has, and the publisher knows.
+/// Asserts that all processes have the publisher's state and that the publisher knows of it.
 fn assert_converged(world: &World) {
     let head = world.publisher.head();
     let digest = world.publisher.table().digest();
@@ -36,14 +37,14 @@
 
 fn assert_progress(world: &World) {
     let zones = world.publisher.least_in_force();
-    let told: Vec<_> =
+    let reported: Vec<_> =
         zones.iter().map(|zone| (&*zone.zone, zone.subscribers, zone.least, zone.refusing)).collect();
     let (head, half) = (world.publisher.head(), SUBSCRIBERS as u32 / 2);
-    assert_eq!(told, [("a1", half, head, 0), ("a2", half, head, 0)]);
+    assert_eq!(reported, [("a1", half, head, 0), ("a2", half, head, 0)]);
 }
 
 proptest! {
-    // A fixed seed: the same verdict on every run.
+    // The fixed seed makes the result the same on every run.
     #![proptest_config(ProptestConfig {
         cases: 48,
         failure_persistence: None,
--- a/crates/config-sync/tests/fleet_support/faults.rs
+++ b/crates/config-sync/tests/fleet_support/faults.rs
@@ -1,4 +1,4 @@
-//! What is proposed, and what breaks.
+//! Proposals and faults of the simulation.
 
 use super::network::{Event, Node};
 use super::{POLICY_MODULUS, RELAYS, SUBSCRIBERS, World, new_relay, publisher_settings};
@@ -16,7 +16,7 @@
 }
 
 impl World {
-    /// Proposals and faults at random times before `end`.
+    /// Schedules proposals and faults at random times before `end`.
     pub fn schedule_load(&mut self, end: Millis, proposals: usize, faults: usize) {
         for number in 0..proposals + faults {
             let at = self.net.now + self.net.rng.random_range(0..end - self.net.now);
@@ -25,7 +25,7 @@
         }
     }
 
-    /// A few changes; some of the values are refused by some subscribers.
+    /// Proposes a few random changes; strict subscribers refuse some of the values.
     pub fn propose(&mut self) {
         let mut changes = BTreeMap::new();
         for _ in 0..self.net.rng.random_range(1..4) {
@@ -44,22 +44,22 @@
         let mut out = Vec::new();
         match self.publisher.propose(self.net.now, changes, &mut out) {
             Ok(_) | Err(ProposeError::NoChange) => self.publisher_actions(out),
-            Err(error) => panic!("a good proposal was refused: {error}"),
+            Err(error) => panic!("a valid proposal was refused: {error}"),
         }
     }
 
-    /// Values that nobody refuses, for all.
+    /// Proposes a value that no subscriber refuses for every tenant.
     pub fn propose_acceptable(&mut self) {
         let changes = (0..TENANTS).map(|tenant| allowance(tenant, tenant * POLICY_MODULUS + 1)).collect();
         self.propose_changes(changes);
     }
 
-    pub fn durable(&mut self, starts: u64, position: Position) {
+    pub fn on_durable(&mut self, starts: u64, position: Position) {
         if starts != self.publisher_starts {
             return;
         }
         while self.under_way.front().is_some_and(|transaction| transaction.position <= position) {
-            let transaction = self.under_way.pop_front().expect("looked at");
+            let transaction = self.under_way.pop_front().expect("the front is present");
             self.published.push(&transaction);
             self.store.push(transaction);
         }
@@ -97,7 +97,7 @@
         if silently { self.net.stop(id) } else { self.net.break_off(id) }
     }
 
-    /// A server accepts no connection for a while; those it has break or fall silent.
+    /// Makes a server refuse connections for a while; its open connections break or stop carrying messages.
     fn cut_off(&mut self) {
         let server = match self.net.rng.random_range(0..=RELAYS) {
             0 => Node::Publisher,
@@ -130,7 +130,8 @@
         self.subscriber_actions(number, out);
     }
 
-    /// From a snapshot of its store and the transactions after it; what was not durable is lost.
+    /// Restarts the publisher from a snapshot of its store and the transactions after it. Transactions that
+    /// were not durable are lost.
     fn restart_publisher(&mut self) {
         self.break_all(Node::Publisher);
         self.publisher_starts += 1;
@@ -143,10 +144,10 @@
         let later: Vec<Transaction> =
             self.store[cut..].iter().map(|transaction| (**transaction).clone()).collect();
         let restored = Publisher::restore(publisher_settings(), position, table, published, later);
-        self.publisher = restored.expect("a store that was written in order");
+        self.publisher = restored.expect("the store was written in order");
     }
 
-    /// A publisher without its store starts a higher epoch, with nothing.
+    /// Restarts the publisher without its store: it begins a higher epoch with an empty table.
     fn lose_store(&mut self) {
         self.break_all(Node::Publisher);
         self.publisher_starts += 1;
--- a/crates/config-sync/tests/fleet_support/mod.rs
+++ b/crates/config-sync/tests/fleet_support/mod.rs
@@ -1,5 +1,6 @@
-//! A publisher, two relays in two levels and several subscribers in virtual time, on one seed: messages in any order
-//! between sessions, links that break or fall silent, processes killed and started again, a store that is lost.
+//! Seeded simulation, in virtual time, of a publisher, two levels of relays and several subscribers. Messages
+//! of different sessions arrive in any order, links break or stop carrying messages, processes are killed and
+//! restarted, and the publisher's store is lost.
 
 mod faults;
 mod network;
@@ -23,7 +24,7 @@
 use std::sync::Arc;
 use subscribers::SubscriberNode;
 
-/// A strict subscriber refuses the multiples.
+/// A strict subscriber refuses allowances that are multiples of this number.
 pub const POLICY_MODULUS: u64 = 7;
 const RELAYS: usize = 2;
 const MAX_EVENTS_AT_ONE_TIME: u32 = 10_000;
@@ -38,9 +39,9 @@
     pub net: Network,
     pub publisher: Publisher,
     pub publisher_starts: u64,
-    /// The durable transactions of the epoch.
+    /// Durable transactions of the current epoch.
     pub store: Vec<Arc<Transaction>>,
-    /// Given to the store, not durable yet.
+    /// Transactions given to the store that are not durable yet.
     pub under_way: VecDeque<Arc<Transaction>>,
     pub epoch: u64,
     pub published: Published,
@@ -57,7 +58,7 @@
         Node::Publisher => ("publisher", None),
         Node::Relay(0) => ("relay-0", None),
         Node::Relay(_) => ("relay-1", Some("a1".into())),
-        Node::Subscriber(_) => unreachable!("a subscriber is no server"),
+        Node::Subscriber(_) => unreachable!("a subscriber is not a server"),
     };
     let region = if node == Node::Publisher { "home" } else { "a" };
     Server {
@@ -76,7 +77,7 @@
     }
 }
 
-/// Small bounds, so that logs are overrun and places for snapshots are taken.
+/// Returns settings with small bounds, so that logs overflow and all snapshot slots are in use.
 fn fanout_settings(seed: u64) -> FanoutSettings {
     let log = DeltaLogSettings { max_transactions: 12, ..DeltaLogSettings::default() };
     FanoutSettings { max_snapshots: 2, log, seed, ..FanoutSettings::default() }
@@ -98,11 +99,11 @@
 }
 
 fn new_relay(number: usize, now: Millis, seed: u64) -> RelayNode {
-    let (zone, above) = match number {
+    let (zone, upstream) = match number {
         0 => ("region-a", vec![Node::Publisher]),
         _ => ("a1", vec![Node::Relay(0), Node::Publisher]),
     };
-    let follower = follower_settings(format!("relay-{number}"), zone, Role::Relay, above, seed);
+    let follower = follower_settings(format!("relay-{number}"), zone, Role::Relay, upstream, seed);
     let settings = RelaySettings::new(follower, fanout_settings(seed));
     RelayNode { relay: Relay::new(settings, now), link: None }
 }
@@ -138,17 +139,20 @@
         world
     }
 
-    /// Lets everything happen until `end`.
+    /// Processes events and deadlines until `end`.
     pub fn run_until(&mut self, end: Millis) {
-        let mut at_this_time = 0;
+        let mut events_at_this_time = 0;
         loop {
             let next = self.net.next_at().unwrap_or(Millis::MAX).min(self.next_deadline());
             if next > end {
                 self.net.now = end;
                 return;
             }
-            at_this_time = if next > self.net.now { 0 } else { at_this_time + 1 };
-            assert!(at_this_time < MAX_EVENTS_AT_ONE_TIME, "time stands still at {next}");
+            events_at_this_time = if next > self.net.now { 0 } else { events_at_this_time + 1 };
+            assert!(
+                events_at_this_time < MAX_EVENTS_AT_ONE_TIME,
+                "virtual time does not advance past {next}"
+            );
             self.net.now = self.net.now.max(next);
             match self.net.pop() {
                 Some(event) => self.handle(event),
@@ -178,7 +182,7 @@
                 self.client_event(Node::Subscriber(number), FollowerEvent::Tick);
             }
         }
-        assert!(self.next_deadline() > now, "a tick has to move the deadline");
+        assert!(self.next_deadline() > now, "the deadline does not advance after a tick");
     }
 
     fn handle(&mut self, event: Event) {
@@ -200,25 +204,25 @@
                 self.deliver_to_server(id, FanoutEvent::Closed(SessionId(id)));
                 self.net.forget(id);
             }
-            Event::Durable(starts, position) => self.durable(starts, position),
-            Event::Applied(number, starts, position) => self.applied(number, starts, position),
+            Event::Durable(starts, position) => self.on_durable(starts, position),
+            Event::Applied(number, starts, position) => self.on_applied(number, starts, position),
             Event::Propose => self.propose(),
             Event::Fault => self.fault(),
         }
     }
 
-    /// A client arrives at a server.
+    /// Handles the arrival of a client's connection attempt at its server.
     fn attempt(&mut self, id: ConnectionId) {
         let Some(connection) = self.net.get(id) else { return };
         if !self.net.accepts(connection.server) || !self.net.carries(id) {
-            self.net.down(id, Event::ConnectFailed(id));
+            self.net.send_to_client(id, Event::ConnectFailed(id));
             return;
         }
-        self.net.down(id, Event::Connected(id));
+        self.net.send_to_client(id, Event::Connected(id));
         self.deliver_to_server(id, FanoutEvent::Opened(SessionId(id)));
     }
 
-    /// Only what belongs to the client's present connection is handed in.
+    /// Delivers an event to a client if it belongs to the client's current connection.
     fn deliver_to_client(&mut self, id: ConnectionId, event: FollowerEvent) {
         let Some(connection) = self.net.get(id) else { return };
         let link = self.link_of(connection.client);
@@ -241,7 +245,7 @@
         match client {
             Node::Relay(number) => &mut self.relays[number].link,
             Node::Subscriber(number) => &mut self.subscribers[number].link,
-            Node::Publisher => unreachable!("the publisher is no client"),
+            Node::Publisher => unreachable!("the publisher is not a client"),
         }
     }
 
@@ -249,7 +253,7 @@
         match client {
             Node::Relay(number) => self.relay_event(number, RelayEvent::Upstream(event)),
             Node::Subscriber(number) => self.subscriber_event(number, SubscriberEvent::Link(event)),
-            Node::Publisher => unreachable!("the publisher is no client"),
+            Node::Publisher => unreachable!("the publisher is not a client"),
         }
     }
 
@@ -261,7 +265,7 @@
                 self.publisher_actions(out);
             }
             Node::Relay(number) => self.relay_event(number, RelayEvent::Downstream(event)),
-            Node::Subscriber(_) => unreachable!("a subscriber is no server"),
+            Node::Subscriber(_) => unreachable!("a subscriber is not a server"),
         }
     }
 
@@ -312,7 +316,7 @@
         }
     }
 
-    fn applied(&mut self, number: usize, starts: u64, position: Position) {
+    fn on_applied(&mut self, number: usize, starts: u64, position: Position) {
         if self.subscribers[number].starts == starts {
             self.subscriber_event(number, SubscriberEvent::Applied(position));
         }
@@ -326,11 +330,11 @@
             }
             LinkAction::Send(message) => {
                 let id = self.link_of(client).expect("an open connection");
-                self.net.up(id, Event::ReceivedByServer(id, message));
+                self.net.send_to_server(id, Event::ReceivedByServer(id, message));
             }
             LinkAction::Disconnect(_) => {
                 let id = self.link_of(client).take().expect("a connection");
-                self.net.up(id, Event::ClosedForServer(id));
+                self.net.send_to_server(id, Event::ClosedForServer(id));
             }
         }
     }
@@ -338,10 +342,10 @@
     fn fanout_action(&mut self, action: FanoutAction) {
         match action {
             FanoutAction::Send { session: SessionId(id), message } => {
-                self.net.down(id, Event::ReceivedByClient(id, message));
+                self.net.send_to_client(id, Event::ReceivedByClient(id, message));
             }
             FanoutAction::Close { session: SessionId(id), .. } => {
-                self.net.down(id, Event::ClosedForClient(id));
+                self.net.send_to_client(id, Event::ClosedForClient(id));
             }
         }
     }
--- a/crates/config-sync/tests/fleet_support/network.rs
+++ b/crates/config-sync/tests/fleet_support/network.rs
@@ -1,4 +1,5 @@
-//! Connections in virtual time: in order within one, in any order between them, and broken as the test says.
+//! Connections in virtual time. Messages of one connection arrive in order; those of different connections
+//! arrive in any order. The test breaks connections.
 
 use dunlinspread_config_sync::message::{ToClient, ToServer};
 use dunlinspread_config_sync::resource::{Millis, Position};
@@ -15,13 +16,13 @@
     Subscriber(usize),
 }
 
-/// A connection, which is also the number of its session.
+/// Identifier of a connection, also used as its session number.
 pub type ConnectionId = u64;
 
-/// What happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The attempt to connect arrives at the server.
+    /// A connection attempt arrives at the server.
     Attempt(ConnectionId),
     Connected(ConnectionId),
     ConnectFailed(ConnectionId),
@@ -29,9 +30,10 @@
     ReceivedByServer(ConnectionId, ToServer),
     ClosedForClient(ConnectionId),
     ClosedForServer(ConnectionId),
-    /// The store of the publisher that was started so many times holds all up to this position.
+    /// The publisher's store holds all transactions up to this position. The number is the publisher's start
+    /// count, by which events of an earlier process are recognized.
     Durable(u64, Position),
-    /// The owner of a subscriber that was started so many times confirms.
+    /// A subscriber's owner confirms a position: subscriber number, its start count, position.
     Applied(usize, u64, Position),
     Propose,
     Fault,
@@ -42,20 +44,20 @@
 pub struct Connection {
     pub client: Node,
     pub server: Node,
-    /// When what was sent last to the server arrives there.
+    /// Arrival time of the last message to the server.
     last_up: Millis,
     last_down: Millis,
-    /// Nothing arrives any more; the ends may not know.
+    /// Set when the connection no longer carries messages; the ends may not have noticed.
     stopped: bool,
 }
 
-/// The events to come, and the connections.
+/// The event queue and the connections.
 pub struct Network {
     pub now: Millis,
     pub rng: ChaCha8Rng,
     queue: BTreeMap<(Millis, u64), Event>,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// Servers that accept nothing until a time.
+    /// Servers that refuse connections, each with the time at which that ends.
     cut_until: BTreeMap<Node, Millis>,
     next_number: u64,
 }
@@ -76,7 +78,7 @@
         self.queue.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The next event, if its time has come.
+    /// Removes and returns the next event if it is due.
     pub fn pop(&mut self) -> Option<Event> {
         if self.next_at()? > self.now {
             return None;
@@ -89,7 +91,7 @@
         self.queue.insert((at.max(self.now), self.next_number), event);
     }
 
-    /// Mostly short, now and then long, so that sessions overtake each other.
+    /// Returns a random latency, usually short and sometimes long, so that sessions overtake each other.
     fn latency(&mut self) -> Millis {
         if self.rng.random_range(0..20) == 0 {
             self.rng.random_range(50..500)
@@ -102,7 +104,7 @@
         self.connections.get(&id).copied()
     }
 
-    /// Whether messages on it still arrive.
+    /// Returns whether the connection still carries messages.
     pub fn carries(&self, id: ConnectionId) -> bool {
         self.connections.get(&id).is_some_and(|connection| !connection.stopped)
     }
@@ -113,7 +115,7 @@
         let (last_up, last_down) = (self.now, self.now);
         let connection = Connection { client, server, last_up, last_down, stopped: false };
         self.connections.insert(id, connection);
-        self.up(id, Event::Attempt(id));
+        self.send_to_server(id, Event::Attempt(id));
         id
     }
 
@@ -121,8 +123,8 @@
         self.cut_until.get(&server).is_none_or(|until| *until <= self.now)
     }
 
-    /// Towards the server, after all that was sent there before.
-    pub fn up(&mut self, id: ConnectionId, event: Event) {
+    /// Schedules an event at the server after all earlier ones of the connection.
+    pub fn send_to_server(&mut self, id: ConnectionId, event: Event) {
         let latency = self.latency();
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_up = connection.last_up.max(self.now + latency);
@@ -130,8 +132,8 @@
         self.schedule(at, event);
     }
 
-    /// Towards the client, after all that was sent there before.
-    pub fn down(&mut self, id: ConnectionId, event: Event) {
+    /// Schedules an event at the client after all earlier ones of the connection.
+    pub fn send_to_client(&mut self, id: ConnectionId, event: Event) {
         let latency = self.latency();
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_down = connection.last_down.max(self.now + latency);
@@ -139,7 +141,7 @@
         self.schedule(at, event);
     }
 
-    /// What is on its way is lost, and both ends learn it.
+    /// Breaks a connection: messages in transit are lost and both ends see it closed.
     pub fn break_off(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.stopped = true;
@@ -148,17 +150,21 @@
         }
     }
 
-    /// What is on its way is lost, and neither end learns it.
+    /// Makes a connection lose all messages without notice to either end.
     pub fn stop(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.stopped = true;
         }
     }
 
-    /// All connections that end at `node`.
+    /// Returns all connections that end at `node`.
     pub fn of(&self, node: Node) -> BTreeSet<ConnectionId> {
-        let at = |connection: &Connection| connection.client == node || connection.server == node;
-        self.connections.iter().filter(|(_, connection)| at(connection)).map(|(id, _)| *id).collect()
+        let ends_at_node = |connection: &Connection| connection.client == node || connection.server == node;
+        self.connections
+            .iter()
+            .filter(|(_, connection)| ends_at_node(connection))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     pub fn all(&self) -> Vec<ConnectionId> {
--- a/crates/config-sync/tests/fleet_support/subscribers.rs
+++ b/crates/config-sync/tests/fleet_support/subscribers.rs
@@ -1,4 +1,4 @@
-//! A subscriber's process: its owner, its disk, and what may never be seen there.
+//! A subscriber's process with its owner and its disk, and checks of both.
 
 use super::network::ConnectionId;
 use super::{POLICY_MODULUS, published::Published};
@@ -9,7 +9,7 @@
 };
 use dunlinspread_config_sync::table::Table;
 
-/// Refuses some allowances, if it is strict.
+/// A judge that refuses some allowances if it is strict.
 struct Policy {
     strict: bool,
 }
@@ -34,9 +34,9 @@
     pub subscriber: Subscriber,
     pub link: Option<ConnectionId>,
     pub starts: u64,
-    /// Whether its judge refuses some changes.
+    /// Whether the judge refuses some changes.
     pub strict: bool,
-    /// What its owner has in force.
+    /// Settings that the owner has in force.
     pub in_force: Table,
     pub in_force_at: Position,
     settings: SubscriberSettings,
@@ -63,20 +63,21 @@
         }
     }
 
-    /// The process is killed and started again with what is on its disk.
+    /// Kills the process and restarts it with the state on its disk.
     pub fn restart(&mut self, now: Millis, out: &mut Vec<SubscriberAction>) {
         let confirmed = self.subscriber.applied();
-        assert!(self.disk.position >= confirmed, "{confirmed:?} was confirmed but is not kept");
+        assert!(self.disk.position >= confirmed, "{confirmed:?} was confirmed but is not on disk");
         self.starts += 1;
         self.link = None;
         self.in_force = Table::new();
         self.in_force_at = Position::default();
         let judge = Box::new(Policy { strict: self.strict });
-        let kept = Some(self.disk.clone());
-        self.subscriber = Subscriber::new(self.settings.clone(), judge, kept, now, out);
+        let stored = Some(self.disk.clone());
+        self.subscriber = Subscriber::new(self.settings.clone(), judge, stored, now, out);
     }
 
-    /// The owner applies an update; whoever refuses nothing has exactly what was published.
+    /// Applies an update as the owner. A subscriber that refuses nothing must then hold exactly the published
+    /// table.
     pub fn apply(&mut self, update: &Update, published: &Published) {
         assert!(update.position >= self.in_force_at, "regressed to {:?}", update.position);
         self.in_force_at = update.position;
@@ -91,7 +92,7 @@
         self.disk.apply(record);
     }
 
-    /// What is in force is what the subscriber says.
+    /// Asserts that the subscriber reports the same values that its owner has in force.
     pub fn check_in_force(&self) {
         for resource in self.in_force.iter() {
             assert_eq!(self.subscriber.in_force(&resource.key()), Some(resource));
--- a/crates/config-sync/tests/follower_property.rs
+++ b/crates/config-sync/tests/follower_property.rs
@@ -1,5 +1,5 @@
-//! Whatever arrives, in whatever order and from whichever server: the table is at every moment exactly that of a published
-//! position, and the position never goes back.
+//! Property test of the follower. Whatever messages arrive, in any order and from any server, the table
+//! always equals that of a published position, and the position never goes back.
 
 mod client_support;
 
@@ -11,25 +11,25 @@
 use proptest::test_runner::RngSeed;
 use std::sync::Arc;
 
-/// One thing that happens; numbers are taken modulo what there is.
+/// A step of a schedule. Numbers are taken modulo the number of possible values.
 #[derive(Clone, Debug)]
 enum Step {
     Connected,
     ConnectFailed,
     Disconnected,
-    Pass(u64),
-    /// Transactions of one history, from one to another.
+    Wait(u64),
+    /// Transactions of one history: history, start, count.
     Deltas(usize, usize, usize),
-    /// Two of them change places.
+    /// Two consecutive transactions in the wrong order.
     SwappedDeltas(usize, usize),
     DamagedDelta(usize, usize),
-    /// Of a server whose state is so old.
+    /// A heartbeat of a server: history, head, age of the server's state.
     Heartbeat(usize, usize, u64),
     Resync(usize, usize),
-    /// The server, as it stood after so many transactions, answers the last `FetchDifferences` with all or the beginning
-    /// of a snapshot.
+    /// A snapshot, whole or cut short, in answer to the last `FetchDifferences`: history, number of
+    /// transactions that the server has, number of messages sent.
     Snapshot(usize, usize, usize),
-    /// The same without one of its pieces.
+    /// A snapshot that lacks one of its pieces.
     TornSnapshot(usize, usize, usize),
     Busy(u64),
 }
@@ -42,7 +42,7 @@
         8 => Just(Step::Connected),
         1 => Just(Step::ConnectFailed),
         1 => Just(Step::Disconnected),
-        6 => (0_u64..4_000).prop_map(Step::Pass),
+        6 => (0_u64..4_000).prop_map(Step::Wait),
         6 => triple.clone().prop_map(|(history, from, count)| Step::Deltas(history, from, count)),
         1 => pair.clone().prop_map(|(history, from)| Step::SwappedDeltas(history, from)),
         1 => pair.clone().prop_map(|(history, from)| Step::DamagedDelta(history, from)),
@@ -57,21 +57,21 @@
     prop::collection::vec(step, 1..120)
 }
 
-/// Two epochs; in the second all that was in the first is gone.
+/// Returns histories of two epochs; the second has none of the resources of the first.
 fn histories() -> [History; 2] {
     let build = |epoch| {
         let mut history = History::new(epoch);
         for number in 0..24_u64 {
-            let gone = format!("tenant-{}-{epoch}", (number + 3) % 7);
+            let deleted = format!("tenant-{}-{epoch}", (number + 3) % 7);
             let put = allowance(&format!("tenant-{}-{epoch}", number % 7), number + 1);
-            history.push(vec![put, delete(&gone)]);
+            history.push(vec![put, delete(&deleted)]);
         }
         history
     };
     [build(1), build(2)]
 }
 
-/// The history as it stood after `count` of its transactions, at least one.
+/// Returns the history after `count` of its transactions, at least one.
 fn as_of(history: &History, count: usize) -> History {
     let count = 1 + count % history.transactions.len();
     let (position, table) = history.tables[count - 1].clone();
@@ -92,7 +92,7 @@
         World { histories: histories(), driver: Driver::new(settings), fetched: Vec::new() }
     }
 
-    /// What is handed in for a step, one event after the other.
+    /// Returns the events of a step in order.
     fn events(&self, step: &Step) -> Vec<FollowerEvent> {
         let history = |number: &usize| &self.histories[number % 2];
         let received = |message| vec![FollowerEvent::Received(message)];
@@ -100,7 +100,7 @@
             Step::Connected => vec![FollowerEvent::Connected],
             Step::ConnectFailed => vec![FollowerEvent::ConnectFailed],
             Step::Disconnected => vec![FollowerEvent::Disconnected],
-            Step::Pass(_) => vec![FollowerEvent::Tick],
+            Step::Wait(_) => vec![FollowerEvent::Tick],
             Step::Deltas(number, from, count) => {
                 let transactions = &history(number).transactions;
                 let from = self.near_position(history(number), *from);
@@ -136,7 +136,8 @@
         }
     }
 
-    /// Mostly the follower's own revision, so that deltas often follow; else somewhere.
+    /// Returns the follower's own revision in most cases, so that deltas often follow it, and an arbitrary
+    /// one otherwise.
     fn near_position(&self, history: &History, from: usize) -> usize {
         let position = self.driver.follower.position();
         if from % 4 != 0 && position.epoch == history.position.epoch {
@@ -146,8 +147,8 @@
         }
     }
 
-    fn play(&mut self, step: &Step) {
-        if let Step::Pass(time) = step {
+    fn apply_step(&mut self, step: &Step) {
+        if let Step::Wait(time) = step {
             self.driver.now += time;
         }
         for event in self.events(step) {
@@ -175,21 +176,21 @@
         self.check_actions();
     }
 
-    /// Nothing is sent on a connection that was given up, and each session begins with Watch.
+    /// Asserts that nothing is sent on a connection after `Disconnect`.
     fn check_actions(&self) {
-        let mut given_up = false;
+        let mut disconnected = false;
         for action in &self.driver.actions {
             match action {
                 FollowerAction::Link(LinkAction::Send(message)) => {
-                    assert!(!given_up, "{message:?} after Disconnect");
+                    assert!(!disconnected, "{message:?} was sent after `Disconnect`");
                 }
-                FollowerAction::Link(LinkAction::Disconnect(_)) => given_up = true,
+                FollowerAction::Link(LinkAction::Disconnect(_)) => disconnected = true,
                 FollowerAction::Link(LinkAction::Connect(_)) | FollowerAction::Advanced(_) => {}
             }
         }
     }
 
-    /// A good server at last: everything is fetched.
+    /// Connects to a server without faults until the follower has the newest state.
     fn heal(&mut self) {
         let newest = self.histories[1].clone();
         for _ in 0..40 {
@@ -201,16 +202,16 @@
             self.driver.event(FollowerEvent::Disconnected);
             self.driver.accept();
             self.driver.receive(ToClient::Resync { head: newest.position });
-            let fetched = self.driver.fetched().expect("a Resync is answered");
+            let fetched = self.driver.fetched().expect("`Resync` is answered with `FetchDifferences`");
             newest.snapshot(&fetched).into_iter().for_each(|message| {
                 self.driver.receive(message);
             });
         }
-        panic!("a good server was not followed to {:?}", at(2, 24));
+        panic!("the follower did not reach {:?} with a server without faults", at(2, 24));
     }
 }
 
-/// With another value, or with another digest.
+/// Returns the transaction with a wrong digest or a wrong change.
 fn damaged(transaction: &Arc<Transaction>) -> Arc<Transaction> {
     let mut damaged = (**transaction).clone();
     if transaction.position.revision % 2 == 0 {
@@ -221,7 +222,7 @@
     Arc::new(damaged)
 }
 
-/// A snapshot without one of its pieces, numbered and counted as if it had never been there.
+/// Returns a snapshot without one of its pieces, numbered and counted as if that piece did not exist.
 fn without_piece(mut messages: Vec<ToClient>, lost: usize) -> Vec<ToClient> {
     let count = messages.len() - 1;
     if count > 0 {
@@ -238,7 +239,7 @@
 }
 
 proptest! {
-    // A fixed seed: the same verdict on every run.
+    // The fixed seed makes the result the same on every run.
     #![proptest_config(ProptestConfig {
         cases: 256,
         failure_persistence: None,
@@ -249,7 +250,7 @@
     fn never_torn_never_backwards(steps in steps(), seed in any::<u64>()) {
         let mut world = World::new(seed);
         for step in &steps {
-            world.play(step);
+            world.apply_step(step);
         }
         world.heal();
         prop_assert_eq!(world.driver.follower.position(), at(2, 24));
--- a/crates/config-sync/tests/follower_servers.rs
+++ b/crates/config-sync/tests/follower_servers.rs
@@ -1,4 +1,4 @@
-//! Which server a follower watches, when it leaves one, and what it knows of its own age.
+//! The follower's choice of server, its reasons to leave one, and the age of its state.
 
 mod client_support;
 
@@ -72,7 +72,7 @@
     assert_eq!(driver.accept(), order()[1]);
     driver.receive(history.heartbeat());
     driver.event(FollowerEvent::Disconnected);
-    assert_eq!(driver.accept(), order()[0], "the nearest again, since it is another that was lost");
+    assert_eq!(driver.accept(), order()[0], "the nearest server is tried again after another one was lost");
 }
 
 #[test]
@@ -147,7 +147,7 @@
     let mut second = 0;
     while driver.left().is_none() {
         second += 1;
-        assert!(second < 10, "it was never left");
+        assert!(second < 10, "the follower did not leave the server in time");
         driver.now = second * 1_000;
         driver.receive(ToClient::Heartbeat { head: at(1, 11), age_ms: 0 });
     }
@@ -172,10 +172,10 @@
     let mut driver = driver(&history);
     for _ in 0..2 {
         assert_eq!(driver.accept(), order()[0]);
-        let asked_at = driver.now;
+        let attempted_at = driver.now;
         driver.receive(ToClient::Busy { retry_after_ms: 400 });
         assert_eq!(driver.left(), Some(DisconnectReason::Busy(400)));
-        assert_eq!(driver.follower.deadline(), asked_at + 400);
+        assert_eq!(driver.follower.deadline(), attempted_at + 400);
     }
     assert_eq!(driver.accept(), order()[0]);
     driver.receive(ToClient::Busy { retry_after_ms: 400 });
@@ -190,7 +190,7 @@
     assert_eq!(driver.follower.deadline(), driver.now + 5_000);
 }
 
-/// Brings the follower to the region's server, because those of its zone don't answer.
+/// Returns a follower connected to the region's server, after those of its zone did not answer.
 fn on_region(history: &History) -> Driver {
     let mut driver = driver(history);
     for _ in 0..2 {
@@ -202,11 +202,11 @@
     driver
 }
 
-/// Lets time pass with heartbeats until it leaves, and gives how long that took.
+/// Sends heartbeats until the follower leaves its server; returns the elapsed time.
 fn heartbeats_until_left(driver: &mut Driver, history: &History) -> u64 {
     let start = driver.now;
     while driver.left().is_none() {
-        assert!(driver.now < start + 100_000, "it was never left");
+        assert!(driver.now < start + 100_000, "the follower did not leave the server in time");
         driver.now += 500;
         driver.receive(history.heartbeat());
     }
@@ -221,9 +221,13 @@
         let waited = heartbeats_until_left(&mut driver, &history);
         assert!((10_000..=30_500).contains(&waited), "waited {waited} ms");
         assert_eq!(driver.left(), Some(DisconnectReason::TryingNearer));
-        assert_eq!(driver.attempted(), Some(order()[attempt % 2].clone()), "one after the other, at once");
+        assert_eq!(
+            driver.attempted(),
+            Some(order()[attempt % 2].clone()),
+            "the nearer servers are tried in turn, without delay"
+        );
         driver.event(FollowerEvent::ConnectFailed);
-        assert_eq!(driver.accept(), "region", "back to the one that works");
+        assert_eq!(driver.accept(), "region", "the follower returns to the working server");
         driver.receive(history.heartbeat());
     }
     heartbeats_until_left(&mut driver, &history);
@@ -234,7 +238,7 @@
     while driver.now < near_at + 100_000 {
         driver.now += 500;
         driver.receive(history.heartbeat());
-        assert_eq!(driver.left(), None, "on a nearest server it stays");
+        assert_eq!(driver.left(), None, "the follower stays at a nearest server");
     }
 }
 
@@ -267,7 +271,7 @@
     assert_eq!(
         driver.follower.age_ms(driver.now),
         Some(1_000),
-        "a head that it does not have is no sign of youth"
+        "a head that the follower lacks does not reset its age"
     );
     driver.receive(history.since(position));
     assert_eq!(driver.follower.age_ms(driver.now), Some(0));
@@ -281,7 +285,7 @@
     for _ in 0..10 {
         let before = driver.now;
         assert!(driver.wake().is_empty());
-        assert!(driver.follower.deadline() > before, "no busy loop");
+        assert!(driver.follower.deadline() > before, "the deadline is in the future");
     }
 }
 
@@ -298,5 +302,5 @@
     assert!(driver.actions.is_empty());
     driver.event(FollowerEvent::Connected);
     driver.event(FollowerEvent::Connected);
-    assert!(driver.actions.is_empty(), "a second Connected is not one");
+    assert!(driver.actions.is_empty(), "a second `Connected` has no effect");
 }
--- a/crates/config-sync/tests/follower_staleness.rs
+++ b/crates/config-sync/tests/follower_staleness.rs
@@ -1,4 +1,4 @@
-//! When a follower leaves a server that is heard but is cut off from the publisher.
+//! When a follower leaves a server that sends heartbeats but is cut off from the publisher.
 
 mod client_support;
 
@@ -30,13 +30,13 @@
     ranked(&settings.member, &settings.servers).iter().map(|server| server.name.to_string()).collect()
 }
 
-/// A follower among servers that all have the same head; each is cut off since a time, or not at all.
+/// A follower and servers that all have the same head, some of which are cut off from the publisher.
 struct Scene {
     driver: Driver,
     history: History,
     cut_since: HashMap<String, Millis>,
     unreachable: Vec<String>,
-    /// The servers that it watched, each with the time at which the session began.
+    /// Servers that the follower watched, each with the time at which the session began.
     watched: Vec<(Millis, String)>,
     attempts: Vec<Millis>,
 }
@@ -61,9 +61,9 @@
         self.cut_since.extend(names.iter().map(|name| (name.clone(), now)));
     }
 
-    /// Lets time pass: attempts are answered at once, heartbeats come each second.
-    fn run(&mut self, time: Millis) {
-        let end = self.driver.now + time;
+    /// Advances the clock; attempts are answered at once and heartbeats arrive every second.
+    fn run(&mut self, duration: Millis) {
+        let end = self.driver.now + duration;
         while self.driver.now < end {
             let next_heartbeat = (self.driver.now / 1_000 + 1) * 1_000;
             let deadline = self.driver.follower.deadline().max(self.driver.now);
@@ -100,7 +100,7 @@
         &self.watched.last().expect("a session").1
     }
 
-    fn left_as_stale(&self) -> u64 {
+    fn stale_servers_left(&self) -> u64 {
         self.driver.follower.counters().servers_stale
     }
 }
@@ -119,12 +119,16 @@
         assert_eq!((name, scene.watched.len()), (&order()[1], 2), "seed {seed}");
         soonest = soonest.min(moved_at - 3_000);
         latest = latest.max(moved_at - 3_000);
-        assert_eq!(scene.driver.follower.age_ms(scene.driver.now), Some(0), "it is up to date again");
+        assert_eq!(
+            scene.driver.follower.age_ms(scene.driver.now),
+            Some(0),
+            "the follower is up to date again"
+        );
         scene.run(600_000);
-        assert_eq!(scene.watched.len(), 2, "and stays");
+        assert_eq!(scene.watched.len(), 2, "the follower stays at the fresh server");
     }
     assert!(soonest >= STALE_AFTER_MS && latest <= STALE_AFTER_MS * 3 / 2 + 1, "{soonest} to {latest} ms");
-    assert!(latest - soonest > STALE_AFTER_MS / 4, "spread in time: {soonest} to {latest} ms");
+    assert!(latest - soonest > STALE_AFTER_MS / 4, "not spread in time: {soonest} to {latest} ms");
 }
 
 #[test]
@@ -134,17 +138,20 @@
         scene.run(3_000);
         scene.cut(&order());
         scene.run(600_000);
-        // Waits of 5, 10, 20, 40 and then 80 s, each up to half longer.
-        let tries = scene.left_as_stale();
+        // The delays are 5, 10, 20, 40 and then 80 s, each extended by up to half.
+        let tries = scene.stale_servers_left();
         assert!((6..=12).contains(&tries), "seed {seed}: {tries} tries in ten minutes");
-        assert!(scene.attempts.len() as u64 <= 2 * tries + 1, "seed {seed}: each try and the way back");
+        assert!(
+            scene.attempts.len() as u64 <= 2 * tries + 1,
+            "seed {seed}: more attempts than one per try and one per return"
+        );
         let at_nearest = time_at(&scene, &order()[0]);
         assert!(at_nearest > 570_000, "seed {seed}: {at_nearest} ms at the nearest");
         assert_eq!(scene.driver.follower.position(), scene.history.position);
     }
 }
 
-/// How long it watched a server, of all the time that passed.
+/// Returns for how long the follower watched `server`.
 fn time_at(scene: &Scene, server: &str) -> Millis {
     let ends = scene.watched[1..].iter().map(|(at, _)| *at).chain([scene.driver.now]);
     let spans = scene.watched.iter().zip(ends).filter(|((_, name), _)| name == server);
@@ -162,9 +169,9 @@
     scene.cut_since.clear();
     scene.run(120_000);
     assert!(order()[..2].contains(&scene.current().to_owned()), "{}", scene.current());
-    let settled = scene.watched.len();
+    let settled_count = scene.watched.len();
     scene.run(600_000);
-    assert_eq!(scene.watched.len(), settled);
+    assert_eq!(scene.watched.len(), settled_count);
 }
 
 #[test]
@@ -173,10 +180,10 @@
     scene.run(3_000);
     scene.cut(&order()[..3]);
     scene.run(120_000);
-    let settled = scene.driver.now;
+    let settled_at = scene.driver.now;
     scene.run(600_000);
     let far = time_at(&scene, "far");
-    assert!(far > scene.driver.now - settled - 60_000, "{far} ms at the fresh one");
+    assert!(far > scene.driver.now - settled_at - 60_000, "{far} ms at the fresh server");
     assert_eq!(scene.current(), "far");
 }
 
@@ -218,8 +225,8 @@
     scene.run(3_000);
     scene.cut(&["zone-1".to_owned()]);
     scene.run(600_000);
-    assert_eq!((scene.watched.len(), scene.left_as_stale()), (1, 0));
-    assert!(scene.driver.follower.deadline() > scene.driver.now + 1_000, "no tick for nothing");
+    assert_eq!((scene.watched.len(), scene.stale_servers_left()), (1, 0));
+    assert!(scene.driver.follower.deadline() > scene.driver.now + 1_000, "a tick is scheduled without need");
 }
 
 #[test]
--- a/crates/config-sync/tests/follower_table.rs
+++ b/crates/config-sync/tests/follower_table.rs
@@ -1,4 +1,4 @@
-//! What a follower's table does: whole steps forward, or nothing.
+//! The follower's table: it advances in whole steps or not at all.
 
 mod client_support;
 
@@ -21,7 +21,7 @@
     history
 }
 
-/// A follower that has all of `history` and an open session.
+/// Returns a follower that has all of `history` and an open session.
 fn at_head_of(history: &History) -> Driver {
     let mut driver = Driver::with_state(settings(), history.position, history.table.clone());
     driver.accept();
@@ -56,7 +56,9 @@
     }
     driver.receive(end.clone());
     assert_at(&driver, &history);
-    let [Advance::Snapshot { before, position, .. }] = driver.advances()[..] else { panic!("one snapshot") };
+    let [Advance::Snapshot { before, position, .. }] = driver.advances()[..] else {
+        panic!("expected one snapshot")
+    };
     assert!(before.is_empty());
     assert_eq!(*position, history.position);
 }
@@ -69,10 +71,12 @@
     history.grow(5);
     driver.receive(history.since(known));
     assert_at(&driver, &history);
-    let [Advance::Deltas { transactions, .. }] = driver.advances()[..] else { panic!("one step") };
+    let [Advance::Deltas { transactions, .. }] = driver.advances()[..] else {
+        panic!("expected one `Advance::Deltas`")
+    };
     assert_eq!(transactions.len(), 5);
     driver.receive(history.since(known));
-    assert!(driver.actions.is_empty(), "what is known already changes nothing");
+    assert!(driver.actions.is_empty(), "known transactions change nothing");
     assert_at(&driver, &history);
 }
 
@@ -124,7 +128,9 @@
     let bad = damaged(&history.push(vec![allowance("tenant-2", 2)]));
     driver.receive(ToClient::Deltas(vec![good, bad]));
     assert_at(&driver, &after_good);
-    let [Advance::Deltas { transactions, .. }] = driver.advances()[..] else { panic!("one step") };
+    let [Advance::Deltas { transactions, .. }] = driver.advances()[..] else {
+        panic!("expected one `Advance::Deltas`")
+    };
     assert_eq!(transactions.len(), 1);
     assert!(driver.fetched().is_some());
 }
@@ -215,7 +221,7 @@
     let before = history.clone();
     history.grow(30);
     let good = history.snapshot(&[]);
-    let ToClient::Piece { buckets, .. } = &good[0] else { panic!("a piece") };
+    let ToClient::Piece { buckets, .. } = &good[0] else { panic!("expected a piece") };
     let misplaced = BucketContent { bucket: buckets[0].bucket ^ 1, ..buckets[0].clone() };
     let out_of_range = BucketContent { bucket: u16::MAX, resources: vec![] };
     let faulty = [
@@ -256,7 +262,7 @@
             return;
         }
     }
-    panic!("the snapshot was taken");
+    panic!("the snapshot was accepted");
 }
 
 #[test]
--- a/crates/config-sync/tests/format_v1.rs
+++ b/crates/config-sync/tests/format_v1.rs
@@ -1,4 +1,5 @@
-//! Bytes of version 1, as `docs/formats/config-sync.md` describes them. They must go on being read, and written.
+//! Encoded bytes of format version 1, as `docs/formats/config-sync.md` describes them. Later builds must
+//! still read and write them.
 
 use dunlinspread_config_sync::codec::{
     Record, decode_record, decode_to_client, decode_to_server, encode_record, encode_to_client,
@@ -83,21 +84,21 @@
 fn a_heartbeat_in_its_frame() {
     let key = FrameKey::new(b"0123456789abcdef").expect("16 bytes");
     let message = ToClient::Heartbeat { head: POSITION, age_ms: 0 };
-    let written = key.seal(|out| encode_to_client(&message, out)).expect("short");
+    let written = key.seal(|out| encode_to_client(&message, out)).expect("a short payload");
     assert_eq!(hex(&written), hex(&unhex(HEARTBEAT_FRAME)));
     let mut decoder = FrameDecoder::new(key);
     decoder.feed(&unhex(HEARTBEAT_FRAME));
-    let payload = decoder.next_payload().expect("good").expect("whole");
+    let payload = decoder.next_payload().expect("a valid frame").expect("a complete frame");
     assert_eq!(decode_to_client(payload), Ok(message));
 }
 
 #[test]
 fn records() {
     let transaction = Arc::new(transaction());
-    let of = |refused| Record::Transaction { transaction: transaction.clone(), refused };
+    let record = |refused| Record::Transaction { transaction: transaction.clone(), refused };
     let cases = [
-        (of(false), [unhex("01 124a"), unhex(TRANSACTION)].concat()),
-        (of(true), [unhex("01 1a4a"), unhex(TRANSACTION)].concat()),
+        (record(false), [unhex("01 124a"), unhex(TRANSACTION)].concat()),
+        (record(true), [unhex("01 1a4a"), unhex(TRANSACTION)].concat()),
         (Record::Epoch(300), unhex("01 08ac02")),
     ];
     for (record, bytes) in cases {
@@ -115,7 +116,7 @@
     ]);
     let held_back = [Change::Delete(Key::Tenant("u".into()))];
     assert_eq!(hex(&write_snapshot(POSITION, 1_000, &table, &held_back)), hex(&unhex(SNAPSHOT)));
-    let (header, read) = read_snapshot(&unhex(SNAPSHOT)).expect("it is read");
+    let (header, read) = read_snapshot(&unhex(SNAPSHOT)).expect("a readable snapshot");
     assert_eq!((header.position, header.published_unix_ms), (POSITION, 1_000));
     assert_eq!((read, header.held_back), (table, held_back.to_vec()));
 }
--- a/crates/config-sync/tests/frame.rs
+++ b/crates/config-sync/tests/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: whatever the pieces in which bytes arrive, exactly what was sealed comes out; anything else is refused.
+//! Frames: however the byte stream is split, the decoder returns exactly the sealed payloads and rejects any
+//! other input.
 
 mod support;
 
@@ -15,10 +16,10 @@
 }
 
 fn seal(payload: &[u8]) -> Vec<u8> {
-    key().seal(|out| out.extend_from_slice(payload)).expect("not too long").to_vec()
+    key().seal(|out| out.extend_from_slice(payload)).expect("a payload within the limit").to_vec()
 }
 
-/// All payloads that come out, or the error that ends it.
+/// Appends all decoded payloads to `out`; returns the error that ends the stream, if any.
 fn drain(decoder: &mut FrameDecoder, out: &mut Vec<Vec<u8>>) -> Result<(), FrameError> {
     while let Some(payload) = decoder.next_payload()? {
         out.push(payload.to_vec());
@@ -28,8 +29,8 @@
 
 #[test]
 fn keys_have_16_to_1024_bytes() {
-    for (bytes, good) in [(0, false), (15, false), (16, true), (1024, true), (1025, false)] {
-        assert_eq!(FrameKey::new(&vec![7; bytes]).is_ok(), good, "{bytes}");
+    for (bytes, valid) in [(0, false), (15, false), (16, true), (1024, true), (1025, false)] {
+        assert_eq!(FrameKey::new(&vec![7; bytes]).is_ok(), valid, "{bytes} bytes");
     }
 }
 
@@ -53,7 +54,7 @@
     let longest = vec![5; MAX_PAYLOAD];
     let mut decoder = FrameDecoder::new(key());
     decoder.feed(&seal(&longest));
-    assert_eq!(decoder.next_payload().expect("good"), Some(&longest[..]));
+    assert_eq!(decoder.next_payload().expect("a valid frame"), Some(&longest[..]));
     assert_eq!(decoder.next_payload(), Ok(None));
     assert!(key().seal(|out| out.resize(out.len() + MAX_PAYLOAD + 1, 0)).is_err());
 }
@@ -65,7 +66,7 @@
         decoder.feed(&length.to_le_bytes());
         assert_eq!(decoder.next_payload(), Err(FrameError::Length(length)));
         decoder.feed(&seal(b"good"));
-        assert_eq!(decoder.next_payload(), Err(FrameError::Length(length)), "it stays refused");
+        assert_eq!(decoder.next_payload(), Err(FrameError::Length(length)), "the decoder repeats the error");
         assert_eq!(decoder.buffered(), 0);
     }
 }
@@ -89,15 +90,16 @@
     for bit in 0..frame.len() * 8 {
         let mut damaged = frame.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
-        // What follows completes a frame whose length became greater, unless it is too great for that.
+        // The next frame supplies the missing bytes if the damaged length is greater, unless more bytes are
+        // missing than that frame has.
         damaged.extend(&next);
         let mut decoder = FrameDecoder::new(key());
         decoder.feed(&damaged);
         let mut seen = Vec::new();
-        let ended = drain(&mut decoder, &mut seen);
+        let result = drain(&mut decoder, &mut seen);
         assert!(seen.is_empty(), "bit {bit}: {} payloads", seen.len());
-        let waits_for_more = ended.is_ok() && bit < 32;
-        assert!(ended.is_err() || waits_for_more, "bit {bit}: {ended:?}");
+        let waits_for_more = result.is_ok() && bit < 32;
+        assert!(result.is_err() || waits_for_more, "bit {bit}: {result:?}");
     }
 }
 
@@ -115,7 +117,7 @@
             }
             let end = (at + size).min(stream.len());
             decoder.feed(&stream[at..end]);
-            drain(&mut decoder, &mut seen).expect("all frames are good");
+            drain(&mut decoder, &mut seen).expect("all frames are valid");
             at = end;
         }
         prop_assert_eq!(seen, payloads);
--- a/crates/config-sync/tests/model.rs
+++ b/crates/config-sync/tests/model.rs
@@ -1,7 +1,8 @@
-//! Publisher, relay and subscribers as a model, over the real `Publisher`, `Relay` and `Subscriber`: messages are
-//! delivered at any time, links break at any point, the publisher crashes with changes proposed, written or told, the
-//! relay starts again with nothing. In every state reached nobody has what is not durable, nobody's table is torn,
-//! nobody goes back; and wherever nothing more can happen without a fault, all have the same.
+//! Model checking of the real `Publisher`, `Relay` and `Subscriber`. Messages are delivered at any time,
+//! links break at any point, the publisher crashes with changes proposed, written or published, and the relay
+//! restarts with an empty table. In every reachable state no process holds a change that is not durable, no
+//! table is torn and no position regresses. In every state in which only faults can still occur, all
+//! processes hold the same table.
 
 mod model_support;
 
@@ -12,7 +13,7 @@
 
 const THREADS: usize = 2;
 
-/// A subscriber behind the relay, both still to connect; the publisher crashes.
+/// A subscriber behind the relay, neither of them connected yet. The publisher crashes once.
 const CRASH: Bounds = Bounds {
     subscribers: 1,
     servers: &[Server::Relay],
@@ -23,9 +24,9 @@
     breaks: 0,
     heartbeats: 0,
 };
-/// The same, connected; any link breaks once, and a heartbeat is sent at any time.
+/// As `CRASH`, but connected from the start. One link breaks, and one heartbeat is sent at any time.
 const CRASH_AND_BREAK: Bounds = Bounds { connected: true, breaks: 1, heartbeats: 1, ..CRASH };
-/// A subscriber that turns to the relay once its link to the publisher breaks.
+/// A subscriber that connects to the relay after its link to the publisher breaks.
 const LAGGING_RELAY: Bounds = Bounds {
     servers: &[Server::Publisher, Server::Relay],
     connected: true,
@@ -34,9 +35,9 @@
     breaks: 1,
     ..CRASH
 };
-/// The relay starts again with nothing, behind a subscriber that has something, and any link breaks once.
+/// The relay restarts with an empty table while its subscriber has data, and one link breaks.
 const EMPTY_RELAY: Bounds = Bounds { connected: true, crashes: 0, relay_restarts: 1, breaks: 1, ..CRASH };
-/// Two subscribers behind the relay, and any link breaks once.
+/// Two subscribers behind the relay, and one link breaks.
 const TWO_SUBSCRIBERS: Bounds = Bounds { subscribers: 2, connected: true, crashes: 0, breaks: 1, ..CRASH };
 
 impl Model for Distribution {
@@ -59,16 +60,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("only what is durable", |_, state: &State| !state.seen.judged.not_durable),
-            Property::always("never torn", |_, state: &State| !state.seen.judged.torn),
-            Property::always("never back", |_, state: &State| !state.seen.judged.regressed),
+            Property::always("only durable changes", |_, state: &State| {
+                !state.fingerprint.checks.not_durable
+            }),
+            Property::always("never torn", |_, state: &State| !state.fingerprint.checks.torn),
+            Property::always("never regresses", |_, state: &State| !state.fingerprint.checks.regressed),
             Property::always("equal when quiet", |_, state: &State| {
-                !state.seen.judged.quiet || state.seen.judged.equal
+                !state.fingerprint.checks.quiet || state.fingerprint.checks.equal
             }),
             Property::always("quiet at the end", |_, state: &State| {
-                !state.possible.is_empty() || state.seen.judged.quiet
+                !state.possible.is_empty() || state.fingerprint.checks.quiet
             }),
-            Property::sometimes("quiet with all changes", |_, state: &State| state.seen.judged.quiet),
+            Property::sometimes("quiet with all changes", |_, state: &State| state.fingerprint.checks.quiet),
             Property::sometimes("a snapshot in a subscriber", |_, state: &State| state.snapshots > 0),
         ]
     }
@@ -78,7 +81,7 @@
     let started = std::time::Instant::now();
     let checker = Distribution { bounds, fault }.checker().threads(THREADS).spawn_bfs().join();
     println!(
-        "{name}, {fault:?}: {} states in all, {} different, depth {}, {:?}",
+        "{name}, {fault:?}: {} states in total, {} distinct, depth {}, {:?}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
@@ -112,19 +115,29 @@
     explore("two subscribers", TWO_SUBSCRIBERS, Fault::None).assert_properties();
 }
 
-/// The model bites: a store that says "durable" before it wrote is found.
+/// Guards against a model that detects nothing: the model must find a store that reports a change as durable
+/// before it has written it.
 #[test]
 fn a_change_told_before_it_is_durable_is_found() {
-    let checker = explore("crash", CRASH, Fault::ToldBeforeDurable);
-    let found = checker.discovery("only what is durable");
-    println!("{:?}", found.expect("a change told before it was durable was not found").into_actions());
+    let checker = explore("crash", CRASH, Fault::ReportedBeforeDurable);
+    let counterexample = checker.discovery("only durable changes");
+    println!(
+        "{:?}",
+        counterexample
+            .expect("no state was found with a change published before it was durable")
+            .into_actions()
+    );
 }
 
-/// The model bites: a snapshot of an older position that takes the place of newer changes is found.
+/// Guards against a model that detects nothing: the model must find an older snapshot that replaces newer
+/// changes.
 #[test]
 fn a_snapshot_applied_over_a_newer_delta_is_found() {
     let bounds = Bounds { changes: 2, ..LAGGING_RELAY };
     let checker = explore("lagging relay", bounds, Fault::SnapshotOverNewerDelta);
-    let found = checker.discovery("never torn");
-    println!("{:?}", found.expect("a snapshot over a newer delta was not found").into_actions());
+    let counterexample = checker.discovery("never torn");
+    println!(
+        "{:?}",
+        counterexample.expect("no state was found with a snapshot applied over a newer delta").into_actions()
+    );
 }
--- a/crates/config-sync/tests/model_support/explore.rs
+++ b/crates/config-sync/tests/model_support/explore.rs
@@ -1,43 +1,43 @@
-//! How states are explored. The machines can't be cloned, so a state is the list of steps that led to it, which are
-//! played again from the start, and a digest of what matters; two states are the same when that digest is.
+//! Exploration of states. The state machines cannot be cloned, so a state is the list of steps that led to
+//! it, replayed from the start, together with a fingerprint. Two states are equal if their fingerprints are.
 //!
-//! The digest holds the durable history, what was proposed and not written, each client's position, table and table in
-//! force, whether it will fetch a snapshot whole, the bounds of both logs, and all that was said on each open
-//! connection. Left out: clocks, counters and numbers of sessions, on which nothing in this model hangs (no time-out
-//! comes due, every delay is the least one), and the tables of the progress of zones.
+//! The fingerprint contains the durable history, the changes proposed and not yet written, each client's
+//! position, table and table in force, whether it will fetch a whole snapshot, the bounds of both logs, and
+//! all messages of each open connection. It omits clocks, counters and session numbers, which do not affect
+//! this model (no timeout expires and every delay is the shortest one), and the progress of the zones.
 
 use super::fault::Fault;
 use super::links::Server;
-use super::world::{Judged, Step, World};
+use super::world::{Checks, Step, World};
 use std::hash::{Hash, Hasher};
 
-/// How much happens at most.
+/// Bounds of the exploration: the setup and the number of steps of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub subscribers: usize,
-    /// What a subscriber watches, the nearest first.
+    /// Servers that a subscriber may watch, the nearest first.
     pub servers: &'static [Server],
-    /// Whether it begins with all sessions open and all at the publisher's first position, and not with nothing and the
-    /// attempts to connect.
+    /// Whether the model starts with all sessions open and all clients at the publisher's first position.
+    /// Otherwise it starts with empty clients and their connection attempts.
     pub connected: bool,
     pub changes: u8,
-    /// Crashes of the publisher.
+    /// Number of publisher crashes.
     pub crashes: u8,
     pub relay_restarts: u8,
     pub breaks: u8,
     pub heartbeats: u8,
 }
 
-/// The model.
+/// The model: its bounds and the fault that it injects.
 #[derive(Debug)]
 pub struct Distribution {
     pub bounds: Bounds,
     pub fault: Fault,
 }
 
-/// What of a client tells states apart.
+/// The part of a state's fingerprint that describes one client.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ClientSeen {
+pub struct ClientFingerprint {
     pub position: (u64, u64),
     pub table: u128,
     pub in_force: u64,
@@ -45,11 +45,12 @@
     pub link: Option<u64>,
 }
 
-/// What tells states apart.
+/// Fingerprint of a state, by which states are compared.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Seen {
-    /// The numbers of the changes on disk, and of those given to the disk.
+pub struct Fingerprint {
+    /// Values of the changes on disk.
     pub disk: Vec<u64>,
+    /// Values of the changes given to the disk and not written yet.
     pub under_way: Vec<u64>,
     pub head: u64,
     pub log_bases: [u64; 2],
@@ -58,23 +59,23 @@
     pub relay_restarts: u8,
     pub breaks: u8,
     pub heartbeats: u8,
-    pub clients: Vec<ClientSeen>,
-    pub judged: Judged,
+    pub clients: Vec<ClientFingerprint>,
+    pub checks: Checks,
 }
 
-/// A state, and how it was reached.
+/// A state and the steps that lead to it.
 #[derive(Clone, Debug)]
 pub struct State {
     pub steps: Vec<Step>,
     pub possible: Vec<Step>,
-    pub seen: Seen,
-    /// Snapshots that subscribers applied on the way here.
+    pub fingerprint: Fingerprint,
+    /// Number of snapshots that subscribers applied in these steps.
     pub snapshots: u64,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.seen == other.seen
+        self.fingerprint == other.fingerprint
     }
 }
 
@@ -82,17 +83,22 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.seen.hash(hasher);
+        self.fingerprint.hash(hasher);
     }
 }
 
 impl Distribution {
-    /// Plays the steps from the start.
+    /// Replays the steps from the start.
     pub fn replay(&self, steps: Vec<Step>) -> State {
         let mut world = World::new(self.bounds, self.fault);
         for step in &steps {
             world.step(*step);
         }
-        State { possible: world.possible(), seen: world.seen(), snapshots: world.snapshots(), steps }
+        State {
+            possible: world.possible(),
+            fingerprint: world.fingerprint(),
+            snapshots: world.snapshots(),
+            steps,
+        }
     }
 }
--- a/crates/config-sync/tests/model_support/judge.rs
+++ b/crates/config-sync/tests/model_support/judge.rs
@@ -1,10 +1,10 @@
-//! What is seen of a state, and what is wrong in it. The history is computed from the disk by itself, without the table of
-//! the crate.
+//! The fingerprint of a state and the checks of its properties. The expected history is computed from the
+//! disk independently of the crate's own table.
 
-use super::explore::{ClientSeen, Seen};
+use super::explore::{ClientFingerprint, Fingerprint};
 use super::links::Link;
 use super::setup;
-use super::world::{Client, Contents, Judged, Machine, World, apply};
+use super::world::{Checks, Client, Contents, Machine, World, apply};
 use dunlinspread_config_sync::fanout::Fanout;
 use dunlinspread_config_sync::resource::{Change, Position, Resource, Transaction};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,7 +15,7 @@
     hasher.finish()
 }
 
-/// The value that a change of the model sets, by which it is known.
+/// Returns the value that a change of the model sets; it identifies the change.
 fn value_of(transaction: &Transaction) -> u64 {
     match transaction.changes.first() {
         Some(Change::Put(Resource::TenantAllowance { milli_per_second, .. })) => *milli_per_second,
@@ -28,9 +28,9 @@
 }
 
 impl World {
-    pub fn seen(&self) -> Seen {
+    pub fn fingerprint(&self) -> Fingerprint {
         let relay_base = self.relay().map_or(0, log_base);
-        Seen {
+        Fingerprint {
             disk: self.disk.iter().map(|transaction| value_of(transaction)).collect(),
             under_way: self.under_way.iter().map(|transaction| value_of(transaction)).collect(),
             head: self.publisher.head().revision,
@@ -40,12 +40,12 @@
             relay_restarts: self.relay_restarts,
             breaks: self.breaks,
             heartbeats: self.heartbeats,
-            clients: self.clients.iter().map(client_seen).collect(),
-            judged: self.judged(),
+            clients: self.clients.iter().map(client_fingerprint).collect(),
+            checks: self.checks(),
         }
     }
 
-    /// Snapshots that subscribers applied.
+    /// Returns the number of snapshots that subscribers applied.
     pub fn snapshots(&self) -> u64 {
         let subscribers = self.clients.iter().skip(1);
         subscribers.map(|client| client.follower().counters().snapshots).sum()
@@ -58,57 +58,57 @@
         })
     }
 
-    fn judged(&self) -> Judged {
+    fn checks(&self) -> Checks {
         let durable = self.durable();
-        let behind_disk = |client: &Client| client.follower().position() <= durable;
-        let equal = |client: &Client| client.follower().position() == durable && self.is_whole(client);
-        Judged {
-            not_durable: !self.clients.iter().all(behind_disk),
+        let is_durable = |client: &Client| client.follower().position() <= durable;
+        let is_equal = |client: &Client| client.follower().position() == durable && self.is_whole(client);
+        Checks {
+            not_durable: !self.clients.iter().all(is_durable),
             torn: !self.clients.iter().all(|client| self.is_whole(client)),
             regressed: self.regressed,
             quiet: self.is_quiet(),
-            equal: self.clients.iter().all(equal),
+            equal: self.clients.iter().all(is_equal),
         }
     }
 
-    /// All changes are told, every client has a session, and nothing is on its way.
+    /// Returns whether all changes are published, every client has a session and no message is in transit.
     fn is_quiet(&self) -> bool {
-        let told = self.proposed == self.bounds.changes
+        let published = self.proposed == self.bounds.changes
             && self.under_way.is_empty()
             && self.publisher.head() == self.durable();
-        told && self.clients.iter().all(|client| client.link.as_ref().is_some_and(Link::is_quiet))
+        published && self.clients.iter().all(|client| client.link.as_ref().is_some_and(Link::is_quiet))
     }
 
-    /// Whether the tables of a client are those of the history at their positions. What is not durable is not judged
-    /// here.
+    /// Returns whether a client's tables equal the history at their positions. Positions that are not durable
+    /// are not checked here.
     fn is_whole(&self, client: &Client) -> bool {
         let follower = client.follower();
         let table = setup::contents_of(follower.table());
         let in_force = match &client.machine {
             Machine::Relay(_) => true,
-            Machine::Subscriber { in_force, at, .. } => self.fits(*at, in_force),
+            Machine::Subscriber { in_force, at, .. } => self.matches_history(*at, in_force),
         };
-        in_force && self.fits(follower.position(), &table)
+        in_force && self.matches_history(follower.position(), &table)
     }
 
-    fn fits(&self, position: Position, contents: &Contents) -> bool {
-        let mut wanted = Contents::new();
+    fn matches_history(&self, position: Position, contents: &Contents) -> bool {
+        let mut expected = Contents::new();
         let durable = self.disk.get(..position.revision as usize);
         for transaction in durable.into_iter().flatten() {
-            apply(&mut wanted, &transaction.changes);
+            apply(&mut expected, &transaction.changes);
         }
-        durable.is_none() || *contents == wanted
+        durable.is_none() || *contents == expected
     }
 }
 
-fn client_seen(client: &Client) -> ClientSeen {
+fn client_fingerprint(client: &Client) -> ClientFingerprint {
     let follower = client.follower();
     let position = follower.position();
     let in_force = match &client.machine {
         Machine::Relay(_) => 0,
         Machine::Subscriber { in_force, .. } => hash_of(in_force),
     };
-    ClientSeen {
+    ClientFingerprint {
         position: (position.epoch, position.revision),
         table: follower.table().digest().0,
         in_force,
--- a/crates/config-sync/tests/model_support/links.rs
+++ b/crates/config-sync/tests/model_support/links.rs
@@ -1,33 +1,33 @@
-//! One connection of a client: what was sent on it in each direction, and how much of that has arrived.
+//! A client's connection: the messages sent in each direction and how many of them have arrived.
 
 use dunlinspread_config_sync::fanout::SessionId;
 use dunlinspread_config_sync::message::{ToClient, ToServer};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
-/// What can be watched.
+/// A server that clients can watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Server {
     Publisher,
     Relay,
 }
 
-/// Towards the server.
+/// A message to the server.
 #[derive(Clone, Debug)]
 pub enum Up {
-    /// The connection; accepted as soon as it arrives.
+    /// The connection attempt, accepted when it arrives.
     Attempt,
     Message(ToServer),
 }
 
-/// Towards the client.
+/// A message to the client.
 #[derive(Clone, Debug)]
 pub enum Down {
     Message(Arc<ToClient>),
     Closed,
 }
 
-/// Messages in one direction.
+/// The messages of one direction.
 #[derive(Debug)]
 pub struct Lane<T> {
     sent: Vec<T>,
@@ -47,7 +47,7 @@
         self.arrived < self.sent.len()
     }
 
-    /// The next message arrives.
+    /// Delivers and returns the next message.
     pub fn take(&mut self) -> Option<T> {
         let message = self.sent.get(self.arrived)?.clone();
         self.arrived += 1;
@@ -55,7 +55,7 @@
     }
 }
 
-/// A connection, from the attempt on.
+/// A connection, starting with the connection attempt.
 #[derive(Debug)]
 pub struct Link {
     pub session: SessionId,
@@ -75,7 +75,8 @@
         !self.up.is_waiting() && !self.down.is_waiting()
     }
 
-    /// All that was said on it and how far it has come: what both ends know of the session follows from it.
+    /// Returns a hash of all messages and of how many have arrived. The session state of both ends follows
+    /// from these.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.server, self.up.arrived, self.down.arrived).hash(&mut hasher);
@@ -89,7 +90,8 @@
     }
 }
 
-/// The age in a heartbeat is the clock's, and nothing is decided by it.
+/// Hashes a message to the client. A heartbeat's age is left out: it depends on the clock and affects nothing
+/// in the model.
 fn hash_down(message: &Down, hasher: &mut DefaultHasher) {
     match message {
         Down::Message(message) => match &**message {
@@ -100,7 +102,8 @@
     }
 }
 
-/// The bucket digests follow from the client's table, which does not change until they are answered.
+/// Hashes a message to the server. Bucket digests are left out: they follow from the client's table, which
+/// does not change until they are answered.
 fn hash_up(message: &Up, hasher: &mut DefaultHasher) {
     match message {
         Up::Attempt => 0_u8.hash(hasher),
--- a/crates/config-sync/tests/model_support/mod.rs
+++ b/crates/config-sync/tests/model_support/mod.rs
@@ -1,4 +1,4 @@
-//! The parts of the model: the processes and their links, and how states are explored and told apart.
+//! Parts of the model: the processes, their links, and the exploration and comparison of states.
 
 pub mod explore;
 pub mod fault;
--- a/crates/config-sync/tests/model_support/setup.rs
+++ b/crates/config-sync/tests/model_support/setup.rs
@@ -1,4 +1,5 @@
-//! The settings of the real machines in the model: no waiting, a log of one transaction, and one server after the other.
+//! Settings of the real state machines in the model: no delays, a delta log of one transaction, and servers
+//! in a fixed order.
 
 use super::links::Server;
 use super::world::Contents;
@@ -14,15 +15,15 @@
 use dunlinspread_config_sync::subscriber::SubscriberSettings;
 use dunlinspread_config_sync::table::Table;
 
-/// Longer than any history explored; what hangs on it never happens by itself.
+/// A time longer than any explored history, so that no timeout set to it expires.
 const NEVER_MS: Millis = 1_000_000;
-/// So few that a client that is two changes behind needs a snapshot.
+/// Length of the delta log, short enough that a client two changes behind needs a snapshot.
 const LOG_TRANSACTIONS: usize = 1;
 
-/// The keys that are changed in turn.
+/// Tenants whose allowances are changed in turn.
 const TENANTS: [&str; 2] = ["even", "odd"];
 
-/// Takes everything.
+/// A judge that accepts every change.
 pub struct AcceptAll;
 
 impl Judge for AcceptAll {
@@ -31,19 +32,19 @@
     }
 }
 
-/// The change that is proposed as the `number`th. Each sets another value, so that a revision that is used again after
-/// a crash differs from the one that was lost.
+/// Returns the change that is proposed as the `number`th. Each one sets a different value, so that a revision
+/// reused after a crash differs from the lost one.
 pub fn change(number: u8) -> Change {
     let tenant = TENANTS[usize::from(number) % TENANTS.len()];
     Change::Put(Resource::TenantAllowance { tenant: tenant.into(), milli_per_second: u64::from(number) + 1 })
 }
 
-/// What a table holds of the keys that the model changes; anything more makes it differ from every history.
+/// Returns a table's values of the keys that the model changes. Panics if the table has any other key.
 pub fn contents_of(table: &Table) -> Contents {
     let keys = TENANTS.map(|tenant| Key::Tenant(tenant.into()));
     let contents: Contents =
         keys.into_iter().filter_map(|key| table.get(&key).cloned().map(|value| (key, value))).collect();
-    assert_eq!(contents.len(), table.len(), "a key that was never changed");
+    assert_eq!(contents.len(), table.len(), "the table has a key that was never changed");
     contents
 }
 
@@ -80,13 +81,13 @@
     RelaySettings::new(follower("relay-client".to_owned(), Role::Relay, &[Server::Publisher]), fanout())
 }
 
-/// `servers` in the order of preference.
+/// Returns the settings of a subscriber with `servers` in order of preference.
 pub fn subscriber(number: usize, servers: &[Server]) -> SubscriberSettings {
     SubscriberSettings::new(follower(format!("subscriber-{number}"), Role::Subscriber, servers))
 }
 
 impl Server {
-    /// As clients know it that prefer the `place`th.
+    /// Returns the server's description for clients that prefer it as the `place`th.
     fn described(self, place: usize) -> client::Server {
         let name = match self {
             Server::Publisher => "publisher",
--- a/crates/config-sync/tests/model_support/world.rs
+++ b/crates/config-sync/tests/model_support/world.rs
@@ -1,4 +1,4 @@
-//! The processes, the disk of the publisher and what one step does to them.
+//! The processes and the publisher's disk, and the effect of each step on them.
 
 use super::explore::Bounds;
 use super::fault::Fault;
@@ -19,43 +19,43 @@
 const EPOCH: u64 = 1;
 /// The publisher's first position, with an empty table.
 const START: Position = Position { epoch: EPOCH, revision: 0 };
-/// The number of the relay among the clients.
+/// Index of the relay among the clients.
 pub const RELAY: usize = 0;
 
-/// One thing that can happen.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
     Propose,
-    /// The disk holds the next change.
+    /// The disk writes the next change.
     Write,
-    /// The publisher hears how far the disk has come.
-    TellDurable,
-    /// The publisher is killed and starts again from its disk.
+    /// The publisher receives the durable position.
+    ReportDurable,
+    /// The publisher is killed and restarts from its disk.
     Crash,
-    /// The relay is killed and starts again with nothing.
+    /// The relay is killed and restarts with an empty table.
     RestartRelay,
-    /// A client's connection breaks; both ends learn it.
+    /// A client's connection breaks and both ends see it closed.
     Break(usize),
     /// The next message of a client arrives at its server.
     Up(usize),
     /// The next message for a client arrives.
     Down(usize),
-    /// The relay, which may lag behind, says what its head is.
+    /// The relay, which may lag behind, sends its head in a heartbeat.
     Heartbeat,
 }
 
-/// What is looked at in every state.
+/// Results of the checks of a state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Judged {
+pub struct Checks {
     pub not_durable: bool,
     pub torn: bool,
     pub regressed: bool,
-    /// Nothing can happen but faults.
+    /// Whether only faults can still occur.
     pub quiet: bool,
     pub equal: bool,
 }
 
-/// A table, kept without the crate's own.
+/// The contents of a table, independent of the crate's own `Table`.
 pub type Contents = BTreeMap<Key, Resource>;
 
 pub enum Machine {
@@ -125,8 +125,8 @@
         for number in 0..bounds.subscribers {
             let settings = setup::subscriber(number, bounds.servers);
             let position = if bounds.connected { START } else { Position::default() };
-            let kept = PersistedState { position, ..PersistedState::default() };
-            let machine = Subscriber::resume(settings, Box::new(setup::AcceptAll), &kept, 0);
+            let stored = PersistedState { position, ..PersistedState::default() };
+            let machine = Subscriber::resume(settings, Box::new(setup::AcceptAll), &stored, 0);
             let (in_force, at) = (Contents::new(), position);
             let machine = Machine::Subscriber { machine: Box::new(machine), in_force, at };
             world.clients.push(Client { machine, link: None });
@@ -138,7 +138,7 @@
         world
     }
 
-    /// Delivers whatever is on its way, until nothing is.
+    /// Delivers messages until none is in transit.
     fn deliver_all(&mut self) {
         let is_delivery = |step: &Step| matches!(step, Step::Up(_) | Step::Down(_));
         while let Some(step) = self.possible().into_iter().find(is_delivery) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// What can happen next.
+    /// Returns the steps that are possible in this state.
     pub fn possible(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         let mut add = |condition: bool, step: Step| {
@@ -156,7 +156,7 @@
         };
         add(self.proposed < self.bounds.changes, Step::Propose);
         add(!self.under_way.is_empty(), Step::Write);
-        add(self.publisher.head() < self.durable(), Step::TellDurable);
+        add(self.publisher.head() < self.durable(), Step::ReportDurable);
         add(self.crashes < self.bounds.crashes && !self.disk.is_empty(), Step::Crash);
         add(self.relay_restarts < self.bounds.relay_restarts, Step::RestartRelay);
         for (number, client) in self.clients.iter().enumerate() {
@@ -174,15 +174,15 @@
         match step {
             Step::Propose => self.propose(),
             Step::Write => self.disk.extend(self.under_way.pop_front()),
-            Step::TellDurable => self.tell_durable(self.durable()),
+            Step::ReportDurable => self.report_durable(self.durable()),
             Step::Crash => self.crash(),
             Step::RestartRelay => self.restart_relay(),
             Step::Break(client) => {
                 self.breaks += 1;
                 self.break_link(client);
             }
-            Step::Up(client) => self.arrive_up(client),
-            Step::Down(client) => self.arrive_down(client),
+            Step::Up(client) => self.deliver_to_server(client),
+            Step::Down(client) => self.deliver_to_client(client),
             Step::Heartbeat => {
                 self.heartbeats += 1;
                 self.server_event(Server::Relay, FanoutEvent::Tick);
@@ -196,7 +196,7 @@
         Position { epoch: EPOCH, revision: self.disk.len() as u64 }
     }
 
-    /// Whoever has no connection asks for one: the least delay has passed.
+    /// Makes each client without a connection attempt one; the shortest delay has passed.
     fn connect_all(&mut self) {
         for number in 0..self.clients.len() {
             if self.clients[number].link.is_none() {
@@ -209,14 +209,14 @@
         let changes = vec![setup::change(self.proposed)];
         self.proposed += 1;
         let mut out = Vec::new();
-        let position = self.publisher.propose(0, changes, &mut out).expect("a good proposal");
+        let position = self.publisher.propose(0, changes, &mut out).expect("a valid proposal");
         self.publisher_actions(out);
-        if self.fault == Fault::ToldBeforeDurable {
-            self.tell_durable(position);
+        if self.fault == Fault::ReportedBeforeDurable {
+            self.report_durable(position);
         }
     }
 
-    fn tell_durable(&mut self, position: Position) {
+    fn report_durable(&mut self, position: Position) {
         let mut out = Vec::new();
         self.publisher.on_durable(self.now, position, &mut out);
         self.publisher_actions(out);
@@ -227,7 +227,7 @@
         self.under_way.clear();
         let transactions = self.disk.iter().map(|transaction| (**transaction).clone()).collect();
         let restored = Publisher::restore(setup::publisher(), START, Table::new(), 0, transactions);
-        self.publisher = restored.expect("a disk that was written in order");
+        self.publisher = restored.expect("the disk was written in order");
         self.drop_sessions(Server::Publisher);
     }
 
@@ -238,7 +238,7 @@
         self.drop_sessions(Server::Relay);
     }
 
-    /// The clients of a server that is gone learn it.
+    /// Closes the connections of the clients of a server that stopped.
     fn drop_sessions(&mut self, server: Server) {
         for number in 0..self.clients.len() {
             if self.clients[number].link.as_ref().is_some_and(|link| link.server == server) {
@@ -255,29 +255,30 @@
         }
     }
 
-    /// A connection and the `Watch` on it arrive in one step: the client's table can't change in between.
-    fn arrive_up(&mut self, client: usize) {
+    /// Delivers the next message to the server. A connection attempt and the `Watch` after it arrive in one
+    /// step, because the client's table cannot change in between.
+    fn deliver_to_server(&mut self, client: usize) {
         let Some(link) = self.clients[client].link.as_mut() else { return };
         let (session, server) = (link.session, link.server);
         match link.up.take() {
             Some(Up::Attempt) => {
                 self.server_event(server, FanoutEvent::Opened(session));
                 self.client_event(client, FollowerEvent::Connected);
-                self.arrive_up(client);
+                self.deliver_to_server(client);
             }
             Some(Up::Message(message)) => {
-                let message = self.altered_up(client, message);
+                let message = self.altered_to_server(client, message);
                 self.server_event(server, FanoutEvent::Received(session, message));
             }
             None => {}
         }
     }
 
-    fn arrive_down(&mut self, client: usize) {
+    fn deliver_to_client(&mut self, client: usize) {
         let Some(link) = self.clients[client].link.as_mut() else { return };
         match link.down.take() {
             Some(Down::Message(message)) => {
-                let message = self.altered_down(client, (*message).clone());
+                let message = self.altered_to_client(client, (*message).clone());
                 self.client_event(client, FollowerEvent::Received(message));
             }
             Some(Down::Closed) => {
@@ -343,8 +344,8 @@
         self.subscriber_event(client, SubscriberEvent::Applied(update.position));
     }
 
-    /// Progress is left out, since no table hangs on it, and so is the confirmation of pieces, of which there are always
-    /// fewer than the window.
+    /// Carries out a client's action. Progress is left out because no table depends on it. Confirmations of
+    /// pieces are left out because there are always fewer pieces than the window.
     fn link_action(&mut self, client: usize, action: LinkAction) {
         match action {
             LinkAction::Connect(server) => {
--- a/crates/config-sync/tests/net_faults.rs
+++ b/crates/config-sync/tests/net_faults.rs
@@ -1,4 +1,4 @@
-//! Bad frames, peers that don't read, and descriptors that run out.
+//! Network faults: bad frames, peers that do not read, and exhausted file descriptors.
 
 mod net_support;
 
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 fn key() -> FrameKey {
-    FrameKey::new(FLEET_KEY).expect("a good key")
+    FrameKey::new(FLEET_KEY).expect("a valid key")
 }
 
 fn watch() -> Vec<u8> {
@@ -24,17 +24,17 @@
         position: Position::default(),
         digest: Digest::default(),
     };
-    key().seal(|out| encode_to_server(&message, out)).expect("short").to_vec()
+    key().seal(|out| encode_to_server(&message, out)).expect("a short payload").to_vec()
 }
 
 fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("it listens");
-    // Far more than anything here takes; only a failure waits so long.
-    stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
+    let stream = TcpStream::connect(address).expect("the server listens");
+    // Far longer than any step here takes; only a failing test waits this long.
+    stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a read timeout");
     stream
 }
 
-/// Reads until a frame is there whole; its bytes.
+/// Reads one whole frame and returns its bytes.
 fn read_frame(stream: &mut TcpStream) -> Vec<u8> {
     let mut decoder = FrameDecoder::new(key());
     let mut frame = Vec::new();
@@ -43,13 +43,13 @@
         stream.read_exact(&mut byte).expect("more of the frame");
         frame.push(byte[0]);
         decoder.feed(&byte);
-        if decoder.next_payload().expect("a good frame").is_some() {
+        if decoder.next_payload().expect("a valid frame").is_some() {
             return frame;
         }
     }
 }
 
-/// Reads until the other end closes.
+/// Reads until the other end closes the connection.
 fn read_to_end(stream: &mut TcpStream) {
     let mut bytes = [0; 4096];
     loop {
@@ -57,12 +57,12 @@
             Ok(0) => return,
             Ok(_) => {}
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return,
-            Err(error) => panic!("not closed: {error}"),
+            Err(error) => panic!("the connection was not closed: {error}"),
         }
     }
 }
 
-/// The first subscriber has its first connection still, unless the machine let its server be silent for too long.
+/// Asserts that the first subscriber reconnected only after logged silences, which a slow machine can cause.
 fn assert_undisturbed(subscribers: &Subscribers, log: &Lines) {
     let silences = log.count("nothing heard for") as u64;
     assert_eq!(subscribers.handles[0].status().connections, 1 + silences, "{:?}", log.all());
@@ -94,16 +94,16 @@
         ("another version", flipped(4)),
         ("a damaged tag", flipped(20)),
         ("a damaged payload", flipped(40)),
-        ("another key", other_key.seal(|out| out.push(0)).expect("short").to_vec()),
-        ("no message", key().seal(|_| ()).expect("short").to_vec()),
+        ("another key", other_key.seal(|out| out.push(0)).expect("a short payload").to_vec()),
+        ("no message", key().seal(|_| ()).expect("a short payload").to_vec()),
         ("a frame of the server's own", own_frame),
     ];
-    for (count, (what, bytes)) in bad.iter().enumerate() {
+    for (count, (description, bytes)) in bad.iter().enumerate() {
         let mut stream = connect(publisher.address());
         stream.write_all(bytes).expect("written");
         read_to_end(&mut stream);
-        wait_until(what, || publisher.status().bad_frames == count as u64 + 1);
-        assert_eq!(log.count("bad frame"), count + 1, "{what}: {:?}", log.all());
+        wait_until(description, || publisher.status().bad_frames == count as u64 + 1);
+        assert_eq!(log.count("bad frame"), count + 1, "{description}: {:?}", log.all());
     }
     assert_eq!(publisher.head(), first);
     let last = publisher.propose(vec![tenant("b", 2)]).expect("accepted");
@@ -118,51 +118,51 @@
     let publisher = publisher(store.path(), &quiet);
     let last = publisher.propose(vec![tenant("a", 1)]).expect("accepted");
     let listener = TcpListener::bind(any_port()).expect("a port");
-    // Nearer than the publisher, so that it is asked first.
+    // This server is nearer than the publisher and therefore tried first.
     let servers = vec![
-        server("damaged", listener.local_addr().expect("its address"), Some("zone-a")),
+        server("damaged", listener.local_addr().expect("a local address"), Some("zone-a")),
         server("publisher", publisher.address(), None),
     ];
     let mut subscribers = Subscribers::new();
     subscribers.add(client_settings("round-server", "zone-a", servers), Box::new(Refusing("")), &log);
     let (mut stream, _) = listener.accept().expect("it connects");
     let heartbeat = ToClient::Heartbeat { head: Position { epoch: 1, revision: 9 }, age_ms: 0 };
-    let mut frame = key().seal(|out| encode_to_client(&heartbeat, out)).expect("short").to_vec();
+    let mut frame = key().seal(|out| encode_to_client(&heartbeat, out)).expect("a short payload").to_vec();
     let end = frame.len() - 1;
     frame[end] ^= 1;
     stream.write_all(&frame).expect("written");
     read_to_end(&mut stream);
-    wait_until("in force from the other one", || subscribers.are_at(last));
-    wait_until("the count", || subscribers.handles[0].status().bad_frames == 1);
+    wait_until("in force from the publisher", || subscribers.are_at(last));
+    wait_until("the count of bad frames", || subscribers.handles[0].status().bad_frames == 1);
     assert_eq!(log.count("bad frame"), 1, "{:?}", log.all());
 }
 
-/// Passes bytes on in both directions, and damages one byte of those to the client at a place.
-fn damaging_proxy(to: SocketAddr, damage_at: usize) -> SocketAddr {
+/// Starts a proxy that damages one byte on the way to the client, at offset `damage_at`; returns its address.
+fn damaging_proxy(target: SocketAddr, damage_at: usize) -> SocketAddr {
     let listener = TcpListener::bind(any_port()).expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let address = listener.local_addr().expect("a local address");
     std::thread::spawn(move || {
         let mut damage_at = Some(damage_at);
         while let Ok((client, _)) = listener.accept() {
-            let Ok(server) = TcpStream::connect(to) else { return };
+            let Ok(server) = TcpStream::connect(target) else { return };
             let (mut from, mut back) =
                 (client.try_clone().expect("a clone"), server.try_clone().expect("a clone"));
             let up = std::thread::spawn(move || drop(std::io::copy(&mut from, &mut back)));
-            pass_on(server, client, &mut damage_at);
+            forward(server, client, &mut damage_at);
             drop(up);
         }
     });
     address
 }
 
-fn pass_on(mut from: TcpStream, mut to: TcpStream, damage_at: &mut Option<usize>) {
-    let (mut passed, mut bytes) = (0, [0; 4096]);
+fn forward(mut from: TcpStream, mut to: TcpStream, damage_at: &mut Option<usize>) {
+    let (mut forwarded, mut bytes) = (0, [0; 4096]);
     while let Ok(count @ 1..) = from.read(&mut bytes) {
-        if let Some(at) = damage_at.filter(|at| (passed..passed + count).contains(at)) {
-            bytes[at - passed] ^= 0x04;
+        if let Some(at) = damage_at.filter(|at| (forwarded..forwarded + count).contains(at)) {
+            bytes[at - forwarded] ^= 0x04;
             *damage_at = None;
         }
-        passed += count;
+        forwarded += count;
         if to.write_all(&bytes[..count]).is_err() {
             return;
         }
@@ -176,13 +176,13 @@
     let log = Lines::default();
     let publisher = publisher(store.path(), &log);
     let mut subscribers = Subscribers::new();
-    // In lengths, tags and payloads, of snapshots and deltas.
-    let places = [0, 3, 4, 17, 60, 500, 1_500, 2_711];
-    for place in places {
-        let proxy = damaging_proxy(publisher.address(), place);
+    // Offsets within lengths, tags and payloads, of snapshots and of deltas.
+    let offsets = [0, 3, 4, 17, 60, 500, 1_500, 2_711];
+    for offset in offsets {
+        let proxy = damaging_proxy(publisher.address(), offset);
         let servers = vec![server("publisher", proxy, None)];
         subscribers.add(
-            client_settings(&format!("at-{place}"), "zone-a", servers),
+            client_settings(&format!("at-{offset}"), "zone-a", servers),
             Box::new(Refusing("")),
             &log,
         );
@@ -194,10 +194,14 @@
     wait_until("all in force", || subscribers.are_at(last));
     for in_force in &subscribers.in_force {
         assert_eq!(in_force.table().digest(), publisher.status().digest);
-        assert_eq!(in_force.regressed(), 0);
+        assert_eq!(in_force.regressions(), 0);
     }
     for handle in &subscribers.handles {
-        assert!(handle.status().connections >= 2, "its connection was damaged: {:?}", handle.status());
+        assert!(
+            handle.status().connections >= 2,
+            "the client did not reconnect after the damage: {:?}",
+            handle.status()
+        );
     }
 }
 
@@ -210,7 +214,7 @@
     let mut subscribers = Subscribers::new();
     let servers = vec![server("publisher", publisher.address(), None)];
     subscribers.add(client_settings("good", "zone-a", servers), Box::new(Refusing("")), &log);
-    // It has everything so far, so that it gets deltas.
+    // The client below watches from the current head, so that it receives deltas.
     wait_until("in force", || subscribers.are_at(last));
     let mut silent = connect(publisher.address());
     let status = publisher.status();
@@ -219,11 +223,13 @@
         position: status.head,
         digest: status.digest,
     };
-    silent.write_all(&key().seal(|out| encode_to_server(&message, out)).expect("short")).expect("written");
+    silent
+        .write_all(&key().seal(|out| encode_to_server(&message, out)).expect("a short payload"))
+        .expect("written");
     wait_until("two sessions", || publisher.status().sessions == 2);
     let long = "x".repeat(90);
     let mut round = 0;
-    // More than the system's buffers and the bound on a backlog together take.
+    // The loop sends more than the system's buffers and the backlog limit hold together.
     while publisher.status().closed_slow == 0 {
         round += 1;
         assert!(round < 1_000, "still open after {round} transactions of about 100 KB");
@@ -235,7 +241,7 @@
     assert_eq!(log.count("too slow, it has to resync"), 1, "{:?}", log.all());
 }
 
-/// The test below runs this one in a process of its own, where few descriptors are allowed.
+/// Runs in a process of its own with a low limit on descriptors, started by the test below.
 #[test]
 #[ignore = "run by the_listener_stays_when_descriptors_run_out"]
 fn under_a_limit_of_descriptors() {
@@ -243,14 +249,14 @@
     let log = Lines::default();
     let publisher = publisher(store.path(), &log);
     let last = publisher.propose(vec![tenant("a", 1)]).expect("accepted");
-    let mut taken = Vec::new();
+    let mut streams = Vec::new();
     while let Ok(stream) = TcpStream::connect(publisher.address()) {
-        taken.push(stream);
-        assert!(taken.len() < 1_000, "there is a limit");
+        streams.push(stream);
+        assert!(streams.len() < 1_000, "no limit on descriptors was reached");
     }
-    // The last ones are connected and not accepted.
+    // The last connections are established but not accepted.
     wait_until("the listener fails", || log.count("accepting connections failed") > 0);
-    drop(taken);
+    drop(streams);
     let mut subscribers = Subscribers::new();
     let servers = vec![server("publisher", publisher.address(), None)];
     subscribers.add(client_settings("good", "zone-a", servers), Box::new(Refusing("")), &log);
@@ -259,7 +265,7 @@
 
 #[test]
 fn the_listener_stays_when_descriptors_run_out() {
-    let test = std::env::current_exe().expect("its path");
+    let test = std::env::current_exe().expect("the path of the test binary");
     let output = std::process::Command::new("sh")
         .args(["-c", "ulimit -n 64; exec \"$0\" --exact under_a_limit_of_descriptors --ignored"])
         .arg(test)
@@ -273,7 +279,8 @@
     );
 }
 
-/// A session as another program would hold it, by the documented format alone.
+/// Guards the documented format: a session of a program that uses only that format, without the crate's
+/// client.
 #[test]
 fn a_raw_session_gets_a_snapshot_and_then_heartbeats_of_its_head() {
     let store = tempfile::tempdir().expect("a directory");
@@ -283,12 +290,12 @@
     let mut stream = connect(publisher.address());
     stream.write_all(&watch()).expect("written");
     let fetch = ToServer::FetchDifferences { bucket_digests: Vec::new() };
-    let fetch = key().seal(|out| encode_to_server(&fetch, out)).expect("short");
+    let fetch = key().seal(|out| encode_to_server(&fetch, out)).expect("a short payload");
     let mut seen = Vec::new();
     while seen.len() < 4 {
         let mut decoder = FrameDecoder::new(key());
         decoder.feed(&read_frame(&mut stream));
-        let payload = decoder.next_payload().expect("good").expect("whole").to_vec();
+        let payload = decoder.next_payload().expect("a valid frame").expect("a complete frame").to_vec();
         match decode_to_client(&payload).expect("a message") {
             ToClient::Resync { head } => {
                 assert_eq!(head, first);
@@ -309,7 +316,7 @@
                     seen.push("heartbeat");
                 }
             }
-            other => panic!("{other:?}"),
+            other => panic!("unexpected message: {other:?}"),
         }
     }
     assert_eq!(seen, ["resync", "piece", "end", "heartbeat"]);
--- a/crates/config-sync/tests/net_support/mod.rs
+++ b/crates/config-sync/tests/net_support/mod.rs
@@ -1,5 +1,5 @@
-//! Publishers, relays and subscribers on loopback sockets, for the tests of the tasks.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Publishers, relays and subscribers on loopback sockets, for tests of the network tasks.
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 pub mod redirect;
 
@@ -21,14 +21,14 @@
 
 pub const FLEET_KEY: &[u8] = b"a key of the whole fleet, for tests";
 pub const REGION: &str = "north";
-/// Far more than anything here takes; only a failure waits so long.
+/// Far longer than any step here takes; only a failing test waits this long.
 const LIMIT: Duration = Duration::from_secs(60);
 
-/// Waits for a condition.
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let begun = Instant::now();
+/// Waits until a condition holds; panics after [`LIMIT`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < LIMIT, "not within {LIMIT:?}: {what}");
+        assert!(started.elapsed() < LIMIT, "not within {LIMIT:?}: {description}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -37,7 +37,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Lines of a log, kept for a test to look at.
+/// A log drain that keeps the lines for a test to check.
 #[derive(Clone, Default)]
 pub struct Lines(Arc<Mutex<Vec<String>>>);
 
@@ -50,8 +50,8 @@
         self.0.lock().expect("no panic while held").clone()
     }
 
-    pub fn count(&self, what: &str) -> usize {
-        self.all().iter().filter(|line| line.contains(what)).count()
+    pub fn count(&self, text: &str) -> usize {
+        self.all().iter().filter(|line| line.contains(text)).count()
     }
 }
 
@@ -99,7 +99,7 @@
 }
 
 pub fn publisher(directory: &Path, log: &Lines) -> PublisherNode {
-    PublisherNode::open(publisher_settings(any_port()), directory, log.logger()).expect("it opens")
+    PublisherNode::open(publisher_settings(any_port()), directory, log.logger()).expect("the publisher opens")
 }
 
 pub fn relay(name: &str, zone: &str, servers: Vec<Server>, log: &Lines) -> RelayNode {
@@ -110,7 +110,7 @@
         fleet_key: FLEET_KEY.to_vec(),
         seed: 7,
     };
-    RelayNode::start(settings, log.logger()).expect("it starts")
+    RelayNode::start(settings, log.logger()).expect("the relay starts")
 }
 
 pub fn client_settings(name: &str, zone: &str, servers: Vec<Server>) -> ClientSettings {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Accepts all but tenants of one name.
+/// A judge that refuses the resource of one name and accepts all others.
 pub struct Refusing(pub &'static str);
 
 impl Judge for Refusing {
@@ -135,7 +135,7 @@
     }
 }
 
-/// What a subscriber put in force, and how.
+/// Records the updates that a subscriber put in force.
 #[derive(Clone, Default)]
 pub struct InForce(Arc<Mutex<InForceState>>);
 
@@ -144,7 +144,7 @@
     table: Table,
     position: Position,
     updates: u64,
-    regressed: u64,
+    regressions: u64,
 }
 
 impl InForce {
@@ -156,15 +156,15 @@
         self.0.lock().expect("no panic while held").table.clone()
     }
 
-    pub fn regressed(&self) -> u64 {
-        self.0.lock().expect("no panic while held").regressed
+    pub fn regressions(&self) -> u64 {
+        self.0.lock().expect("no panic while held").regressions
     }
 }
 
 impl Observer for InForce {
     fn in_force(&mut self, update: Update) -> Confirmation {
         let mut state = self.0.lock().expect("no panic while held");
-        state.regressed += u64::from(update.position < state.position);
+        state.regressions += u64::from(update.position < state.position);
         state.table.apply(&update.changes);
         state.position = update.position;
         state.updates += 1;
@@ -172,7 +172,7 @@
     }
 }
 
-/// Subscribers on one executor on one thread. They end when this is dropped.
+/// Subscribers on an executor with one thread. Dropping this stops them.
 pub struct Subscribers {
     executor: Arc<Executor<'static>>,
     stop: Option<async_channel::Sender<()>>,
@@ -205,13 +205,13 @@
         let observer = Box::new(in_force.clone());
         let tables = Some(self.tables.clone());
         let (task, handle) =
-            SubscriberTask::new(settings, judge, observer, tables, log.logger()).expect("good settings");
+            SubscriberTask::new(settings, judge, observer, tables, log.logger()).expect("valid settings");
         self.executor.spawn(task.run()).detach();
         self.handles.push(handle);
         self.in_force.push(in_force);
     }
 
-    /// Whether all have put exactly this position in force.
+    /// Returns whether all subscribers have exactly this position in force.
     pub fn are_at(&self, position: Position) -> bool {
         self.in_force.iter().all(|in_force| in_force.position() == position)
     }
--- a/crates/config-sync/tests/net_support/redirect.rs
+++ b/crates/config-sync/tests/net_support/redirect.rs
@@ -1,9 +1,10 @@
-//! A fixed address in front of a server that comes back on another port.
+//! A fixed address in front of a server that restarts on another port.
 
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// Passes connections on to wherever the server is now. Its threads end with the connections, or with the process.
+/// Forwards connections to the server's current address. Its threads end with the connections or with the
+/// process.
 pub struct Redirect {
     pub address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
@@ -12,15 +13,15 @@
 impl Redirect {
     pub fn to(target: SocketAddr) -> Redirect {
         let listener = TcpListener::bind(super::any_port()).expect("a port");
-        let address = listener.local_addr().expect("its address");
+        let address = listener.local_addr().expect("a local address");
         let target = Arc::new(Mutex::new(target));
         let current = target.clone();
         std::thread::spawn(move || {
             while let Ok((client, _)) = listener.accept() {
-                let to = *current.lock().expect("no panic while held");
-                if let Ok(server) = TcpStream::connect(to) {
-                    pass_on(&client, &server);
-                    pass_on(&server, &client);
+                let address = *current.lock().expect("no panic while held");
+                if let Ok(server) = TcpStream::connect(address) {
+                    forward(&client, &server);
+                    forward(&server, &client);
                 }
             }
         });
@@ -32,7 +33,7 @@
     }
 }
 
-fn pass_on(from: &TcpStream, to: &TcpStream) {
+fn forward(from: &TcpStream, to: &TcpStream) {
     let (mut from, mut to) = (from.try_clone().expect("a clone"), to.try_clone().expect("a clone"));
     std::thread::spawn(move || {
         let _ = std::io::copy(&mut from, &mut to);
--- a/crates/config-sync/tests/publisher.rs
+++ b/crates/config-sync/tests/publisher.rs
@@ -1,4 +1,5 @@
-//! The publisher: what it accepts, when it tells it, and what it does when the store fails or starts again.
+//! The publisher: accepted and refused proposals, publication of durable transactions, and failures and
+//! restarts of the store.
 
 mod server_support;
 
@@ -26,7 +27,7 @@
             assert_eq!(transaction.published_unix_ms, 1_000);
             Ok(transaction.clone())
         }
-        (Err(why), []) => Err(why),
+        (Err(error), []) => Err(error),
         (proposed, out) => panic!("{proposed:?} with {out:?}"),
     }
 }
@@ -46,7 +47,7 @@
 fn messages(out: Vec<PublisherAction>) -> Vec<Arc<ToClient>> {
     let messages = out.into_iter().map(|action| match action {
         PublisherAction::Fanout(FanoutAction::Send { message, .. }) => message,
-        other => panic!("not a message: {other:?}"),
+        other => panic!("expected a message, got {other:?}"),
     });
     messages.collect()
 }
@@ -71,9 +72,9 @@
     let mut out = Vec::new();
     publisher.on_durable(0, first.position, &mut out);
     assert_eq!((publisher.head(), publisher.under_way()), (at(1), 1));
-    let told = messages(out);
-    assert_eq!(told.len(), 2);
-    assert!(told.iter().all(|message| **message == ToClient::Deltas(vec![first.clone()])));
+    let sent = messages(out);
+    assert_eq!(sent.len(), 2);
+    assert!(sent.iter().all(|message| **message == ToClient::Deltas(vec![first.clone()])));
 
     let mut out = Vec::new();
     publisher.on_durable(100, second.position, &mut out);
@@ -94,7 +95,7 @@
     for early in [at(0), at(2), at(3)] {
         let mut out = Vec::new();
         publisher.on_durable(0, early, &mut out);
-        assert!(out.is_empty(), "told already");
+        assert!(out.is_empty(), "already published transactions are not sent again");
     }
     assert_eq!(publisher.under_way(), 1);
 }
@@ -125,7 +126,8 @@
     };
     assert_eq!(propose(&mut publisher, vec![route("Get", "gold")]), unknown("Get"));
     propose(&mut publisher, vec![route("Put", "standard")]).expect("a known class");
-    propose(&mut publisher, vec![route("Get", "gold"), class("gold", 4)]).expect("its class comes with it");
+    propose(&mut publisher, vec![route("Get", "gold"), class("gold", 4)])
+        .expect("its class is in the same proposal");
     propose(&mut publisher, vec![route("List", "gold")]).expect("its class is under way");
     let moved = vec![route("List", "standard"), route("Get", "standard"), delete_class("gold")];
     propose(&mut publisher, moved).expect("no route is left");
@@ -147,7 +149,7 @@
     assert_eq!(propose(&mut publisher, vec![delete_class("gold")]), in_use(2));
     let one_moved = vec![delete_class("gold"), route("Get", "standard")];
     assert_eq!(propose(&mut publisher, one_moved), in_use(1));
-    propose(&mut publisher, vec![delete_class("standard")]).expect("known without a limit");
+    propose(&mut publisher, vec![delete_class("standard")]).expect("the class is known without a limit");
     propose(&mut publisher, vec![Change::Delete(Key::Route("Get".into()))]).expect("acceptable");
     assert_eq!(propose(&mut publisher, vec![delete_class("gold")]), in_use(1));
     propose(&mut publisher, vec![Change::Delete(Key::Route("Put".into())), delete_class("gold")])
@@ -161,7 +163,7 @@
     let same = vec![tenant("a", 1), Change::Delete(Key::Route("None".into()))];
     assert_eq!(propose(&mut publisher, same), Err(ProposeError::NoChange));
     assert_eq!(propose(&mut publisher, vec![delete_class("none")]), Err(ProposeError::NoChange));
-    propose(&mut publisher, vec![tenant("a", 1), class("gold", 2)]).expect("one of them differs");
+    propose(&mut publisher, vec![tenant("a", 1), class("gold", 2)]).expect("one change has an effect");
 }
 
 #[test]
@@ -196,7 +198,7 @@
 fn after_a_failed_store_nothing_is_taken_until_it_is_known_what_it_holds() {
     let mut publisher = publisher();
     accept(&mut publisher, vec![class("gold", 1)]);
-    let kept = propose(&mut publisher, vec![route("Get", "gold")]).expect("acceptable");
+    let durable = propose(&mut publisher, vec![route("Get", "gold")]).expect("acceptable");
     propose(&mut publisher, vec![route("Put", "gold")]).expect("acceptable");
     propose(&mut publisher, vec![tenant("a", 1)]).expect("acceptable");
     publisher.on_persist_failed();
@@ -211,14 +213,14 @@
     let mut out = Vec::new();
     assert_eq!(publisher.resume(0, at(2), &mut out), Ok(vec![at(3), at(4)]));
     assert_eq!((publisher.head(), publisher.under_way()), (at(2), 0));
-    assert_eq!(publisher.table().digest(), kept.digest);
+    assert_eq!(publisher.table().digest(), durable.digest);
     let in_use = ProposeError::ClassInUse { class: "gold".into(), routes: 1 };
     assert_eq!(
         propose(&mut publisher, vec![delete_class("gold")]),
         Err(in_use),
         "the dropped route is not counted"
     );
-    let next = propose(&mut publisher, vec![tenant("a", 1)]).expect("the dropped change may come again");
+    let next = propose(&mut publisher, vec![tenant("a", 1)]).expect("a dropped change may be proposed again");
     assert_eq!(next.position, at(3));
 }
 
@@ -234,11 +236,11 @@
 
     let settings = PublisherSettings::default;
     let restored = Publisher::restore(settings(), position, table.clone(), 9, stored.clone());
-    let mut restored = restored.expect("sound");
+    let mut restored = restored.expect("a consistent store");
     assert_eq!(restored.head(), at(4));
     assert_eq!(restored.table().digest(), before.table().digest());
-    let told = watch(&mut restored, 1, at(2), later[0].digest);
-    assert_eq!(*told[0], ToClient::Deltas(later[1..].to_vec()));
+    let sent = watch(&mut restored, 1, at(2), later[0].digest);
+    assert_eq!(*sent[0], ToClient::Deltas(later[1..].to_vec()));
     let in_use = ProposeError::ClassInUse { class: "gold".into(), routes: 4 };
     assert_eq!(propose(&mut restored, vec![delete_class("gold")]), Err(in_use));
     let next = propose(&mut restored, vec![tenant("a", 9)]).expect("acceptable");
@@ -246,9 +248,9 @@
 
     let gap = Publisher::restore(settings(), position, table.clone(), 9, stored[1..].to_vec());
     assert_eq!(gap.err(), Some(RestoreError::DoesNotFollow { head: at(1), found: at(3) }));
-    let mut spoilt = stored;
-    spoilt[1].changes = vec![tenant("a", 99)];
-    let damaged = Publisher::restore(settings(), position, table, 9, spoilt);
+    let mut corrupted = stored;
+    corrupted[1].changes = vec![tenant("a", 99)];
+    let damaged = Publisher::restore(settings(), position, table, 9, corrupted);
     assert!(matches!(damaged.err(), Some(RestoreError::Digest { position, .. }) if position == at(3)));
 }
 
@@ -261,16 +263,17 @@
         0,
         Vec::new(),
     )
-    .expect("sound");
-    let told = watch(&mut publisher, 1, at(900), Digest(5));
-    assert_eq!(*told[0], ToClient::Resync { head: Position { epoch: EPOCH + 1, revision: 0 } });
+    .expect("a consistent store");
+    let sent = watch(&mut publisher, 1, at(900), Digest(5));
+    assert_eq!(*sent[0], ToClient::Resync { head: Position { epoch: EPOCH + 1, revision: 0 } });
 }
 
 #[test]
 fn the_last_revision_ends_an_epoch() {
     let end = at(u64::MAX);
     let settings = PublisherSettings::default();
-    let mut publisher = Publisher::restore(settings, end, Table::new(), 0, Vec::new()).expect("sound");
+    let mut publisher =
+        Publisher::restore(settings, end, Table::new(), 0, Vec::new()).expect("a consistent store");
     assert_eq!(propose(&mut publisher, vec![tenant("a", 1)]), Err(ProposeError::EpochOver));
 }
 
--- a/crates/config-sync/tests/publisher_restart.rs
+++ b/crates/config-sync/tests/publisher_restart.rs
@@ -1,5 +1,5 @@
-//! A publisher that ends and is opened again from its store: it goes on in its epoch and loses nothing that was told,
-//! wherever its disk failed.
+//! Restarts of a publisher from its store: it continues its epoch and loses no acknowledged change, wherever
+//! its disk failed.
 
 mod net_support;
 
@@ -45,19 +45,19 @@
         wait_until("in force", || subscribers.are_at(last));
     }
     for (handle, in_force) in subscribers.handles.iter().zip(&subscribers.in_force) {
-        assert_eq!(in_force.regressed(), 0);
+        assert_eq!(in_force.regressions(), 0);
         assert_eq!(in_force.table().digest(), running.status().digest);
         assert!(handle.status().connections >= 4);
     }
     let after: u64 = subscribers.handles.iter().map(|handle| handle.status().snapshots).sum();
-    assert_eq!(after, snapshots, "nobody fetched a snapshot again");
+    assert_eq!(after, snapshots, "no subscriber fetched another snapshot");
 }
 
 #[test]
 fn its_log_is_compacted_and_nothing_is_lost() {
     let store = tempfile::tempdir().expect("a directory");
     let log = Lines::default();
-    let open = || PublisherNode::open(compacting(), store.path(), log.logger()).expect("it opens");
+    let open = || PublisherNode::open(compacting(), store.path(), log.logger()).expect("the publisher opens");
     let mut running = open();
     let mut compactions = 0;
     for at in 0..40 {
@@ -94,7 +94,8 @@
 
     let settings =
         PublisherNodeSettings { begin_epoch: Some(first.epoch + 5), ..publisher_settings(any_port()) };
-    let running = PublisherNode::open(settings.clone(), store.path(), log.logger()).expect("it opens");
+    let running =
+        PublisherNode::open(settings.clone(), store.path(), log.logger()).expect("the publisher opens");
     assert_eq!(running.head(), Position { epoch: first.epoch + 5, revision: 0 });
     redirect.set(running.address());
     let second = running.propose(vec![tenant("b", 2)]).expect("accepted");
@@ -103,8 +104,8 @@
     assert_eq!(subscribers.in_force[0].table().digest(), running.status().digest);
     drop(running);
 
-    // Begun once, whatever is asked for again.
-    let running = PublisherNode::open(settings, store.path(), log.logger()).expect("it opens");
+    // The epoch begins only once, even if the settings request it again.
+    let running = PublisherNode::open(settings, store.path(), log.logger()).expect("the publisher opens");
     assert_eq!(running.head(), second);
 }
 
@@ -128,7 +129,7 @@
     let log = Lines::default();
     let running =
         PublisherNode::open_on(publisher_settings(any_port()), Arc::new(disk.clone()), log.logger())
-            .expect("opens");
+            .expect("the publisher opens");
     let first = running.propose(vec![tenant("a", 1)]).expect("accepted");
     disk.set_faults(Faults { capacity_bytes: Some(0), ..Faults::default() });
     for _ in 0..3 {
@@ -141,21 +142,27 @@
     assert_eq!(second, first.next());
     let digest = running.status().digest;
     drop(running);
-    let running =
-        PublisherNode::open_on(publisher_settings(any_port()), Arc::new(disk), log.logger()).expect("opens");
+    let running = PublisherNode::open_on(publisher_settings(any_port()), Arc::new(disk), log.logger())
+        .expect("the publisher opens");
     assert_eq!((running.head(), running.status().digest), (second, digest));
 }
 
-/// What was told of a scenario that may have ended early.
+/// What a publisher acknowledged in a scenario that may have ended early.
 #[derive(Default)]
-struct Told {
-    /// Every position that a proposer was told, with the digest of the table there where it is known.
-    proposers: Vec<Position>,
+struct Acknowledged {
+    /// Every acknowledged position.
+    positions: Vec<Position>,
+    /// Heads with the digests of their tables.
     digests: Vec<(Position, Digest)>,
 }
 
-/// Ten changes, with compactions; ends at the first failure of the disk.
-fn scenario(disk: &SimDisk, subscribers: &mut Subscribers, what: &str, told: &mut Told) {
+/// Proposes ten changes, with compactions; ends at the first failure of the disk.
+fn scenario(
+    disk: &SimDisk,
+    subscribers: &mut Subscribers,
+    description: &str,
+    acknowledged: &mut Acknowledged,
+) {
     let log = Lines::default();
     let Ok(running) = PublisherNode::open_on(compacting(), Arc::new(disk.clone()), log.logger()) else {
         return;
@@ -165,57 +172,64 @@
     for at in 0..10 {
         match running.propose(vec![tenant(&format!("t{at}"), at)]) {
             Ok(position) => {
-                told.proposers.push(position);
+                acknowledged.positions.push(position);
                 let status = running.status();
-                told.digests.push((status.head, status.digest));
+                acknowledged.digests.push((status.head, status.digest));
             }
             Err(ProposeFailure::NotDurable(_) | ProposeFailure::Refused(ProposeError::Halted)) => return,
-            Err(other) => panic!("{what}: {other}"),
+            Err(other) => panic!("{description}: {other}"),
         }
     }
 }
 
 #[test]
 fn a_crash_at_each_operation_of_its_disk_loses_nothing_that_was_told() {
-    let mut reached_the_end = false;
+    let mut reached_end = false;
     for at in 0..400 {
-        let what = format!("power cut at operation {at}");
+        let description = format!("power cut at operation {at}");
         let disk = SimDisk::new(at);
         disk.set_faults(Faults { crash_at: Some(at), ..Faults::default() });
-        let (mut subscribers, mut told) = (Subscribers::new(), Told::default());
-        scenario(&disk, &mut subscribers, &what, &mut told);
+        let (mut subscribers, mut acknowledged) = (Subscribers::new(), Acknowledged::default());
+        scenario(&disk, &mut subscribers, &description, &mut acknowledged);
         let crashed = disk.is_powered_off();
         disk.power_cycle();
 
         let log = Lines::default();
         let running = PublisherNode::open_on(compacting(), Arc::new(disk.clone()), log.logger())
-            .unwrap_or_else(|error| panic!("{what}: {error}"));
+            .unwrap_or_else(|error| panic!("{description}: {error}"));
         let status = running.status();
-        let last_told = told.proposers.last().copied().unwrap_or_default();
+        let last_acknowledged = acknowledged.positions.last().copied().unwrap_or_default();
         let last_seen = subscribers.in_force.first().map(|in_force| in_force.position()).unwrap_or_default();
         assert!(
-            status.head >= last_told && status.head >= last_seen,
-            "{what}: {status:?}, told {last_told:?}"
+            status.head >= last_acknowledged && status.head >= last_seen,
+            "{description}: {status:?}, acknowledged {last_acknowledged:?}"
         );
-        if last_told != Position::default() {
-            assert_eq!(status.head.epoch, last_told.epoch, "{what}");
+        if last_acknowledged != Position::default() {
+            assert_eq!(status.head.epoch, last_acknowledged.epoch, "{description}");
         }
-        // At most the one change that was neither told nor refused for sure is there beside them.
-        assert!(status.head.revision <= told.proposers.len() as u64 + 1, "{what}: {status:?}");
-        assert_eq!(status.resources as u64, status.head.revision, "{what}");
-        if let Some((_, digest)) = told.digests.iter().find(|(position, _)| *position == status.head) {
-            assert_eq!(status.digest, *digest, "{what}");
+        // Beside the acknowledged changes the store may have one more: the change whose outcome was unknown
+        // at the crash.
+        assert!(status.head.revision <= acknowledged.positions.len() as u64 + 1, "{description}: {status:?}");
+        assert_eq!(status.resources as u64, status.head.revision, "{description}");
+        if let Some((_, digest)) = acknowledged.digests.iter().find(|(position, _)| *position == status.head)
+        {
+            assert_eq!(status.digest, *digest, "{description}");
         }
-        let next =
-            running.propose(vec![tenant("after", 1)]).unwrap_or_else(|error| panic!("{what}: {error}"));
-        assert_eq!(next, status.head.next(), "{what}");
+        let next = running
+            .propose(vec![tenant("after", 1)])
+            .unwrap_or_else(|error| panic!("{description}: {error}"));
+        assert_eq!(next, status.head.next(), "{description}");
         if !crashed {
-            assert_eq!(told.proposers.len(), 10, "{what}: nothing failed");
-            reached_the_end = true;
+            assert_eq!(
+                acknowledged.positions.len(),
+                10,
+                "{description}: all changes are acknowledged without a failure"
+            );
+            reached_end = true;
             break;
         }
     }
-    assert!(reached_the_end, "more operations than were tried");
+    assert!(reached_end, "the scenario has more operations than were tried");
 }
 
 #[test]
@@ -224,17 +238,17 @@
     let log = Lines::default();
     let open =
         || PublisherNode::open_on(publisher_settings(any_port()), Arc::new(disk.clone()), log.logger());
-    let running = open().expect("it opens");
+    let running = open().expect("the publisher opens");
     let first = running.propose(vec![tenant("a", 1)]).expect("accepted");
     disk.set_faults(Faults { failing_syncs: vec![0], ..Faults::default() });
     let refused = running.propose(vec![tenant("b", 2)]);
     assert!(matches!(refused, Err(ProposeFailure::NotDurable(_))), "{refused:?}");
     let halted = running.propose(vec![tenant("c", 3)]);
     assert_eq!(halted, Err(ProposeFailure::Refused(ProposeError::Halted)));
-    assert_eq!(running.head(), first, "nobody was told");
+    assert_eq!(running.head(), first, "the failed change is not published");
     drop(running);
     disk.power_cycle();
-    let running = open().expect("it opens again");
+    let running = open().expect("the publisher opens again");
     assert!(running.head() == first || running.head() == first.next());
     running.propose(vec![tenant("c", 3)]).expect("accepted again");
 }
--- a/crates/config-sync/tests/regions.rs
+++ b/crates/config-sync/tests/regions.rs
@@ -1,6 +1,7 @@
-//! Publisher, 43 relays in two levels and some 1,600 subscribers in six regions, in virtual time and by seed: relays are
-//! killed, a region is cut off, a zone restarts at once, the publisher restarts, links are slow. Whatever comes together,
-//! nothing is lost, reordered, torn or set back, and each change is in force in time wherever it can be.
+//! Publisher, 43 relays in two levels and some 1,600 subscribers in six regions, in virtual time and by seed:
+//! relays are killed, a region is cut off, a zone restarts at once, the publisher restarts, links are slow.
+//! Whatever comes together, nothing is lost, reordered, torn or set back, and each change is in force in time
+//! wherever it can be.
 //!
 //! `REGIONS_SEEDS` plays that many further seeds, `REGIONS_SUBSCRIBERS` sets the size of those.
 
--- a/crates/config-sync/tests/regions_support/mod.rs
+++ b/crates/config-sync/tests/regions_support/mod.rs
@@ -1,4 +1,5 @@
-//! The real machines in virtual time over six regions: topology, network, processes, faults by seed, and what is judged.
+//! The real machines in virtual time over six regions: topology, network, processes, faults by seed, and what
+//! is judged.
 
 mod faults;
 mod history;
--- a/crates/config-sync/tests/regions_support/network.rs
+++ b/crates/config-sync/tests/regions_support/network.rs
@@ -1,5 +1,5 @@
-//! Connections in virtual time: in order, with the latency of the way, jitter, and a bounded rate of each connection and
-//! of each process. A cut loses what is on its way without a word to either end.
+//! Connections in virtual time: in order, with the latency of the way, jitter, and a bounded rate of each
+//! connection and of each process. A cut loses what is on its way without a word to either end.
 
 use super::faults::FaultKind;
 use super::topology::{Micros, Node, one_way};
--- a/crates/config-sync/tests/regions_support/report.rs
+++ b/crates/config-sync/tests/regions_support/report.rs
@@ -28,7 +28,8 @@
     pub not_durable: u64,
     /// Subscribers that said, at the end of a cut, that they were up to date during it.
     pub age_understated: u64,
-    /// Looks, over the last 15 s, at which the publisher had not known for too long that all is in force in all zones.
+    /// Looks, over the last 15 s, at which the publisher had not known for too long that all is in force in
+    /// all zones.
     pub zones_not_known: u64,
     pub faults: Vec<String>,
     pub snapshots: u64,
--- a/crates/config-sync/tests/regions_support/topology.rs
+++ b/crates/config-sync/tests/regions_support/topology.rs
@@ -1,5 +1,5 @@
-//! Who stands where, and how far apart. Six regions, 16 zones; the publisher in region 0; a relay for each region, which
-//! watches the publisher, and 37 relays in the zones, which watch a region's relay.
+//! Who stands where, and how far apart. Six regions, 16 zones; the publisher in region 0; a relay for each
+//! region, which watches the publisher, and 37 relays in the zones, which watch a region's relay.
 
 use dunlinspread_config_sync::client::Server;
 use dunlinspread_config_sync::fanout::FanoutSettings;
--- a/crates/config-sync/tests/regions_support/world.rs
+++ b/crates/config-sync/tests/regions_support/world.rs
@@ -23,8 +23,8 @@
 const LOAD_END: Micros = 48 * SECOND;
 /// Faults have healed by then, and all have caught up.
 const END: Micros = 70 * SECOND;
-/// From then on it is looked how long the publisher does not know that all is in force in some zone: a relay that tries a
-/// nearer server is missing for a moment, and no longer.
+/// From then on it is looked how long the publisher does not know that all is in force in some zone: a relay
+/// that tries a nearer server is missing for a moment, and no longer.
 const LOOKS_FROM: Micros = END - 15 * SECOND;
 /// How long that may last: a few reports, far less than a try takes that has to be given up.
 const NOT_KNOWN_LIMIT: Micros = 2 * SECOND;
@@ -247,7 +247,8 @@
         }
     }
 
-    /// A subscriber that nothing newer can have reached since the cut has to say so, less what was on its way.
+    /// A subscriber that nothing newer can have reached since the cut has to say so, less what was on its
+    /// way.
     fn check_ages(&mut self, region: usize, cut_for: Micros) {
         let now_ms = self.now_ms();
         let least = (cut_for / 1_000).saturating_sub(AGE_TOLERANCE_MS);
--- a/crates/config-sync/tests/relay.rs
+++ b/crates/config-sync/tests/relay.rs
@@ -104,7 +104,7 @@
         self.below(FanoutEvent::Received(SessionId(session), ToServer::Progress { zones, refusals }));
     }
 
-    fn pass(&mut self, time: Millis) {
+    fn advance_clock(&mut self, time: Millis) {
         self.now += time;
         self.event(RelayEvent::Tick);
     }
@@ -148,7 +148,7 @@
     let mut relayed = Relayed::at_head_of(&history);
     relayed.watch_at_head(1, "server-1", "a1", &history);
     relayed.watch_at_head(2, "server-2", "a1", &history);
-    relayed.pass(100);
+    relayed.advance_clock(100);
     relayed.down.clear();
     let known = history.position;
     history.grow(3);
@@ -165,13 +165,13 @@
     let mut history = history();
     let mut relayed = Relayed::at_head_of(&history);
     relayed.watch_at_head(1, "server-1", "a1", &history);
-    relayed.pass(100);
+    relayed.advance_clock(100);
     relayed.down.clear();
     let known = history.position;
     history.grow(2);
     let last = history.transactions.last().expect("a transaction").clone();
     relayed.above(FollowerEvent::Received(ToClient::Deltas(vec![last])));
-    relayed.pass(100);
+    relayed.advance_clock(100);
     assert!(relayed.sent_to(1).is_empty());
     assert_eq!(relayed.relay.fanout().head(), known);
 }
@@ -183,15 +183,15 @@
     for (session, zone) in [(1, "a1"), (2, "a1"), (3, "a2")] {
         relayed.watch_at_head(session, &format!("server-{session}"), zone, &history);
     }
-    relayed.pass(250);
+    relayed.advance_clock(250);
     relayed.reports();
     relayed.progress(1, "a1", history.position, vec![]);
     relayed.progress(2, "a1", at(1, 19), vec![]);
     relayed.progress(3, "a2", history.position, vec![]);
     for _ in 0..24 {
-        relayed.pass(10);
+        relayed.advance_clock(10);
     }
-    relayed.pass(10);
+    relayed.advance_clock(10);
     let reports = relayed.reports();
     assert!(reports.len() <= 2, "{} reports in 250 ms", reports.len());
     let (zones, refusals) = reports.last().expect("a report");
@@ -200,7 +200,7 @@
     assert!(refusals.is_empty());
     for _ in 0..10 {
         relayed.progress(2, "a1", at(1, 19), vec![]);
-        relayed.pass(300);
+        relayed.advance_clock(300);
         relayed.above(FollowerEvent::Received(history.heartbeat()));
     }
     assert!(relayed.reports().is_empty(), "nothing changed");
@@ -211,7 +211,7 @@
     let history = history();
     let mut relayed = Relayed::at_head_of(&history);
     relayed.watch_at_head(1, "server-1", "a1", &history);
-    relayed.pass(250);
+    relayed.advance_clock(250);
     relayed.progress(1, "a1", at(1, 18), vec![]);
     relayed.reports();
     relayed.progress(1, "a1", at(1, 19), vec![]);
@@ -235,7 +235,7 @@
     }
     let mut refusals = Vec::new();
     for _ in 0..10 {
-        relayed.pass(250);
+        relayed.advance_clock(250);
         relayed.above(FollowerEvent::Received(history.heartbeat()));
         for (_, some) in relayed.reports() {
             assert!(some.len() <= 16);
@@ -257,7 +257,7 @@
     relayed.up.clear();
     let (cut_at, known) = (history.clone(), history.position);
     for _ in 0..60 {
-        relayed.pass(500);
+        relayed.advance_clock(500);
         relayed.below(FanoutEvent::Received(SessionId(1), ToServer::Alive));
         if relayed.up.iter().any(|action| matches!(action, LinkAction::Connect(_))) {
             relayed.up.clear();
@@ -304,7 +304,7 @@
     let mut relayed = Relayed::new();
     let history = history();
     relayed.watch_at_head(1, "server-1", "a1", &history);
-    relayed.pass(1_000);
+    relayed.advance_clock(1_000);
     let told: Vec<_> = relayed.down.iter().map(|(_, message)| message.clone()).collect();
     assert!(!told.is_empty());
     let nothing = Position::default();
--- a/crates/config-sync/tests/server_support/mod.rs
+++ b/crates/config-sync/tests/server_support/mod.rs
@@ -1,5 +1,5 @@
-//! Shared by the tests of the server's side: short ways to write changes, a history, and a client that keeps to the
-//! protocol and checks what it is sent.
+//! Shared by the tests of the server's side: short ways to write changes, a history, and a client that keeps
+//! to the protocol and checks what it is sent.
 #![allow(dead_code, reason = "each test file uses its part")]
 
 use dunlinspread_config_sync::fanout::{CloseReason, Fanout, FanoutAction, FanoutEvent, SessionId};
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -98,12 +98,12 @@
     push(&mut subscribed, &mut history, &[("b", 113)]);
     let refused_at = history.position;
     for _ in 0..20 {
-        subscribed.pass(100);
+        subscribed.advance_clock(100);
         push(&mut subscribed, &mut history, &[("c", 30)]);
     }
     subscribed.link(FollowerEvent::Disconnected);
     subscribed.connect();
-    subscribed.pass(500);
+    subscribed.advance_clock(500);
     assert_eq!(subscribed.refusals.len(), 1);
     let refusal = &subscribed.refusals[0];
     assert_eq!((&*refusal.member, refusal.position), ("server-1", refused_at));
@@ -124,7 +124,7 @@
     assert_eq!(subscribed.in_force_at(), last_in_force, "nothing more is taken");
     assert_eq!((subscribed.tenant("c"), subscribed.tenant("e")), (3, 0));
     assert_eq!(subscribed.subscriber.held_back(), 2);
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert!(
         subscribed.refusals.iter().any(|refusal| refusal.reason.contains("no more changes are accepted"))
     );
@@ -148,7 +148,7 @@
     subscribed.fetch(&history);
     push(&mut subscribed, &mut history, &[("c", 30)]);
     push(&mut subscribed, &mut history, &[("c", 31)]);
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert!(subscribed.subscriber.is_stopped());
     assert_eq!(subscribed.settings.digest(), old.digest());
     assert_eq!(subscribed.in_force_at(), position);
@@ -163,22 +163,22 @@
 fn progress_tells_what_the_owner_confirmed_and_not_more() {
     let mut history = history();
     let mut subscribed = Subscribed::at_head_of(&history, settings());
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert_eq!(subscribed.last_report().least, at(1, 1));
     subscribed.confirms = false;
     push(&mut subscribed, &mut history, &[("a", 10)]);
     push(&mut subscribed, &mut history, &[("a", 20)]);
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert_eq!(subscribed.last_report().least, at(1, 1), "not confirmed yet");
     subscribed.event(SubscriberEvent::Applied(at(1, 2)));
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert_eq!(subscribed.last_report().least, at(1, 2));
     subscribed.event(SubscriberEvent::Applied(at(1, 9)));
     subscribed.event(SubscriberEvent::Applied(at(1, 1)));
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert_eq!(subscribed.last_report().least, at(1, 2), "neither ahead of what it was told nor back");
     subscribed.confirm();
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     assert_eq!(subscribed.last_report().least, at(1, 3));
 }
 
@@ -186,19 +186,19 @@
 fn progress_is_told_at_most_once_in_its_interval_and_only_when_changed() {
     let mut history = history();
     let mut subscribed = Subscribed::at_head_of(&history, settings());
-    subscribed.pass(1_000);
+    subscribed.advance_clock(1_000);
     subscribed.reports.clear();
     let start = subscribed.now;
     while subscribed.now < start + 1_000 {
         push(&mut subscribed, &mut history, &[("a", 10)]);
-        subscribed.pass(10);
+        subscribed.advance_clock(10);
     }
     assert!((4..=5).contains(&subscribed.reports.len()), "{} reports", subscribed.reports.len());
-    subscribed.pass(250);
+    subscribed.advance_clock(250);
     subscribed.reports.clear();
     for _ in 0..5 {
         subscribed.receive(history.heartbeat());
-        subscribed.pass(500);
+        subscribed.advance_clock(500);
     }
     assert!(subscribed.reports.is_empty(), "nothing changed");
     subscribed.link(FollowerEvent::Disconnected);
@@ -210,7 +210,7 @@
 fn a_report_that_waits_for_its_interval_wakes_the_subscriber() {
     let mut history = history();
     let mut subscribed = Subscribed::at_head_of(&history, settings());
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     push(&mut subscribed, &mut history, &[("a", 10)]);
     push(&mut subscribed, &mut history, &[("a", 20)]);
     let wake = subscribed.subscriber.deadline();
@@ -294,7 +294,7 @@
     let mut subscribed = Subscribed::at_head_of(&history, settings());
     let tenant = "\u{e4}".repeat(60) + &"\u{1f426}".repeat(60);
     push(&mut subscribed, &mut history, &[(&tenant, 113)]);
-    subscribed.pass(300);
+    subscribed.advance_clock(300);
     let reason = &subscribed.refusals[0].reason;
     assert!((250..=256).contains(&reason.len()), "{} bytes", reason.len());
 }
--- a/crates/config-sync/tests/subscriber_property.rs
+++ b/crates/config-sync/tests/subscriber_property.rs
@@ -1,5 +1,5 @@
-//! Transactions in any batches, some refused, with restarts between them: in force is exactly the accepted ones, each whole,
-//! in their order.
+//! Transactions in any batches, some refused, with restarts between them: in force is exactly the accepted
+//! ones, each whole, in their order.
 
 mod client_support;
 
--- a/crates/config-sync/tests/write_schedule.rs
+++ b/crates/config-sync/tests/write_schedule.rs
@@ -1,5 +1,5 @@
-//! When a subscriber's state is written to disk: a disk that failed has its rest, no record is written out of order, and
-//! what is written in the end is the state.
+//! When a subscriber's state is written to disk: a disk that failed has its rest, no record is written out of
+//! order, and what is written in the end is the state.
 
 use dunlinspread_config_sync::resource::{Change, Millis, Position, Resource, Transaction};
 use dunlinspread_config_sync::subscriber::{Persist, PersistedState};
