--- a/crates/config-sync/tests/regions.rs
+++ b/crates/config-sync/tests/regions.rs
@@ -1,26 +1,28 @@
-//! Publisher, 43 relays in two levels and some 1,600 subscribers in six regions, in virtual time and by seed:
-//! relays are killed, a region is cut off, a zone restarts at once, the publisher restarts, links are slow.
-//! Whatever comes together, nothing is lost, reordered, torn or set back, and each change is in force in time
-//! wherever it can be.
+//! Seeded simulation, in virtual time, of a publisher, 43 relays in two levels and about 1,600 subscribers in
+//! six regions. Relays are killed, a region is cut off, all subscribers of a zone restart together, the
+//! publisher restarts and links become slow. Under any combination of these faults no change is lost or
+//! reordered, no table is torn, no position regresses, and each change is in force within the limit wherever
+//! it can arrive.
 //!
-//! `REGIONS_SEEDS` plays that many further seeds, `REGIONS_SUBSCRIBERS` sets the size of those.
+//! `REGIONS_SEEDS` runs that many further seeds; `REGIONS_SUBSCRIBERS` sets the number of subscribers in
+//! those runs.
 
 mod regions_support;
 
-use regions_support::{Report, play, play_told_before_durable};
+use regions_support::{Report, run, run_reported_before_durable};
 
 const SUBSCRIBERS: usize = 1_600;
 const ALL_SUBSCRIBERS: usize = 7_100;
-/// For runs that look at something else than size.
+/// Number of subscribers in tests that do not depend on the size.
 const FEW_SUBSCRIBERS: usize = 96;
 const IN_FORCE_LIMIT_MS: u64 = 6_000;
 
 fn check(seed: u64, subscribers: usize) -> Report {
     let started = std::time::Instant::now();
-    let report = play(seed, subscribers);
+    let report = run(seed, subscribers);
     println!("{report:?} in {:?}", started.elapsed());
-    if let Some(wrong) = report.faults_found(IN_FORCE_LIMIT_MS) {
-        panic!("{wrong}");
+    if let Some(failure) = report.failure(IN_FORCE_LIMIT_MS) {
+        panic!("{failure}");
     }
     report
 }
@@ -62,14 +64,15 @@
 
 #[test]
 fn the_same_seed_gives_the_same_result() {
-    let first = play(11, FEW_SUBSCRIBERS);
-    assert_eq!(first, play(11, FEW_SUBSCRIBERS));
-    assert_ne!(first.digest, play(12, FEW_SUBSCRIBERS).digest);
+    let first = run(11, FEW_SUBSCRIBERS);
+    assert_eq!(first, run(11, FEW_SUBSCRIBERS));
+    assert_ne!(first.digest, run(12, FEW_SUBSCRIBERS).digest);
 }
 
-/// The judge bites: whoever has what is not on the publisher's disk is found.
+/// Guards against checks that detect nothing: a process that holds a change that is not on the publisher's
+/// disk must be found.
 #[test]
 fn a_change_told_before_it_is_durable_is_found() {
-    let report = play_told_before_durable(1, FEW_SUBSCRIBERS);
-    assert!(report.not_durable > 0, "not found: {report:?}");
+    let report = run_reported_before_durable(1, FEW_SUBSCRIBERS);
+    assert!(report.not_durable > 0, "the published change that is not durable was not found: {report:?}");
 }
--- a/crates/config-sync/tests/regions_support/history.rs
+++ b/crates/config-sync/tests/regions_support/history.rs
@@ -1,4 +1,5 @@
-//! What the publisher made durable, and when it was proposed: the only states that anyone may ever have.
+//! The states that the publisher made durable, which are the only ones that any process may hold, and when
+//! their changes were proposed.
 
 use super::topology::Micros;
 use dunlinspread_config_sync::resource::{Change, Digest, Position, Resource, Transaction};
@@ -6,7 +7,7 @@
 use std::sync::Arc;
 
 pub const EPOCH: u64 = 1;
-/// Where the history begins: the table of all resources, which everyone has on disk.
+/// First position of the history. Its table has all resources and is on every subscriber's disk at the start.
 const BASE: Position = Position { epoch: EPOCH, revision: 1 };
 const CLASSES: u64 = 50;
 const ROUTES: u64 = 450;
@@ -36,10 +37,10 @@
 }
 
 pub struct History {
-    /// The table at each revision from [`BASE`] on.
+    /// Tables of the revisions from [`BASE`] on.
     tables: Vec<Table>,
     proposed_at: Vec<Micros>,
-    /// The transactions after [`BASE`], as on the publisher's disk.
+    /// Transactions after [`BASE`] on the publisher's disk.
     pub disk: Vec<Arc<Transaction>>,
 }
 
@@ -56,7 +57,7 @@
         Position { epoch: EPOCH, revision: BASE.revision + self.disk.len() as u64 }
     }
 
-    /// The disk holds one more.
+    /// Adds a transaction that the disk has written.
     pub fn push(&mut self, transaction: Arc<Transaction>, proposed_at: Micros) {
         assert_eq!(transaction.position, self.head().next(), "the disk is written in order");
         let mut table = self.table(self.head()).expect("the head").clone();
@@ -73,7 +74,7 @@
         position.revision.checked_sub(BASE.revision).map(|steps| steps as usize)
     }
 
-    /// The table at a position; nothing if that was never durable.
+    /// Returns the table at a position, or `None` if the position was never durable.
     pub fn table(&self, position: Position) -> Option<&Table> {
         self.tables.get(History::index(position)?)
     }
--- a/crates/config-sync/tests/regions_support/mod.rs
+++ b/crates/config-sync/tests/regions_support/mod.rs
@@ -1,5 +1,5 @@
-//! The real machines in virtual time over six regions: topology, network, processes, faults by seed, and what
-//! is judged.
+//! Simulation of the real state machines in virtual time over six regions: topology, network, processes,
+//! seeded faults and checks.
 
 mod faults;
 mod history;
@@ -12,14 +12,15 @@
 
 pub use report::Report;
 
-/// Plays one day of changes and faults.
-pub fn play(seed: u64, subscribers: usize) -> Report {
-    world::World::new(seed, subscribers).play()
+/// Runs the simulation of one seed.
+pub fn run(seed: u64, subscribers: usize) -> Report {
+    world::World::new(seed, subscribers).run()
 }
 
-/// The same with a publisher that hears that a change is durable as soon as it is given to the disk.
-pub fn play_told_before_durable(seed: u64, subscribers: usize) -> Report {
+/// Runs the simulation with a fault: each change is reported to the publisher as durable as soon as it is
+/// given to the disk.
+pub fn run_reported_before_durable(seed: u64, subscribers: usize) -> Report {
     let mut world = world::World::new(seed, subscribers);
-    world.tells_before_durable = true;
-    world.play()
+    world.reports_before_durable = true;
+    world.run()
 }
--- a/crates/config-sync/tests/regions_support/network.rs
+++ b/crates/config-sync/tests/regions_support/network.rs
@@ -1,5 +1,6 @@
-//! Connections in virtual time: in order, with the latency of the way, jitter, and a bounded rate of each
-//! connection and of each process. A cut loses what is on its way without a word to either end.
+//! Connections in virtual time. Messages arrive in order, with the latency of the route, jitter, and a
+//! bounded rate per connection and per process. A cut loses all messages sent afterwards without notice to
+//! either end.
 
 use super::faults::FaultKind;
 use super::topology::{Micros, Node, one_way};
@@ -11,22 +12,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Bytes a second of a connection, and of a process.
+/// Bytes per second of a connection.
 const CONNECTION_RATE: u64 = 12_500_000;
+/// Bytes per second of a process.
 const PROCESS_RATE: u64 = 125_000_000;
 pub const SLOW_RATE: u64 = 100_000;
 const SLOW_LATENCY: Micros = 300_000;
-/// The tag, length and version of a frame, and the headers below.
+/// Overhead of a message in bytes: length, version and tag of a frame, and the headers of the lower layers.
 const FRAME_BYTES: usize = 37 + 66;
-/// When the system gives up a connection on which nothing is acknowledged.
+/// Time after which the operating system closes a connection without acknowledgements.
 const KEEPALIVE: Micros = 15_000_000;
-/// So many bytes unsent are reported to the server.
+/// Number of unsent bytes above which the backlog is reported to the server.
 const REPORTED_BACKLOG: u64 = 64 * 1024;
 
-/// A connection, which is also the number of its session.
+/// Identifier of a connection, also used as its session number.
 pub type ConnectionId = u64;
 
-/// What happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub enum Event {
     Tick(Node),
@@ -37,21 +39,22 @@
     ToServer(ConnectionId, ToServer),
     ClosedForClient(ConnectionId),
     ClosedForServer(ConnectionId),
-    /// All that was sent to the client has left.
+    /// All bytes for the client have been sent.
     Drained(ConnectionId),
-    /// The disk of the publisher that was started so many times holds all up to there.
+    /// The publisher's disk holds all transactions up to this position. The number is the publisher's start
+    /// count, by which events of an earlier process are recognized.
     Durable(u64, Position),
-    /// The owner of a subscriber that was started so many times confirms.
+    /// A subscriber's owner confirms a position: subscriber number, its start count, position.
     Applied(usize, u64, Position),
     Propose,
     Fault(FaultKind),
     Start(Node),
-    /// A region that was cut off for so long can be reached again.
+    /// A region is reachable again: region, duration of the cut.
     Heal(usize, Micros),
     SpeedUp(ConnectionId),
 }
 
-/// One direction.
+/// One direction of a connection.
 #[derive(Debug, Default)]
 struct Lane {
     free_at: Micros,
@@ -64,7 +67,7 @@
     pub server: Node,
     pub client_open: bool,
     pub server_open: bool,
-    /// Nothing arrives any more.
+    /// Set when the connection no longer carries messages.
     pub dead: bool,
     slow: bool,
     up: Lane,
@@ -137,7 +140,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// The next event before `end`; time goes on to it.
+    /// Removes and returns the next event up to `end` and advances the time to it.
     pub fn pop(&mut self, end: Micros) -> Option<Event> {
         let (&(at, _), _) = self.queue.first_key_value()?;
         if at > end {
@@ -147,15 +150,15 @@
         self.queue.pop_first().map(|(_, event)| event)
     }
 
-    /// Whether two regions reach each other.
-    pub fn reach(&self, one: usize, other: usize) -> bool {
-        one == other || !(self.cut.contains(&one) || self.cut.contains(&other))
+    /// Returns whether two regions can reach each other.
+    pub fn are_connected(&self, first: usize, second: usize) -> bool {
+        first == second || !(self.cut.contains(&first) || self.cut.contains(&second))
     }
 
     pub fn connect(&mut self, client: Node, server: Node) -> ConnectionId {
         self.next_number += 1;
         let id = self.next_number;
-        let dead = !self.reach(client.region(), server.region());
+        let dead = !self.are_connected(client.region(), server.region());
         let connection = Connection {
             client,
             server,
@@ -168,26 +171,26 @@
             lost_bytes: 0,
         };
         self.connections.insert(id, connection);
-        self.send_up(id, FRAME_BYTES, Event::Attempt(id));
+        self.schedule_at_server(id, FRAME_BYTES, Event::Attempt(id));
         id
     }
 
-    pub fn tell_server(&mut self, id: ConnectionId, message: ToServer) {
-        self.send_up(id, server_bytes(&message), Event::ToServer(id, message));
+    pub fn send_to_server(&mut self, id: ConnectionId, message: ToServer) {
+        self.schedule_at_server(id, server_bytes(&message), Event::ToServer(id, message));
     }
 
-    /// Returns the bytes that wait, if that is to be reported.
-    pub fn tell_client(&mut self, id: ConnectionId, message: Arc<ToClient>) -> Option<usize> {
-        let backlog = self.send_down(id, client_bytes(&message), Event::ToClient(id, message));
+    /// Sends a message to the client; returns the backlog in bytes if it is to be reported.
+    pub fn send_to_client(&mut self, id: ConnectionId, message: Arc<ToClient>) -> Option<usize> {
+        let backlog = self.schedule_at_client(id, client_bytes(&message), Event::ToClient(id, message));
         (backlog > REPORTED_BACKLOG).then_some(backlog as usize)
     }
 
-    pub fn send_up(&mut self, id: ConnectionId, bytes: usize, event: Event) {
+    pub fn schedule_at_server(&mut self, id: ConnectionId, bytes: usize, event: Event) {
         self.send(id, bytes as u64, event, true);
     }
 
-    /// Returns the bytes that wait.
-    pub fn send_down(&mut self, id: ConnectionId, bytes: usize, event: Event) -> u64 {
+    /// Schedules an event at the client; returns the backlog in bytes.
+    pub fn schedule_at_client(&mut self, id: ConnectionId, bytes: usize, event: Event) -> u64 {
         self.send(id, bytes as u64, event, false)
     }
 
@@ -218,23 +221,24 @@
         backlog
     }
 
-    /// Whether nothing more waits to be sent to the client.
+    /// Returns whether no more bytes wait to be sent to the client.
     pub fn is_drained(&self, id: ConnectionId) -> bool {
         self.connections.get(&id).is_some_and(|connection| {
             !connection.dead && connection.server_open && connection.down.free_at <= self.now
         })
     }
 
-    fn ids(&self, wanted: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
-        self.connections.iter().filter(|(_, connection)| wanted(connection)).map(|(id, _)| *id).collect()
+    fn ids(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
+        self.connections.iter().filter(|(_, connection)| predicate(connection)).map(|(id, _)| *id).collect()
     }
 
-    /// A process is gone: what is on its way is lost, and the other ends learn it, if a way leads there.
+    /// Ends a process's connections. Messages in transit are lost, and the other ends see the connections
+    /// closed if they can be reached.
     pub fn kill(&mut self, node: Node) {
         for id in self.ids(|connection| connection.touches(node)) {
             let Some(connection) = self.connections.get_mut(&id) else { continue };
-            let silent = std::mem::replace(&mut connection.dead, true);
-            let way = one_way(connection.client, connection.server);
+            let was_dead = std::mem::replace(&mut connection.dead, true);
+            let latency = one_way(connection.client, connection.server);
             let event = if connection.client == node {
                 connection.client_open = false;
                 Event::ClosedForServer(id)
@@ -242,13 +246,13 @@
                 connection.server_open = false;
                 Event::ClosedForClient(id)
             };
-            if !silent {
-                self.after(way, event);
+            if !was_dead {
+                self.after(latency, event);
             }
         }
     }
 
-    /// The region is cut off from all others.
+    /// Cuts a region off from all others.
     pub fn cut_off(&mut self, region: usize) {
         self.cut.push(region);
         let crosses = |connection: &Connection| {
@@ -263,7 +267,7 @@
         }
     }
 
-    /// Every `share`th connection becomes slow until it ends, or for a while.
+    /// Makes one in `share` connections slow for `duration`, or until it ends; returns their number.
     pub fn slow_down(&mut self, share: u32, duration: Micros) -> usize {
         let ids = self.ids(|connection| connection.client_open && connection.server_open);
         let mut count = 0;
--- a/crates/config-sync/tests/regions_support/processes.rs
+++ b/crates/config-sync/tests/regions_support/processes.rs
@@ -1,4 +1,4 @@
-//! Processes that start and stop, and how their actions are carried out.
+//! Starts and stops of processes, and the execution of their actions.
 
 use super::network::{ConnectionId, Event};
 use super::topology::{Node, publisher_settings, relay_settings};
@@ -11,14 +11,14 @@
 use dunlinspread_config_sync::subscriber::{SubscriberAction, SubscriberEvent};
 use rand::RngExt;
 
-/// A relay's process; no machine while it is down.
+/// A relay's process; `machine` is `None` while it is down.
 #[derive(Default)]
 pub struct RelayProcess {
     pub machine: Option<Relay>,
     pub link: Option<ConnectionId>,
 }
 
-/// How long a frame that says no more than that an end is closed is.
+/// Bytes of a segment that closes a connection.
 const CLOSE_BYTES: usize = 66;
 
 impl World {
@@ -50,10 +50,10 @@
         let (position, table) = self.history.base();
         let later: Vec<Transaction> = self.history.disk.iter().map(|one| (**one).clone()).collect();
         let restored = Publisher::restore(publisher_settings(), position, table.clone(), 0, later);
-        self.publisher = Some(restored.expect("a disk that was written in order"));
+        self.publisher = Some(restored.expect("the disk was written in order"));
         self.publisher_starts += 1;
         self.publisher_up_since = self.net.now;
-        self.reached_again(|_| true);
+        self.mark_reachable(|_| true);
     }
 
     pub fn stop(&mut self, node: Node) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sees to it that the node's next tick comes in time.
+    /// Schedules the node's next tick at its deadline.
     pub fn arm(&mut self, node: Node) {
         let Some(deadline) = self.deadline(node) else { return };
         let at = deadline.saturating_mul(1_000).max(self.net.now + 1);
@@ -181,7 +181,7 @@
                     let process = &mut self.subscribers[number];
                     process.apply(&update, &self.history, &mut self.report);
                     let starts = process.starts;
-                    self.report.mix([self.net.now, number as u64, update.position.revision]);
+                    self.report.add_to_digest([self.net.now, number as u64, update.position.revision]);
                     let delay = self.net.rng.random_range(200..5_000);
                     self.net.after(delay, Event::Applied(number, starts, update.position));
                 }
@@ -193,12 +193,12 @@
         match client {
             Node::Relay(number) => &mut self.relays[number].link,
             Node::Subscriber(number) => &mut self.subscribers[number].link,
-            Node::Publisher => unreachable!("the publisher is no client"),
+            Node::Publisher => unreachable!("the publisher is not a client"),
         }
     }
 
-    /// What arrives for a client is handed in only on its present connection.
-    pub fn arrive_at_client(&mut self, id: ConnectionId, event: FollowerEvent) {
+    /// Delivers an event to a client if it belongs to the client's current connection.
+    pub fn deliver_to_client(&mut self, id: ConnectionId, event: FollowerEvent) {
         let ended = matches!(event, FollowerEvent::Disconnected | FollowerEvent::ConnectFailed);
         let Some(connection) = self.net.connections.get_mut(&id) else { return };
         if !connection.client_open || (connection.dead && !ended) {
@@ -226,11 +226,11 @@
             }
             LinkAction::Send(message) => {
                 let id = self.link_of(client).expect("an open connection");
-                self.net.tell_server(id, message);
+                self.net.send_to_server(id, message);
             }
             LinkAction::Disconnect(_) => {
                 let id = self.link_of(client).take().expect("a connection");
-                self.net.send_up(id, CLOSE_BYTES, Event::ClosedForServer(id));
+                self.net.schedule_at_server(id, CLOSE_BYTES, Event::ClosedForServer(id));
                 if let Some(connection) = self.net.connections.get_mut(&id) {
                     connection.client_open = false;
                 }
@@ -241,12 +241,12 @@
     fn fanout_action(&mut self, server: Node, action: FanoutAction) {
         match action {
             FanoutAction::Send { session: SessionId(id), message } => {
-                if let Some(bytes) = self.net.tell_client(id, message) {
+                if let Some(bytes) = self.net.send_to_client(id, message) {
                     self.server_event(server, FanoutEvent::Backlog { session: SessionId(id), bytes });
                 }
             }
             FanoutAction::Close { session: SessionId(id), .. } => {
-                self.net.send_down(id, CLOSE_BYTES, Event::ClosedForClient(id));
+                self.net.schedule_at_client(id, CLOSE_BYTES, Event::ClosedForClient(id));
                 if let Some(connection) = self.net.connections.get_mut(&id) {
                     connection.server_open = false;
                 }
@@ -263,8 +263,8 @@
                     let position: Position = transaction.position;
                     self.under_way.push_back((transaction, self.net.now));
                     self.net.after(delay, Event::Durable(self.publisher_starts, position));
-                    if self.tells_before_durable {
-                        self.tell_durable(position);
+                    if self.reports_before_durable {
+                        self.report_durable(position);
                     }
                 }
             }
--- a/crates/config-sync/tests/regions_support/report.rs
+++ b/crates/config-sync/tests/regions_support/report.rs
@@ -1,56 +1,58 @@
-//! What was found.
+//! Results of a simulation run.
 
 use hdrhistogram::Histogram;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The result of a day; equal for equal seeds.
+/// Results of a simulation run; equal for equal seeds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     pub seed: u64,
     pub subscribers: usize,
     pub relays: usize,
     pub changes: u64,
-    /// From the proposal, or from when a subscriber could be reached, until it was in force there.
+    /// Median time until a change was in force at a subscriber, from the proposal or, if later, from when the
+    /// subscriber became reachable.
     pub in_force_ms_p50: u64,
     pub in_force_ms_p99: u64,
     pub in_force_ms_max: u64,
-    /// From when a cut was healed or a process was back until a subscriber had what was published then.
+    /// Longest time from the end of a cut or the restart of a process until a subscriber had the changes
+    /// published by then.
     pub heal_ms_max: u64,
     pub measured: u64,
-    /// Changes that were not in force at the end.
+    /// Changes that subscribers had not confirmed at the end, summed over the subscribers.
     pub lost: u64,
     pub reordered: u64,
     pub torn: u64,
     /// Subscribers whose table differs from the publisher's at the end.
     pub diverged: u64,
     pub regressed: u64,
-    /// Updates of a position that was not durable.
+    /// Updates with a position that was not durable.
     pub not_durable: u64,
-    /// Subscribers that said, at the end of a cut, that they were up to date during it.
+    /// Subscribers that reported too low an age at the end of a cut.
     pub age_understated: u64,
-    /// Looks, over the last 15 s, at which the publisher had not known for too long that all is in force in
-    /// all zones.
+    /// Events in the last 15 s at which the publisher had not known for more than the limit that all changes
+    /// are in force in all zones.
     pub zones_not_known: u64,
     pub faults: Vec<String>,
     pub snapshots: u64,
     pub events: u64,
     pub bytes: u64,
-    /// Of all updates with their times, in order.
+    /// Digest of all updates with their times, in order.
     pub digest: u64,
 }
 
-/// Times until in force.
+/// Distribution of the times until changes were in force.
 pub struct Times {
     histogram: Histogram<u32>,
 }
 
 impl Times {
     pub fn new() -> Times {
-        Times { histogram: Histogram::new(3).expect("three digits") }
+        Times { histogram: Histogram::new(3).expect("three significant digits are valid") }
     }
 
     pub fn record(&mut self, ms: u64) {
-        self.histogram.record(ms).expect("a histogram that grows");
+        self.histogram.record(ms).expect("the histogram resizes itself");
     }
 
     pub fn fill(&self, report: &mut Report) {
@@ -62,8 +64,8 @@
 }
 
 impl Report {
-    /// Takes one more thing into the digest.
-    pub fn mix(&mut self, values: [u64; 3]) {
+    /// Adds an update to the digest.
+    pub fn add_to_digest(&mut self, values: [u64; 3]) {
         let mut bytes = [0; 24];
         for (chunk, value) in bytes.chunks_exact_mut(8).zip(values) {
             chunk.copy_from_slice(&value.to_le_bytes());
@@ -71,9 +73,9 @@
         self.digest = xxh3_64_with_seed(&bytes, self.digest);
     }
 
-    /// What is wrong, if anything.
-    pub fn faults_found(&self, limit_ms: u64) -> Option<String> {
-        let wrong = [
+    /// Describes the run if any check failed or a change took `limit_ms` or longer to be in force.
+    pub fn failure(&self, limit_ms: u64) -> Option<String> {
+        let violations = [
             self.lost,
             self.reordered,
             self.torn,
@@ -84,6 +86,6 @@
             self.age_understated,
         ];
         let slow = self.in_force_ms_max >= limit_ms;
-        (slow || wrong != [0; 8]).then(|| format!("seed {}: {self:#?}", self.seed))
+        (slow || violations != [0; 8]).then(|| format!("seed {}: {self:#?}", self.seed))
     }
 }
--- a/crates/config-sync/tests/regions_support/subscribers.rs
+++ b/crates/config-sync/tests/regions_support/subscribers.rs
@@ -1,4 +1,4 @@
-//! A subscriber's process: its owner, its disk, and what is judged of what its owner is told.
+//! A subscriber's process with its owner and its disk, and checks of the updates that the owner receives.
 
 use super::history::History;
 use super::network::ConnectionId;
@@ -18,19 +18,19 @@
 }
 
 pub struct SubscriberProcess {
-    /// Nothing while it is down.
+    /// `None` while the process is down.
     pub machine: Option<Subscriber>,
     pub link: Option<ConnectionId>,
     pub starts: u64,
     pub started_at: Micros,
-    /// What its owner has in force.
+    /// Settings that the owner has in force.
     in_force: Table,
     in_force_at: Position,
     last_published_ms: u64,
     pub confirmed: Position,
-    /// When it could be reached again, and the head then.
+    /// Time at which the subscriber became reachable again, and the head at that time.
     pub healing: Option<(Micros, Position)>,
-    /// Nothing after a start of a new machine.
+    /// Position of the state on disk; `None` if the disk was lost.
     pub disk: Option<Position>,
 }
 
@@ -60,7 +60,7 @@
         self.healing = None;
     }
 
-    /// Starts with what is on its disk.
+    /// Starts the process with the state on its disk.
     pub fn start(
         &mut self,
         number: usize,
@@ -71,53 +71,54 @@
     ) {
         self.starts += 1;
         self.started_at = now;
-        let kept = self.disk.and_then(|position| {
+        let stored = self.disk.and_then(|position| {
             let mirror = history.table(position)?.clone();
             Some(PersistedState { position, mirror, ..PersistedState::default() })
         });
         let settings = subscriber_settings(number, seed);
         let now_ms: Millis = now / 1_000;
         let judge = Box::new(AcceptAll);
-        self.machine = match kept {
-            // At the first start the owner has the state already: it would be a copy for each subscriber.
-            Some(kept) if self.starts == 1 => {
-                self.in_force = kept.mirror.clone();
-                (self.in_force_at, self.confirmed) = (kept.position, kept.position);
-                Some(Subscriber::resume(settings, judge, &kept, now_ms))
+        self.machine = match stored {
+            // At the first start the owner already has the state, because applying it would make a copy for
+            // each subscriber.
+            Some(stored) if self.starts == 1 => {
+                self.in_force = stored.mirror.clone();
+                (self.in_force_at, self.confirmed) = (stored.position, stored.position);
+                Some(Subscriber::resume(settings, judge, &stored, now_ms))
             }
-            kept => Some(Subscriber::new(settings, judge, kept, now_ms, out)),
+            stored => Some(Subscriber::new(settings, judge, stored, now_ms, out)),
         };
     }
 
-    /// The owner puts an update in force.
+    /// Puts an update in force as the owner and checks it.
     pub fn apply(&mut self, update: &Update, history: &History, report: &mut Report) {
         report.regressed += u64::from(update.position < self.in_force_at);
-        let again = update.position == self.in_force_at;
-        let older = update.published_unix_ms < self.last_published_ms;
-        report.reordered += u64::from(again || older);
+        let is_repeated = update.position == self.in_force_at;
+        let is_older = update.published_unix_ms < self.last_published_ms;
+        report.reordered += u64::from(is_repeated || is_older);
         self.in_force_at = update.position;
         self.last_published_ms = update.published_unix_ms;
         self.in_force.apply(&update.changes);
-        let Some(wanted) = history.table(update.position) else {
+        let Some(expected) = history.table(update.position) else {
             report.not_durable += 1;
             return;
         };
-        if self.in_force.digest() == wanted.digest() {
-            self.in_force = wanted.clone();
+        if self.in_force.digest() == expected.digest() {
+            self.in_force = expected.clone();
         } else {
             report.torn += 1;
         }
-        self.share(wanted);
+        self.share(expected);
     }
 
-    /// One copy of a table for all that have it.
+    /// Makes the machine share its table, so that equal tables are stored once.
     fn share(&mut self, table: &Table) {
         if let Some(machine) = &mut self.machine {
             machine.share_table(table);
         }
     }
 
-    /// The mirror has to be what was published, whatever is in force.
+    /// Checks that the mirror equals the published table of its position.
     pub fn check_mirror(&self, history: &History, report: &mut Report) {
         let Some(machine) = &self.machine else { return };
         let follower = machine.follower();
@@ -126,7 +127,8 @@
         report.torn += u64::from(!empty && !whole);
     }
 
-    /// What is on disk is one of the published tables, so its position says all.
+    /// Records what is written to disk. The disk holds one of the published tables, so its position
+    /// identifies the contents.
     pub fn persist(&mut self, record: &Persist, history: &History, report: &mut Report) {
         self.disk = match record {
             Persist::Append { transaction, refused } => {
@@ -142,15 +144,15 @@
         };
     }
 
-    /// At the end all have all.
-    pub fn judge_end(&self, history: &History, report: &mut Report) {
+    /// Checks that the subscriber has all changes at the end.
+    pub fn check_end(&self, history: &History, report: &mut Report) {
         let Some(machine) = &self.machine else { return };
         let head = history.head();
         report.lost += head.revision.saturating_sub(self.confirmed.revision);
-        let wanted = history.digest(head);
-        let same =
-            Some(self.in_force.digest()) == wanted && Some(machine.follower().table().digest()) == wanted;
-        report.diverged += u64::from(!same);
+        let expected = history.digest(head);
+        let is_equal =
+            Some(self.in_force.digest()) == expected && Some(machine.follower().table().digest()) == expected;
+        report.diverged += u64::from(!is_equal);
         report.snapshots += machine.follower().counters().snapshots;
     }
 }
--- a/crates/config-sync/tests/regions_support/topology.rs
+++ b/crates/config-sync/tests/regions_support/topology.rs
@@ -1,5 +1,6 @@
-//! Who stands where, and how far apart. Six regions, 16 zones; the publisher in region 0; a relay for each
-//! region, which watches the publisher, and 37 relays in the zones, which watch a region's relay.
+//! Placement of the processes and latencies between them. There are six regions and 16 zones. The publisher
+//! is in region 0, each region has a relay that watches the publisher, and 37 relays in the zones watch a
+//! region's relay.
 
 use dunlinspread_config_sync::client::Server;
 use dunlinspread_config_sync::fanout::FanoutSettings;
@@ -17,7 +18,7 @@
 pub const ZONES: usize = 16;
 pub const RELAYS: usize = REGIONS + ZONE_RELAYS;
 const ZONE_RELAYS: usize = 37;
-/// One way between regions, ms.
+/// One-way latencies between regions, in milliseconds.
 const ONE_WAY_MS: [[u64; REGIONS]; REGIONS] = [
     [1, 20, 40, 75, 110, 150],
     [20, 1, 35, 90, 125, 165],
@@ -33,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
     Publisher,
-    /// The first are those of the regions.
+    /// A relay; the first [`REGIONS`] are those of the regions.
     Relay(usize),
     Subscriber(usize),
 }
@@ -75,7 +76,7 @@
         Server { name: self.name().into(), address, zone, region: region_name(self) }
     }
 
-    /// The node of a server as its clients know it.
+    /// Returns the node of a server's description.
     pub fn of(server: &Server) -> Node {
         let number = server.name.strip_prefix("relay-").and_then(|number| number.parse().ok());
         number.map_or(Node::Publisher, Node::Relay)
@@ -90,11 +91,11 @@
     format!("region-{}", node.region()).into()
 }
 
-/// The least time that a message takes.
+/// Returns the minimum latency of a message.
 pub fn one_way(from: Node, to: Node) -> Micros {
-    let (here, there) = (from.region(), to.region());
-    if here != there {
-        ONE_WAY_MS[here][there] * 1_000
+    let (from_region, to_region) = (from.region(), to.region());
+    if from_region != to_region {
+        ONE_WAY_MS[from_region][to_region] * 1_000
     } else if from.zone().is_some() && from.zone() == to.zone() {
         SAME_ZONE
     } else {
@@ -110,17 +111,18 @@
     PublisherSettings { fanout: fanout_settings(0), ..PublisherSettings::default() }
 }
 
-/// A region's relay watches the publisher, a zone's one any region's, and the publisher when none is left.
+/// Returns a relay's settings. A region's relay watches the publisher. A zone's relay watches any region's
+/// relay, or the publisher if none is left.
 pub fn relay_settings(number: usize, seed: u64) -> RelaySettings {
-    let mut above = vec![Node::Publisher.server()];
+    let mut upstream = vec![Node::Publisher.server()];
     if number >= REGIONS {
-        above.extend((0..REGIONS).map(|region| Node::Relay(region).server()));
+        upstream.extend((0..REGIONS).map(|region| Node::Relay(region).server()));
     }
     let member = Node::Relay(number).member(Role::Relay);
-    RelaySettings::new(FollowerSettings::new(member, above, seed), fanout_settings(seed))
+    RelaySettings::new(FollowerSettings::new(member, upstream, seed), fanout_settings(seed))
 }
 
-/// A subscriber watches its zone's relays, its region's, or any.
+/// Returns a subscriber's settings. It may watch every relay: its zone's, its region's, or any other.
 pub fn subscriber_settings(number: usize, seed: u64) -> SubscriberSettings {
     let servers = (0..RELAYS).map(|relay| Node::Relay(relay).server()).collect();
     let member = Node::Subscriber(number).member(Role::Subscriber);
--- a/crates/config-sync/tests/regions_support/world.rs
+++ b/crates/config-sync/tests/regions_support/world.rs
@@ -1,4 +1,4 @@
-//! The day: what is proposed, what arrives, and what is measured.
+//! The simulation run: proposals, delivery of events, and measurements.
 
 use super::history::{History, TENANTS, allowance};
 use super::network::{ConnectionId, Event, Network};
@@ -17,21 +17,24 @@
 use std::sync::Arc;
 
 const SECOND: Micros = 1_000_000;
-/// Processes start within this time.
+/// Time within which all processes start.
 const START: Micros = 3 * SECOND;
-/// Changes are proposed until then.
+/// Time at which the last change is proposed.
 const LOAD_END: Micros = 48 * SECOND;
-/// Faults have healed by then, and all have caught up.
+/// End of the run. All faults have healed by then and all processes have caught up.
 const END: Micros = 70 * SECOND;
-/// From then on it is looked how long the publisher does not know that all is in force in some zone: a relay
-/// that tries a nearer server is missing for a moment, and no longer.
-const LOOKS_FROM: Micros = END - 15 * SECOND;
-/// How long that may last: a few reports, far less than a try takes that has to be given up.
+/// Time from which the run measures for how long the publisher does not know that all changes are in force in
+/// all zones. A relay that tries a nearer server is missing only for a moment.
+const CHECKS_FROM: Micros = END - 15 * SECOND;
+/// Limit of that duration: the time of a few reports, far less than a failed attempt at a nearer server
+/// takes.
 const NOT_KNOWN_LIMIT: Micros = 2 * SECOND;
-/// Two heartbeats, which a subscriber that has just come to a server may still wait for, and the ways.
+/// Tolerance of reported ages: two heartbeats, which a subscriber new to a server may still wait for, and the
+/// latencies.
 const AGE_TOLERANCE_MS: u64 = 2_500;
-/// Changes at random times, and in one second.
+/// Number of changes at random times.
 const CHANGES: usize = 24;
+/// Number of further changes within one second.
 const BURST: usize = 20;
 
 pub struct World {
@@ -40,17 +43,18 @@
     pub publisher: Option<Publisher>,
     pub publisher_starts: u64,
     pub publisher_up_since: Micros,
-    /// Given to the disk, and when each was proposed.
+    /// Transactions given to the disk and not durable yet, with the times of their proposals.
     pub under_way: VecDeque<(Arc<Transaction>, Micros)>,
-    /// A fault that has to be found.
-    pub tells_before_durable: bool,
+    /// Injects a fault that the checks must detect: changes are reported as durable before they are written.
+    pub reports_before_durable: bool,
     pub relays: Vec<RelayProcess>,
     pub subscribers: Vec<SubscriberProcess>,
-    /// When each node's next tick is.
+    /// Time of each node's next tick.
     pub armed: BTreeMap<Node, Micros>,
-    /// When each region could last be reached again from the publisher's.
+    /// Time since which each region can reach the publisher's region.
     region_since: Vec<Micros>,
-    /// When the publisher last knew of every zone that all is in force, from [`LOOKS_FROM`] on.
+    /// Last time, from [`CHECKS_FROM`] on, at which the publisher knew that all changes are in force in every
+    /// zone.
     all_known_at: Micros,
     pub report: Report,
     times: Times,
@@ -67,7 +71,7 @@
             publisher_starts: 0,
             publisher_up_since: 0,
             under_way: VecDeque::new(),
-            tells_before_durable: false,
+            reports_before_durable: false,
             relays: (0..RELAYS).map(|_| RelayProcess::default()).collect(),
             subscribers: processes,
             armed: BTreeMap::new(),
@@ -78,18 +82,18 @@
         }
     }
 
-    pub fn play(mut self) -> Report {
+    pub fn run(mut self) -> Report {
         self.schedule_starts();
         self.schedule_changes();
         self.schedule_faults();
         while let Some(event) = self.net.pop(END) {
             self.report.events += 1;
             self.handle(event);
-            if self.net.now >= LOOKS_FROM {
-                self.look_at_zones();
+            if self.net.now >= CHECKS_FROM {
+                self.check_zones();
             }
         }
-        self.judge_end();
+        self.check_end();
         self.report
     }
 
@@ -117,22 +121,22 @@
         match event {
             Event::Tick(node) => self.on_tick(node),
             Event::Attempt(id) => self.attempt(id),
-            Event::Connected(id) => self.arrive_at_client(id, FollowerEvent::Connected),
-            Event::ConnectFailed(id) => self.arrive_at_client(id, FollowerEvent::ConnectFailed),
+            Event::Connected(id) => self.deliver_to_client(id, FollowerEvent::Connected),
+            Event::ConnectFailed(id) => self.deliver_to_client(id, FollowerEvent::ConnectFailed),
             Event::ToClient(id, message) => {
-                self.arrive_at_client(id, FollowerEvent::Received((*message).clone()));
+                self.deliver_to_client(id, FollowerEvent::Received((*message).clone()));
             }
-            Event::ClosedForClient(id) => self.arrive_at_client(id, FollowerEvent::Disconnected),
+            Event::ClosedForClient(id) => self.deliver_to_client(id, FollowerEvent::Disconnected),
             Event::ToServer(id, message) => {
-                self.arrive_at_server(id, FanoutEvent::Received(SessionId(id), message));
+                self.deliver_to_server(id, FanoutEvent::Received(SessionId(id), message));
             }
             Event::ClosedForServer(id) => self.closed_for_server(id),
             Event::Drained(id) if self.net.is_drained(id) => {
-                self.arrive_at_server(id, FanoutEvent::Backlog { session: SessionId(id), bytes: 0 });
+                self.deliver_to_server(id, FanoutEvent::Backlog { session: SessionId(id), bytes: 0 });
             }
             Event::Drained(_) => {}
-            Event::Durable(starts, position) => self.durable(starts, position),
-            Event::Applied(number, starts, position) => self.applied(number, starts, position),
+            Event::Durable(starts, position) => self.on_durable(starts, position),
+            Event::Applied(number, starts, position) => self.on_applied(number, starts, position),
             Event::Propose => self.propose(),
             Event::Fault(kind) => self.fault(kind),
             Event::Start(node) if !self.is_up(node) => self.start(node),
@@ -142,7 +146,7 @@
         }
     }
 
-    /// A client arrives at a server; a process that is down refuses it.
+    /// Handles a client's connection attempt at its server; a process that is down refuses it.
     fn attempt(&mut self, id: ConnectionId) {
         let Some(connection) = self.net.connections.get(&id) else { return };
         if connection.dead || !connection.client_open {
@@ -150,17 +154,17 @@
         }
         let server = connection.server;
         if !self.is_up(server) {
-            self.net.send_down(id, 0, Event::ConnectFailed(id));
+            self.net.schedule_at_client(id, 0, Event::ConnectFailed(id));
             return;
         }
         if let Some(connection) = self.net.connections.get_mut(&id) {
             connection.server_open = true;
         }
-        self.net.send_down(id, 0, Event::Connected(id));
+        self.net.schedule_at_client(id, 0, Event::Connected(id));
         self.server_event(server, FanoutEvent::Opened(SessionId(id)));
     }
 
-    fn arrive_at_server(&mut self, id: ConnectionId, event: FanoutEvent) {
+    fn deliver_to_server(&mut self, id: ConnectionId, event: FanoutEvent) {
         let Some(connection) = self.net.connections.get(&id) else { return };
         if connection.server_open && !connection.dead {
             self.server_event(connection.server, event);
@@ -185,22 +189,22 @@
         let Some(publisher) = &mut self.publisher else { return };
         let mut out = Vec::new();
         let changes = changes.into_values().collect();
-        publisher.propose(now_ms, changes, &mut out).expect("a good proposal");
+        publisher.propose(now_ms, changes, &mut out).expect("a valid proposal");
         self.publisher_actions(out);
     }
 
-    fn durable(&mut self, starts: u64, position: Position) {
+    fn on_durable(&mut self, starts: u64, position: Position) {
         if starts != self.publisher_starts {
             return;
         }
         while self.under_way.front().is_some_and(|(first, _)| first.position <= position) {
-            let (transaction, proposed_at) = self.under_way.pop_front().expect("looked at");
+            let (transaction, proposed_at) = self.under_way.pop_front().expect("the front is present");
             self.history.push(transaction, proposed_at);
         }
-        self.tell_durable(position);
+        self.report_durable(position);
     }
 
-    pub fn tell_durable(&mut self, position: Position) {
+    pub fn report_durable(&mut self, position: Position) {
         let now_ms = self.now_ms();
         let Some(publisher) = &mut self.publisher else { return };
         let mut out = Vec::new();
@@ -208,23 +212,23 @@
         self.publisher_actions(out);
     }
 
-    fn applied(&mut self, number: usize, starts: u64, position: Position) {
+    fn on_applied(&mut self, number: usize, starts: u64, position: Position) {
         let process = &mut self.subscribers[number];
         if process.starts != starts || process.machine.is_none() {
             return;
         }
-        // Confirmations can overtake each other; a later one stands for those before it.
+        // Confirmations can overtake each other; a later one includes those before it.
         let before = process.confirmed;
         process.confirmed = before.max(position);
         self.measure(number, before, position);
         self.subscriber_event(number, SubscriberEvent::Applied(position));
     }
 
-    /// When a subscriber could last be reached again; nothing if it can't be now.
+    /// Returns the time since which a subscriber is reachable, or `None` if it is not reachable now.
     fn reachable_since(&self, number: usize) -> Option<Micros> {
         let region = Node::Subscriber(number).region();
         let home = Node::Publisher.region();
-        if self.publisher.is_none() || !self.net.reach(region, home) {
+        if self.publisher.is_none() || !self.net.are_connected(region, home) {
             return None;
         }
         let since = self.subscribers[number].started_at.max(self.publisher_up_since);
@@ -235,7 +239,7 @@
         let healed = self.subscribers[number].healing.take_if(|(_, head)| *head <= position);
         let Some(since) = self.reachable_since(number) else { return };
         let now = self.net.now;
-        // What is not newer than the base was never under way.
+        // Positions up to the base were never distributed, so they are not measured.
         let first = before.max(self.history.base().0).revision + 1;
         for revision in first..=position.revision {
             let proposed_at = self.history.proposed_at(Position { revision, ..position });
@@ -247,18 +251,18 @@
         }
     }
 
-    /// A subscriber that nothing newer can have reached since the cut has to say so, less what was on its
-    /// way.
+    /// Checks that each subscriber that the cut kept from newer changes reports an age of at least the cut's
+    /// duration, less the tolerance.
     fn check_ages(&mut self, region: usize, cut_for: Micros) {
         let now_ms = self.now_ms();
-        let least = (cut_for / 1_000).saturating_sub(AGE_TOLERANCE_MS);
+        let min_age_ms = (cut_for / 1_000).saturating_sub(AGE_TOLERANCE_MS);
         let home = Node::Publisher.region();
         for (number, process) in self.subscribers.iter().enumerate() {
             let own = Node::Subscriber(number).region();
-            let old = self.net.now - process.started_at >= AGE_TOLERANCE_MS * 1_000;
-            let cut_off = old && own != home && (region == own || region == home);
+            let is_old_enough = self.net.now - process.started_at >= AGE_TOLERANCE_MS * 1_000;
+            let was_cut_off = is_old_enough && own != home && (region == own || region == home);
             let age = process.machine.as_ref().and_then(|machine| machine.age_ms(now_ms));
-            self.report.age_understated += u64::from(cut_off && age.is_some_and(|age| age < least));
+            self.report.age_understated += u64::from(was_cut_off && age.is_some_and(|age| age < min_age_ms));
         }
     }
 
@@ -267,15 +271,16 @@
         self.net.cut.retain(|cut| *cut != region);
         let home = Node::Publisher.region();
         for other in 0..self.region_since.len() {
-            if (region == other || region == home) && self.net.reach(other, home) {
+            if (region == other || region == home) && self.net.are_connected(other, home) {
                 self.region_since[other] = self.net.now;
             }
         }
-        self.reached_again(|other| region == other || region == home);
+        self.mark_reachable(|other| region == other || region == home);
     }
 
-    /// Subscribers in these regions should soon have what is published now.
-    pub fn reached_again(&mut self, regions: impl Fn(usize) -> bool) {
+    /// Marks the subscribers of these regions as reachable again, to measure when they have the changes
+    /// published so far.
+    pub fn mark_reachable(&mut self, regions: impl Fn(usize) -> bool) {
         let head = self.history.head();
         for (number, process) in self.subscribers.iter_mut().enumerate() {
             let behind = process.machine.is_some() && process.confirmed < head;
@@ -285,7 +290,7 @@
         }
     }
 
-    /// Whether the publisher knows of every zone and subscriber that all is in force.
+    /// Returns whether the publisher knows that all changes are in force in every zone and subscriber.
     fn all_zones_known(&self) -> bool {
         let head = self.history.head();
         let zones = self.publisher.as_ref().map(Publisher::least_in_force).unwrap_or_default();
@@ -294,18 +299,18 @@
         known == ZONES && subscribers as usize == self.subscribers.len()
     }
 
-    fn look_at_zones(&mut self) {
+    fn check_zones(&mut self) {
         if self.all_zones_known() {
             self.all_known_at = self.net.now;
             return;
         }
-        let not_known_for = self.net.now - self.all_known_at.max(LOOKS_FROM);
+        let not_known_for = self.net.now - self.all_known_at.max(CHECKS_FROM);
         self.report.zones_not_known += u64::from(not_known_for > NOT_KNOWN_LIMIT);
     }
 
-    fn judge_end(&mut self) {
+    fn check_end(&mut self) {
         for process in &self.subscribers {
-            process.judge_end(&self.history, &mut self.report);
+            process.check_end(&self.history, &mut self.report);
         }
         self.report.changes = self.history.disk.len() as u64;
         self.report.bytes = self.net.bytes;
--- a/crates/config-sync/tests/relay.rs
+++ b/crates/config-sync/tests/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between a server above and clients below.
+//! A relay between its upstream server and its clients.
 
 mod client_support;
 
@@ -10,7 +10,7 @@
 use dunlinspread_config_sync::resource::{Digest, Millis, Position};
 use std::sync::Arc;
 
-/// A relay with its clock; what it sent is taken by the side it went to.
+/// A relay with its clock and the messages that it sent upstream and downstream.
 struct Relayed {
     relay: Relay,
     now: Millis,
@@ -33,12 +33,12 @@
         Relayed { relay: Relay::new(settings, 0), now: 0, up: Vec::new(), down: Vec::new() }
     }
 
-    /// One that has all of `history` from the publisher.
+    /// Returns a relay that has received all of `history` from the publisher.
     fn at_head_of(history: &History) -> Relayed {
         let mut relayed = Relayed::new();
         relayed.connect();
         relayed.fetch(history);
-        relayed.above(FollowerEvent::Received(history.heartbeat()));
+        relayed.upstream_event(FollowerEvent::Received(history.heartbeat()));
         relayed
     }
 
@@ -58,11 +58,11 @@
         }
     }
 
-    fn above(&mut self, event: FollowerEvent) {
+    fn upstream_event(&mut self, event: FollowerEvent) {
         self.event(RelayEvent::Upstream(event));
     }
 
-    fn below(&mut self, event: FanoutEvent) {
+    fn downstream_event(&mut self, event: FanoutEvent) {
         self.event(RelayEvent::Downstream(event));
     }
 
@@ -72,26 +72,26 @@
             self.event(RelayEvent::Tick);
         }
         self.up.clear();
-        self.above(FollowerEvent::Connected);
+        self.upstream_event(FollowerEvent::Connected);
     }
 
     fn fetch(&mut self, history: &History) {
-        self.above(FollowerEvent::Received(ToClient::Resync { head: history.position }));
+        self.upstream_event(FollowerEvent::Received(ToClient::Resync { head: history.position }));
         let digests = self.up.iter().rev().find_map(|action| match action {
             LinkAction::Send(ToServer::FetchDifferences { bucket_digests }) => Some(bucket_digests.clone()),
             _ => None,
         });
-        for message in history.snapshot(&digests.expect("a Resync is answered")) {
-            self.above(FollowerEvent::Received(message));
+        for message in history.snapshot(&digests.expect("`Resync` is answered with `FetchDifferences`")) {
+            self.upstream_event(FollowerEvent::Received(message));
         }
     }
 
-    /// A subscriber connects with what it has.
+    /// Connects a subscriber that has `position` and `digest`.
     fn watch(&mut self, session: u64, name: &str, zone: &str, position: Position, digest: Digest) {
         let session = SessionId(session);
-        self.below(FanoutEvent::Opened(session));
+        self.downstream_event(FanoutEvent::Opened(session));
         let member = member(name, zone, "a");
-        self.below(FanoutEvent::Received(session, ToServer::Watch { member, position, digest }));
+        self.downstream_event(FanoutEvent::Received(session, ToServer::Watch { member, position, digest }));
     }
 
     fn watch_at_head(&mut self, session: u64, name: &str, zone: &str, history: &History) {
@@ -101,11 +101,14 @@
     fn progress(&mut self, session: u64, zone: &str, least: Position, refusals: Vec<Refusal>) {
         let refusing = u32::from(!refusals.is_empty());
         let zones = vec![ZoneProgress { zone: zone.into(), subscribers: 1, least, refusing }];
-        self.below(FanoutEvent::Received(SessionId(session), ToServer::Progress { zones, refusals }));
+        self.downstream_event(FanoutEvent::Received(
+            SessionId(session),
+            ToServer::Progress { zones, refusals },
+        ));
     }
 
-    fn advance_clock(&mut self, time: Millis) {
-        self.now += time;
+    fn advance_clock(&mut self, duration: Millis) {
+        self.now += duration;
         self.event(RelayEvent::Tick);
     }
 
@@ -117,12 +120,12 @@
         reports.collect()
     }
 
-    /// The ages of the heartbeats that a session was sent, all of which say `head`.
-    fn ages_told_to(&self, session: u64, head: Position) -> Vec<Millis> {
+    /// Returns the ages in the heartbeats sent to a session; panics if one has a head other than `head`.
+    fn ages_sent_to(&self, session: u64, head: Position) -> Vec<Millis> {
         let own = self.down.iter().filter(|(to, _)| *to == SessionId(session));
         let ages = own.filter_map(|(_, message)| match **message {
-            ToClient::Heartbeat { head: told, age_ms } => {
-                assert_eq!(told, head);
+            ToClient::Heartbeat { head: sent, age_ms } => {
+                assert_eq!(sent, head);
                 Some(age_ms)
             }
             _ => None,
@@ -130,7 +133,7 @@
         ages.collect()
     }
 
-    /// What a session was sent since the last look, but for heartbeats.
+    /// Removes all downstream messages and returns those of a session, without heartbeats.
     fn sent_to(&mut self, session: u64) -> Vec<Arc<ToClient>> {
         let down = std::mem::take(&mut self.down);
         let own = down.into_iter().filter(|(to, _)| *to == SessionId(session)).map(|(_, message)| message);
@@ -152,7 +155,7 @@
     relayed.down.clear();
     let known = history.position;
     history.grow(3);
-    relayed.above(FollowerEvent::Received(history.since(known)));
+    relayed.upstream_event(FollowerEvent::Received(history.since(known)));
     let sent: Vec<_> = relayed.down.iter().map(|(session, _)| session.0).collect();
     assert_eq!(sent, [1, 2]);
     assert!(Arc::ptr_eq(&relayed.down[0].1, &relayed.down[1].1), "one message for both");
@@ -170,7 +173,7 @@
     let known = history.position;
     history.grow(2);
     let last = history.transactions.last().expect("a transaction").clone();
-    relayed.above(FollowerEvent::Received(ToClient::Deltas(vec![last])));
+    relayed.upstream_event(FollowerEvent::Received(ToClient::Deltas(vec![last])));
     relayed.advance_clock(100);
     assert!(relayed.sent_to(1).is_empty());
     assert_eq!(relayed.relay.fanout().head(), known);
@@ -195,13 +198,13 @@
     let reports = relayed.reports();
     assert!(reports.len() <= 2, "{} reports in 250 ms", reports.len());
     let (zones, refusals) = reports.last().expect("a report");
-    let told: Vec<_> = zones.iter().map(|zone| (&*zone.zone, zone.subscribers, zone.least)).collect();
-    assert_eq!(told, [("a1", 2, at(1, 19)), ("a2", 1, history.position)]);
+    let reported: Vec<_> = zones.iter().map(|zone| (&*zone.zone, zone.subscribers, zone.least)).collect();
+    assert_eq!(reported, [("a1", 2, at(1, 19)), ("a2", 1, history.position)]);
     assert!(refusals.is_empty());
     for _ in 0..10 {
         relayed.progress(2, "a1", at(1, 19), vec![]);
         relayed.advance_clock(300);
-        relayed.above(FollowerEvent::Received(history.heartbeat()));
+        relayed.upstream_event(FollowerEvent::Received(history.heartbeat()));
     }
     assert!(relayed.reports().is_empty(), "nothing changed");
 }
@@ -236,7 +239,7 @@
     let mut refusals = Vec::new();
     for _ in 0..10 {
         relayed.advance_clock(250);
-        relayed.above(FollowerEvent::Received(history.heartbeat()));
+        relayed.upstream_event(FollowerEvent::Received(history.heartbeat()));
         for (_, some) in relayed.reports() {
             assert!(some.len() <= 16);
             refusals.extend(some);
@@ -245,7 +248,7 @@
     let mut members: Vec<_> = refusals.iter().map(|refusal| refusal.member.to_string()).collect();
     members.sort();
     members.dedup();
-    assert_eq!((refusals.len(), members.len()), (20, 20), "each once");
+    assert_eq!((refusals.len(), members.len()), (20, 20), "each refusal is reported once");
 }
 
 #[test]
@@ -253,30 +256,36 @@
     let mut history = history();
     let mut relayed = Relayed::at_head_of(&history);
     relayed.watch_at_head(1, "server-1", "a1", &history);
-    relayed.above(FollowerEvent::Disconnected);
+    relayed.upstream_event(FollowerEvent::Disconnected);
     relayed.up.clear();
     let (cut_at, known) = (history.clone(), history.position);
     for _ in 0..60 {
         relayed.advance_clock(500);
-        relayed.below(FanoutEvent::Received(SessionId(1), ToServer::Alive));
+        relayed.downstream_event(FanoutEvent::Received(SessionId(1), ToServer::Alive));
         if relayed.up.iter().any(|action| matches!(action, LinkAction::Connect(_))) {
             relayed.up.clear();
-            relayed.above(FollowerEvent::ConnectFailed);
+            relayed.upstream_event(FollowerEvent::ConnectFailed);
         }
     }
-    let ages = relayed.ages_told_to(1, known);
-    assert!(ages.len() >= 25, "heartbeats go on");
-    assert!(ages.is_sorted() && ages.last() >= Some(&29_000), "they say how old it is: {ages:?}");
-    assert!(relayed.relay.follower().age_ms(relayed.now).expect("it was at the head") >= 29_000);
-    assert!(relayed.reports().is_empty(), "nobody to tell");
+    let ages = relayed.ages_sent_to(1, known);
+    assert!(ages.len() >= 25, "heartbeats continue");
+    assert!(
+        ages.is_sorted() && ages.last() >= Some(&29_000),
+        "the ages do not grow during the cut: {ages:?}"
+    );
+    assert!(relayed.relay.follower().age_ms(relayed.now).expect("a known age") >= 29_000);
+    assert!(relayed.reports().is_empty(), "no report is sent without an upstream session");
     relayed.watch(2, "server-2", "a1", Position::default(), Digest::default());
     assert_eq!(*relayed.sent_to(2)[0], ToClient::Resync { head: known });
-    relayed.below(FanoutEvent::Received(SessionId(2), ToServer::FetchDifferences { bucket_digests: vec![] }));
+    relayed.downstream_event(FanoutEvent::Received(
+        SessionId(2),
+        ToServer::FetchDifferences { bucket_digests: vec![] },
+    ));
     assert!(matches!(*relayed.sent_to(2)[0], ToClient::Piece { sequence: 0, .. }));
     history.grow(4);
     relayed.connect();
-    assert!(relayed.reports().len() == 1, "a new session above is told at once");
-    relayed.above(FollowerEvent::Received(history.since(cut_at.position)));
+    assert!(relayed.reports().len() == 1, "progress is reported at once in a new upstream session");
+    relayed.upstream_event(FollowerEvent::Received(history.since(cut_at.position)));
     assert_eq!(relayed.relay.fanout().head(), history.position);
     assert_eq!(*relayed.sent_to(1)[0], history.since(cut_at.position));
 }
@@ -292,9 +301,10 @@
     relayed.fetch(&history);
     assert_eq!(*relayed.sent_to(1)[0], ToClient::Resync { head: history.position });
     let bucket_digests = before.table.bucket_digests();
-    relayed.below(FanoutEvent::Received(SessionId(1), ToServer::FetchDifferences { bucket_digests }));
+    relayed
+        .downstream_event(FanoutEvent::Received(SessionId(1), ToServer::FetchDifferences { bucket_digests }));
     let first = &relayed.sent_to(1)[0];
-    let ToClient::Piece { buckets, .. } = &**first else { panic!("a piece, not {first:?}") };
+    let ToClient::Piece { buckets, .. } = &**first else { panic!("expected a piece, got {first:?}") };
     let differing = before.table.differing(&history.table.bucket_digests()).len();
     assert!(!buckets.is_empty() && buckets.len() <= differing, "only what differs");
 }
@@ -305,9 +315,9 @@
     let history = history();
     relayed.watch_at_head(1, "server-1", "a1", &history);
     relayed.advance_clock(1_000);
-    let told: Vec<_> = relayed.down.iter().map(|(_, message)| message.clone()).collect();
-    assert!(!told.is_empty());
+    let sent: Vec<_> = relayed.down.iter().map(|(_, message)| message.clone()).collect();
+    assert!(!sent.is_empty());
     let nothing = Position::default();
     let old = ToClient::Heartbeat { head: nothing, age_ms: MAX_AGE_MS };
-    assert!(told.iter().all(|message| **message == old), "{told:?}");
+    assert!(sent.iter().all(|message| **message == old), "{sent:?}");
 }
--- a/crates/config-sync/tests/relay_idle.rs
+++ b/crates/config-sync/tests/relay_idle.rs
@@ -1,4 +1,4 @@
-//! A relay to which nothing happens, and one that finds nobody above it.
+//! A relay without changes, and a relay that cannot reach its upstream servers.
 
 mod client_support;
 
@@ -9,8 +9,8 @@
 use dunlinspread_config_sync::relay::{Relay, RelayAction, RelayEvent, RelaySettings};
 
 const TICKS: u64 = 1_000;
-/// The fastest that anything is looked at again.
-const LEAST_INTERVAL_MS: u64 = 5;
+/// Shortest interval between two deadlines.
+const MIN_INTERVAL_MS: u64 = 5;
 
 fn relay() -> Relay {
     let member = Member { role: Role::Relay, ..member("relay-1", "a1", "a") };
@@ -47,7 +47,7 @@
         relay.on_event(now, RelayEvent::Tick, &mut out);
         reports += progress_reports(&out);
         let deadline = relay.deadline();
-        assert!(deadline >= now + LEAST_INTERVAL_MS, "tick {tick} at {now}: next at {deadline}");
+        assert!(deadline >= now + MIN_INTERVAL_MS, "tick {tick} at {now}: next at {deadline}");
         now = deadline;
     }
     assert_eq!(reports, 1, "nothing changed after the first report");
@@ -56,7 +56,7 @@
 #[test]
 fn it_tries_servers_above_it_again_within_a_second() {
     const ATTEMPTS: usize = 200;
-    const LONGEST_WAIT_MS: u64 = 1_000;
+    const MAX_WAIT_MS: u64 = 1_000;
     let mut relay = relay();
     let (mut now, mut attempts) = (0, 0);
     let mut attempted_at = 0;
@@ -65,11 +65,7 @@
         out.clear();
         relay.on_event(now, RelayEvent::Tick, &mut out);
         if out.iter().any(|action| matches!(action, RelayAction::Upstream(LinkAction::Connect(_)))) {
-            assert!(
-                now - attempted_at <= LONGEST_WAIT_MS,
-                "attempt {attempts} after {} ms",
-                now - attempted_at
-            );
+            assert!(now - attempted_at <= MAX_WAIT_MS, "attempt {attempts} after {} ms", now - attempted_at);
             (attempts, attempted_at) = (attempts + 1, now);
             relay.on_event(now, RelayEvent::Upstream(FollowerEvent::ConnectFailed), &mut out);
         }
--- a/crates/config-sync/tests/selection.rs
+++ b/crates/config-sync/tests/selection.rs
@@ -1,4 +1,5 @@
-//! The order of servers: a function of the names, near ones first, and stable when one is lost.
+//! The order of servers: it depends only on names, puts near servers first, and stays stable when one is
+//! lost.
 
 mod client_support;
 
@@ -14,7 +15,7 @@
     &zone[..1]
 }
 
-/// `count` servers; every fifth serves a whole region.
+/// Returns `count` servers, every fifth of which serves a whole region.
 fn servers(count: usize) -> Vec<Server> {
     let one = |number: usize| {
         let zone = ZONES[number % ZONES.len()];
@@ -79,7 +80,10 @@
     }
     assert!(load.values().all(|clients| (300..=500).contains(clients)), "uneven load: {load:?}");
     assert_eq!(moved_to.len(), 4, "the clients of the lost server go to all others: {moved_to:?}");
-    assert!(moved_to.values().all(|clients| (50..=150).contains(clients)), "uneven: {moved_to:?}");
+    assert!(
+        moved_to.values().all(|clients| (50..=150).contains(clients)),
+        "uneven spread of the moved clients: {moved_to:?}"
+    );
 }
 
 #[test]
--- a/crates/config-sync/tests/server_costs.rs
+++ b/crates/config-sync/tests/server_costs.rs
@@ -1,5 +1,5 @@
-//! Prints what the server's side costs at the size aimed at. Not a verdict: run it by
-//! `cargo test --release -p dunlinspread-config-sync --test server_costs -- --ignored --nocapture`.
+//! Prints the costs of the server side at the target size, without checking them. Run it with `cargo test
+//! --release -p dunlinspread-config-sync --test server_costs -- --ignored --nocapture`.
 
 mod server_support;
 
@@ -16,10 +16,10 @@
 const SESSIONS: u64 = 444;
 const REPEATS: u64 = 5_000;
 
-/// Resident bytes of this process.
+/// Returns the resident bytes of this process.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
-    let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("it is listed");
+    let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("a VmRSS line");
     let kilobytes = line.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
     kilobytes.expect("a number") * 1_024
 }
@@ -39,12 +39,12 @@
     table
 }
 
-fn print_each(what: &str, count: u64, from: Instant) {
-    println!("{what}: {} ns", from.elapsed().as_nanos() / u128::from(count));
+fn print_each(operation: &str, count: u64, start: Instant) {
+    println!("{operation}: {} ns", start.elapsed().as_nanos() / u128::from(count));
 }
 
 #[test]
-#[ignore = "prints figures, gives no verdict"]
+#[ignore = "prints figures, checks nothing"]
 fn costs_at_the_size_aimed_at() {
     let before = resident_bytes();
     let start = Instant::now();
@@ -81,7 +81,7 @@
     serve(&table);
 }
 
-/// Publishing to, and reports from, a zone's subscribers.
+/// Prints the costs of publishing to a zone's subscribers and of their reports.
 fn serve(table: &Table) {
     let mut fanout = Fanout::new(FanoutSettings { flush_ms: 0, ..FanoutSettings::default() });
     let mut out = Vec::new();
--- a/crates/config-sync/tests/server_support/mod.rs
+++ b/crates/config-sync/tests/server_support/mod.rs
@@ -1,6 +1,6 @@
-//! Shared by the tests of the server's side: short ways to write changes, a history, and a client that keeps
-//! to the protocol and checks what it is sent.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Support for the tests of the server side: helpers for changes, a history, and a client that follows the
+//! protocol and checks the messages that it receives.
+#![allow(dead_code, reason = "each test binary uses only some of these helpers")]
 
 use dunlinspread_config_sync::fanout::{CloseReason, Fanout, FanoutAction, FanoutEvent, SessionId};
 use dunlinspread_config_sync::message::{BucketContent, Member, Role, ToClient, ToServer, ZoneProgress};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The epoch of all histories that don't say another.
+/// Epoch of the histories in these tests.
 pub const EPOCH: u64 = 7;
 
 pub fn at(revision: u64) -> Position {
@@ -40,7 +40,7 @@
     ZoneProgress { zone: zone.into(), subscribers, least, refusing }
 }
 
-/// A publisher's history without a publisher.
+/// The history of a publisher, without the publisher itself.
 pub struct History {
     pub position: Position,
     pub table: Table,
@@ -51,7 +51,7 @@
         History { position: at(0), table: Table::new() }
     }
 
-    /// The next transaction; its time is its revision.
+    /// Applies `changes` and returns them as the next transaction, with its revision as the time.
     pub fn next(&mut self, changes: Vec<Change>) -> Arc<Transaction> {
         self.table.apply(&changes);
         self.position = self.position.next();
@@ -63,7 +63,7 @@
         })
     }
 
-    /// The next `count` transactions, each of one tenant.
+    /// Returns the next `count` transactions, each of which changes one tenant.
     pub fn tenants(&mut self, count: u64) -> Vec<Arc<Transaction>> {
         (0..count)
             .map(|_| {
@@ -74,7 +74,7 @@
     }
 }
 
-/// A fan-out with the clients of its sessions, which get each message at once.
+/// A fan-out with the clients of its sessions, which receive each message at once.
 pub struct Server {
     pub fanout: Fanout,
     pub now: Millis,
@@ -86,7 +86,8 @@
         Server { fanout, now: 0, clients: BTreeMap::new() }
     }
 
-    /// Opens a session whose client has `position` and `table`, and watches.
+    /// Opens a session, sends the `Watch` of a client that has `position` and `table`, and returns the
+    /// client's answers.
     pub fn watch(&mut self, id: u64, position: Position, table: &Table) -> Vec<ToServer> {
         let client = Client::new(position, table.clone());
         let watch = client.watch(&format!("member-{id}"));
@@ -95,7 +96,7 @@
         self.event(FanoutEvent::Received(SessionId(id), watch))
     }
 
-    /// An event, its messages given to the clients; their answers.
+    /// Handles an event, delivers the resulting messages, and returns the clients' answers.
     pub fn event(&mut self, event: FanoutEvent) -> Vec<ToServer> {
         let answers = self.event_with_ids(event);
         answers.into_iter().map(|(_, answer)| answer).collect()
@@ -121,7 +122,8 @@
         self.settle_answers(answers);
     }
 
-    /// Gives the answers back until there are none.
+    /// Sends a client's answers to the fan-out, and the answers to the resulting messages, until there are
+    /// none.
     pub fn settle(&mut self, id: u64, answers: Vec<ToServer>) {
         self.settle_answers(answers.into_iter().map(|answer| (SessionId(id), answer)).collect());
     }
@@ -171,7 +173,7 @@
     }
 }
 
-/// A client that follows the protocol and fails on anything that it does not allow.
+/// A client that follows the protocol and panics on any message that the protocol does not allow.
 pub struct Client {
     pub position: Position,
     pub table: Table,
@@ -204,7 +206,7 @@
         ToServer::Watch { member, position: self.position, digest: self.table.digest() }
     }
 
-    /// The messages other than heartbeats.
+    /// Returns the messages other than heartbeats.
     pub fn payloads(&self) -> Vec<&ToClient> {
         let messages = self.messages.iter().map(|message| &**message);
         messages.filter(|message| !matches!(message, ToClient::Heartbeat { .. })).collect()
@@ -225,13 +227,13 @@
             }
             ToClient::Busy { retry_after_ms } => self.busy.push(*retry_after_ms),
             ToClient::Piece { sequence, buckets } => {
-                assert_eq!(*sequence, self.pieces, "pieces in order");
+                assert_eq!(*sequence, self.pieces, "pieces arrive in order");
                 self.pieces += 1;
                 self.staged.extend(buckets.iter().cloned());
                 return vec![ToServer::PieceTaken { sequence: *sequence }];
             }
             ToClient::SnapshotEnd { position, digest, pieces, .. } => {
-                assert_eq!(*pieces, self.pieces, "all pieces came");
+                assert_eq!(*pieces, self.pieces, "all pieces arrived");
                 self.on_snapshot(*position, *digest);
             }
             ToClient::Heartbeat { head, .. } => self.heads.push(*head),
@@ -240,9 +242,9 @@
     }
 
     fn on_deltas(&mut self, transactions: &[Arc<Transaction>]) {
-        assert!(!transactions.is_empty(), "an empty message of deltas");
+        assert!(!transactions.is_empty(), "a `Deltas` message without transactions");
         for transaction in transactions {
-            assert_eq!(transaction.position, self.position.next(), "deltas follow each other");
+            assert_eq!(transaction.position, self.position.next(), "deltas are consecutive");
             self.table.apply(&transaction.changes);
             self.position = transaction.position;
             assert_eq!(self.table.digest(), transaction.digest, "the table after {:?}", self.position);
--- a/crates/config-sync/tests/shared_steps.rs
+++ b/crates/config-sync/tests/shared_steps.rs
@@ -1,4 +1,4 @@
-//! Steps that many tables take together lead where each would come by itself.
+//! Shared steps give each table the same contents as applying the changes separately.
 
 mod client_support;
 
@@ -7,7 +7,7 @@
 use dunlinspread_config_sync::shared_steps::SharedSteps;
 use dunlinspread_config_sync::table::Table;
 
-/// More than are kept.
+/// Number of steps, greater than the number that is kept.
 const STEPS: u64 = 200;
 
 fn changes(step: u64) -> Vec<Change> {
@@ -46,7 +46,7 @@
     steps.apply(&mut first, &[allowance("a", 1)]);
     steps.apply(&mut second, &[allowance("a", 2)]);
     assert_ne!(first.digest(), second.digest());
-    // The same change to another table.
+    // The same change is applied to a different table.
     let mut third = second.clone();
     steps.apply(&mut third, &[allowance("b", 3)]);
     let mut fourth = first.clone();
--- a/crates/config-sync/tests/state_age.rs
+++ b/crates/config-sync/tests/state_age.rs
@@ -1,4 +1,4 @@
-//! How old a state is said to be, behind relays that may be cut off.
+//! The reported age of a state, also behind relays that are cut off.
 
 mod client_support;
 
@@ -38,7 +38,11 @@
     assert_eq!(driver.follower.age_ms(2_000), Some(200));
     driver.now = 3_000;
     driver.receive(history.heartbeat_aged(5_000));
-    assert_eq!(driver.follower.age_ms(3_000), Some(1_200), "what was known once stays known");
+    assert_eq!(
+        driver.follower.age_ms(3_000),
+        Some(1_200),
+        "the age never exceeds the one derived from an earlier heartbeat"
+    );
 }
 
 #[test]
@@ -56,7 +60,7 @@
     for message in history.snapshot(&before.table.bucket_digests()) {
         by_snapshot.receive(message);
     }
-    assert_eq!(by_snapshot.follower.age_ms(by_snapshot.now), None, "nothing was said of its age");
+    assert_eq!(by_snapshot.follower.age_ms(by_snapshot.now), None, "the server has not sent an age yet");
     by_snapshot.receive(history.heartbeat_aged(60_000));
     for driver in [by_deltas, by_snapshot] {
         assert_eq!(driver.follower.position(), history.position);
@@ -64,7 +68,7 @@
     }
 }
 
-/// A relay at the head of `history`, and a watching client of it at the same position.
+/// Returns a relay at the head of `history`, with a client that watches it at the same position.
 fn relay_and_client(history: &History, out: &mut Vec<RelayAction>) -> Relay {
     let own = Member { role: Role::Relay, ..member("relay-1", "a1", "a") };
     let follower = FollowerSettings::new(own, vec![server("above", None, "a")], 3);
@@ -87,8 +91,8 @@
     relay
 }
 
-/// The age in the last heartbeat that went down.
-fn told(actions: &[RelayAction]) -> Option<Millis> {
+/// Returns the age in the last heartbeat sent downstream.
+fn sent_age(actions: &[RelayAction]) -> Option<Millis> {
     actions.iter().rev().find_map(|action| match action {
         RelayAction::Downstream(FanoutAction::Send { message, .. }) => match **message {
             ToClient::Heartbeat { age_ms, .. } => Some(age_ms),
@@ -104,7 +108,7 @@
     let mut out = Vec::new();
     let mut relay = relay_and_client(&history, &mut out);
     relay.on_event(1_000, RelayEvent::Tick, &mut out);
-    assert_eq!(told(&out), Some(MAX_AGE_MS), "it was told nothing of its own age yet");
+    assert_eq!(sent_age(&out), Some(MAX_AGE_MS), "the relay has not received an age yet");
     for second in 2..30 {
         let now = second * 1_000;
         let heartbeat = FollowerEvent::Received(history.heartbeat_aged(now));
@@ -112,7 +116,7 @@
         let alive = FanoutEvent::Received(SessionId(1), ToServer::Alive);
         relay.on_event(now, RelayEvent::Downstream(alive), &mut out);
         relay.on_event(now, RelayEvent::Tick, &mut out);
-        assert_eq!(told(&out), Some(now), "the server above is cut off since 0, though it is heard");
+        assert_eq!(sent_age(&out), Some(now), "the upstream server sends heartbeats but is cut off since 0");
     }
 }
 
--- a/crates/config-sync/tests/state_store.rs
+++ b/crates/config-sync/tests/state_store.rs
@@ -1,4 +1,4 @@
-//! A subscriber's state on disk: what was kept is there after a crash at any operation, whole.
+//! A subscriber's state on disk: a stored state survives a crash at any operation whole.
 
 mod support;
 
@@ -19,7 +19,7 @@
     Change::Put(Resource::TenantAllowance { tenant, milli_per_second })
 }
 
-/// The transaction that follows a state.
+/// Returns a transaction that follows a state.
 fn transaction(state: &PersistedState) -> Arc<Transaction> {
     let position = Position { epoch: EPOCH, revision: state.position.revision + 1 };
     let changes = vec![tenant(position.revision % 5, position.revision)];
@@ -29,7 +29,8 @@
     Arc::new(Transaction { position, changes, digest: mirror.digest(), published_unix_ms })
 }
 
-/// What a subscriber would hand over next: mostly transactions, some refused, now and then a whole state.
+/// Returns a record as a subscriber would write it next: usually a transaction, some of them refused, and
+/// sometimes a whole state.
 fn record(state: &PersistedState, step: u64) -> Persist {
     let transaction = transaction(state);
     if step % 4 != 0 {
@@ -41,26 +42,27 @@
     Persist::Replace(whole)
 }
 
-fn same(left: &PersistedState, right: &PersistedState) -> bool {
+fn is_same_state(left: &PersistedState, right: &PersistedState) -> bool {
     left.position == right.position
         && left.mirror == right.mirror
         && left.held_back == right.held_back
         && left.published_unix_ms == right.published_unix_ms
 }
 
-/// All states in the order in which they were handed over, and how many were reported kept.
+/// States in the order in which they were given to the store.
 struct Trace {
     states: Vec<PersistedState>,
-    kept: usize,
+    /// Index of the last state that the store reported as written.
+    stored: usize,
 }
 
 fn scenario(disk: &SimDisk, trace: &mut Trace) -> Result<(), StoreError> {
     let (mut store, _) = StateStore::open(Arc::new(disk.clone()), "round-server")?;
     for step in 0..14 {
-        // Several records together, too.
+        // Some batches have several records.
         let mut batch = Vec::new();
         for part in 0..1 + step % 3 {
-            let last = trace.states.last().expect("the first one is there");
+            let last = trace.states.last().expect("an initial state");
             let record = record(last, step * 3 + part);
             let mut next = last.clone();
             next.apply(&record);
@@ -68,7 +70,7 @@
             batch.push(record);
         }
         store.keep(&batch)?;
-        trace.kept = trace.states.len() - 1;
+        trace.stored = trace.states.len() - 1;
     }
     store.close()
 }
@@ -76,30 +78,34 @@
 #[test]
 fn a_crash_at_each_operation_leaves_a_state_that_was_handed_over_and_none_older_than_kept() {
     for at in 0..1_000 {
-        let what = format!("power cut at operation {at}");
+        let description = format!("power cut at operation {at}");
         let disk = SimDisk::new(at);
         disk.set_faults(Faults { crash_at: Some(at), short_transfers: at % 2 == 1, ..Faults::default() });
-        let mut trace = Trace { states: vec![PersistedState::default()], kept: 0 };
-        let ended = scenario(&disk, &mut trace);
+        let mut trace = Trace { states: vec![PersistedState::default()], stored: 0 };
+        let result = scenario(&disk, &mut trace);
         let crashed = disk.is_powered_off();
-        assert!(crashed || ended.is_ok(), "{what}: {ended:?}");
+        assert!(crashed || result.is_ok(), "{description}: {result:?}");
         disk.power_cycle();
-        let (_, found) = StateStore::open(Arc::new(disk), "round-server").expect(&what);
-        let found = found.unwrap_or_default();
-        let possible = &trace.states[trace.kept..];
-        assert!(possible.iter().any(|state| same(state, &found)), "{what}: {found:?}");
+        let (_, recovered) = StateStore::open(Arc::new(disk), "round-server").expect(&description);
+        let recovered = recovered.unwrap_or_default();
+        let possible = &trace.states[trace.stored..];
+        assert!(
+            possible.iter().any(|state| is_same_state(state, &recovered)),
+            "{description}: {recovered:?}"
+        );
         if !crashed {
-            assert!(at > 50, "{what}: the scenario is longer");
+            assert!(at > 50, "{description}: the scenario ended too early");
             return;
         }
     }
-    panic!("more operations than were tried");
+    panic!("the scenario has more operations than were tried");
 }
 
 #[test]
 fn a_record_that_does_not_follow_is_refused_by_its_number() {
     let disk: Arc<dyn Disk> = Arc::new(SimDisk::new(1));
-    let (mut log, _) = Log::open(disk.clone(), Options::new("round-server"), |_| Ok(())).expect("a new one");
+    let (mut log, _) =
+        Log::open(disk.clone(), Options::new("round-server"), |_| Ok(())).expect("a new store");
     let begin =
         PersistedState { position: Position { epoch: EPOCH, revision: 0 }, ..PersistedState::default() };
     let first = transaction(&begin);
@@ -107,7 +113,7 @@
     let records = [Record::Epoch(EPOCH), stored(first), stored(Arc::new(later))];
     log.commit(&records.map(|record| encode_record(&record))).expect("written");
     drop(log);
-    let error = StateStore::open(disk, "round-server").err().expect("it does not fit");
+    let error = StateStore::open(disk, "round-server").err().expect("the record does not follow");
     assert!(matches!(error, StoreError::Rejected { number: 3, .. }), "{error}");
     assert!(error.to_string().contains("does not follow"), "{error}");
 }
@@ -120,8 +126,8 @@
 fn long_names_own_stores_that_are_kept_apart() {
     let disk = SimDisk::new(1);
     let name = |last: char| format!("{}{last}", "é".repeat(63));
-    drop(StateStore::open(Arc::new(disk.clone()), &name('a')).expect("a new one"));
-    drop(StateStore::open(Arc::new(disk.clone()), &name('a')).expect("its own"));
+    drop(StateStore::open(Arc::new(disk.clone()), &name('a')).expect("a new store"));
+    drop(StateStore::open(Arc::new(disk.clone()), &name('a')).expect("a store of the same name"));
     let other = StateStore::open(Arc::new(disk), &name('b')).err();
     assert!(matches!(other, Some(StoreError::Owner { .. })), "{other:?}");
 }
@@ -133,7 +139,7 @@
     table.apply(&changes);
     let position = Position { epoch: EPOCH, revision: 9 };
     let bytes = write_snapshot(position, 77, &table, &changes[..3]);
-    let (header, read) = read_snapshot(&bytes).expect("it comes back");
+    let (header, read) = read_snapshot(&bytes).expect("a readable snapshot");
     assert_eq!((header.position, header.published_unix_ms, header.resources), (position, 77, 5_000));
     assert_eq!((read.digest(), read.len(), header.held_back), (table.digest(), 5_000, changes[..3].to_vec()));
 }
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! What a subscriber puts in force, holds back, reports and keeps.
+//! The updates that a subscriber puts in force, holds back, reports and stores.
 
 mod client_support;
 
@@ -14,7 +14,7 @@
     history
 }
 
-/// Pushes a transaction and delivers it.
+/// Publishes a transaction and delivers it to the subscriber.
 fn push(subscribed: &mut Subscribed, history: &mut History, changes: &[(&str, u64)]) {
     let known = history.position;
     history.push(changes.iter().map(|(tenant, value)| allowance(tenant, *value)).collect());
@@ -53,11 +53,15 @@
     let mut history = history();
     let mut subscribed = Subscribed::at_head_of(&history, settings());
     push(&mut subscribed, &mut history, &[("a", 10), ("b", 113)]);
-    assert_eq!((subscribed.tenant("a"), subscribed.tenant("b")), (1, 2), "none of it");
+    assert_eq!(
+        (subscribed.tenant("a"), subscribed.tenant("b")),
+        (1, 2),
+        "no change of a refused transaction is in force"
+    );
     push(&mut subscribed, &mut history, &[("c", 30)]);
     assert_eq!((subscribed.tenant("a"), subscribed.tenant("c")), (1, 30));
     assert_eq!(subscribed.subscriber.held_back(), 2);
-    assert_eq!(subscribed.in_force_at(), history.position, "its position goes on");
+    assert_eq!(subscribed.in_force_at(), history.position, "the position advances");
     assert_eq!(subscribed.subscriber.follower().table().digest(), history.table.digest());
 }
 
@@ -68,9 +72,9 @@
     push(&mut subscribed, &mut history, &[("a", 10), ("b", 113)]);
     push(&mut subscribed, &mut history, &[("b", 20)]);
     assert_eq!((subscribed.tenant("a"), subscribed.tenant("b")), (1, 20));
-    assert_eq!(subscribed.subscriber.held_back(), 1, "a still has its old value");
+    assert_eq!(subscribed.subscriber.held_back(), 1, "`a` still has its old value");
     push(&mut subscribed, &mut history, &[("a", 213)]);
-    assert_eq!(subscribed.tenant("a"), 1, "the value in force, not the one refused before");
+    assert_eq!(subscribed.tenant("a"), 1, "`a` keeps the value in force");
     push(&mut subscribed, &mut history, &[("a", 11)]);
     assert_eq!(subscribed.tenant("a"), 11);
     assert_eq!(subscribed.subscriber.held_back(), 0);
@@ -121,7 +125,7 @@
     push(&mut subscribed, &mut history, &[("c", 213), ("d", 40)]);
     assert!(subscribed.subscriber.is_stopped());
     push(&mut subscribed, &mut history, &[("e", 50)]);
-    assert_eq!(subscribed.in_force_at(), last_in_force, "nothing more is taken");
+    assert_eq!(subscribed.in_force_at(), last_in_force, "no further change is put in force");
     assert_eq!((subscribed.tenant("c"), subscribed.tenant("e")), (3, 0));
     assert_eq!(subscribed.subscriber.held_back(), 2);
     subscribed.advance_clock(300);
@@ -130,7 +134,7 @@
     );
     assert_eq!((subscribed.last_report().least, subscribed.last_report().refusing), (last_in_force, 1));
     push(&mut subscribed, &mut history, &[("c", 30)]);
-    assert!(!subscribed.subscriber.is_stopped(), "what differs since it stopped is accepted now");
+    assert!(!subscribed.subscriber.is_stopped(), "the changes since the stop are accepted now");
     assert_eq!(subscribed.in_force_at(), history.position);
     assert_eq!((subscribed.tenant("c"), subscribed.tenant("d"), subscribed.tenant("e")), (30, 40, 50));
     assert_eq!((subscribed.tenant("a"), subscribed.tenant("b")), (1, 2), "still held back");
@@ -142,7 +146,7 @@
 fn a_refused_snapshot_leaves_the_old_state_and_is_reported_once() {
     let mut history = history();
     let mut subscribed = Subscribed::at_head_of(&history, settings());
-    let (position, old) = (history.position, subscribed.settings.clone());
+    let (position, old_settings) = (history.position, subscribed.settings.clone());
     history.push(vec![allowance("a", 113)]);
     history.push(vec![allowance("b", 20)]);
     subscribed.fetch(&history);
@@ -150,9 +154,9 @@
     push(&mut subscribed, &mut history, &[("c", 31)]);
     subscribed.advance_clock(300);
     assert!(subscribed.subscriber.is_stopped());
-    assert_eq!(subscribed.settings.digest(), old.digest());
+    assert_eq!(subscribed.settings.digest(), old_settings.digest());
     assert_eq!(subscribed.in_force_at(), position);
-    assert_eq!(subscribed.refusals.len(), 1, "the same reason again is not told again");
+    assert_eq!(subscribed.refusals.len(), 1, "a repeated reason is not reported again");
     assert_eq!(subscribed.last_report().least, position);
     push(&mut subscribed, &mut history, &[("a", 10)]);
     assert_eq!(subscribed.settings.digest(), history.table.digest());
@@ -176,7 +180,11 @@
     subscribed.event(SubscriberEvent::Applied(at(1, 9)));
     subscribed.event(SubscriberEvent::Applied(at(1, 1)));
     subscribed.advance_clock(300);
-    assert_eq!(subscribed.last_report().least, at(1, 2), "neither ahead of what it was told nor back");
+    assert_eq!(
+        subscribed.last_report().least,
+        at(1, 2),
+        "confirmations ahead of the updates or behind earlier ones are ignored"
+    );
     subscribed.confirm();
     subscribed.advance_clock(300);
     assert_eq!(subscribed.last_report().least, at(1, 3));
@@ -203,7 +211,11 @@
     assert!(subscribed.reports.is_empty(), "nothing changed");
     subscribed.link(FollowerEvent::Disconnected);
     subscribed.connect();
-    assert_eq!(subscribed.last_report().least, history.position, "a new session is told at once");
+    assert_eq!(
+        subscribed.last_report().least,
+        history.position,
+        "progress is reported at once in a new session"
+    );
 }
 
 #[test]
@@ -218,7 +230,7 @@
     subscribed.now = wake;
     subscribed.link(FollowerEvent::Tick);
     assert_eq!(subscribed.last_report().least, history.position);
-    assert!(subscribed.subscriber.deadline() > wake + 500, "nothing more waits");
+    assert!(subscribed.subscriber.deadline() > wake + 500, "no further report waits");
 }
 
 #[test]
@@ -228,7 +240,7 @@
     push(&mut before, &mut history, &[("a", 10), ("b", 113)]);
     push(&mut before, &mut history, &[("c", 30)]);
     let mut after = Subscribed::start(settings(), Some(before.disk.clone()));
-    assert_eq!(after.updates.len(), 1, "before any server is asked");
+    assert_eq!(after.updates.len(), 1, "the state is in force before any connection");
     assert_eq!(after.settings.digest(), before.settings.digest());
     assert_eq!((after.tenant("a"), after.tenant("b"), after.tenant("c")), (1, 2, 30));
     assert_eq!(after.subscriber.held_back(), 2);
@@ -259,13 +271,13 @@
 fn nothing_is_kept_before_it_is_confirmed_and_what_waits_is_bounded() {
     let mut history = history();
     let mut subscribed = Subscribed::at_head_of(&history, settings());
-    let kept = subscribed.disk.position;
+    let stored_position = subscribed.disk.position;
     subscribed.confirms = false;
     let records = subscribed.records;
     for number in 0..500 {
         push(&mut subscribed, &mut history, &[("a", number), ("b", number + 1)]);
     }
-    assert_eq!((subscribed.records, subscribed.disk.position), (records, kept));
+    assert_eq!((subscribed.records, subscribed.disk.position), (records, stored_position));
     subscribed.confirm();
     assert!(subscribed.records - records <= 64, "{} records waited", subscribed.records - records);
     assert_eq!(subscribed.disk.position, history.position);
--- a/crates/config-sync/tests/subscriber_property.rs
+++ b/crates/config-sync/tests/subscriber_property.rs
@@ -1,5 +1,5 @@
-//! Transactions in any batches, some refused, with restarts between them: in force is exactly the accepted
-//! ones, each whole, in their order.
+//! Property test of the subscriber. For any batches of transactions, some of them refused, with restarts
+//! between them, exactly the accepted transactions are in force, each whole and in order.
 
 mod client_support;
 
@@ -11,19 +11,19 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-/// One thing that happens.
+/// A step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A transaction; it waits to be sent with the next batch.
+    /// A transaction is published; it waits for the next batch. The value 0 deletes the tenant.
     Publish(BTreeMap<u8, u64>),
-    /// All that waits arrives in one message.
+    /// All waiting transactions arrive in one message.
     Deliver,
-    /// The process starts again from its disk.
+    /// The process restarts from its disk.
     Restart,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    // A fifth of the values is refused, 0 stands for a deletion.
+    // About a fifth of the values is refused; 0 stands for a deletion.
     let value = prop_oneof![8 => 1_u64..100, 2 => Just(113_u64), 1 => Just(0_u64)];
     let transaction = prop::collection::btree_map(0_u8..8, value, 1..4);
     let step = prop_oneof![
@@ -45,7 +45,7 @@
 
 struct World {
     history: History,
-    /// The accepted transactions, applied one after the other.
+    /// Table of the accepted transactions, applied in order.
     expected: Table,
     subscribed: Subscribed,
 }
@@ -68,7 +68,7 @@
         self.history.push(changes);
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Publish(values) => {
                 self.publish(values.iter().map(|(tenant, value)| change(*tenant, *value)).collect());
@@ -78,7 +78,11 @@
                 let disk = self.subscribed.disk.clone();
                 let in_force = self.subscribed.settings.digest();
                 self.subscribed = Subscribed::start(settings(), Some(disk));
-                assert_eq!(self.subscribed.settings.digest(), in_force, "the same after a restart");
+                assert_eq!(
+                    self.subscribed.settings.digest(),
+                    in_force,
+                    "the settings in force are the same after a restart"
+                );
                 self.subscribed.connect();
             }
         }
@@ -98,7 +102,7 @@
 }
 
 proptest! {
-    // A fixed seed: the same verdict on every run.
+    // The fixed seed makes the result the same on every run.
     #![proptest_config(ProptestConfig {
         cases: 128,
         failure_persistence: None,
@@ -109,7 +113,7 @@
     fn in_force_is_what_was_accepted_each_whole_and_in_order(steps in steps()) {
         let mut world = World::new();
         for step in &steps {
-            world.play(step);
+            world.apply_step(step);
         }
         world.deliver();
         let acceptable = (0..8).map(|tenant| change(tenant, 7)).collect();
--- a/crates/config-sync/tests/subscriber_resume.rs
+++ b/crates/config-sync/tests/subscriber_resume.rs
@@ -1,4 +1,4 @@
-//! A subscriber that goes on from a state that its owner has in force already.
+//! A subscriber that resumes from a state that its owner already has in force.
 
 mod client_support;
 
@@ -9,8 +9,8 @@
 use dunlinspread_config_sync::resource::Position;
 use dunlinspread_config_sync::subscriber::{PersistedState, Subscriber, SubscriberAction, SubscriberEvent};
 
-/// What was kept of a subscriber that refused the change of `b`.
-fn kept_with_a_refusal(history: &mut History) -> PersistedState {
+/// Returns the stored state of a subscriber that refused the change of `b`.
+fn stored_with_refusal(history: &mut History) -> PersistedState {
     history.push(vec![allowance("a", 1), allowance("b", 2)]);
     let mut subscribed = Subscribed::at_head_of(history, settings());
     let known = history.position;
@@ -27,12 +27,12 @@
 
 #[test]
 fn nothing_is_judged_or_handed_out_and_the_position_is_confirmed() {
-    let kept = kept_with_a_refusal(&mut History::new(1));
+    let stored = stored_with_refusal(&mut History::new(1));
     let judge = TestJudge::default();
     judge.refuse_all(true);
-    let mut subscriber = Subscriber::resume(settings(), Box::new(judge), &kept, 0);
-    assert_eq!(subscriber.applied(), kept.position);
-    assert_ne!(kept.position, Position::default());
+    let mut subscriber = Subscriber::resume(settings(), Box::new(judge), &stored, 0);
+    assert_eq!(subscriber.applied(), stored.position);
+    assert_ne!(stored.position, Position::default());
     let actions = on_link(&mut subscriber, FollowerEvent::Tick);
     assert!(matches!(actions[..], [SubscriberAction::Link(LinkAction::Connect(_))]), "{actions:?}");
     assert!(!subscriber.is_stopped());
@@ -40,8 +40,8 @@
 
 #[test]
 fn what_was_held_back_stays_held_back() {
-    let kept = kept_with_a_refusal(&mut History::new(1));
-    let subscriber = Subscriber::resume(settings(), Box::new(TestJudge::default()), &kept, 0);
+    let stored = stored_with_refusal(&mut History::new(1));
+    let subscriber = Subscriber::resume(settings(), Box::new(TestJudge::default()), &stored, 0);
     assert_eq!(subscriber.held_back(), 1);
     assert_eq!(value(subscriber.in_force(&tenant_key("b"))), 2);
     assert_eq!(value(subscriber.in_force(&tenant_key("a"))), 1);
@@ -50,20 +50,20 @@
 #[test]
 fn it_asks_from_its_position_and_takes_what_follows() {
     let mut history = History::new(1);
-    let kept = kept_with_a_refusal(&mut history);
-    let mut subscriber = Subscriber::resume(settings(), Box::new(TestJudge::default()), &kept, 0);
+    let stored = stored_with_refusal(&mut history);
+    let mut subscriber = Subscriber::resume(settings(), Box::new(TestJudge::default()), &stored, 0);
     on_link(&mut subscriber, FollowerEvent::Tick);
     let actions = on_link(&mut subscriber, FollowerEvent::Connected);
-    let asked = actions.iter().find_map(|action| match action {
+    let watched = actions.iter().find_map(|action| match action {
         SubscriberAction::Link(LinkAction::Send(ToServer::Watch { position, digest, .. })) => {
             Some((*position, *digest))
         }
         _ => None,
     });
-    assert_eq!(asked, Some((kept.position, kept.mirror.digest())));
+    assert_eq!(watched, Some((stored.position, stored.mirror.digest())));
 
     history.push(vec![allowance("a", 10)]);
-    let actions = on_link(&mut subscriber, FollowerEvent::Received(history.since(kept.position)));
+    let actions = on_link(&mut subscriber, FollowerEvent::Received(history.since(stored.position)));
     let update = actions.iter().find_map(|action| match action {
         SubscriberAction::InForce(update) => Some(update),
         _ => None,
--- a/crates/config-sync/tests/support/mod.rs
+++ b/crates/config-sync/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Values for property tests, shared by the test files.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Strategies for property tests, shared by the test files.
+#![allow(dead_code, reason = "each test binary uses only some of these strategies")]
 
 use dunlinspread_config_sync::message::{
     BUCKETS, BucketContent, MAX_AGE_MS, Member, Refusal, Role, ToClient, ToServer, ZoneProgress,
@@ -41,7 +41,7 @@
     prop_oneof![resource().prop_map(Change::Put), key().prop_map(Change::Delete)]
 }
 
-/// Changes as a publisher may accept them: each key once.
+/// Returns changes that a publisher may accept: each key occurs once.
 pub fn changes() -> impl Strategy<Value = Vec<Change>> {
     vec(change(), 1..6).prop_map(|mut changes| {
         let mut keys = HashSet::new();
--- a/crates/config-sync/tests/table.rs
+++ b/crates/config-sync/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table against a plain map, and its digests against recomputed ones.
+//! The table compared with a plain map, and its digests with recomputed ones.
 
 mod server_support;
 
@@ -26,8 +26,8 @@
     ]
 }
 
-fn changes(most: usize) -> impl Strategy<Value = Vec<Change>> {
-    prop::collection::vec(change(), 0..most)
+fn changes(max_count: usize) -> impl Strategy<Value = Vec<Change>> {
+    prop::collection::vec(change(), 0..max_count)
 }
 
 fn apply_to_model(model: &mut Model, changes: &[Change]) {
@@ -49,7 +49,7 @@
     table
 }
 
-/// A table of the same content, built in another order.
+/// Returns a table of the same content, built in another order.
 fn rebuilt(model: &Model) -> Table {
     table_of(&model.values().rev().cloned().map(Change::Put).collect::<Vec<_>>())
 }
@@ -58,10 +58,10 @@
     table.iter().map(|resource| (resource.key(), resource.clone())).collect()
 }
 
-fn assert_is(table: &Table, model: &Model) {
+fn assert_matches_model(table: &Table, model: &Model) {
     assert_eq!(table.len(), model.len());
     assert_eq!(table.is_empty(), model.is_empty());
-    assert_eq!(table.iter().count(), model.len(), "no resource stands twice");
+    assert_eq!(table.iter().count(), model.len(), "a resource occurs twice");
     assert_eq!(&content(table), model);
     for (key, resource) in model {
         assert_eq!(table.get(key), Some(resource));
@@ -76,27 +76,27 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_table_is_a_map(steps in prop::collection::vec(changes(12), 0..12), asked in change()) {
+    fn a_table_is_a_map(steps in prop::collection::vec(changes(12), 0..12), queried in change()) {
         let (mut table, mut model) = (Table::new(), Model::new());
         for changes in &steps {
             table.apply(changes);
             apply_to_model(&mut model, changes);
-            assert_is(&table, &model);
+            assert_matches_model(&table, &model);
         }
-        prop_assert_eq!(table.get(&asked.key()), model.get(&asked.key()));
+        prop_assert_eq!(table.get(&queried.key()), model.get(&queried.key()));
     }
 
     #[test]
     fn clones_keep_what_they_had(steps in prop::collection::vec(changes(8), 1..10)) {
         let (mut table, mut model) = (Table::new(), Model::new());
-        let mut kept = Vec::new();
+        let mut clones = Vec::new();
         for changes in &steps {
-            kept.push((table.clone(), model.clone()));
+            clones.push((table.clone(), model.clone()));
             table.apply(changes);
             apply_to_model(&mut model, changes);
         }
-        for (table, model) in &kept {
-            assert_is(table, model);
+        for (table, model) in &clones {
+            assert_matches_model(table, model);
         }
     }
 
@@ -110,12 +110,12 @@
             let mut keys: Vec<Key> = steps.iter().map(Change::key).collect();
             keys.sort();
             keys.dedup();
-            prop_assert_eq!(keys.len(), steps.len(), "a key stands twice");
-            let mut led = before.clone();
-            led.apply(&steps);
-            prop_assert_eq!(content(&led), content(&target));
-            prop_assert_eq!(led.digest(), target.digest());
-            prop_assert_eq!(led.changes_to(&target), vec![]);
+            prop_assert_eq!(keys.len(), steps.len(), "a key occurs twice");
+            let mut result = before.clone();
+            result.apply(&steps);
+            prop_assert_eq!(content(&result), content(&target));
+            prop_assert_eq!(result.digest(), target.digest());
+            prop_assert_eq!(result.changes_to(&target), vec![]);
         }
     }
 
@@ -157,7 +157,7 @@
             BucketContent { bucket, resources: resources.collect() }
         });
         table.replace(contents.collect());
-        assert_is(&table, &content(&table));
+        assert_matches_model(&table, &content(&table));
     }
 }
 
@@ -211,7 +211,8 @@
     assert!(table.bucket(u16::MAX).is_empty());
 }
 
-/// Digests are compared between servers of different builds: a change of the encoding has to show.
+/// Pins the digests, because servers of different builds compare them: a change of the encoding must fail
+/// this test.
 #[test]
 fn digests_are_what_they_were() {
     let table = table_of(&[tenant("acme", 1_500), route("Get", "gold"), class("gold", 8)]);
--- a/crates/config-sync/tests/write_schedule.rs
+++ b/crates/config-sync/tests/write_schedule.rs
@@ -1,5 +1,5 @@
-//! When a subscriber's state is written to disk: a disk that failed has its rest, no record is written out of
-//! order, and what is written in the end is the state.
+//! The schedule of a subscriber's writes to disk: a failed disk is not retried early, no record is written
+//! out of order, and the state on disk is complete at the end.
 
 use dunlinspread_config_sync::resource::{Change, Millis, Position, Resource, Transaction};
 use dunlinspread_config_sync::subscriber::{Persist, PersistedState};
@@ -9,22 +9,22 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Records that wait for the thread at most.
+/// Largest number of records that wait for the writer thread.
 const QUEUE_LENGTH: usize = 6;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// The next transaction comes in force.
+    /// The next transaction is put in force.
     Append { refused: bool },
-    /// The table of a publisher of another epoch comes in force.
+    /// The table of a publisher with a new epoch is put in force.
     Replace,
-    /// The thread takes so many records that wait.
+    /// The writer thread takes this many waiting records.
     Write { records: usize },
-    /// The subscriber looks whether something is due, as it does after all that it does.
+    /// The subscriber checks whether a write is due, as it does after each event.
     CatchUp,
-    /// Time passes, ms.
+    /// The clock advances by this many milliseconds.
     Wait(Millis),
-    /// From now on the disk fails, or works.
+    /// From now on the disk works or fails.
     SetDisk { works: bool },
 }
 
@@ -41,15 +41,15 @@
     proptest::collection::vec(step, 1..120)
 }
 
-/// A subscriber, the queue, the thread and its disk.
+/// Model of a subscriber, the queue, the writer thread and its disk.
 struct Model {
     now: Millis,
     schedule: WriteSchedule,
-    /// What the subscriber has in force, all of it confirmed.
+    /// State that the subscriber has in force, all of it confirmed.
     in_force: PersistedState,
     queue: VecDeque<QueuedRecord>,
-    /// The thread told of a failure, and the subscriber has not heard of it.
-    failure_told: bool,
+    /// Whether the thread reported a failure that the subscriber has not processed yet.
+    failure_reported: bool,
     store_is_open: bool,
     disk_works: bool,
     on_disk: PersistedState,
@@ -63,7 +63,7 @@
             schedule: WriteSchedule::default(),
             in_force: PersistedState::default(),
             queue: VecDeque::new(),
-            failure_told: false,
+            failure_reported: false,
             store_is_open: true,
             disk_works: true,
             on_disk: PersistedState::default(),
@@ -71,7 +71,7 @@
         }
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         match step {
             Step::Append { refused } => self.append(*refused),
             Step::Replace => self.replace(),
@@ -102,11 +102,11 @@
     fn keep(&mut self, record: Persist) {
         self.in_force.apply(&record);
         if let Some(queued) = self.schedule.next(record) {
-            self.hand_over(queued);
+            self.enqueue(queued);
         }
     }
 
-    fn hand_over(&mut self, queued: QueuedRecord) {
+    fn enqueue(&mut self, queued: QueuedRecord) {
         if self.queue.len() < QUEUE_LENGTH {
             self.queue.push_back(queued);
         } else {
@@ -115,12 +115,12 @@
     }
 
     fn catch_up(&mut self) {
-        if std::mem::take(&mut self.failure_told) {
+        if std::mem::take(&mut self.failure_reported) {
             self.schedule.on_failure(self.now);
         }
         if self.schedule.is_whole_state_due(self.now) {
             let queued = self.schedule.whole_state(self.in_force.clone());
-            self.hand_over(queued);
+            self.enqueue(queued);
         }
     }
 
@@ -131,22 +131,26 @@
             return;
         }
         if let Some(failure) = self.last_failure.filter(|_| !self.store_is_open) {
-            assert!(self.now >= failure + RETRY_MS, "tried again after {} ms", self.now - failure);
+            assert!(
+                self.now >= failure + RETRY_MS,
+                "the failed disk was retried after {} ms",
+                self.now - failure
+            );
         }
         self.store_is_open = self.disk_works;
         if !self.disk_works {
-            (self.failure_told, self.last_failure) = (true, Some(self.now));
+            (self.failure_reported, self.last_failure) = (true, Some(self.now));
             return;
         }
         for record in &records {
             if let Persist::Append { transaction, .. } = record {
-                assert_eq!(transaction.position, self.on_disk.position.next(), "out of order");
+                assert_eq!(transaction.position, self.on_disk.position.next(), "written out of order");
             }
             self.on_disk.apply(record);
         }
     }
 
-    /// With a disk that works and time to rest, all is written.
+    /// Makes the disk work, lets the retry interval pass, and checks that the whole state is written.
     fn settle(&mut self) {
         self.disk_works = true;
         for _ in 0..3 {
@@ -169,13 +173,14 @@
     fn a_failed_disk_rests_and_the_state_is_written_in_the_end(steps in steps()) {
         let mut model = Model::new();
         for step in &steps {
-            model.take(step);
+            model.apply_step(step);
         }
         model.settle();
     }
 }
 
-/// A whole state that was handed over before the subscriber learned of the failure, and one that comes after.
+/// A whole state that was queued before the subscriber knew of the failure, and one that follows it, are both
+/// written only at the retry.
 #[test]
 fn whole_states_around_a_failure_wait_for_the_retry() {
     let mut model = Model::new();
@@ -186,14 +191,14 @@
     assert_eq!(model.last_failure, Some(1_000));
     model.disk_works = true;
     model.write(1);
-    assert!(!model.store_is_open, "tried for what was handed over before");
+    assert!(!model.store_is_open, "the disk was retried for a record queued before the failure");
     model.catch_up();
     model.replace();
     model.append(false);
-    assert!(model.queue.is_empty(), "handed over before the retry");
+    assert!(model.queue.is_empty(), "a record was queued before the retry");
     model.now += RETRY_MS - 1;
     model.catch_up();
-    assert!(model.queue.is_empty(), "handed over before the retry");
+    assert!(model.queue.is_empty(), "a record was queued before the retry");
     model.now += 1;
     model.catch_up();
     model.append(false);
@@ -201,7 +206,7 @@
     assert_eq!(model.on_disk.position, model.in_force.position);
 }
 
-/// A retry that finds the queue full is a retry the next time, too.
+/// A retry that finds the queue full is repeated, and is still marked as a retry.
 #[test]
 fn a_retry_that_was_not_queued_is_made_up_for() {
     let mut schedule = WriteSchedule::default();
@@ -214,7 +219,7 @@
     assert!(!schedule.is_whole_state_due(RETRY_MS));
 }
 
-/// Many transactions make way for a whole state.
+/// After many appended transactions a whole state replaces them.
 #[test]
 fn many_transactions_give_way_to_the_whole_state() {
     let mut model = Model::new();
