--- a/crates/config-sync/tests/client_silence.rs
+++ b/crates/config-sync/tests/client_silence.rs
@@ -36,13 +36,13 @@
 }
 
 /// Returns the first events of a client that has applied all of `history`.
-fn watch_events(history: &History, session: u64, member: Member, subscribers: u32) -> Vec<FanoutEvent> {
+fn watch_events(history: &History, session: u64, client: Member, subscribers: u32) -> Vec<FanoutEvent> {
     let id = SessionId(session);
     let (position, digest) = (history.position, history.table.digest());
-    let zones = vec![ZoneProgress { zone: member.zone.clone(), subscribers, least: position, refusing: 0 }];
+    let zones = vec![ZoneProgress { zone: client.zone.clone(), subscribers, least: position, refusing: 0 }];
     vec![
         FanoutEvent::Opened(id),
-        FanoutEvent::Received(id, ToServer::Watch { member, position, digest }),
+        FanoutEvent::Received(id, ToServer::Watch { member: client, position, digest }),
         FanoutEvent::Received(id, ToServer::Progress { zones, refusals: vec![] }),
     ]
 }
--- a/crates/config-sync/tests/client_support/subscribed.rs
+++ b/crates/config-sync/tests/client_support/subscribed.rs
@@ -114,7 +114,7 @@
         self.link(FollowerEvent::Connected);
     }
 
-    /// Answers the subscriber's `FetchDifferences` after a `Resync` with a snapshot of `history`.
+    /// Sends a `Resync`, and a snapshot of `history` in answer to the subscriber's `FetchDifferences`.
     pub fn fetch(&mut self, history: &History) {
         self.receive(ToClient::Resync { head: history.position });
         let fetched = self.links.iter().rev().find_map(|action| match action {
--- a/crates/config-sync/tests/fanout_schedules.rs
+++ b/crates/config-sync/tests/fanout_schedules.rs
@@ -58,7 +58,7 @@
 struct World {
     server: Server,
     history: History,
-    undelivered: BTreeMap<SessionId, VecDeque<ToServer>>,
+    pending: BTreeMap<SessionId, VecDeque<ToServer>>,
     /// The current session of each client; empty at first.
     sessions: BTreeMap<u64, u64>,
     next_session: u64,
@@ -77,12 +77,12 @@
         history.next((0..900).map(|number| tenant(&format!("first-{number}-{:0>100}", 0), 1)).collect());
         let mut server = Server::new(Fanout::new(settings));
         server.reset(history.position, &history.table);
-        World { server, history, undelivered: BTreeMap::new(), sessions: BTreeMap::new(), next_session: 1 }
+        World { server, history, pending: BTreeMap::new(), sessions: BTreeMap::new(), next_session: 1 }
     }
 
     fn event(&mut self, event: FanoutEvent) {
         for (session, answer) in self.server.event_with_ids(event) {
-            self.undelivered.entry(session).or_default().push_back(answer);
+            self.pending.entry(session).or_default().push_back(answer);
         }
     }
 
@@ -123,7 +123,7 @@
 
     fn deliver(&mut self, actions: Vec<dunlinspread_config_sync::fanout::FanoutAction>) {
         for (session, answer) in self.server.deliver(actions) {
-            self.undelivered.entry(session).or_default().push_back(answer);
+            self.pending.entry(session).or_default().push_back(answer);
         }
     }
 
@@ -142,14 +142,14 @@
         self.next_session += 1;
         self.sessions.insert(client, session);
         let answers = self.server.watch(session, initial.0, &initial.1);
-        self.undelivered.entry(SessionId(session)).or_default().extend(answers);
+        self.pending.entry(SessionId(session)).or_default().extend(answers);
     }
 
     fn receive(&mut self, client: u64, count: usize) {
         let Some(&session) = self.sessions.get(&client) else { return };
         let session = SessionId(session);
         for _ in 0..count {
-            let Some(message) = self.undelivered.get_mut(&session).and_then(VecDeque::pop_front) else {
+            let Some(message) = self.pending.get_mut(&session).and_then(VecDeque::pop_front) else {
                 return;
             };
             self.event(FanoutEvent::Received(session, message));
@@ -183,7 +183,7 @@
             client.closed.is_none() && client.position == self.history.position
         };
         let all_delivered =
-            self.sessions.values().all(|&session| self.undelivered[&SessionId(session)].is_empty());
+            self.sessions.values().all(|&session| self.pending[&SessionId(session)].is_empty());
         all_delivered && self.sessions.values().all(is_at_end)
     }
 }
--- a/crates/config-sync/tests/fleet.rs
+++ b/crates/config-sync/tests/fleet.rs
@@ -8,13 +8,14 @@
 use proptest::test_runner::RngSeed;
 
 const LOAD_MS: u64 = 60_000;
-/// Time within which clients leave a silent relay, retry a relay that was cut off, and reports reach the
+/// Time within which clients leave a silent relay and retry one that was cut off, and reports reach the
 /// publisher.
 const SETTLE_MS: u64 = 60_000;
 
 /// Limit until a change is in force: three hops of at most 500 ms, the publisher's disk and flushes.
 const IN_FORCE_MS: u64 = 1_600;
-/// Limit until the publisher knows of it: three reports, each after an interval and a hop of at most 500 ms.
+/// Limit until the publisher knows that a change is in force: three reports, each after an interval and a hop
+/// of at most 500 ms.
 const KNOWN_MS: u64 = 4_000;
 
 /// Asserts that all processes have the publisher's state and that the publisher knows of it.
--- a/crates/config-sync/tests/model.rs
+++ b/crates/config-sync/tests/model.rs
@@ -24,7 +24,8 @@
     breaks: 0,
     heartbeats: 0,
 };
-/// As `CRASH`, but connected from the start. One link breaks, and one heartbeat is sent at any time.
+/// As `CRASH`, but connected from the start. Any one link may break, and one heartbeat may be sent at any
+/// time.
 const CRASH_AND_BREAK: Bounds = Bounds { connected: true, breaks: 1, heartbeats: 1, ..CRASH };
 /// A subscriber that connects to the relay after its link to the publisher breaks.
 const LAGGING_RELAY: Bounds = Bounds {
@@ -35,9 +36,9 @@
     breaks: 1,
     ..CRASH
 };
-/// The relay restarts with an empty table while its subscriber has data, and one link breaks.
+/// The relay restarts with an empty table while its subscriber has data, and any one link may break.
 const EMPTY_RELAY: Bounds = Bounds { connected: true, crashes: 0, relay_restarts: 1, breaks: 1, ..CRASH };
-/// Two subscribers behind the relay, and one link breaks.
+/// Two subscribers behind the relay. Any one link may break.
 const TWO_SUBSCRIBERS: Bounds = Bounds { subscribers: 2, connected: true, crashes: 0, breaks: 1, ..CRASH };
 
 impl Model for Distribution {
@@ -60,9 +61,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("only durable changes", |_, state: &State| {
-                !state.fingerprint.checks.not_durable
-            }),
+            Property::always("only durable", |_, state: &State| !state.fingerprint.checks.not_durable),
             Property::always("never torn", |_, state: &State| !state.fingerprint.checks.torn),
             Property::always("never regresses", |_, state: &State| !state.fingerprint.checks.regressed),
             Property::always("equal when quiet", |_, state: &State| {
@@ -120,7 +119,7 @@
 #[test]
 fn a_change_told_before_it_is_durable_is_found() {
     let checker = explore("crash", CRASH, Fault::ReportedBeforeDurable);
-    let counterexample = checker.discovery("only durable changes");
+    let counterexample = checker.discovery("only durable");
     println!(
         "{:?}",
         counterexample
--- a/crates/config-sync/tests/model_support/fault.rs
+++ b/crates/config-sync/tests/model_support/fault.rs
@@ -18,7 +18,7 @@
 impl World {
     pub(super) fn altered_to_server(&self, client: usize, message: ToServer) -> ToServer {
         match message {
-            ToServer::Watch { member, .. } if self.alters_snapshots(client) => {
+            ToServer::Watch { member, .. } if self.alters(client) => {
                 ToServer::Watch { member, position: Position::default(), digest: Digest::default() }
             }
             message => message,
@@ -28,12 +28,8 @@
     pub(super) fn altered_to_client(&self, client: usize, message: ToClient) -> ToClient {
         let own = self.clients[client].follower().position();
         match message {
-            ToClient::Resync { head } if self.alters_snapshots(client) => {
-                ToClient::Resync { head: head.max(own) }
-            }
-            ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }
-                if self.alters_snapshots(client) =>
-            {
+            ToClient::Resync { head } if self.alters(client) => ToClient::Resync { head: head.max(own) },
+            ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms } if self.alters(client) => {
                 let position = position.max(own);
                 ToClient::SnapshotEnd { position, digest, pieces, published_unix_ms }
             }
@@ -41,7 +37,7 @@
         }
     }
 
-    fn alters_snapshots(&self, client: usize) -> bool {
+    fn alters(&self, client: usize) -> bool {
         self.fault == Fault::SnapshotOverNewerDelta && client != RELAY
     }
 }
--- a/crates/config-sync/tests/regions_support/network.rs
+++ b/crates/config-sync/tests/regions_support/network.rs
@@ -1,6 +1,6 @@
 //! Connections in virtual time. Messages arrive in order, with the latency of the route, jitter, and a
-//! bounded rate per connection and per process. A cut loses all messages sent afterwards without notice to
-//! either end.
+//! bounded rate per connection and per process. A cut loses all messages in transit and all later ones,
+//! without notice to either end.
 
 use super::faults::FaultKind;
 use super::topology::{Micros, Node, one_way};
