--- a/crates/config-sync/tests/fanout_schedules.rs
+++ b/crates/config-sync/tests/fanout_schedules.rs
@@ -149,9 +149,7 @@
         let Some(&session) = self.sessions.get(&client) else { return };
         let session = SessionId(session);
         for _ in 0..count {
-            let Some(message) = self.pending.get_mut(&session).and_then(VecDeque::pop_front) else {
-                return;
-            };
+            let Some(message) = self.pending.get_mut(&session).and_then(VecDeque::pop_front) else { return };
             self.event(FanoutEvent::Received(session, message));
         }
     }
--- a/crates/config-sync/tests/server_costs.rs
+++ b/crates/config-sync/tests/server_costs.rs
@@ -1,5 +1,5 @@
-//! Prints the costs of the server side at the target size, without checking them. Run it with `cargo test
-//! --release -p dunlinspread-config-sync --test server_costs -- --ignored --nocapture`.
+//! Prints the costs of the server side at the target size, without checking them. Run it with
+//! `cargo test --release -p dunlinspread-config-sync --test server_costs -- --ignored --nocapture`.
 
 mod server_support;
 
