--- a/tests/daily.rs
+++ b/tests/daily.rs
@@ -54,7 +54,7 @@
     let records = clients.finish();
     let verdict = judge(&records, &site.started_runs());
     println!("mixed load, seed {seed}: {verdict}");
-    print_attempts(&records, &[Outcome::Lost, Outcome::Unanswered, Outcome::TurnedAway]);
+    print_attempts(&records, &[Outcome::Lost, Outcome::Unanswered, Outcome::NotAccepted]);
     assert!(verdict.rejected > 100 && verdict.failed > 10, "seed {seed}: too little to compare: {verdict}");
     assert_eq!(verdict.broken_rules(), 0, "seed {seed}: a rule is broken: {verdict}");
     assert_eq!(verdict.without_response(), 0, "seed {seed}: requests without a response: {verdict}");
@@ -135,7 +135,7 @@
     let records = clients.finish();
     let verdict = judge(&records, &site.started_runs());
     println!("evacuation, seed {seed}: {verdict}");
-    print_attempts(&records, &[Outcome::TurnedAway, Outcome::Lost]);
+    print_attempts(&records, &[Outcome::NotAccepted, Outcome::Lost]);
     let first_bad = records.health.iter().find(|(_, answer)| *answer != HealthAnswer::Good);
     let first_good =
         records.health.iter().find(|(at, answer)| *at >= rejoined_ms && *answer == HealthAnswer::Good);
@@ -152,7 +152,7 @@
     assert!(rejoined.iter().all(|answer| *answer == HealthAnswer::Good), "seed {seed}: {rejoined:?}");
     assert_reports(seed, &site, evacuated_ms, rejoined_ms);
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
-    assert_eq!(verdict.failed + verdict.turned_away, 0, "seed {seed}: {verdict}");
+    assert_eq!(verdict.failed + verdict.not_accepted, 0, "seed {seed}: {verdict}");
     let evacuated = served_share(&records, evacuated_ms, rejoined_ms);
     let others = served_share(&records, 0, evacuated_ms).min(served_share(&records, rejoined_ms, u64::MAX));
     println!("served while evacuated {evacuated:.3}, before or after {others:.3} at least");
@@ -215,7 +215,7 @@
     println!("less room, seed {seed}: {verdict}");
     assert!(process.exit_status().is_none(), "seed {seed}: the process ended");
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
-    assert_eq!(verdict.turned_away, 0, "seed {seed}: {verdict}");
+    assert_eq!(verdict.not_accepted, 0, "seed {seed}: {verdict}");
     wait_for(seed, "nothing in flight", || in_flight(&telemetry(&process)) == 0);
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,7 +1,9 @@
-//! Upgrades of a server under load: two real processes, one after the other, with the same client address and temporary
-//! folder. A request may end at the door of an upgrade at most twice; none is lost, and no key runs twice.
+//! Upgrades of a server under load: two real processes, one after the other, with the same client address
+//! and temporary folder. During an upgrade, the server may leave at most two attempts unaccepted; none is
+//! lost, and no key runs twice.
 //!
-//! `UPGRADE_SEED`, `UPGRADES` and `UPGRADE_RATE` set the seed, the number of upgrades of the chain, and the requests a second:
+//! `UPGRADE_SEED`, `UPGRADES` and `UPGRADE_RATE` set the seed, the number of consecutive upgrades, and the
+//! requests a second:
 //! `UPGRADE_SEED=7 UPGRADES=100 cargo test --test upgrade upgrades_lose_nothing -- --nocapture`.
 
 mod upgrade_support;
@@ -20,22 +22,22 @@
 use upgrade_support::upgrade::{finish_predecessor, summarize, upgrade};
 use upgrade_support::{from_environment, run_for, wait_for};
 
-/// The seed where the environment sets none.
+/// The seed if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// Requests a second where the environment sets none.
+/// Requests a second if the environment sets none.
 const DEFAULT_RATE: u64 = 120;
-/// Upgrades of the chain where the environment sets none.
+/// Number of consecutive upgrades if the environment sets none.
 const DEFAULT_UPGRADES: u64 = 4;
-/// Attempts that may end at the door of one upgrade.
-const MAX_TURNED_AWAY: usize = 2;
-/// Load before the first and after the last process is touched.
+/// Maximum number of attempts that the server may not accept during one upgrade.
+const MAX_NOT_ACCEPTED: usize = 2;
+/// Duration of the load before the first step of a test and after the last.
 const LOAD_TIME: Duration = Duration::from_millis(400);
-/// The longest time between a new process's readiness and the shutdown request to the old one, ms.
+/// Maximum time between a new process's readiness and the shutdown request to the old one, ms.
 const MAX_PAUSE_MS: u64 = 1000;
 
-/// Ends of attempts that are printed one by one.
+/// Outcomes whose attempts are printed one by one.
 const ENDS_OF_INTEREST: [Outcome; 4] =
-    [Outcome::Failed, Outcome::Unanswered, Outcome::TurnedAway, Outcome::Lost];
+    [Outcome::Failed, Outcome::Unanswered, Outcome::NotAccepted, Outcome::Lost];
 
 fn seed() -> u64 {
     from_environment("UPGRADE_SEED", DEFAULT_SEED)
@@ -46,7 +48,7 @@
     LoadSettings { seed, rate, shared_connections: 8, withdrawals: true }
 }
 
-/// Ends the load, prints what became of it and returns the verdict.
+/// Ends the load, prints its verdict, and returns the verdict and the records.
 fn finish(test: &str, seed: u64, clients: Clients, site: &Site) -> (Verdict, Records) {
     let records = clients.finish();
     let verdict = judge(&records, &site.started_runs());
@@ -55,8 +57,8 @@
     (verdict, records)
 }
 
-/// Draws the time between a new process's readiness and the shutdown request to the old one: often next to none, when most
-/// is still under way.
+/// Draws the time between a new process's readiness and the shutdown request to the old one. It is often
+/// very short, so that many requests are still in progress.
 fn draw_pause(rng: &mut ChaCha8Rng) -> Duration {
     const SHORT_PART: f64 = 0.4;
     const MAX_SHORT_PAUSE_MS: u64 = 30;
@@ -68,15 +70,15 @@
     Duration::from_millis(rng.random_range(0..=max_ms))
 }
 
-/// Asserts what an upgrade may never cost, and returns the verdict for what a test allows beside.
+/// Asserts that no request was lost and no rule broken, whatever else a test allows.
 fn assert_nothing_lost(seed: u64, verdict: &Verdict) {
     assert!(verdict.served > 0, "seed {seed}: nothing was served: {verdict}");
     assert_eq!(verdict.without_response(), 0, "seed {seed}: requests without a response: {verdict}");
     assert_eq!(verdict.broken_rules(), 0, "seed {seed}: a rule is broken: {verdict}");
-    assert_eq!(verdict.turned_away_but_run, 0, "seed {seed}: run, and not let in: {verdict}");
+    assert_eq!(verdict.not_accepted_but_run, 0, "seed {seed}: run, although not accepted: {verdict}");
 }
 
-/// Each process takes over from the one before, under a steady load.
+/// Each process takes over from its predecessor under a steady load.
 #[test]
 fn upgrades_lose_nothing() {
     let (seed, upgrades) = (seed(), from_environment("UPGRADES", DEFAULT_UPGRADES));
@@ -97,21 +99,22 @@
     println!("seed {seed}: {}", summarize(&reports));
     assert_nothing_lost(seed, &verdict);
     for (number, report) in reports.iter().enumerate() {
-        assert!(report.turned_away <= MAX_TURNED_AWAY, "seed {seed}: upgrade {number}: {report:?}");
+        assert!(report.not_accepted <= MAX_NOT_ACCEPTED, "seed {seed}: upgrade {number}: {report:?}");
     }
     assert_eq!(verdict.health_bad, 0, "seed {seed}: a bad health check: {verdict}");
     assert!(site.registry().reports().iter().all(|report| report.passing), "seed {seed}: reported critical");
 }
 
-/// How a new process is disturbed before it is ready.
+/// The way in which a new process is disturbed before it is ready.
 #[derive(Clone, Copy, Debug)]
 enum Disturbance {
     Kill,
-    /// Stopped for a while, then killed.
+    /// The process is stopped for a while, then killed.
     StopAndKill,
 }
 
-/// A new process that is killed, or stopped and killed, before it is ready costs nothing, and a later one takes over.
+/// A new process that is killed, or stopped and killed, before it is ready causes no loss, and a later one
+/// takes over.
 #[test]
 fn a_new_process_that_is_killed_leaves_the_old_as_it_was() {
     const ROUNDS: usize = 10;
@@ -128,9 +131,9 @@
         let moment = draw_ms(&mut rng, MAX_MOMENT_MS);
         let mut new = site.start_process();
         run_for(moment);
-        // It stands still from here on: whether the old one has handed over can't change by it any more.
+        // The new process is stopped from here on, so it can't change whether the old one has handed over.
         new.signal("STOP");
-        wait_for(seed, "the new process stands still", || new.is_stopped());
+        wait_for(seed, "the new process is stopped", || new.is_stopped());
         let has_taken_over = !serving.is_ready();
         println!("round {round}: {disturbance:?} after {moment:?}, has taken over: {has_taken_over}");
         if has_taken_over {
@@ -151,7 +154,7 @@
     let (mut successor, report) = upgrade(&mut site, &mut serving, &clients, LOAD_TIME);
     wait_until_served(seed, &clients);
     let (verdict, _) = finish("killed new processes", seed, clients, &site);
-    println!("seed {seed}: at last {}", summarize(&[report]));
+    println!("seed {seed}: last upgrade: {}", summarize(&[report]));
     assert!(successor.exit_status().is_none(), "seed {seed}: the last process ended");
     assert_nothing_lost(seed, &verdict);
 }
@@ -163,7 +166,7 @@
     wait_for(seed, "further responses", || clients.count(Outcome::Served) >= before + FURTHER);
 }
 
-/// An old process that stands still for 300 ms at any moment of the handover, as on a machine that is short of cores.
+/// Stops the old process for 300 ms at a random time of the handover, as on a machine that is short of cores.
 #[test]
 fn an_old_process_that_is_stopped_for_a_while_loses_nothing() {
     const ROUNDS: usize = 8;
@@ -196,7 +199,7 @@
     assert_nothing_lost(seed, &verdict);
 }
 
-/// Waits until a new process is ready; one that found its address taken is started again.
+/// Waits until a new process is ready; starts another one if its address is in use.
 fn wait_ready_or_start_again(seed: u64, site: &mut Site, mut new: ServerProcess) -> ServerProcess {
     match new.wait_ready() {
         Ok(_) => new,
@@ -205,7 +208,8 @@
     }
 }
 
-/// The old process is killed as soon as the new one is ready. What it owed at that time is lost by the kill, and only that.
+/// The old process is killed as soon as the new one is ready. The kill loses the requests that were open in
+/// the old process at that time, and no others.
 #[test]
 fn an_old_process_that_is_killed_loses_what_it_owed_and_no_more() {
     const ROUNDS: usize = 4;
@@ -228,15 +232,15 @@
     assert_eq!(verdict.unanswered, 0, "seed {seed}: requests without a response: {verdict}");
     let lost = records.attempts.iter().filter(|attempt| attempt.outcome == Outcome::Lost);
     for attempt in lost {
-        let owed_at_a_kill = |kill_ms: &u64| {
+        let was_open_at = |kill_ms: &u64| {
             attempt.written_ms.is_some_and(|written_ms| written_ms <= *kill_ms)
                 && attempt.ended_ms >= *kill_ms
         };
-        assert!(kills_ms.iter().any(owed_at_a_kill), "seed {seed}: lost beside the kills: {attempt:?}");
+        assert!(kills_ms.iter().any(was_open_at), "seed {seed}: lost without a kill: {attempt:?}");
     }
 }
 
-/// Of two new processes at once one takes over; the other ends with a code, or waits.
+/// If two new processes start at once, one takes over; the other ends with an exit code, or waits.
 #[test]
 fn two_new_processes_at_once() {
     let seed = seed();
@@ -254,13 +258,17 @@
     println!("seed {seed}: ended {ended:?}, ready {ready:?}");
     let (verdict, _) = finish("two new processes", seed, clients, &site);
     assert!(ended.iter().flatten().count() <= 1, "seed {seed}: both ended: {ended:?}");
-    assert!(ended.iter().flatten().all(|status| !status.success()), "seed {seed}: ended well: {ended:?}");
+    assert!(
+        ended.iter().flatten().all(|status| !status.success()),
+        "seed {seed}: ended with success: {ended:?}"
+    );
     assert!(ready.contains(&true), "seed {seed}: none is ready");
     assert_nothing_lost(seed, &verdict);
 }
 
-/// Guards against a listening socket that the process keeps open for a successor after it has stopped accepting: clients go
-/// on until the kill, and what they write on connections that nobody accepts is lost.
+/// Guards against a listening socket that the process keeps open for a successor after it has stopped
+/// accepting: clients send until the kill, and their requests on connections that are never accepted are
+/// lost.
 #[test]
 fn a_process_that_shuts_down_loses_nothing_of_clients_that_go_on() {
     let seed = seed();
@@ -269,10 +277,10 @@
     let clients = Clients::start(site.listen, site.request_ends(), load(seed));
     wait_until_served(seed, &clients);
     process.signal("TERM");
-    // A process with open connections does not end before its time is up.
-    let mut resting = Vec::new();
-    wait_for(seed, "its end", || {
-        resting.extend(TcpStream::connect(site.listen));
+    // A process with open connections does not end before its shutdown time is over.
+    let mut idle = Vec::new();
+    wait_for(seed, "the end of the process", || {
+        idle.extend(TcpStream::connect(site.listen));
         process.exit_status().is_some()
     });
     run_for(LOAD_TIME);
@@ -282,7 +290,8 @@
     assert_eq!(verdict.broken_rules(), 0, "seed {seed}: a rule is broken: {verdict}");
 }
 
-/// Without a control address nothing is created in the temporary folder, and the process serves and ends as ever.
+/// Without a control address, nothing is created in the temporary folder, and the process serves and ends as
+/// with one.
 #[test]
 fn no_control_address_no_socket() {
     let seed = seed();
@@ -296,7 +305,7 @@
     assert_eq!(verdict.broken_rules(), 0, "seed {seed}: a rule is broken: {verdict}");
     assert_eq!(verdict.without_response(), 0, "seed {seed}: requests without a response: {verdict}");
     process.signal("TERM");
-    wait_for(seed, "its end", || process.exit_status().is_some());
+    wait_for(seed, "the end of the process", || process.exit_status().is_some());
     assert!(process.exit_status().is_some_and(|status| status.success()), "seed {seed}");
     assert_eq!(site.temporary_files(), Vec::<PathBuf>::new(), "seed {seed}");
 }
--- a/tests/upgrade_calls.rs
+++ b/tests/upgrade_calls.rs
@@ -1,5 +1,5 @@
-//! The operators' calls beside an upgrade: the figures of both processes, and an evacuation that outlives the process that
-//! it was asked of.
+//! Calls of operators around an upgrade: the telemetry of both processes, and an evacuation that persists
+//! after the process that received its request has ended.
 //!
 //! `UPGRADE_SEED` sets the seed.
 
@@ -15,9 +15,9 @@
 use upgrade_support::upgrade::finish_predecessor;
 use upgrade_support::{from_environment, run_for, wait_for};
 
-/// The seed where the environment sets none.
+/// The seed if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// Load before and after an upgrade.
+/// Duration of the load before and after an upgrade.
 const LOAD_TIME: Duration = Duration::from_millis(600);
 
 fn seed() -> u64 {
@@ -28,7 +28,7 @@
     LoadSettings { seed, rate: 120.0, shared_connections: 8, withdrawals: false }
 }
 
-/// Each request stands under one count of one of the processes, whichever read it.
+/// Each request appears in exactly one count of one of the processes, whichever read it.
 #[test]
 fn figures_of_both_processes_add_up() {
     let seed = seed();
@@ -53,7 +53,7 @@
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
 }
 
-/// While both processes live, their requests in flight are together those that clients wait for.
+/// While both processes run, the sum of their requests in flight is the number that clients wait for.
 #[test]
 fn requests_in_flight_of_both_processes_add_up() {
     const AGREEING_SAMPLES: u32 = 5;
@@ -63,7 +63,8 @@
     let old = site.start_first();
     let clients = Clients::start(site.listen, site.request_ends(), load(seed));
     run_for(LOAD_TIME);
-    // The old process's runs are held from before the upgrade on, and the new one's from its readiness on.
+    // Runs of the old process are stalled from before the upgrade, and those of the new one from its
+    // readiness.
     site.last_pool().stall(Duration::from_secs(3));
     run_for(Duration::from_millis(50));
     let (new, _) = site.start_successor();
@@ -83,7 +84,7 @@
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
 }
 
-/// A server that is evacuated stays so over an upgrade, until the new process is told to come back.
+/// An evacuated server stays evacuated across an upgrade, until the new process is requested to rejoin.
 #[test]
 fn evacuation_outlives_an_upgrade() {
     const GOOD_WITHIN_MS: u64 = 2000;
@@ -116,5 +117,5 @@
     assert!(!evacuated.contains(&HealthAnswer::Good), "seed {seed}: good while evacuated: {evacuated:?}");
     assert!(rejoined.iter().all(|answer| *answer == HealthAnswer::Good), "seed {seed}: {rejoined:?}");
     assert_eq!(verdict.broken_rules() + verdict.without_response(), 0, "seed {seed}: {verdict}");
-    assert!(verdict.turned_away <= 2, "seed {seed}: {verdict}");
+    assert!(verdict.not_accepted <= 2, "seed {seed}: {verdict}");
 }
--- a/tests/upgrade_check.rs
+++ b/tests/upgrade_check.rs
@@ -1,4 +1,5 @@
-//! The upgrade tests' own check: each fault that it is to find, made on purpose, and scripted servers for the clients.
+//! Tests of the check that the upgrade tests use: each fault that it has to detect is made on purpose, and
+//! clients run against scripted servers.
 
 mod upgrade_support;
 
@@ -16,9 +17,9 @@
 
 const SEED: u64 = 1;
 const WINDOW_MS: f64 = 1000.0;
-/// A connection that ends this soon after a request was written was not read.
+/// A request that was written less than this time before its connection ended counts as not read.
 const CROSSING: Duration = Duration::from_millis(50);
-/// A server's notification that it shuts down.
+/// The notification with which a server announces its shutdown.
 const SHUTDOWN_NOTIFICATION: &[u8] = b"\x93\x02\xa4stop\x90";
 
 fn attempt(call: u64, key: Option<&str>, written_ms: u64, outcome: Outcome) -> AttemptRecord {
@@ -61,7 +62,7 @@
         attempt(1, Some("k"), 1000, Outcome::Served),
         attempt(2, Some("k"), 1500, Outcome::Served),
         attempt(3, None, 1500, Outcome::Rejected),
-        // After the window a key may run again.
+        // A key may run again after its window.
         attempt(4, Some("k"), 2001, Outcome::Served),
     ];
     let verdict = verdict(attempts, &[good_run(1), good_run(4)]);
@@ -77,9 +78,9 @@
     assert_eq!(verdict(vec![served(1)], &[good_run(1), run(1, "pour-entry", b"other")]).changed, 1);
     assert_eq!(verdict(vec![served(1)], &[run(1, "rate-check", b"body")]).changed, 1);
     assert_eq!(verdict(vec![served(1)], &[]).served_without_run, 1);
-    let sent_again = vec![attempt(1, None, 1000, Outcome::TurnedAway), served(1)];
+    let sent_again = vec![attempt(1, None, 1000, Outcome::NotAccepted), served(1)];
     let twice = verdict(sent_again, &[good_run(1), good_run(1)]);
-    assert_eq!((twice.run_twice, twice.turned_away_but_run), (0, 2));
+    assert_eq!((twice.run_twice, twice.not_accepted_but_run), (0, 2));
     let rejected = attempt(1, None, 1000, Outcome::Rejected);
     let run_after = StartedRun { started_ms: 1000, ..good_run(1) };
     assert_eq!(verdict(vec![rejected], &[run_after]).rejected_but_run, 1);
@@ -94,7 +95,8 @@
     assert_eq!(verdict(tries(2001), &[good_run(1), good_run(2)]).key_run_twice, 0);
 }
 
-/// Runs clients against a server that does this with each connection, until some attempts have ended; returns the records.
+/// Runs clients against a server that calls `serve` with each connection, until some attempts have ended;
+/// returns the records.
 fn clients_against(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> Records {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -127,47 +129,51 @@
 #[test]
 fn a_connection_that_ends_at_once_and_a_refused_one_turn_requests_away() {
     let records = clients_against(drop);
-    assert!(records.count(Outcome::TurnedAway) > 0);
+    assert!(records.count(Outcome::NotAccepted) > 0);
     let nobody = ReservedAddress::new().expect("a free port");
     let records = records_of(nobody.address());
-    assert_eq!(records.count(Outcome::TurnedAway), records.attempts.len());
+    assert_eq!(records.count(Outcome::NotAccepted), records.attempts.len());
 }
 
-/// Guards against taking the lag of a client for the server's: an end counts from when it came, also behind a message that the
-/// client has not read.
+/// Guards against attributing the lag of a client to the server: the end of a connection counts from its
+/// arrival, also if the client has not read a message before it.
 #[test]
 fn an_end_counts_from_when_it_came() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let connection = async_io::block_on(Connection::open(address)).expect("it listens");
+    let connection = async_io::block_on(Connection::open(address)).expect("the server listens");
     let (mut server, _) = listener.accept().expect("a connection");
     server.write_all(SHUTDOWN_NOTIFICATION).expect("the connection is open");
     let (_, responded) = connection.open_request();
     server.shutdown(Shutdown::Write).expect("the connection is open");
     let ended_ms = unix_ms();
-    // The client is late by as much.
+    // The client reads the end this much later.
     std::thread::sleep(CROSSING * 20);
     async_io::block_on(connection.serve());
-    assert!(responded.is_closed(), "no response comes");
-    let came_ms = connection.ended_ms().expect("it has ended");
+    assert!(responded.is_closed(), "no response arrives");
+    let arrived_ms = connection.ended_ms().expect("the connection has ended");
     assert!(
-        (ended_ms..unix_ms() - CROSSING.as_millis() as u64 * 10).contains(&came_ms),
-        "{came_ms}, not {ended_ms}"
+        (ended_ms..unix_ms() - CROSSING.as_millis() as u64 * 10).contains(&arrived_ms),
+        "{arrived_ms}, not {ended_ms}"
     );
 }
 
-/// An end that comes long after a request counts from then, however promptly it is seen.
+/// An end that arrives long after a request counts from its arrival, however promptly the client reads it.
 #[test]
 fn an_end_does_not_count_before_it_came() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
-    let connection = async_io::block_on(Connection::open(address)).expect("it listens");
+    let connection = async_io::block_on(Connection::open(address)).expect("the server listens");
     let (server, _) = listener.accept().expect("a connection");
     std::thread::sleep(CROSSING * 4);
     let ended_ms = unix_ms();
     drop(server);
     async_io::block_on(connection.serve());
-    assert!(connection.ended_ms().is_some_and(|came_ms| came_ms >= ended_ms), "{:?}", connection.ended_ms());
+    assert!(
+        connection.ended_ms().is_some_and(|arrived_ms| arrived_ms >= ended_ms),
+        "{:?}",
+        connection.ended_ms()
+    );
 }
 
 #[test]
--- a/tests/upgrade_overload.rs
+++ b/tests/upgrade_overload.rs
@@ -1,5 +1,6 @@
-//! An upgrade of a server that has more to decide than it can: what processes tell each other does not wait behind the
-//! requests of clients. Each decision costs the server a set time, so that no test depends on other load of the machine.
+//! An upgrade of a server that receives more requests than it can decide: messages between the processes do
+//! not wait behind the requests of clients. Each decision takes the server a fixed time, so that the test
+//! does not depend on other load of the machine.
 //!
 //! `UPGRADE_SEED` sets the seed.
 
@@ -13,14 +14,16 @@
 use upgrade_support::site::Site;
 use upgrade_support::{from_environment, run_for};
 
-/// The seed where the environment sets none.
+/// The seed if the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// The variable that makes the server slow at named points, and what each costs.
+/// The variable that makes the server slow at named points.
 const SLOW_AT: &str = "DUNLINSPREAD_SLOW_AT";
+/// The named points and the time that each takes.
 const COSTS: &str = "message:500us,decision:2000us";
-/// Requests a second: more than the server has the time to decide.
+/// Requests a second, more than the server has time to decide.
 const RATE: f64 = 400.0;
-/// Load before the upgrade: by then more requests wait than can be decided in a step's time limit.
+/// Duration of the load before the upgrade, after which more requests are queued than the server can decide
+/// within the time limit of a handover step.
 const LOAD_TIME: Duration = Duration::from_millis(1800);
 
 #[test]
@@ -35,7 +38,7 @@
     run_for(LOAD_TIME);
     let since = Instant::now();
     let (_new, took) = site.start_successor();
-    println!("seed {seed}: the successor serves after {took:?}, asked {:?} ago", since.elapsed());
+    println!("seed {seed}: the successor serves after {took:?}, started {:?} ago", since.elapsed());
     let records = clients.finish();
     let verdict = judge(&records, &site.started_runs());
     println!("seed {seed}: {verdict}");
--- a/tests/upgrade_support/attempts.rs
+++ b/tests/upgrade_support/attempts.rs
@@ -1,7 +1,7 @@
-//! The attempts of requests: choosing a connection, sending, waiting, withdrawing and recording.
+//! Attempts of requests: choosing a connection, sending, waiting, withdrawing and recording.
 
 use crate::upgrade_support::connection::{Connection, Outgoing};
-use crate::upgrade_support::load::{PlannedAttempt, PlannedRequest, Way};
+use crate::upgrade_support::load::{ConnectionKind, PlannedAttempt, PlannedRequest};
 use crate::upgrade_support::messages::{RequestFields, Response, encode_request, encode_withdrawal};
 use crate::upgrade_support::open_connections::OpenConnections;
 use crate::upgrade_support::records::{AttemptRecord, ClientEnd, Outcome, Records};
@@ -17,11 +17,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A request that a connection's end meets this soon after its writing was not read, and is sent again once.
+/// A request counts as not read, and is sent again once, if its connection ends within this time after it
+/// was written.
 const CLOSE_CROSSING_MS: u64 = 50;
-/// Requests that are sent on a shared connection before it is replaced.
+/// Maximum number of requests on a shared connection before it is replaced.
 const MAX_REQUESTS_PER_CONNECTION: u64 = 40;
-/// What the machine's workers put before a body to make its result.
+/// The prefix that the workers of the machine add to a body to form its result.
 const RESULT_PREFIX: &[u8] = b"done:";
 
 /// How the wait for a response ended.
@@ -33,13 +34,13 @@
     Withdrawn,
 }
 
-/// A shared connection and how many requests it still takes.
+/// A shared connection and the number of requests until it is replaced.
 struct SharedConnection {
     connection: Rc<Connection>,
     requests_left: u64,
 }
 
-/// Sends attempts to the server and records what becomes of them.
+/// Sends attempts to the server and records their outcomes.
 pub struct AttemptSender {
     address: SocketAddr,
     shared_connections: usize,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Opens a connection and serves it in the background; `None` if the server does not let it in, or there are too many.
+    /// Opens a connection and serves it in the background; returns `None` if the connection fails or too
+    /// many are open.
     pub async fn connect(&self) -> Option<Rc<Connection>> {
         let counted = self.open_connections.begin()?;
         let connection = Connection::open(self.address).await.ok()?;
@@ -89,16 +91,16 @@
         Some(connection)
     }
 
-    /// Makes an attempt: once, and once more if the server did not let it in.
+    /// Sends an attempt, and sends it once more if the server did not accept it.
     pub async fn attempt(&self, request: &Arc<PlannedRequest>, attempt: &PlannedAttempt) {
         for _ in 0..2 {
             let received_ms = unix_ms();
-            let connection = self.choose_connection(&attempt.way).await;
+            let connection = self.choose_connection(&attempt.connection_kind).await;
             let written_ms = Rc::new(Cell::new(None));
             self.count_open(1);
             let (outcome, error) = match &connection {
                 Some(connection) => send_on(connection, request, attempt, received_ms, &written_ms).await,
-                None => (Outcome::TurnedAway, None),
+                None => (Outcome::NotAccepted, None),
             };
             self.count_open(-1);
             let record = AttemptRecord {
@@ -116,7 +118,7 @@
             if let Some(connection) = connection.filter(|connection| !self.is_shared(connection)) {
                 connection.retire();
             }
-            if outcome != Outcome::TurnedAway {
+            if outcome != Outcome::NotAccepted {
                 break;
             }
         }
@@ -128,13 +130,13 @@
         records.open = records.open.saturating_add_signed(change);
     }
 
-    async fn choose_connection(&self, way: &Way) -> Option<Rc<Connection>> {
-        match way {
-            // Without room for another, requests share what is there.
+    async fn choose_connection(&self, connection_kind: &ConnectionKind) -> Option<Rc<Connection>> {
+        match connection_kind {
+            // At the limit of open connections, requests share the existing ones.
             _ if self.open_connections.is_full() => self.choose_shared().await,
-            Way::Shared => self.choose_shared().await,
-            Way::Fresh | Way::Pieces { .. } => self.connect().await,
-            Way::AfterIdle(time) => {
+            ConnectionKind::Shared => self.choose_shared().await,
+            ConnectionKind::Fresh | ConnectionKind::Pieces { .. } => self.connect().await,
+            ConnectionKind::AfterIdle(time) => {
                 let connection = self.connect().await?;
                 Timer::after(*time).await;
                 if connection.takes_requests() { Some(connection) } else { self.connect().await }
@@ -142,14 +144,14 @@
         }
     }
 
-    /// Returns the shared connection whose turn it is, or a new one while there are too few.
+    /// Returns the next shared connection in turn, or a new one while there are too few.
     async fn choose_shared(&self) -> Option<Rc<Connection>> {
         self.drop_unusable();
         self.sent.set(self.sent.get() + 1);
         let has_all = self.shared.borrow().len() >= self.shared_connections;
         if !has_all && !self.open_connections.is_full() {
             let connection = self.connect().await?;
-            // Spread, so that the connections are not replaced all at once.
+            // The numbers differ, so that the connections are not all replaced at once.
             let requests_left = 1 + self.sent.get() * 7 % MAX_REQUESTS_PER_CONNECTION;
             let added = SharedConnection { connection: connection.clone(), requests_left };
             self.shared.borrow_mut().push(added);
@@ -176,7 +178,7 @@
     }
 }
 
-/// Sends an attempt on a connection and waits for its end.
+/// Sends an attempt on a connection, waits for its end, and returns its outcome and the name of its error.
 async fn send_on(
     connection: &Connection,
     request: &PlannedRequest,
@@ -194,8 +196,8 @@
     };
     let (id, responded) = connection.open_request();
     let bytes = encode_request(id, request.class, &fields, &request.body);
-    let (pieces, pause) = match attempt.way {
-        Way::Pieces { pieces, pause } => (split(&bytes, pieces), pause),
+    let (pieces, pause) = match attempt.connection_kind {
+        ConnectionKind::Pieces { pieces, pause } => (split(&bytes, pieces), pause),
         _ => (vec![bytes], Duration::ZERO),
     };
     connection.send(Outgoing { pieces, pause, written_ms: written_ms.clone() });
@@ -217,7 +219,7 @@
     (outcome_of(connection, id, request, end, written_ms.get()), error)
 }
 
-/// Waits for so long from when the request was written, which a client under load does late.
+/// Waits until `timeout_ms` after the request was written; a client under load may write it late.
 async fn wait_from_writing(written_ms: &Cell<Option<u64>>, timeout_ms: u64) {
     let began_ms = unix_ms();
     loop {
@@ -229,7 +231,7 @@
     }
 }
 
-/// Returns the client's end of the connection of an attempt, for one without a response.
+/// Returns the state of the connection at the client if the attempt has no response.
 fn client_end(connection: &Connection, outcome: Outcome) -> Option<ClientEnd> {
     matches!(outcome, Outcome::Unanswered | Outcome::Lost).then(|| connection.client_end())
 }
@@ -252,7 +254,7 @@
             let ended_ms = connection.ended_ms().unwrap_or_else(unix_ms);
             match written_ms {
                 Some(written_ms) if ended_ms >= written_ms + CLOSE_CROSSING_MS => Outcome::Lost,
-                _ => Outcome::TurnedAway,
+                _ => Outcome::NotAccepted,
             }
         }
         WaitEnd::TimedOut | WaitEnd::Withdrawn => {
@@ -263,7 +265,7 @@
     }
 }
 
-/// Splits bytes into so many pieces of about the same length.
+/// Splits bytes into this number of pieces of about the same length.
 fn split(bytes: &[u8], pieces: usize) -> Vec<Vec<u8>> {
     bytes.chunks(bytes.len().div_ceil(pieces)).map(<[u8]>::to_vec).collect()
 }
--- a/tests/upgrade_support/check.rs
+++ b/tests/upgrade_support/check.rs
@@ -1,51 +1,56 @@
-//! The check of what became of each request, from the clients' records and the machine's runs.
+//! The check of the outcome of each request, from the clients' records and the runs of the machine's worker
+//! pools.
 
 use crate::upgrade_support::records::{AttemptRecord, HealthAnswer, Outcome, Records};
 use dunlinspread_fakes::StartedRun;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// What was found.
+/// The result of a check: counts of outcomes and of broken rules.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Attempts by their ends.
+    /// Attempts that completed with the result of their run.
     pub served: usize,
+    /// Attempts that were answered as never run.
     pub rejected: usize,
+    /// Attempts that were answered with another error.
     pub failed: usize,
+    /// Attempts that their clients withdrew.
     pub withdrawn: usize,
-    /// Attempts that ended at the door.
-    pub turned_away: usize,
+    /// Attempts that the server did not accept.
+    pub not_accepted: usize,
     /// Attempts whose connection ended without a response.
     pub lost: usize,
-    /// Attempts without a response for as long as a client waits.
+    /// Attempts without a response within the client timeout.
     pub unanswered: usize,
-    /// Completed with what no run made of the body.
+    /// Attempts that completed with another result than that of a run of their body.
     pub wrong_results: usize,
-    /// Second responses.
+    /// Number of second responses to a request.
     pub duplicate_responses: u64,
-    /// Runs in all.
+    /// Total number of runs.
     pub runs: usize,
-    /// Runs with the id of a run before that are no answer to another writing of the attempt.
+    /// Runs with the id of an earlier run, beyond one run for each time that the attempt was sent.
     pub run_twice: usize,
-    /// Runs of a key within its window after another run of it.
+    /// Runs of a key within its window after another run of the same key.
     pub key_run_twice: usize,
-    /// Runs with an id that no client wrote.
+    /// Runs with an id that no client sent.
     pub unknown_runs: usize,
     /// Runs with another class or body than their attempt's.
     pub changed: usize,
-    /// Runs of attempts whose clients were told that they never ran.
+    /// Runs of attempts that were answered as never run.
     pub rejected_but_run: usize,
-    /// Attempts that ended at the door and had been run; to be sent again, they may run again.
-    pub turned_away_but_run: usize,
-    /// Completed requests that no run was begun for.
+    /// Runs of attempts that the server did not accept. Such an attempt is sent again, so it may run again.
+    pub not_accepted_but_run: usize,
+    /// Completed requests for which no run was started.
     pub served_without_run: usize,
-    /// Bad and missing answers to health checks.
+    /// Health checks that reported bad health.
     pub health_bad: usize,
+    /// Health checks without an answer.
     pub health_missing: usize,
 }
 
 impl Verdict {
-    /// Returns the sum of everything that may never happen, whoever is stopped or killed.
+    /// Returns the number of violations of rules that hold even if a process is stopped or killed.
     pub fn broken_rules(&self) -> usize {
         self.wrong_results
             + self.duplicate_responses as usize
@@ -57,7 +62,7 @@
             + self.served_without_run
     }
 
-    /// Returns how many requests had no end that the protocol knows.
+    /// Returns how many requests ended without a response of the protocol.
     pub fn without_response(&self) -> usize {
         self.lost + self.unanswered
     }
@@ -65,10 +70,10 @@
 
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Verdict { served, rejected, failed, withdrawn, turned_away, lost, unanswered, .. } = self;
+        let Verdict { served, rejected, failed, withdrawn, not_accepted, lost, unanswered, .. } = self;
         write!(f, "served {served}, rejected {rejected}, failed {failed}, withdrawn {withdrawn}, ")?;
-        write!(f, "door {turned_away}, lost {lost}, unanswered {unanswered}, ")?;
-        write!(f, "wrong_result {}, double {}, ", self.wrong_results, self.duplicate_responses)?;
+        write!(f, "not_accepted {not_accepted}, lost {lost}, unanswered {unanswered}, ")?;
+        write!(f, "wrong_result {}, duplicate {}, ", self.wrong_results, self.duplicate_responses)?;
         write!(
             f,
             "runs {}, run_twice {}, key_run_twice {}, ",
@@ -76,15 +81,15 @@
         )?;
         write!(f, "unknown {}, changed {}, ", self.unknown_runs, self.changed)?;
         write!(f, "rejected_but_run {}, without_run {}, ", self.rejected_but_run, self.served_without_run)?;
-        write!(f, "door_but_run {}, ", self.turned_away_but_run)?;
+        write!(f, "not_accepted_but_run {}, ", self.not_accepted_but_run)?;
         write!(f, "health bad {} missing {}", self.health_bad, self.health_missing)
     }
 }
 
-/// All writings of each attempt, by the id that its run has.
+/// All records of each attempt, by the id of its run.
 type AttemptsById<'a> = HashMap<String, Vec<&'a AttemptRecord>>;
 
-/// Returns what the records and the runs show.
+/// Checks the records and the runs against the rules, and returns the verdict.
 pub fn judge(records: &Records, runs: &[StartedRun]) -> Verdict {
     let mut attempts: AttemptsById<'_> = HashMap::new();
     for attempt in &records.attempts {
@@ -96,7 +101,7 @@
         rejected: count(Outcome::Rejected),
         failed: count(Outcome::Failed),
         withdrawn: count(Outcome::Withdrawn),
-        turned_away: count(Outcome::TurnedAway),
+        not_accepted: count(Outcome::NotAccepted),
         lost: count(Outcome::Lost),
         unanswered: count(Outcome::Unanswered),
         wrong_results: count(Outcome::WrongResult),
@@ -112,12 +117,12 @@
     verdict
 }
 
-/// Prints the attempts with these ends, up to a number, each with some other attempts of its key.
+/// Prints the attempts with these outcomes, up to a maximum, each with some other attempts of its key.
 pub fn print_attempts(records: &Records, outcomes: &[Outcome]) {
     const MAX_PRINTED: usize = 10;
     const MAX_PRINTED_OF_KEY: usize = 3;
-    let found = records.attempts.iter().filter(|attempt| outcomes.contains(&attempt.outcome));
-    for attempt in found.take(MAX_PRINTED) {
+    let selected = records.attempts.iter().filter(|attempt| outcomes.contains(&attempt.outcome));
+    for attempt in selected.take(MAX_PRINTED) {
         println!("  {attempt}");
         let same_key = |other: &&AttemptRecord| {
             other.request.key.is_some()
@@ -125,15 +130,15 @@
                 && other.call != attempt.call
         };
         let of_key = records.attempts.iter().filter(same_key).take(MAX_PRINTED_OF_KEY);
-        of_key.for_each(|other| println!("    beside {other}"));
+        of_key.for_each(|other| println!("    same key: {other}"));
     }
 }
 
-/// Compares each run with the attempt that it is for.
+/// Compares each run with its attempt, and counts the violations in `verdict`.
 fn judge_runs(verdict: &mut Verdict, runs: &[StartedRun], attempts: &AttemptsById<'_>) {
     let mut runs_of: HashMap<&str, usize> = HashMap::new();
     for run in runs {
-        let Some((attempt, before)) = attempts.get(&run.id).and_then(|writings| writings.split_last()) else {
+        let Some((attempt, before)) = attempts.get(&run.id).and_then(|records| records.split_last()) else {
             verdict.unknown_runs += 1;
             continue;
         };
@@ -142,27 +147,28 @@
         if *number > before.len() + 1 {
             verdict.run_twice += 1;
         }
-        let turned_away = |writing: &&AttemptRecord| writing.outcome == Outcome::TurnedAway;
-        let ran_before_its_end = |writing: &&AttemptRecord| run.started_ms <= writing.ended_ms;
+        let not_accepted = |record: &&AttemptRecord| record.outcome == Outcome::NotAccepted;
+        let ran_before_its_end = |record: &&AttemptRecord| run.started_ms <= record.ended_ms;
         if [before, &[*attempt]]
             .concat()
             .iter()
-            .any(|writing| turned_away(writing) && ran_before_its_end(writing))
+            .any(|record| not_accepted(record) && ran_before_its_end(record))
         {
-            verdict.turned_away_but_run += 1;
+            verdict.not_accepted_but_run += 1;
         }
         if run.class != attempt.request.class || run.body != attempt.request.body {
             verdict.changed += 1;
         }
-        // A run for an earlier writing of the attempt, whose connection ended, is none of the one that was rejected.
+        // A run for an earlier sending of the attempt, whose connection ended, does not belong to the
+        // rejected one.
         if attempt.outcome == Outcome::Rejected && run.started_ms >= attempt.received_ms {
             verdict.rejected_but_run += 1;
         }
     }
 }
 
-/// Returns how many runs break a key's rule: their attempt was written within the window, counted from the time at which
-/// the attempt of an earlier run came.
+/// Returns how many runs repeat a key within its window: their attempt was written within the window from
+/// the time at which the attempt of an earlier run was received.
 fn count_repeated_keys(runs: &[StartedRun], attempts: &AttemptsById<'_>) -> usize {
     let mut runs_of_key: HashMap<&str, Vec<&AttemptRecord>> = HashMap::new();
     let mut repeated = 0;
--- a/tests/upgrade_support/clients.rs
+++ b/tests/upgrade_support/clients.rs
@@ -1,4 +1,4 @@
-//! Running clients: an open-loop load and health checks on a thread of their own.
+//! Clients in a separate thread, which send an open-loop load and health checks.
 
 use crate::upgrade_support::attempts::AttemptSender;
 use crate::upgrade_support::health::check_health;
@@ -16,7 +16,7 @@
 use std::thread::JoinHandle;
 use std::time::Instant;
 
-/// Clients under way.
+/// Running clients.
 pub struct Clients {
     records: Arc<Mutex<Records>>,
     stop: Option<Sender<()>>,
@@ -25,7 +25,7 @@
 
 impl Clients {
     /// Starts clients that send until [`Clients::finish`].
-    /// The machine's worker pools hear of the end of each request.
+    /// The end of each request is reported to the machine's worker pools.
     pub fn start(address: SocketAddr, request_ends: RequestEnds, settings: LoadSettings) -> Clients {
         let records = Arc::new(Mutex::new(Records::default()));
         let (stop, stopped) = async_channel::bounded(1);
@@ -44,22 +44,22 @@
         Clients { records, stop: Some(stop), thread: Some(thread.expect("a thread")) }
     }
 
-    /// Returns how many attempts ended so.
+    /// Returns the number of attempts with this outcome.
     pub fn count(&self, outcome: Outcome) -> usize {
         self.lock().count(outcome)
     }
 
-    /// Returns a copy of what was recorded so far.
+    /// Returns a copy of the records so far.
     pub fn snapshot(&self) -> Records {
         self.lock().clone()
     }
 
-    /// Returns the number of attempts without an end.
+    /// Returns the number of attempts that have not ended.
     pub fn open(&self) -> u64 {
         self.lock().open
     }
 
-    /// Sends no further request, waits for the ends of all attempts and returns what was recorded.
+    /// Sends no further request, waits for the ends of all attempts, and returns the records.
     pub fn finish(mut self) -> Records {
         self.stop.take();
         let ended = self.thread.take().map(JoinHandle::join);
@@ -81,7 +81,7 @@
     }
 }
 
-/// Begins requests at their times until it is stopped, and waits until all attempts have ended.
+/// Starts requests at their times until `stopped` is closed, and waits until all attempts have ended.
 async fn send_until(
     stopped: Receiver<()>,
     mut plan: LoadPlan,
@@ -97,7 +97,7 @@
             true
         };
         let stop = async {
-            // An error is what is awaited: the other end is gone.
+            // The channel carries no message: an error means that the sender was dropped.
             let _ = stopped.recv().await;
             false
         };
@@ -116,6 +116,6 @@
         }
     }
     drop(unfinished);
-    // Nothing is ever sent on it: it closes when the last attempt has ended.
+    // The channel carries no message: it closes when the last attempt has ended.
     let _: Result<(), _> = all_finished.recv().await;
 }
--- a/tests/upgrade_support/connection.rs
+++ b/tests/upgrade_support/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client to the server.
+//! A client connection to the server.
 
 use crate::upgrade_support::connection_ends::ConnectionEnd;
 use crate::upgrade_support::messages::{Response, ServerMessage, decode};
@@ -15,24 +15,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Requests open on one connection at most.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// Bytes read at a time.
+/// Maximum number of bytes per read.
 const READ_BYTES: usize = 16 * 1024;
 
 /// A message that waits to be written.
 pub struct Outgoing {
-    /// Its bytes, in the pieces in which they are written.
+    /// The bytes of the message, in the pieces in which they are written.
     pub pieces: Vec<Vec<u8>>,
-    /// Time between the pieces.
+    /// Time between two pieces.
     pub pause: Duration,
-    /// Is set to the Unix ms of the last byte's writing.
+    /// Set to the time at which the last byte was written, Unix ms.
     pub written_ms: Rc<Cell<Option<u64>>>,
 }
 
 /// A connection and its open requests.
 pub struct Connection {
-    /// When it was opened, Unix ms.
+    /// Time at which the connection was opened, Unix ms.
     pub connected_ms: u64,
     stream: Async<TcpStream>,
     outgoing: Sender<Outgoing>,
@@ -43,11 +43,11 @@
     last_id: Cell<u64>,
     retired: Cell<bool>,
     shutdown_seen: Cell<bool>,
-    /// The server's end of it, as the system shows it.
+    /// The end of the connection by the server, as the operating system reports it.
     server_end: ConnectionEnd,
-    /// When it was seen to have ended.
+    /// Time at which the client observed the end, Unix ms.
     ended_ms: Cell<Option<u64>>,
-    /// How it ended.
+    /// The way in which the connection ended.
     closing: Cell<Option<Closing>>,
 }
 
@@ -55,7 +55,7 @@
     /// Connects to the server; [`Connection::serve`] has to run until the connection's end.
     ///
     /// # Errors
-    /// If the server does not let it in.
+    /// Returns the operating system's error if the connection can't be established or watched.
     pub async fn open(address: SocketAddr) -> io::Result<Rc<Connection>> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -78,35 +78,36 @@
         }))
     }
 
-    /// Returns whether a new request may be sent on it.
+    /// Returns whether a new request may be sent on the connection.
     pub fn takes_requests(&self) -> bool {
         let usable = !self.retired.get() && !self.shutdown_seen.get() && self.ended_ms.get().is_none();
         usable && self.open.borrow().len() < MAX_OPEN_REQUESTS
     }
 
-    /// Returns the Unix ms at which its end came, which a client that lags sees later; `None` while it stands.
+    /// Returns the time at which the connection's end arrived, Unix ms, which a client that lags observes
+    /// later; `None` while the connection is open.
     pub fn ended_ms(&self) -> Option<u64> {
         let seen_ms = self.ended_ms.get()?;
-        Some(self.server_end.came_at_ms().map_or(seen_ms, |came_ms| came_ms.min(seen_ms)))
+        Some(self.server_end.ended_at_ms().map_or(seen_ms, |arrived_ms| arrived_ms.min(seen_ms)))
     }
 
-    /// Returns what its end at the client looks like now.
+    /// Returns the current state of the connection at the client.
     pub fn client_end(&self) -> ClientEnd {
         let stream = self.stream.get_ref();
         ClientEnd {
             port: stream.local_addr().map_or(0, |address| address.port()),
-            // Of a broken connection nothing can be read any more.
+            // Nothing can be read from a broken connection.
             unread_bytes: rustix::io::ioctl_fionread(stream).unwrap_or(0),
             closing: self.closing.get(),
         }
     }
 
-    /// Returns how many second responses it carried.
+    /// Returns the number of second responses that were received.
     pub fn duplicate_responses(&self) -> u64 {
         self.duplicate_responses.get()
     }
 
-    /// Sends no further request on it; it is closed once nothing is open.
+    /// Sends no further request, and closes the connection once no request is open.
     pub fn retire(&self) {
         self.retired.set(true);
         if self.open.borrow().is_empty() {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Opens a request: returns its id, and the channel of its response, which ends if none comes.
+    /// Opens a request, and returns its id and the channel of its response, which is closed if none arrives.
     pub fn open_request(&self) -> (u64, Receiver<Response>) {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
@@ -123,7 +124,7 @@
         (id, responded)
     }
 
-    /// Awaits no response to a request any more.
+    /// Stops waiting for the response to a request.
     pub fn abandon(&self, id: u64) {
         self.open.borrow_mut().remove(&id);
         self.close_if_done();
@@ -131,11 +132,11 @@
 
     /// Queues a message.
     pub fn send(&self, message: Outgoing) {
-        // A closed queue belongs to a connection that has ended, which its requests learn from their channels.
+        // The queue is closed if the connection has ended; its requests notice that by their closed channels.
         let _ = self.outgoing.try_send(message);
     }
 
-    /// Queues a message in one piece, of which nobody wants to know when it is written.
+    /// Queues a message in one piece, without reporting the time of its writing.
     pub fn send_bytes(&self, bytes: Vec<u8>) {
         self.send(Outgoing { pieces: vec![bytes], pause: Duration::ZERO, written_ms: Rc::default() });
     }
@@ -147,11 +148,11 @@
         self.ended_ms.set(Some(unix_ms()));
         self.outgoing.close();
         let _ = self.stream.get_ref().shutdown(std::net::Shutdown::Both);
-        // Whoever waits learns that no response comes.
+        // Closes the channels of the open requests, because no response can arrive.
         self.open.borrow_mut().clear();
     }
 
-    /// Closes the connection if no new request comes and nothing is open.
+    /// Closes the connection if it takes no new requests and none is open.
     fn close_if_done(&self) {
         let is_closing = self.retired.get() || self.shutdown_seen.get();
         if is_closing && self.open.borrow().is_empty() {
@@ -180,7 +181,7 @@
                 if !self.answered.borrow_mut().insert(id) {
                     self.duplicate_responses.set(self.duplicate_responses.get() + 1);
                 }
-                // One response to what was abandoned does no harm.
+                // One response to an abandoned request is allowed.
                 let waiting = self.open.borrow_mut().remove(&id);
                 if let Some(waiting) = waiting {
                     let _ = waiting.try_send(response);
--- a/tests/upgrade_support/health.rs
+++ b/tests/upgrade_support/health.rs
@@ -1,4 +1,4 @@
-//! The platform's health checks, on a connection of their own.
+//! The health checks of the platform, on a separate connection.
 
 use crate::upgrade_support::attempts::AttemptSender;
 use crate::upgrade_support::connection::Connection;
@@ -17,7 +17,7 @@
 /// Time limit of one check.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks again and again, and records the answers.
+/// Makes health checks at a fixed interval and records the results; never returns.
 pub async fn check_health(sender: Rc<AttemptSender>, records: &Mutex<Records>) {
     let mut connection: Option<Rc<Connection>> = None;
     loop {
--- a/tests/upgrade_support/http.rs
+++ b/tests/upgrade_support/http.rs
@@ -1,4 +1,4 @@
-//! Calls of the control endpoint: plain HTTP/1.1, one call to a connection.
+//! Calls of the control endpoint in plain HTTP/1.1, one call per connection.
 
 use serde_json::Value;
 use std::io::{self, Read, Write};
@@ -11,16 +11,16 @@
 /// The reply to a call.
 #[derive(Debug)]
 pub struct HttpReply {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its body.
+    /// The body of the reply.
     pub body: String,
     /// Time from the connect to the end of the reply.
     pub took: Duration,
 }
 
 impl HttpReply {
-    /// Returns whether the reply means yes.
+    /// Returns whether the status is 200 to 299.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
@@ -28,16 +28,17 @@
     /// Returns the body as JSON.
     ///
     /// # Panics
-    /// If it is none.
+    /// Panics if the body is not JSON.
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("no JSON: {error}: {}", self.body))
+        serde_json::from_str(&self.body)
+            .unwrap_or_else(|error| panic!("the body is not JSON: {error}: {}", self.body))
     }
 }
 
-/// Makes a call and reads its reply to the end of the connection or of the stated length.
+/// Makes a call and reads its reply up to the stated length.
 ///
 /// # Errors
-/// If there is no connection, or it ends before the whole reply.
+/// Returns an [`io::Error`] if the connection fails or ends before the whole reply.
 pub fn call(address: SocketAddr, method: &str, path: &str) -> io::Result<HttpReply> {
     let began = Instant::now();
     let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
@@ -52,13 +53,13 @@
             return Ok(HttpReply { status, body, took: began.elapsed() });
         }
         match stream.read(&mut chunk)? {
-            0 => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "no whole reply")),
+            0 => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "the reply is incomplete")),
             count => bytes.extend_from_slice(&chunk[..count]),
         }
     }
 }
 
-/// Returns the status and body of a reply once it is whole.
+/// Returns the status and body of a reply; `None` while it is incomplete.
 fn parse(bytes: &[u8]) -> Option<(u16, String)> {
     let text = std::str::from_utf8(bytes).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
--- a/tests/upgrade_support/load.rs
+++ b/tests/upgrade_support/load.rs
@@ -1,4 +1,4 @@
-//! The load: which requests are sent, when, and in which way, drawn from a seed.
+//! The load, drawn from a seed: requests, their times and their connections.
 
 use dunlinspread_fakes::PlatformSettings;
 use rand::{RngExt, SeedableRng};
@@ -6,68 +6,70 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The parts of the attempts that are made in each special way; the others share connections.
+/// Fractions of the attempts on each special kind of connection; the others use shared connections.
 const FRESH_CONNECTION_PART: f64 = 0.08;
 const PIECES_PART: f64 = 0.05;
 const AFTER_IDLE_PART: f64 = 0.05;
-/// The part of the attempts that clients withdraw.
+/// Fraction of the attempts that clients withdraw.
 const WITHDRAWN_PART: f64 = 0.03;
-/// The part of the keyed requests that are tried more than once.
+/// Fraction of the keyed requests that have more than one attempt.
 const RETRIED_PART: f64 = 0.5;
-/// Further attempts of such a request at most.
+/// Maximum number of further attempts of a request that is retried.
 const MAX_RETRIES: u32 = 3;
-/// The longest time from the first attempt to a further one, ms.
+/// Maximum time from the first attempt to a further one, ms.
 const MAX_RETRY_DELAY_MS: u64 = 1800;
-/// The longest wait before a withdrawal, ms.
+/// Maximum time before a withdrawal, ms.
 const MAX_WITHDRAWAL_DELAY_MS: u64 = 60;
-/// The longest pause between the pieces of a request, and their largest number.
+/// Maximum pause between two pieces of a request, ms.
 const MAX_PIECE_PAUSE_MS: u64 = 60;
+/// Maximum number of pieces of a request.
 const MAX_PIECES: usize = 5;
-/// The longest time for which a connection stays idle before its request, ms.
+/// Maximum time for which a connection is idle before its request, ms.
 const MAX_IDLE_MS: u64 = 2000;
-/// The longest body, bytes.
+/// Maximum length of a body, bytes.
 const MAX_BODY_BYTES: usize = 2048;
 
-/// What is to be sent.
+/// The settings of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSettings {
-    /// Where chance comes from.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Requests a second, in the mean, without further attempts.
+    /// Mean number of requests a second, not counting further attempts.
     pub rate: f64,
-    /// Connections that requests share.
+    /// Number of connections that requests share.
     pub shared_connections: usize,
     /// Whether clients withdraw some requests.
     pub withdrawals: bool,
 }
 
-/// One request, the same in all its attempts.
+/// The content of a request, which is the same in all its attempts.
 #[derive(Debug, PartialEq)]
 pub struct PlannedRequest {
-    /// Its class.
+    /// The class of the request.
     pub class: &'static str,
-    /// Its idempotency key.
+    /// The idempotency key of the request.
     pub key: Option<String>,
-    /// How long its key must not run again, ms.
+    /// Time for which the key must not run again, ms.
     pub key_window_ms: Option<f64>,
-    /// Its body.
+    /// The body of the request.
     pub body: Vec<u8>,
-    /// Its priority, 0 to 1.
+    /// The priority of the request, 0 to 1.
     pub priority: f64,
-    /// The memory of its run, kB.
+    /// The memory that the run needs, kB.
     pub memory_kb: f64,
 }
 
-/// The connection of an attempt.
+/// The kind of connection that an attempt uses.
 #[derive(Clone, Debug)]
-pub enum Way {
-    /// One of those that are shared.
+pub enum ConnectionKind {
+    /// One of the shared connections.
     Shared,
-    /// A new one.
+    /// A new connection.
     Fresh,
-    /// One that was opened before and has been idle for this time.
+    /// A connection that was opened for the attempt and has been idle for this time.
     AfterIdle(Duration),
-    /// A new one, with the bytes in so many pieces and this pause between them.
+    /// A new connection on which the request is written in this number of pieces, with this pause between
+    /// them.
     Pieces { pieces: usize, pause: Duration },
 }
 
@@ -76,15 +78,15 @@
 pub struct PlannedAttempt {
     /// The id of the attempt.
     pub call: u64,
-    /// Time from the request's beginning to the attempt's.
+    /// Time from the start of the request to the start of the attempt.
     pub delay: Duration,
-    /// How it is sent.
-    pub way: Way,
-    /// When its client withdraws it, counted from the writing.
+    /// The kind of connection that the attempt uses.
+    pub connection_kind: ConnectionKind,
+    /// Time from the writing to the withdrawal by the client.
     pub withdrawal: Option<Duration>,
 }
 
-/// Draws requests one after the other.
+/// Draws the requests of a load one after the other.
 pub struct LoadPlan {
     platform: PlatformSettings,
     settings: LoadSettings,
@@ -139,30 +141,30 @@
 
     fn draw_attempt(&mut self, delay_ms: u64) -> PlannedAttempt {
         let call = self.rng.random();
-        let way = self.draw_way();
+        let connection_kind = self.draw_connection_kind();
         let withdrawn = self.settings.withdrawals && self.rng.random::<f64>() < WITHDRAWN_PART;
         let withdrawal_ms = self.rng.random_range(0..=MAX_WITHDRAWAL_DELAY_MS);
         let withdrawal = withdrawn.then(|| Duration::from_millis(withdrawal_ms));
-        PlannedAttempt { call, delay: Duration::from_millis(delay_ms), way, withdrawal }
+        PlannedAttempt { call, delay: Duration::from_millis(delay_ms), connection_kind, withdrawal }
     }
 
-    fn draw_way(&mut self) -> Way {
+    fn draw_connection_kind(&mut self) -> ConnectionKind {
         let mut left = self.rng.random::<f64>();
         let mut is_drawn = |part: f64| {
             left -= part;
             left < 0.0
         };
         if is_drawn(FRESH_CONNECTION_PART) {
-            return Way::Fresh;
+            return ConnectionKind::Fresh;
         }
         if is_drawn(PIECES_PART) {
             let pieces = self.rng.random_range(2..=MAX_PIECES);
             let pause = Duration::from_millis(self.rng.random_range(0..=MAX_PIECE_PAUSE_MS));
-            return Way::Pieces { pieces, pause };
+            return ConnectionKind::Pieces { pieces, pause };
         }
         if is_drawn(AFTER_IDLE_PART) {
-            return Way::AfterIdle(Duration::from_millis(self.rng.random_range(0..=MAX_IDLE_MS)));
+            return ConnectionKind::AfterIdle(Duration::from_millis(self.rng.random_range(0..=MAX_IDLE_MS)));
         }
-        Way::Shared
+        ConnectionKind::Shared
     }
 }
--- a/tests/upgrade_support/messages.rs
+++ b/tests/upgrade_support/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of the clients' protocol, in MessagePack.
+//! The messages of the client protocol, in MessagePack.
 
 use rmpv::Value;
 
@@ -8,49 +8,49 @@
 const RESPONSE: u64 = 1;
 /// The first field of a notification.
 const NOTIFICATION: u64 = 2;
-/// The notification that ends the use of a connection.
+/// The notification after which no new request may be sent on a connection.
 const SHUTDOWN: &str = "shutdown";
 /// The error of a request that never ran.
 const REJECTED: &str = "Backoff";
 
 /// A message of the server.
 pub enum ServerMessage {
-    /// The response to the request of that id.
+    /// The response to the request with this id.
     Response(u64, Response),
     /// No new request may be sent on the connection.
     Shutdown,
-    /// Anything else.
+    /// Any other message.
     Other,
 }
 
 /// The content of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// No error: the result.
+    /// The result of a request that completed without an error.
     Completed(Value),
     /// The request never ran.
     Rejected,
-    /// Any other error, by its name.
+    /// The request failed with another error, given by its name.
     Failed(String),
 }
 
-/// What is sent with a request.
+/// The fields that are sent with a request.
 pub struct RequestFields<'a> {
     /// The id of the attempt.
     pub call: u64,
-    /// When the attempt came to the clients' machine, Unix ms.
+    /// Time at which the attempt arrived at the client's machine, Unix ms.
     pub received_ms: u64,
-    /// How long its client waits, ms.
+    /// The client timeout, ms.
     pub timeout_ms: u64,
-    /// The memory of its run, kB.
+    /// The memory that the run needs, kB.
     pub memory_kb: f64,
-    /// Its priority, 0 to under 1.
+    /// The priority of the request, from 0 to below 1.
     pub priority: f64,
-    /// Its idempotency key.
+    /// The idempotency key of the request.
     pub key: Option<&'a str>,
 }
 
-/// Decodes the first message in `bytes`; `None` while it is incomplete. Returns the message and its length.
+/// Decodes the first message in `bytes`, and returns it and its length; `None` while it is incomplete.
 pub fn decode(bytes: &[u8]) -> Option<(ServerMessage, usize)> {
     let mut rest = bytes;
     let message = rmpv::decode::read_value(&mut rest).ok()?;
--- a/tests/upgrade_support/mod.rs
+++ b/tests/upgrade_support/mod.rs
@@ -1,6 +1,6 @@
-//! A server of the platform as its operators see it: the built program in one or several processes that share a client
-//! address and a temporary folder, the fakes around them, clients under load, and the check of what became of each
-//! request.
+//! Support for tests with real server processes: the built program in one or several processes that share a
+//! client address and a temporary folder, fakes of its peers, clients that generate load, and the check of
+//! the outcome of each request.
 #![allow(dead_code, reason = "each test program uses a part of it")]
 
 pub mod attempts;
@@ -28,7 +28,7 @@
 /// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until the condition holds; `seed` is printed where it does not.
+/// Waits until the condition holds; panics with `seed` and `what` if it does not within the time limit.
 pub fn wait_for(seed: u64, what: &str, mut holds: impl FnMut() -> bool) {
     let since = Instant::now();
     while !holds() {
@@ -42,8 +42,8 @@
     std::thread::sleep(time);
 }
 
-/// Returns a number from the environment.
+/// Returns a number from an environment variable, or `default` if the variable is not set.
 pub fn from_environment(variable: &str, default: u64) -> u64 {
     let Ok(text) = std::env::var(variable) else { return default };
-    text.parse().unwrap_or_else(|error| panic!("{variable} is no number: {text}: {error}"))
+    text.parse().unwrap_or_else(|error| panic!("{variable} is not a number: {text}: {error}"))
 }
--- a/tests/upgrade_support/operators.rs
+++ b/tests/upgrade_support/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' calls, and the comparison of the server's figures with the clients' counts.
+//! Calls of the control endpoint, and the comparison of the server's telemetry with the clients' counts.
 
 use crate::upgrade_support::http::{HttpReply, call};
 use crate::upgrade_support::process::ServerProcess;
@@ -9,26 +9,26 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The time in which a call of the operators is answered.
+/// Maximum duration of a call of the control endpoint.
 const CALL_LIMIT: Duration = Duration::from_secs(1);
-/// What counts may miss by: this many, or this part.
+/// Tolerated difference of two counts: this number, or the fraction for the kind of count if that is more.
 pub const COUNT_TOLERANCE: f64 = 3.0;
 const COUNT_TOLERANCE_PART: f64 = 0.01;
 const ATTEMPT_TOLERANCE_PART: f64 = 0.02;
 const IN_FLIGHT_TOLERANCE_PART: f64 = 0.1;
 
-/// Makes a call of the operators.
+/// Calls the control endpoint of a process.
 ///
 /// # Panics
-/// If it is not answered in time.
+/// Panics if the call is not answered in time.
 pub fn operators_call(process: &ServerProcess, method: &str, path: &str) -> HttpReply {
-    let control = process.control.expect("it has a control endpoint");
+    let control = process.control.expect("the process has a control endpoint");
     let reply = call(control, method, path).unwrap_or_else(|error| panic!("{method} {path}: {error}"));
     assert!(reply.took < CALL_LIMIT, "{method} {path} took {:?}", reply.took);
     reply
 }
 
-/// Returns the figures of a process.
+/// Returns the telemetry of a process.
 pub fn telemetry(process: &ServerProcess) -> Value {
     let reply = operators_call(process, "GET", "/api/telemetry");
     assert!(reply.is_success(), "{reply:?}");
@@ -45,11 +45,12 @@
     telemetry["in_flight"].as_u64().unwrap_or_else(|| panic!("no figure in_flight: {telemetry}"))
 }
 
-/// Returns whether the stated number of requests in flight is true, where clients waited for so many meanwhile.
+/// Returns whether the stated number of requests in flight agrees, within the tolerance, with the range of
+/// the number that clients waited for meanwhile.
 pub fn is_in_flight(stated: u64, waiting: RangeInclusive<u64>) -> bool {
-    let (least, most) = (*waiting.start() as f64, *waiting.end() as f64);
-    let tolerance = COUNT_TOLERANCE.max(most * IN_FLIGHT_TOLERANCE_PART);
-    (least - tolerance..=most + tolerance).contains(&(stated as f64))
+    let (min, max) = (*waiting.start() as f64, *waiting.end() as f64);
+    let tolerance = COUNT_TOLERANCE.max(max * IN_FLIGHT_TOLERANCE_PART);
+    (min - tolerance..=max + tolerance).contains(&(stated as f64))
 }
 
 fn agrees(stated: u64, true_count: usize, part: f64) -> bool {
@@ -57,10 +58,11 @@
     (stated - true_count).abs() <= COUNT_TOLERANCE.max(true_count * part)
 }
 
-/// Returns the figures that are not those of the clients and of the machine; those of several processes are added up.
+/// Returns the counts that differ from those of the clients and of the machine; counts of several processes
+/// are summed.
 pub fn differences(telemetry: &[&Value], records: &Records, site: &Site) -> Vec<String> {
     let runs = site.started_runs();
-    let mut found = Vec::new();
+    let mut differences = Vec::new();
     for class in CLASSES {
         let count = |outcome| records.count_of_class(class, outcome);
         let expected = [
@@ -73,9 +75,9 @@
             let stated = telemetry.iter().map(|process| figure(process, class, name)).sum();
             println!("{class} {name}: {stated} stated, {true_count} counted");
             if !agrees(stated, true_count, part) {
-                found.push(format!("{class} {name}: {stated} stated, {true_count} counted"));
+                differences.push(format!("{class} {name}: {stated} stated, {true_count} counted"));
             }
         }
     }
-    found
+    differences
 }
--- a/tests/upgrade_support/process.rs
+++ b/tests/upgrade_support/process.rs
@@ -1,4 +1,4 @@
-//! One process of the server.
+//! A process of the server.
 
 use crate::upgrade_support::http::call;
 use crate::upgrade_support::kept_log::KeptLog;
@@ -11,40 +11,40 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a log says if an address is taken by another program.
+/// The log text for an address that is in use by another program.
 const ADDRESS_IN_USE: &str = "ddress already in use";
 
-/// The signals that tests send, by name. They are sent by the system call: a program that sent them would come late on a busy
-/// machine, and what is measured from a signal with it.
+/// The signals that tests send, by name. They are sent by the system call, because starting a program that
+/// sends them takes long on a busy machine and would distort the times that are measured from a signal.
 const SIGNALS: [(&str, Signal); 4] =
     [("TERM", Signal::TERM), ("HUP", Signal::HUP), ("STOP", Signal::STOP), ("CONT", Signal::CONT)];
 
-/// What a log says once clients can connect.
+/// The log text once clients can connect.
 const SERVING: &str = "serving";
 
-/// Why a process is not ready.
+/// The reason why a process is not ready.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address is taken by another program: worth another start with another port.
+    /// An address is in use by another program; a start with another port may succeed.
     AddressInUse,
-    /// It has ended, with the last lines of its log.
+    /// The process has ended with this status and these last lines of its log.
     Ended(ExitStatus, Vec<String>),
 }
 
-/// A process, killed when it is dropped.
+/// A server process, which is killed on drop.
 pub struct ServerProcess {
     child: Child,
-    /// Where operators call.
+    /// The address of the control endpoint.
     pub control: Option<SocketAddr>,
-    /// When it was started.
+    /// Time at which the process was started.
     pub started_at: Instant,
-    /// Its configuration file.
+    /// The configuration file of the process.
     pub config: PathBuf,
     log: Arc<Mutex<KeptLog>>,
 }
 
 impl ServerProcess {
-    /// Starts the built program with that configuration file and temporary folder, and with these variables.
+    /// Starts the built program with a configuration file, a temporary folder and environment variables.
     pub fn start(
         config: &Path,
         folder: &Path,
@@ -63,7 +63,7 @@
         let lines = BufReader::new(child.stderr.take().expect("a log")).lines();
         let log = Arc::new(Mutex::new(KeptLog::default()));
         let kept = log.clone();
-        // The log is read to its end, so that the server can write it.
+        // The log is read to its end, so that the server never blocks on writing it.
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| keep_line(&kept, line)));
         ServerProcess { child, control, started_at: Instant::now(), config: config.to_owned(), log }
     }
@@ -73,25 +73,25 @@
         self.child.id()
     }
 
-    /// Waits until it says that it is ready; returns the time since its start.
+    /// Waits until the process reports that it is ready; returns the time since its start.
     ///
     /// # Errors
-    /// If it ends before.
+    /// Returns a [`StartError`] if the process ends before.
     ///
     /// # Panics
-    /// If it is not ready within the time limit.
+    /// Panics if the process is not ready within the time limit.
     pub fn wait_ready(&mut self) -> Result<Duration, StartError> {
         self.wait_until(ServerProcess::is_ready)?;
         Ok(self.started_at.elapsed())
     }
 
-    /// Waits until its log says that it serves.
+    /// Waits until the log of the process states that it serves.
     ///
     /// # Errors
-    /// If it ends before.
+    /// Returns a [`StartError`] if the process ends before.
     ///
     /// # Panics
-    /// If it does not serve within the time limit.
+    /// Panics if the process does not serve within the time limit.
     pub fn wait_serving(&mut self) -> Result<(), StartError> {
         self.wait_until(|process| process.log_lines().iter().any(|line| line.contains(SERVING)))
     }
@@ -114,32 +114,33 @@
         if in_use { StartError::AddressInUse } else { StartError::Ended(status, log) }
     }
 
-    /// Returns whether it says that it is ready.
+    /// Returns whether the process reports that it is ready.
     pub fn is_ready(&self) -> bool {
         let Some(control) = self.control else { return false };
         call(control, "GET", "/api/ready").is_ok_and(|reply| reply.is_success())
     }
 
-    /// Returns how it ended; `None` while it runs.
+    /// Returns the exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
-        self.child.try_wait().expect("it can be asked")
+        self.child.try_wait().expect("the state of the process can be read")
     }
 
-    /// Returns the last lines of each kind of its log.
+    /// Returns the last log lines of each kind.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).lines()
     }
 
-    /// Sends a signal, by its name without `SIG`, unless the process has ended.
+    /// Sends a signal, given by its name without `SIG`, unless the process has ended.
     pub fn signal(&mut self, name: &str) {
         if self.exit_status().is_some() {
             return;
         }
         let (_, signal) = SIGNALS.iter().find(|(known, _)| *known == name).expect("a signal of the tests");
-        kill_process(Pid::from_child(&self.child), *signal).expect("it was not waited for");
+        kill_process(Pid::from_child(&self.child), *signal)
+            .expect("the process exists until it is waited for");
     }
 
-    /// Returns whether it is stopped by a signal.
+    /// Returns whether the process is stopped by a signal.
     pub fn is_stopped(&self) -> bool {
         const STATE_OF_STOPPED: char = 'T';
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id())).unwrap_or_default();
@@ -147,20 +148,20 @@
         state == Some(STATE_OF_STOPPED)
     }
 
-    /// Kills it outright and waits for its end.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Returns the resident memory, kB; 0 if it has ended.
+    /// Returns the resident memory, kB; 0 if the process has ended.
     pub fn resident_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.id())).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok()).unwrap_or(0)
     }
 
-    /// Returns the number of open descriptors; 0 if it has ended.
+    /// Returns the number of open descriptors; 0 if the process has ended.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.id())).map_or(0, Iterator::count)
     }
@@ -168,7 +169,7 @@
 
 impl Drop for ServerProcess {
     fn drop(&mut self) {
-        // A stopped process is killed as well.
+        // SIGKILL also ends a stopped process.
         self.kill();
         if std::thread::panicking() {
             eprintln!("the last log lines of process {}:\n{}", self.id(), self.log_lines().join("\n"));
--- a/tests/upgrade_support/records.rs
+++ b/tests/upgrade_support/records.rs
@@ -1,78 +1,79 @@
-//! What the clients sent, and what became of it.
+//! The clients' records of their attempts and of the outcomes.
 
 use crate::upgrade_support::load::PlannedRequest;
 use std::fmt;
 use std::io::ErrorKind;
 use std::sync::Arc;
 
-/// What became of an attempt, as its client saw it.
+/// The outcome of an attempt, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// Completed with the result of the request's run.
+    /// The attempt completed with the result of the request's run.
     Served,
-    /// Completed with anything else.
+    /// The attempt completed with another result.
     WrongResult,
-    /// Answered that it never ran.
+    /// The server answered that the request never ran.
     Rejected,
-    /// Answered with another error.
+    /// The server answered with another error.
     Failed,
-    /// The client told the server that it no longer waits.
+    /// The client withdrew the request.
     Withdrawn,
-    /// Written whole, and no response came for as long as a client waits.
+    /// The request was written completely, and no response came within the client timeout.
     Unanswered,
-    /// Not let in: no connection, or one that ended before or within the crossing time after the request was written.
-    TurnedAway,
-    /// Written whole, and the connection ended later without a response.
+    /// The server did not accept the attempt: there was no connection, or it ended before the request was
+    /// written or within the crossing time after that.
+    NotAccepted,
+    /// The request was written completely, and the connection ended later without a response.
     Lost,
 }
 
-/// What a client's end of a connection looked like when an attempt on it ended.
+/// The state of a connection at the client when an attempt on it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientEnd {
-    /// Its port, by which log lines name it.
+    /// The client's port, by which log lines name the connection.
     pub port: u16,
-    /// Bytes of the server that lay in the client's system and that the client had not read.
+    /// Number of bytes from the server in the client's receive buffer that the client had not read.
     pub unread_bytes: u64,
-    /// How the connection had ended, if it had.
+    /// How the connection ended; `None` if it was still open.
     pub closing: Option<Closing>,
 }
 
-/// How a connection ended.
+/// The way in which a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Closing {
-    /// The server shut its sending side.
+    /// The server shut down its sending side.
     ByServer,
-    /// It broke.
+    /// Reading or writing failed with an error of this kind.
     Broken(ErrorKind),
     /// The client had nothing more to send.
     ByClient,
 }
 
-/// One writing of an attempt to a connection. An attempt that was turned away is written again, once.
+/// The record of one sending of an attempt. An attempt that was not accepted is sent again once.
 #[derive(Clone, Debug)]
 pub struct AttemptRecord {
     /// The id of the attempt.
     pub call: u64,
-    /// Its request.
+    /// The request of the attempt.
     pub request: Arc<PlannedRequest>,
-    /// When the attempt began, as the server is told, Unix ms.
+    /// Start of the attempt, as stated to the server, Unix ms.
     pub received_ms: u64,
-    /// When its connection was opened, Unix ms; `None` if there was none.
+    /// Time at which the connection was opened, Unix ms; `None` if there was none.
     pub connected_ms: Option<u64>,
-    /// When its last byte was written, Unix ms.
+    /// Time at which the last byte was written, Unix ms.
     pub written_ms: Option<u64>,
-    /// When its end was known, Unix ms.
+    /// Time at which the client observed the end, Unix ms.
     pub ended_ms: u64,
-    /// What became of it.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The name of the error, for one that failed.
+    /// The name of the error if the attempt failed.
     pub error: Option<String>,
-    /// The client's end of its connection at the end of the attempt, for one without a response.
+    /// The state of the connection at the client, for an attempt without a response.
     pub client_end: Option<ClientEnd>,
 }
 
 impl fmt::Display for AttemptRecord {
-    /// Writes what helps to find the attempt in the logs of the processes; times are Unix ms.
+    /// Writes the details that help to find the attempt in the logs of the processes; times are Unix ms.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let AttemptRecord { call, request, connected_ms, written_ms, ended_ms, outcome, error, .. } = self;
         let (class, key) = (request.class, request.key.as_deref().unwrap_or("none"));
@@ -81,30 +82,30 @@
     }
 }
 
-/// The answer to a health check.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthAnswer {
     Good,
     Bad,
-    /// None within a second.
+    /// No answer arrived within a second.
     Missing,
 }
 
-/// What all clients recorded.
+/// The records of all clients.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// All writings of attempts, in the order of their ends.
+    /// Records of all sent attempts, in the order of their ends.
     pub attempts: Vec<AttemptRecord>,
-    /// Second responses to one request.
+    /// Number of second responses to a request.
     pub duplicate_responses: u64,
-    /// Answers to health checks with their Unix ms.
+    /// Results of health checks, each with its time in Unix ms.
     pub health: Vec<(u64, HealthAnswer)>,
-    /// Attempts written whole or in part, without an end yet.
+    /// Number of attempts that were written completely or in part and have not ended.
     pub open: u64,
 }
 
 impl Records {
-    /// Adds what other clients recorded.
+    /// Adds the records of other clients.
     pub fn add(&mut self, other: Records) {
         self.attempts.extend(other.attempts);
         self.duplicate_responses += other.duplicate_responses;
@@ -112,18 +113,18 @@
         self.open += other.open;
     }
 
-    /// Returns how many attempts ended so.
+    /// Returns the number of attempts with this outcome.
     pub fn count(&self, outcome: Outcome) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome == outcome).count()
     }
 
-    /// Returns how many attempts of a class ended so.
+    /// Returns the number of attempts of a class with this outcome.
     pub fn count_of_class(&self, class: &str, outcome: Outcome) -> usize {
         let of_class = self.attempts.iter().filter(|attempt| attempt.request.class == class);
         of_class.filter(|attempt| attempt.outcome == outcome).count()
     }
 
-    /// Returns how many answers to health checks were of that kind.
+    /// Returns the number of health checks with this result.
     pub fn health_count(&self, answer: HealthAnswer) -> usize {
         self.health.iter().filter(|(_, each)| *each == answer).count()
     }
--- a/tests/upgrade_support/settings.rs
+++ b/tests/upgrade_support/settings.rs
@@ -6,38 +6,39 @@
 
 /// The name of the server.
 pub const SERVER_NAME: &str = "n0";
-/// Cores of the machine.
+/// Number of cores of the machine.
 pub const CORES: usize = 4;
-/// How long clients wait for a response, ms: longer than any pause that a test makes.
+/// The client timeout, ms, longer than any pause in a test.
 pub const CLIENT_TIMEOUT_MS: f64 = 5000.0;
-/// How long an idempotency key must not run again, ms.
+/// Time for which an idempotency key must not run again, ms.
 const KEY_WINDOW_MS: f64 = 6000.0;
 /// Time from the shutdown request to the kill, ms.
 pub const STOP_MS: u64 = 3200;
 /// The names of the classes, in the order of the configuration.
 pub const CLASSES: [&str; 3] = ["rate-check", "farmer-ledger", "pour-entry"];
 
-/// Where one process of the server listens and connects.
+/// The addresses on which a server process listens, and to which it connects.
 #[derive(Clone, Copy)]
 pub struct Addresses {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub listen: SocketAddr,
-    /// Where operators call; `None` for a process without a control endpoint.
+    /// The address of the control endpoint; `None` for a process without one.
     pub control: Option<SocketAddr>,
-    /// The process's worker pool.
+    /// The address of the worker pool.
     pub worker_pool: SocketAddr,
-    /// The registry.
+    /// The address of the registry.
     pub registry: SocketAddr,
-    /// The upstream.
+    /// The address of the upstream service.
     pub upstream: SocketAddr,
 }
 
-/// Returns the platform: a class without upstream calls, one with them, and one with idempotency keys.
+/// Returns the platform's settings, with a class without upstream calls, one with them, and one with
+/// idempotency keys.
 pub fn platform() -> PlatformSettings {
     platform_with_work(1.0)
 }
 
-/// As [`platform`], with that many times the work in each run.
+/// Returns the settings of [`platform`], with the work of each run multiplied by `factor`.
 pub fn platform_with_work(factor: f64) -> PlatformSettings {
     let class = |name, share, work_ms, makes_upstream_calls| RequestClass {
         name,
--- a/tests/upgrade_support/site.rs
+++ b/tests/upgrade_support/site.rs
@@ -1,4 +1,4 @@
-//! The machine of one server, and the systems around it.
+//! The machine of one server, and the fakes of its peers.
 
 use crate::upgrade_support::process::{ServerProcess, StartError};
 use crate::upgrade_support::settings::{Addresses, config, platform};
@@ -12,15 +12,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The mean time of an upstream call, ms.
+/// Mean duration of an upstream call, ms.
 const CALL_MS: f64 = 10.0;
-/// Starts with other ports before a test fails.
+/// Maximum number of starts with different ports before a test fails.
 const MAX_STARTS: u32 = 10;
 
-/// The number of the last site; it makes the names of folders unique in the test program.
+/// The number of the last site, which makes the names of folders unique in the test program.
 static LAST_SITE: AtomicU64 = AtomicU64::new(0);
 
-/// The fakes, and the folder that the processes share. The folder is removed at the end.
+/// The fake peers, and the folder that the processes share. The folder is removed on drop.
 pub struct Site {
     seed: u64,
     platform: PlatformSettings,
@@ -28,16 +28,17 @@
     first_pool: FakeWorkerPool,
     pools: Vec<FakeWorkerPool>,
     registry: Option<FakeRegistry>,
-    /// Kept while no registry runs: reports that meant this one would reach whoever got its port.
+    /// The registry's address, reserved while no registry runs, so that reports to it don't reach another
+    /// program that is assigned its port.
     registry_address: ReservedAddress,
     upstream: FakeUpstream,
-    /// Upstreams that the server has moved away from; calls under way end there.
+    /// Upstream services that the server has moved away from; calls in progress end there.
     old_upstreams: Vec<FakeUpstream>,
-    /// The configuration files with their addresses.
+    /// The configuration files that were written, with their addresses.
     written: Vec<(PathBuf, Addresses)>,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub listen: SocketAddr,
-    /// Variables that the processes are started with.
+    /// Environment variables of the processes that are started.
     pub variables: Vec<(&'static str, String)>,
     folder: PathBuf,
     configs: u64,
@@ -49,11 +50,11 @@
         Site::with_platform(seed, platform(), WorkerPoolFaults::default())
     }
 
-    /// Starts the fakes for that platform, with these faults of the worker pools.
+    /// Starts the fakes for a platform, with these faults of the worker pools.
     pub fn with_platform(seed: u64, platform: PlatformSettings, faults: WorkerPoolFaults) -> Site {
         let first_pool = FakeWorkerPool::start(&platform, seed, faults);
         let registry_address = ReservedAddress::new().expect("a free port");
-        let registry = FakeRegistry::start_on(registry_address.listen().expect("the port is kept"));
+        let registry = FakeRegistry::start_on(registry_address.listen().expect("the port is reserved"));
         let number = LAST_SITE.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("dls{}-{number}", std::process::id()));
         std::fs::create_dir_all(folder.join("tmp")).expect("a folder");
@@ -85,7 +86,7 @@
         self.start_first_with(|site| site.start_with_control(None), ServerProcess::wait_serving)
     }
 
-    /// Starts a process with another client address as long as that is taken.
+    /// Starts a process, and starts it again with another client address while the address is in use.
     fn start_first_with(
         &mut self,
         start: impl Fn(&mut Site) -> ServerProcess,
@@ -103,14 +104,14 @@
         panic!("seed {}: no free address after {MAX_STARTS} starts", self.seed);
     }
 
-    /// Starts a process with a control address and a worker pool address of its own.
+    /// Starts a process with its own control address and worker pool address.
     pub fn start_process(&mut self) -> ServerProcess {
         let control = free_address();
         self.start_with_control(Some(control))
     }
 
-    /// Starts a process and waits until it is ready, with another control address where that is taken; returns the time
-    /// that it took.
+    /// Starts a process and waits until it is ready, with another control address if the first is in use;
+    /// returns the time that it took.
     pub fn start_successor(&mut self) -> (ServerProcess, Duration) {
         for _ in 0..MAX_STARTS {
             let mut process = self.start_process();
@@ -123,7 +124,7 @@
         panic!("seed {}: no free address after {MAX_STARTS} starts", self.seed);
     }
 
-    /// Starts a process with a worker pool address of its own.
+    /// Starts a process with its own worker pool address.
     pub fn start_with_control(&mut self, control: Option<SocketAddr>) -> ServerProcess {
         self.configs += 1;
         let pool_seed = self.seed.wrapping_add(self.configs);
@@ -137,27 +138,27 @@
         };
         self.pools.push(pool);
         let path = self.folder.join(format!("config-{}.json", self.configs));
-        std::fs::write(&path, config(&self.platform, &addresses)).expect("it is written");
+        std::fs::write(&path, config(&self.platform, &addresses)).expect("the file is written");
         self.written.push((path.clone(), addresses));
         ServerProcess::start(&path, &self.temporary_folder(), control, &self.variables)
     }
 
-    /// Returns the folder that the processes may write.
+    /// Returns the folder in which the processes may write.
     pub fn temporary_folder(&self) -> PathBuf {
         self.folder.join("tmp")
     }
 
-    /// Returns the names of everything below the folder that the processes may write.
+    /// Returns the paths of all files and folders below the folder in which the processes may write.
     pub fn temporary_files(&self) -> Vec<PathBuf> {
         list_files(&self.temporary_folder())
     }
 
-    /// Returns all runs that were begun on the machine.
+    /// Returns all runs that were started on the machine.
     pub fn started_runs(&self) -> Vec<StartedRun> {
         self.first_pool.started_runs()
     }
 
-    /// Returns when worker pools of the machine stood still, from when to when, Unix ms.
+    /// Returns the time spans in which worker pools of the machine were delayed, Unix ms.
     pub fn worker_pool_delays(&self) -> Vec<Range<u64>> {
         self.first_pool.delays()
     }
@@ -167,28 +168,29 @@
         self.pools.last().expect("a process was started")
     }
 
-    /// Returns where clients tell the machine that a request is over.
+    /// Returns the handle with which clients report the end of a request to the machine.
     pub fn request_ends(&self) -> RequestEnds {
         self.first_pool.request_ends()
     }
 
     /// Returns the registry.
     pub fn registry(&self) -> &FakeRegistry {
-        self.registry.as_ref().expect("it runs")
+        self.registry.as_ref().expect("the registry runs")
     }
 
-    /// Stops the registry: it refuses connections.
+    /// Stops the registry, which then refuses connections.
     pub fn stop_registry(&mut self) {
         self.registry = None;
     }
 
-    /// Starts the registry again, at its address.
+    /// Starts the registry again at its address.
     pub fn start_registry(&mut self) {
-        let listener = self.registry_address.listen().expect("the port is kept");
+        let listener = self.registry_address.listen().expect("the port is reserved");
         self.registry = Some(FakeRegistry::start_on(listener).expect("a thread"));
     }
 
-    /// Moves registry and upstream to other addresses, and writes them to the configuration of a process.
+    /// Moves the registry and the upstream service to other addresses, and writes these to the configuration
+    /// of a process.
     pub fn move_peers(&mut self, process: &ServerProcess) {
         self.registry = None;
         self.registry_address = ReservedAddress::new().expect("a free port");
@@ -198,9 +200,9 @@
         self.old_upstreams.push(std::mem::replace(&mut self.upstream, upstream));
         let (registry, upstream) = (self.registry_address.address(), self.upstream.address());
         let written = self.written.iter_mut().find(|(path, _)| *path == process.config);
-        let (path, addresses) = written.expect("it was started here");
+        let (path, addresses) = written.expect("this site started the process");
         *addresses = Addresses { registry, upstream, ..*addresses };
-        std::fs::write(path, config(&self.platform, addresses)).expect("it is written");
+        std::fs::write(path, config(&self.platform, addresses)).expect("the file is written");
     }
 }
 
