--- a/tests/soak_support/crowd.rs
+++ b/tests/soak_support/crowd.rs
@@ -1,4 +1,6 @@
-//! Bad clients beside the good ones: idle, dripping, flooding, and reading nothing. Each connects again when it is closed.
+//! Misbehaving clients beside the regular ones: idle clients, clients that send single bytes, clients that
+//! flood the server with notifications, and clients that read no responses. Each reconnects when its
+//! connection is closed.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,54 +9,54 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time between two looks at all connections of a kind.
-const LOOK_INTERVAL: Duration = Duration::from_millis(40);
-/// The beginning of a request, of which a dripping client sends one byte at a look.
-const DRIPPED: &[u8] = b"\x94\x00\x01\xda\xff\xff";
-/// What a flooding client sends at a look: notifications that nobody knows.
+/// Time between two rounds over all connections of a kind.
+const ROUND_INTERVAL: Duration = Duration::from_millis(40);
+/// The beginning of a request, of which a client that sends single bytes sends one byte each round.
+const REQUEST_START: &[u8] = b"\x94\x00\x01\xda\xff\xff";
+/// A notification that the server does not know, of which a flooding client sends many each round.
 const NOTIFICATION: &[u8] = b"\x93\x02\xa4none\x90";
-const NOTIFICATIONS_IN_A_LOOK: usize = 200;
-/// What a client that reads nothing sends at a look: health checks.
+const NOTIFICATIONS_PER_ROUND: usize = 200;
+/// A health check, of which a client that reads no responses sends several each round.
 const HEALTH_CHECK: &[u8] = b"\x94\x00\x01\xa6isWell\x91\x80";
-const HEALTH_CHECKS_IN_A_LOOK: usize = 8;
+const HEALTH_CHECKS_PER_ROUND: usize = 8;
 
-/// How many connections a crowd holds, by what they do.
+/// Numbers of connections of misbehaving clients, by behavior.
 #[derive(Clone, Copy, Debug)]
 pub struct CrowdSize {
     pub idle: usize,
-    pub dripping: usize,
+    pub single_byte: usize,
     pub flooding: usize,
     pub reading_nothing: usize,
 }
 
-/// What a bad client does at each look.
+/// The behavior of a misbehaving client in each round.
 #[derive(Clone, Copy)]
-enum Habit {
+enum Behavior {
     Idle,
-    Drip,
+    SendSingleBytes,
     Flood,
     ReadNothing,
 }
 
-/// A running crowd; it leaves when this is dropped.
+/// Running misbehaving clients, which stop on drop.
 pub struct Crowd {
     is_over: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Crowd {
-    /// Starts a crowd.
+    /// Starts misbehaving clients of the server at an address.
     pub fn start(address: SocketAddr, size: CrowdSize) -> Crowd {
         let is_over = Arc::new(AtomicBool::new(false));
         let kinds = [
-            (Habit::Idle, size.idle),
-            (Habit::Drip, size.dripping),
-            (Habit::Flood, size.flooding),
-            (Habit::ReadNothing, size.reading_nothing),
+            (Behavior::Idle, size.idle),
+            (Behavior::SendSingleBytes, size.single_byte),
+            (Behavior::Flood, size.flooding),
+            (Behavior::ReadNothing, size.reading_nothing),
         ];
-        let start = |(habit, count)| {
+        let start = |(behavior, count)| {
             let is_over = is_over.clone();
-            std::thread::spawn(move || keep_connections(address, habit, count, &is_over))
+            std::thread::spawn(move || keep_connections(address, behavior, count, &is_over))
         };
         let threads = kinds.into_iter().map(start).collect();
         Crowd { is_over, threads }
@@ -70,48 +72,48 @@
     }
 }
 
-/// A connection of a bad client.
-struct BadClient {
+/// A connection of a misbehaving client.
+struct MisbehavingClient {
     stream: TcpStream,
     sent: usize,
 }
 
-/// Holds so many connections, and opens others for those that the server closes.
-fn keep_connections(address: SocketAddr, habit: Habit, count: usize, is_over: &AtomicBool) {
-    let mut clients: Vec<BadClient> = Vec::new();
+/// Keeps `count` connections open, and replaces those that the server closes.
+fn keep_connections(address: SocketAddr, behavior: Behavior, count: usize, is_over: &AtomicBool) {
+    let mut clients: Vec<MisbehavingClient> = Vec::new();
     while !is_over.load(Ordering::Relaxed) {
-        clients.retain_mut(|client| client.act(habit));
-        // Without a server there is nobody to connect to; the next look tries again.
+        clients.retain_mut(|client| client.act(behavior));
+        // If no server listens, the next round tries again.
         let missing = count - clients.len();
-        clients.extend((0..missing).map_while(|_| BadClient::connect(address)));
-        std::thread::sleep(LOOK_INTERVAL);
+        clients.extend((0..missing).map_while(|_| MisbehavingClient::connect(address)));
+        std::thread::sleep(ROUND_INTERVAL);
     }
 }
 
-impl BadClient {
-    fn connect(address: SocketAddr) -> Option<BadClient> {
+impl MisbehavingClient {
+    fn connect(address: SocketAddr) -> Option<MisbehavingClient> {
         const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         stream.set_nonblocking(true).ok()?;
-        Some(BadClient { stream, sent: 0 })
+        Some(MisbehavingClient { stream, sent: 0 })
     }
 
-    /// Does what the habit asks at a look; returns whether the connection still stands.
-    fn act(&mut self, habit: Habit) -> bool {
-        match habit {
-            Habit::Idle => self.stands(),
-            Habit::Drip => {
-                let byte = DRIPPED.get(self.sent).copied().unwrap_or(b'a');
+    /// Acts by the behavior for one round; returns whether the connection is still open.
+    fn act(&mut self, behavior: Behavior) -> bool {
+        match behavior {
+            Behavior::Idle => self.is_open(),
+            Behavior::SendSingleBytes => {
+                let byte = REQUEST_START.get(self.sent).copied().unwrap_or(b'a');
                 self.sent += 1;
-                self.stands() && self.write(&[byte])
+                self.is_open() && self.write(&[byte])
             }
-            Habit::Flood => self.stands() && self.write(&NOTIFICATION.repeat(NOTIFICATIONS_IN_A_LOOK)),
-            Habit::ReadNothing => self.write(&HEALTH_CHECK.repeat(HEALTH_CHECKS_IN_A_LOOK)),
+            Behavior::Flood => self.is_open() && self.write(&NOTIFICATION.repeat(NOTIFICATIONS_PER_ROUND)),
+            Behavior::ReadNothing => self.write(&HEALTH_CHECK.repeat(HEALTH_CHECKS_PER_ROUND)),
         }
     }
 
-    /// Reads what has come, and returns whether the connection has not ended.
-    fn stands(&mut self) -> bool {
+    /// Reads the bytes that have arrived, and returns whether the connection is open.
+    fn is_open(&mut self) -> bool {
         let read = self.stream.read(&mut [0; 4096]);
         match read {
             Ok(count) => count > 0,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Writes what the connection takes, and returns whether it stands.
+    /// Writes as many bytes as the connection takes, and returns whether it is open.
     fn write(&mut self, bytes: &[u8]) -> bool {
         let written = self.stream.write(bytes);
         match written {
--- a/tests/soak_support/mod.rs
+++ b/tests/soak_support/mod.rs
@@ -1,5 +1,5 @@
-//! A soak of the server with real processes: a schedule drawn from a seed, the crowd beside good clients, and the judgement
-//! by the rules of the protocol.
+//! Support for soak tests with real server processes: a schedule drawn from a seed, misbehaving clients
+//! beside the regular ones, and the check of the protocol's rules.
 
 pub mod crowd;
 pub mod parts;
--- a/tests/soak_support/parts.rs
+++ b/tests/soak_support/parts.rs
@@ -1,30 +1,30 @@
-//! The parts of a soak, each of which can be left out to find what a failure needs.
+//! The parts of a soak run, each of which can be excluded to find which of them a failure needs.
 
 use std::collections::BTreeSet;
 
-/// The variable that names the parts to leave out, separated by commas.
+/// The variable that lists the parts to exclude, separated by commas.
 const VARIABLE: &str = "SOAK_WITHOUT";
 
-/// A part of a soak.
+/// A part of a soak run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Part {
-    /// Bad clients beside the good ones.
+    /// Misbehaving clients beside the regular ones.
     Crowd,
     /// SIGHUP, and SIGSTOP with SIGCONT.
     Signals,
-    /// Evacuation and its end.
+    /// Evacuations, each with the rejoin that ends it.
     Evacuation,
     /// Upgrades.
     Upgrades,
     /// Kills of a process.
     Kills,
-    /// Faults of the registry, of the worker pool, and moved addresses.
+    /// Faults of the registry and of the worker pool, and address changes of peers.
     Peers,
     /// Bursts of requests.
     Bursts,
 }
 
-/// The parts with the names that the variable uses.
+/// The parts, each with its name in the variable.
 const NAMES: [(&str, Part); 7] = [
     ("crowd", Part::Crowd),
     ("signals", Part::Signals),
@@ -35,28 +35,30 @@
     ("bursts", Part::Bursts),
 ];
 
-/// The parts that are left out.
+/// The excluded parts.
 #[derive(Clone, Debug, Default)]
-pub struct LeftOut(BTreeSet<Part>);
+pub struct ExcludedParts(BTreeSet<Part>);
 
-impl LeftOut {
+impl ExcludedParts {
     /// Returns the parts that the environment names.
     ///
     /// # Panics
-    /// If it names one that does not exist.
-    pub fn from_environment() -> LeftOut {
+    /// Panics if the variable names an unknown part.
+    pub fn from_environment() -> ExcludedParts {
         let text = std::env::var(VARIABLE).unwrap_or_default();
         let names = text.split(',').map(str::trim).filter(|name| !name.is_empty());
-        LeftOut(names.map(part_of_name).collect())
+        ExcludedParts(names.map(part_of_name).collect())
     }
 
-    /// Returns whether a part is played.
-    pub fn plays(&self, part: Part) -> bool {
+    /// Returns whether a part is included.
+    pub fn includes(&self, part: Part) -> bool {
         !self.0.contains(&part)
     }
 }
 
 fn part_of_name(name: &str) -> Part {
     let known = NAMES.iter().find(|(known, _)| *known == name);
-    known.map(|(_, part)| *part).unwrap_or_else(|| panic!("{VARIABLE}: no part {name}, only {NAMES:?}"))
+    known
+        .map(|(_, part)| *part)
+        .unwrap_or_else(|| panic!("{VARIABLE}: unknown part {name}, expected {NAMES:?}"))
 }
--- a/tests/soak_support/run.rs
+++ b/tests/soak_support/run.rs
@@ -1,4 +1,4 @@
-//! A run of the soak: the processes, their clients and what happens to them.
+//! A soak run: the processes, their clients and the steps of the schedule.
 
 use crate::soak_support::crowd::Crowd;
 use crate::soak_support::schedule::{Ending, Schedule, Step, UpgradeKill};
@@ -16,65 +16,68 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-/// Requests a second.
+/// Requests a second outside of bursts.
 const RATE: f64 = 120.0;
-/// Requests a second in a burst, and how long it lasts.
+/// Requests a second in a burst.
 const BURST_RATE: f64 = 900.0;
+/// Duration of a burst.
 const BURST_TIME: Duration = Duration::from_secs(1);
-/// Connections that requests of a burst share.
+/// Number of connections that the requests of a burst share.
 const BURST_CONNECTIONS: usize = 40;
-/// Keeps the draws of bursts apart from those of the other requests of a seed.
+/// Distance between the seeds of bursts, so that their random numbers differ from those of the other
+/// requests of a seed.
 const BURST_SEEDS: u64 = 1 << 32;
-/// Load before the first step and after the last.
+/// Duration of the load before the first step and after the last.
 const LOAD_TIME: Duration = Duration::from_millis(400);
-/// Time between two looks at the processes.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
-/// Time in which health has to be good again after a cause of bad health has ended, ms.
+/// Time between two samples of the processes' resource usage.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
+/// Time within which health has to be good again after a cause of bad health has ended, ms.
 const GOOD_HEALTH_WITHIN_MS: u64 = 2000;
-/// As above, where the worker pool stalled: its runs have to come to their ends first.
+/// Time within which health has to be good again after a stall of the worker pool, ms: its runs have to end
+/// first.
 const GOOD_HEALTH_AFTER_STALL_MS: u64 = 4000;
 
-/// What was seen in a run.
+/// The observations of a run.
 pub struct SoakReport {
     pub records: Records,
     pub runs: Vec<StartedRun>,
-    /// When a process was killed before its time, Unix ms.
+    /// Times at which a process was killed before its shutdown time was over, Unix ms.
     pub kills_ms: Vec<u64>,
-    /// When bad health is right, Unix ms.
+    /// Time spans in which bad health is allowed, Unix ms.
     pub bad_health_allowed: Vec<Range<u64>>,
-    /// The peak of the resident memory of all processes together, kB.
+    /// Peak of the total resident memory of all processes, kB.
     pub peak_resident_kb: u64,
-    /// The largest number of descriptors that all processes together had open.
+    /// Peak of the total number of open descriptors of all processes.
     pub peak_descriptors: usize,
-    /// Processes that ended otherwise than they should have.
-    pub wrong_ends: Vec<String>,
-    /// What happened, in order.
+    /// Descriptions of processes that ended in an unexpected way.
+    pub unexpected_ends: Vec<String>,
+    /// The steps of the run, in order.
     pub history: Vec<String>,
-    /// When worker pools stood still, from when to when, Unix ms.
+    /// Time spans in which worker pools were delayed, Unix ms.
     pub worker_pool_delays: Vec<Range<u64>>,
     /// The last log lines of each process, in the order of their ends.
     pub logs: Vec<String>,
 }
 
-/// A run under way.
+/// A run in progress.
 struct SoakRun {
     seed: u64,
     site: Site,
     serving: ServerProcess,
     clients: Clients,
-    /// What the clients of the bursts recorded.
+    /// The records of the clients of the bursts.
     bursts: Vec<Records>,
     began: Instant,
     kills_ms: Vec<u64>,
     bad_health_allowed: Vec<Range<u64>>,
     peak_resident_kb: u64,
     peak_descriptors: usize,
-    wrong_ends: Vec<String>,
+    unexpected_ends: Vec<String>,
     history: Vec<String>,
     logs: Vec<String>,
 }
 
-/// Plays a schedule and returns what was seen.
+/// Plays a schedule and returns the observations.
 pub fn play(seed: u64, schedule: &Schedule) -> SoakReport {
     let mut site = Site::start(seed);
     let serving = site.start_first();
@@ -91,41 +94,41 @@
         bad_health_allowed: Vec::new(),
         peak_resident_kb: 0,
         peak_descriptors: 0,
-        wrong_ends: Vec::new(),
+        unexpected_ends: Vec::new(),
         history: Vec::new(),
         logs: Vec::new(),
     };
     let crowd = schedule.crowd.map(|size| Crowd::start(run.site.listen, size));
-    run.note(&format!("crowd {:?}", schedule.crowd));
-    run.pass(LOAD_TIME);
+    run.record_event(&format!("crowd {:?}", schedule.crowd));
+    run.let_pass(LOAD_TIME);
     for (pause, step) in &schedule.steps {
-        run.pass(*pause);
-        run.note(&format!("{step:?}"));
-        run.take_step(*step);
+        run.let_pass(*pause);
+        run.record_event(&format!("{step:?}"));
+        run.execute_step(*step);
     }
-    run.pass(LOAD_TIME);
+    run.let_pass(LOAD_TIME);
     run.end(schedule.ending);
     drop(crowd);
     run.report()
 }
 
 impl SoakRun {
-    fn note(&mut self, text: &str) {
+    fn record_event(&mut self, text: &str) {
         let at_ms = self.began.elapsed().as_millis();
         self.history.push(format!("{at_ms} ms, at {}: {text}", unix_ms()));
     }
 
-    /// Lets time pass, and looks at the serving process.
-    fn pass(&mut self, time: Duration) {
+    /// Lets time pass, and samples the resource usage of the serving process meanwhile.
+    fn let_pass(&mut self, time: Duration) {
         let since = Instant::now();
         while since.elapsed() < time {
-            self.look_at(None);
-            run_for(LOOK_INTERVAL);
+            self.sample_usage(None);
+            run_for(SAMPLE_INTERVAL);
         }
     }
 
-    /// Notes the memory and descriptors of the serving process, and of another one.
-    fn look_at(&mut self, other: Option<&ServerProcess>) {
+    /// Samples the memory and descriptors of the serving process, and of another one if given.
+    fn sample_usage(&mut self, other: Option<&ServerProcess>) {
         let kb = self.serving.resident_kb() + other.map_or(0, ServerProcess::resident_kb);
         let descriptors = self.serving.descriptors() + other.map_or(0, ServerProcess::descriptors);
         self.peak_resident_kb = self.peak_resident_kb.max(kb);
@@ -140,7 +143,7 @@
         self.bad_health_allowed.push(from_ms..unix_ms() + recovery_ms);
     }
 
-    fn take_step(&mut self, step: Step) {
+    fn execute_step(&mut self, step: Step) {
         let from_ms = unix_ms();
         match step {
             Step::Reload(times) => (0..times).for_each(|_| self.serving.signal("HUP")),
@@ -150,7 +153,7 @@
             }
             Step::Evacuate(time) => {
                 operators_call(&self.serving, "PUT", "/api/evacuate");
-                self.pass(time);
+                self.let_pass(time);
                 operators_call(&self.serving, "PUT", "/api/rejoin");
                 self.allow_bad_health(from_ms, GOOD_HEALTH_WITHIN_MS);
             }
@@ -160,18 +163,18 @@
             }
             Step::RegistryDown(time) => {
                 self.site.stop_registry();
-                self.pass(time);
+                self.let_pass(time);
                 self.site.start_registry();
             }
             Step::BreakPoolLink => self.site.last_pool().break_link(),
             Step::StallPool(time) => {
                 self.site.last_pool().stall(time);
-                self.pass(time);
+                self.let_pass(time);
                 self.allow_bad_health(from_ms, GOOD_HEALTH_AFTER_STALL_MS);
             }
             Step::Upgrade { pause, kill } => self.upgrade(pause, kill),
             Step::EvacuateInUpgrade(time) => self.evacuate_in_upgrade(time),
-            Step::ThreeProcesses { pause } => self.hand_on_twice(pause),
+            Step::ThreeProcesses { pause } => self.upgrade_twice(pause),
             Step::Burst => self.burst(),
             Step::SignalSeries { rounds, gap } => {
                 (0..rounds).for_each(|_| self.send_series(gap));
@@ -187,7 +190,8 @@
         }
     }
 
-    /// Has a further set of clients send past what the event loop bears, and waits for the ends of what they sent.
+    /// Starts further clients with more load than the event loop can handle, and waits for the ends of their
+    /// requests.
     fn burst(&mut self) {
         let load = LoadSettings {
             seed: self.seed + BURST_SEEDS * (1 + self.bursts.len() as u64),
@@ -196,11 +200,11 @@
             withdrawals: false,
         };
         let clients = Clients::start(self.site.listen, self.site.request_ends(), load);
-        self.pass(BURST_TIME);
+        self.let_pass(BURST_TIME);
         self.bursts.push(clients.finish());
     }
 
-    /// Starts a successor, which serves from now on, and returns the process before it.
+    /// Starts a successor, which serves from now on, and returns its predecessor.
     fn hand_over(&mut self) -> ServerProcess {
         let (new, _) = self.site.start_successor();
         std::mem::replace(&mut self.serving, new)
@@ -210,17 +214,17 @@
         let mut old = self.hand_over();
         let from_ms = unix_ms();
         operators_call(&self.serving, "PUT", "/api/evacuate");
-        self.pass(time);
+        self.let_pass(time);
         operators_call(&self.serving, "PUT", "/api/rejoin");
         self.allow_bad_health(from_ms, GOOD_HEALTH_WITHIN_MS);
         self.finish(&mut old);
     }
 
-    fn hand_on_twice(&mut self, pause: Duration) {
+    fn upgrade_twice(&mut self, pause: Duration) {
         let mut first = self.hand_over();
-        self.pass(pause);
+        self.let_pass(pause);
         let mut second = self.hand_over();
-        self.pass(pause);
+        self.let_pass(pause);
         self.finish(&mut first);
         self.finish(&mut second);
     }
@@ -230,23 +234,24 @@
         let (_, was_killed) = finish_predecessor(old, |_| {});
         if was_killed {
             self.kills_ms.push(unix_ms());
-            self.wrong_ends.push("the old process did not end before its kill".to_owned());
+            self.unexpected_ends.push("the old process did not end before its kill".to_owned());
         }
         self.keep_log(old);
     }
 
-    /// Has the serving process stand still for at least that time, and returns for how long it surely did.
+    /// Stops the serving process for at least this time, and returns a lower bound of the time for which it
+    /// was stopped.
     fn stop_serving(&mut self, time: Duration) -> Duration {
         self.serving.signal("STOP");
         let (seed, serving) = (self.seed, &mut self.serving);
-        wait_for(seed, "it stands still or has ended", || {
+        wait_for(seed, "the process is stopped or has ended", || {
             serving.is_stopped() || serving.exit_status().is_some()
         });
         let since = Instant::now();
-        self.pass(time);
-        let stood_still = since.elapsed();
+        self.let_pass(time);
+        let stopped_for = since.elapsed();
         self.serving.signal("CONT");
-        stood_still
+        stopped_for
     }
 
     fn upgrade(&mut self, pause: Duration, kill: UpgradeKill) {
@@ -261,13 +266,13 @@
         }
         let since = Instant::now();
         while since.elapsed() < pause {
-            self.look_at(Some(&old));
-            run_for(LOOK_INTERVAL);
+            self.sample_usage(Some(&old));
+            run_for(SAMPLE_INTERVAL);
         }
         self.finish(&mut old);
     }
 
-    /// Starts a new process and kills it after a while; the old one serves on, or again.
+    /// Starts a new process and kills it after a while; the old one continues or resumes serving.
     fn kill_new(&mut self, moment: Duration) {
         let mut new = self.site.start_process();
         run_for(moment);
@@ -278,9 +283,10 @@
         wait_for(seed, "the old process serves", || serving.is_ready());
     }
 
-    /// Shuts the server down and kills it at the page's earliest, while its clients go on.
+    /// Shuts the server down, and kills it at the earliest time that the protocol allows, while its clients
+    /// continue.
     fn end(&mut self, ending: Ending) {
-        self.note(&format!("{ending:?}"));
+        self.record_event(&format!("{ending:?}"));
         let from_ms = unix_ms();
         if ending.reload_before {
             self.serving.signal("HUP");
@@ -292,25 +298,25 @@
         }
         (0..ending.repeats).for_each(|_| self.serving.signal("TERM"));
         if let Some(time) = ending.stop {
-            // The time of a pause is not counted.
+            // The time for which the process is stopped does not count.
             kill_at += self.stop_serving(time);
         }
         while self.serving.exit_status().is_none() && Instant::now() < kill_at {
-            self.look_at(None);
-            run_for(LOOK_INTERVAL.min(kill_at.saturating_duration_since(Instant::now())));
+            self.sample_usage(None);
+            run_for(SAMPLE_INTERVAL.min(kill_at.saturating_duration_since(Instant::now())));
         }
         match self.serving.exit_status() {
             Some(status) => self.check_exit(status),
-            None => self.wrong_ends.push("the process did not end before its kill".to_owned()),
+            None => self.unexpected_ends.push("the process did not end before its kill".to_owned()),
         }
         self.serving.kill();
-        self.note("ended");
+        self.record_event("ended");
         self.allow_bad_health(from_ms, GOOD_HEALTH_WITHIN_MS);
     }
 
     fn check_exit(&mut self, status: ExitStatus) {
         if !status.success() {
-            self.wrong_ends.push(format!("the process ended with {status}"));
+            self.unexpected_ends.push(format!("the process ended with {status}"));
         }
     }
 
@@ -325,7 +331,7 @@
             bad_health_allowed: self.bad_health_allowed,
             peak_resident_kb: self.peak_resident_kb,
             peak_descriptors: self.peak_descriptors,
-            wrong_ends: self.wrong_ends,
+            unexpected_ends: self.unexpected_ends,
             history: self.history,
             worker_pool_delays: self.site.worker_pool_delays(),
             logs: self.logs,
