--- a/tests/recorded/cases.rs
+++ b/tests/recorded/cases.rs
@@ -1,10 +1,11 @@
-//! How often each action and each case occurred.
+//! Counts of the actions and cases that occur in the streams.
 
 use super::module::{Input, Output};
 use super::play::Step;
 use std::collections::BTreeMap;
 
-/// How often each case occurs at least over the long streams. The module logs nothing, and stops nothing where it can't.
+/// Minimum number of occurrences of each case over all long streams. The controller writes no log, and
+/// preempts nothing if preemption is off, so these cases are missing.
 pub const MINIMA: [(&str, u64); 99] = [
     ("action: call", 11000),
     ("action: fail", 780),
@@ -21,7 +22,7 @@
     ("action: skip call", 830),
     ("action: timer", 21000),
     ("arrival: absurd number", 290),
-    ("arrival: deadline told", 35000),
+    ("arrival: deadline stated", 35000),
     ("arrival: marked as a retry", 5300),
     ("arrival: no deadline", 14000),
     ("call with a share: cut off", 31),
@@ -36,9 +37,9 @@
     ("call without a share: refused", 330),
     ("call without a share: timed out", 73),
     ("call without a share: unreachable", 300),
-    ("cut: arrival refused", 7500),
-    ("cut: falls", 6500),
-    ("cut: rises", 6900),
+    ("threshold: arrival rejected", 7500),
+    ("threshold: falls", 6500),
+    ("threshold: rises", 6900),
     ("drain: arrival after the grace", 250),
     ("drain: arrival at the end of the grace", 5),
     ("drain: arrival in the grace", 25),
@@ -80,7 +81,7 @@
     ("reconfigured: limit lifted", 20),
     ("reconfigured: quota", 38),
     ("reconfigured: tenant removed", 13),
-    ("rule: answered while under way", 1400),
+    ("rule: answered while in progress", 1400),
     ("rule: duplicate not run", 1600),
     ("rule: queued behind full cores", 81000),
     ("rule: refused for memory", 1300),
@@ -112,7 +113,7 @@
 pub struct Cases {
     counts: BTreeMap<&'static str, u64>,
     level: usize,
-    cut: f64,
+    priority_threshold: f64,
 }
 
 impl Cases {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Notes what a step shows by itself.
+    /// Counts the cases that follow from a step alone.
     pub fn watch(&mut self, step: &Step) {
         match (self.level, step.level) {
             (0, 1) => self.count("level: 0 to 1"),
@@ -141,12 +142,12 @@
             (1, 0) => self.count("level: 1 to 0"),
             _ => {}
         }
-        if step.cut > self.cut {
-            self.count("cut: rises");
-        } else if step.cut < self.cut {
-            self.count("cut: falls");
+        if step.priority_threshold > self.priority_threshold {
+            self.count("threshold: rises");
+        } else if step.priority_threshold < self.priority_threshold {
+            self.count("threshold: falls");
         }
-        (self.level, self.cut) = (step.level, step.cut);
+        (self.level, self.priority_threshold) = (step.level, step.priority_threshold);
         for output in &step.outputs {
             self.count(action(output));
             if let (Input::Timer { .. }, Output::Health(good)) = (&step.input, output) {
@@ -159,18 +160,18 @@
 fn action(output: &Output) -> &'static str {
     match output {
         Output::Run(_) => "action: run",
-        Output::Refuse { last: true, .. } => "action: refuse, last",
-        Output::Refuse { last: false, .. } => "action: refuse",
+        Output::Reject { no_retry: true, .. } => "action: refuse, last",
+        Output::Reject { no_retry: false, .. } => "action: refuse",
         Output::Fail(_) => "action: fail",
         Output::Reuse(_) => "action: reuse",
         Output::Preempt(_) => "action: preempt",
-        Output::Keep { .. } => "action: keep",
-        Output::Forget(_) => "action: forget",
+        Output::ReserveKey { .. } => "action: keep",
+        Output::ReleaseKey(_) => "action: forget",
         Output::Call { .. } => "action: call",
         Output::SkipCall(_) => "action: skip call",
         Output::Share(_) => "action: share",
         Output::Health(_) => "action: health",
-        Output::IdleLimit(_) => "action: idle limit",
+        Output::IdleTimeout(_) => "action: idle limit",
         Output::Timer { .. } => "action: timer",
         Output::Log(_) => "action: log",
     }
--- a/tests/recorded/mod.rs
+++ b/tests/recorded/mod.rs
@@ -1,4 +1,4 @@
-//! Streams of events played against the decision module, and the recordings of what it did.
+//! Streams of events for the admission controller, and the recordings of its decisions.
 
 pub mod cases;
 pub mod module;
--- a/tests/recorded/play/arrivals.rs
+++ b/tests/recorded/play/arrivals.rs
@@ -1,12 +1,12 @@
-//! Requests that arrive.
+//! Generates the requests that arrive.
 
 use super::{Machine, Phase, Request, Stage, TICK_MS, WORK_MS};
-use crate::recorded::module::{Arriving, Input};
-use crate::recorded::plan::Repeat;
+use crate::recorded::module::{IncomingRequest, Input};
+use crate::recorded::plan::RetryKind;
 
-/// Different subjects of reads.
+/// Number of different subjects of reads.
 const SUBJECTS: u64 = 6;
-/// How many of the last keys come again.
+/// Number of recent keys from which duplicates choose.
 const LATE_KEYS: usize = 12;
 
 impl Machine<'_> {
@@ -27,51 +27,53 @@
         let id = self.last_id;
         let class = self.random.below(self.plan.classes.len() as u64) as usize;
         let group = self.group(id, class);
-        let prior = group.and_then(|group| self.prior(class, group));
+        let duplicate_of = group.and_then(|group| self.duplicate_of(class, group));
         let tenant = self.tenant();
-        let queued_kb = 5 + self.random.below(55);
+        let request_kb = 5 + self.random.below(55);
         let age_ms = self.age_ms();
-        let retry_percent = if prior.is_some() { 50 } else { 8 };
-        let mut arriving = Arriving {
+        let retry_percent = if duplicate_of.is_some() { 50 } else { 8 };
+        let mut incoming = IncomingRequest {
             id,
             class,
             tenant,
-            subject: group.is_some() && self.plan.classes[class].repeat == Repeat::Safe,
+            shareable: group.is_some() && self.plan.classes[class].retry_safety == RetryKind::Safe,
             deadline: self.deadline(class, age_ms),
             cost_ms: self.random.percent(50).then(|| self.random.below(120) as f64),
-            queued_kb: queued_kb as f64,
+            request_kb: request_kb as f64,
             priority: self.random.below(1000) as f64 / 1000.0,
-            retry: self.random.percent(retry_percent),
+            is_retry: self.random.percent(retry_percent),
             age_ms: age_ms as f64,
-            prior,
+            duplicate_of,
         };
-        self.make_absurd(&mut arriving);
+        self.make_absurd(&mut incoming);
         let work = WORK_MS * (300 + self.random.below(1400));
         let hung = self.script.hang.is_some() && self.random.percent(1);
         let request = Request {
             class,
             tenant,
             group,
-            queued_kb,
+            request_kb,
             stage: Stage::Queued,
             work_left: work,
             work,
-            call_ahead: self.plan.classes[class].calls && self.plan.upstream && self.random.percent(60),
+            call_ahead: self.plan.classes[class].makes_upstream_calls
+                && self.plan.has_upstream
+                && self.random.percent(60),
             since: self.now,
             answered: false,
             hung_until: if hung { self.now + 4000 } else { 0 },
         };
         self.requests.insert(id, request);
-        self.note_arrival(&arriving);
-        self.inputs.push_back(Input::Arrive(arriving));
+        self.count_arrival(&incoming);
+        self.inputs.push_back(Input::Arrive(incoming));
     }
 
-    /// A keyed request's key, which may be one of late; a read's subject.
+    /// Returns the key of a keyed request, which may be a recent one, or the subject of a read.
     fn group(&mut self, id: u64, class: usize) -> Option<u64> {
-        match self.plan.classes[class].repeat {
-            Repeat::Never => None,
-            Repeat::Safe => self.random.percent(60).then(|| self.random.below(SUBJECTS)),
-            Repeat::Keyed => {
+        match self.plan.classes[class].retry_safety {
+            RetryKind::Never => None,
+            RetryKind::Safe => self.random.percent(60).then(|| self.random.below(SUBJECTS)),
+            RetryKind::Keyed => {
                 let keys = self.keys.entry(class).or_default();
                 if !keys.is_empty() && self.random.percent(self.script.duplicates) {
                     let late = keys.len().saturating_sub(LATE_KEYS);
@@ -83,17 +85,17 @@
         }
     }
 
-    /// The remembered request that one of this class and key or subject repeats.
-    fn prior(&mut self, class: usize, group: u64) -> Option<u64> {
-        let keyed = self.plan.classes[class].repeat == Repeat::Keyed;
+    /// Returns the request with a reservation that a new one of this class and key or subject duplicates.
+    fn duplicate_of(&mut self, class: usize, group: u64) -> Option<u64> {
+        let keyed = self.plan.classes[class].retry_safety == RetryKind::Keyed;
         let holder = *self.holders.get(&(class, group))?;
-        let Some(kept) = self.kept.get(&holder) else {
+        let Some(reserved) = self.reserved.get(&holder) else {
             self.cases.count(if keyed { "duplicate: prior forgotten" } else { "read: prior forgotten" });
             return None;
         };
-        let phase = kept.phase;
+        let phase = reserved.phase;
         let stale = match phase {
-            Phase::Ended { at, good } => !good || (self.now - at) as f64 > self.plan.fresh_ms,
+            Phase::Ended { at, good } => !good || (self.now - at) as f64 > self.plan.shared_result_ttl_ms,
             _ => false,
         };
         if !keyed && stale {
@@ -111,12 +113,12 @@
         Some(holder)
     }
 
-    /// How old a request is when it arrives. After a notice to leave some reached the machine just when the grace
-    /// ended, or a millisecond beside it.
+    /// Returns the age of a request on arrival. After a shutdown request, some requests reached the machine
+    /// exactly at the end of the drain grace, or a millisecond before or after it.
     fn age_ms(&mut self) -> u64 {
         let age_ms = self.random.below(self.script.age_ms);
-        let Some((notice, _)) = self.leaving.filter(|_| self.random.percent(50)) else { return age_ms };
-        let edge = notice + self.plan.drain_grace_ms as u64 + self.random.below(3);
+        let Some((requested, _)) = self.shutdown.filter(|_| self.random.percent(50)) else { return age_ms };
+        let edge = requested + self.plan.drain_grace_ms as u64 + self.random.below(3);
         match (self.now + 1).checked_sub(edge) {
             Some(age_ms) if age_ms < 100 => {
                 self.cases.count("drain: arrival at the end of the grace");
@@ -136,27 +138,31 @@
     }
 
     fn deadline(&mut self, class: usize, age_ms: u64) -> Option<f64> {
-        if !self.plan.tells_deadline || self.random.percent(20) {
+        if !self.plan.passes_deadline || self.random.percent(20) {
             return None;
         }
-        let patience = self.plan.classes[class].give_up_ms;
+        let patience = self.plan.classes[class].client_timeout_ms;
         let patience = if patience.is_finite() { patience.clamp(0.0, 10_000.0) as u64 } else { 2000 };
         let waits = patience * (10 + self.random.below(90)) / 100;
         Some((self.now + waits) as f64 - age_ms as f64)
     }
 
-    fn note_arrival(&mut self, arriving: &Arriving) {
-        let Arriving { tenant, retry, deadline, .. } = *arriving;
+    fn count_arrival(&mut self, incoming: &IncomingRequest) {
+        let IncomingRequest { tenant, is_retry, deadline, .. } = *incoming;
         if tenant >= self.plan.quotas.len() {
             self.cases.count("tenant: unknown");
         }
-        if retry {
+        if is_retry {
             self.cases.count("arrival: marked as a retry");
         }
-        self.cases.count(if deadline.is_some() { "arrival: deadline told" } else { "arrival: no deadline" });
-        if let Some((notice, _)) = self.leaving {
-            let arrived = self.now as f64 - arriving.age_ms;
-            let after = arrived > notice as f64 + self.plan.drain_grace_ms;
+        self.cases.count(if deadline.is_some() {
+            "arrival: deadline stated"
+        } else {
+            "arrival: no deadline"
+        });
+        if let Some((requested_at, _)) = self.shutdown {
+            let arrived = self.now as f64 - incoming.age_ms;
+            let after = arrived > requested_at as f64 + self.plan.drain_grace_ms;
             self.cases.count(if after {
                 "drain: arrival after the grace"
             } else {
--- a/tests/recorded/play/mod.rs
+++ b/tests/recorded/play/mod.rs
@@ -1,5 +1,6 @@
-//! A small machine around the module, closed loop: cores, queued and running requests, duplicates, upstream calls and
-//! clients. Time goes in ticks of whole milliseconds and all draws are integers; one seed gives one stream.
+//! A small model of a machine in a closed loop with the controller: cores, queued and running requests,
+//! duplicates, upstream calls and clients. Time advances in ticks of whole milliseconds, and all random
+//! numbers are integers; each seed gives one stream.
 
 mod actions;
 mod arrivals;
@@ -7,23 +8,23 @@
 mod work;
 
 use super::cases::Cases;
-use super::module::{Input, Module, Output, Readings};
-use super::plan::{GaugeKind, Outcome, Plan, Script, Span, Stopping, Stream, TimerKind};
+use super::module::{GaugeReadings, Input, Module, Output};
+use super::plan::{GaugeKind, Outcome, Plan, PreemptionKind, Script, Span, Stream, TimerKind};
 use super::random::Random;
 use std::collections::{BTreeMap, VecDeque};
 
-/// One tick, ms.
+/// Length of a tick, ms.
 const TICK_MS: u64 = 5;
-/// The usual work of a run, ms of one core.
+/// Mean work of a run, ms of one core.
 const WORK_MS: u64 = 60;
 
-/// One event, what the module did about it, and where it stood then.
+/// An event, the controller's actions, and the controller's state after it.
 pub struct Step {
     pub now: f64,
     pub input: Input,
     pub outputs: Vec<Output>,
     pub level: usize,
-    pub cut: f64,
+    pub priority_threshold: f64,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -32,25 +33,26 @@
     Running,
     AtCall,
     Calling { since: u64, until: u64, outcome: Outcome },
-    Paused,
+    Suspended,
     Reusing,
 }
 
 struct Request {
     class: usize,
     tenant: usize,
-    /// Its key, or the subject of a read.
+    /// The idempotency key, or the subject of a read.
     group: Option<u64>,
-    queued_kb: u64,
+    request_kb: u64,
     stage: Stage,
-    /// Microseconds of one core.
+    /// Remaining work, microseconds of one core.
     work_left: u64,
+    /// Total work, microseconds of one core.
     work: u64,
-    /// Will come to an upstream call half way.
+    /// Whether the run makes an upstream call when half of its work is done.
     call_ahead: bool,
     since: u64,
     answered: bool,
-    /// Makes no progress until then.
+    /// Time until which the run makes no progress.
     hung_until: u64,
 }
 
@@ -61,8 +63,8 @@
     Ended { at: u64, good: bool },
 }
 
-/// A remembered request.
-struct Kept {
+/// A request with a reserved key.
+struct Reservation {
     class: usize,
     group: u64,
     until: f64,
@@ -77,19 +79,19 @@
     now: u64,
     last_id: u64,
     requests: BTreeMap<u64, Request>,
-    kept: BTreeMap<u64, Kept>,
-    /// The remembered request of a class's key or subject.
+    reserved: BTreeMap<u64, Reservation>,
+    /// The request that last reserved the key or subject, by class and key or subject.
     holders: BTreeMap<(usize, u64), u64>,
     /// Keys used so far, by class.
     keys: BTreeMap<usize, Vec<u64>>,
     timers: Vec<(u64, u64)>,
     inputs: VecDeque<Input>,
-    /// Notice to leave and the stop.
-    leaving: Option<(u64, u64)>,
+    /// Times of the shutdown request and of the stop.
+    shutdown: Option<(u64, u64)>,
     cases: &'a mut Cases,
 }
 
-/// Plays a stream to its end and shows each step to `observe`.
+/// Plays a stream to its end, and passes each step to `observe`.
 pub fn play(stream: &Stream, cases: &mut Cases, mut observe: impl FnMut(&Step)) {
     let mut machine = Machine {
         module: Module::new(0.0, stream.seed, &stream.plan),
@@ -99,15 +101,15 @@
         now: 0,
         last_id: 0,
         requests: BTreeMap::new(),
-        kept: BTreeMap::new(),
+        reserved: BTreeMap::new(),
         holders: BTreeMap::new(),
         keys: BTreeMap::new(),
         timers: Vec::new(),
         inputs: VecDeque::from([Input::Start]),
-        leaving: None,
+        shutdown: None,
         cases,
     };
-    machine.note_settings();
+    machine.count_settings();
     let mut events = 0;
     loop {
         while let Some(input) = machine.inputs.pop_front() {
@@ -120,7 +122,7 @@
                 return;
             }
         }
-        if machine.leaving.is_some_and(|(_, stop)| machine.now > stop + 500) {
+        if machine.shutdown.is_some_and(|(_, stop)| machine.now > stop + 500) {
             return;
         }
         machine.tick();
@@ -128,40 +130,43 @@
 }
 
 impl Machine<'_> {
-    fn note_settings(&mut self) {
+    fn count_settings(&mut self) {
         let plan = self.plan;
-        let mut note = |holds: bool, case: &'static str| {
+        let mut count_if = |holds: bool, case: &'static str| {
             if holds {
                 self.cases.count(case);
             }
         };
-        note(plan.cold, "settings: cold start");
-        note(plan.stopping == Stopping::Off, "settings: no preemption");
-        note(plan.stopping == Stopping::Abort, "settings: preemption by abort");
-        note(plan.stopping == Stopping::Suspend, "settings: preemption by suspension");
-        note(plan.cores.is_nan() || plan.memory_kb.is_nan(), "settings: NaN");
-        note(plan.cores.is_infinite() || plan.memory_kb.is_infinite(), "settings: infinite");
-        note(plan.cores < 0.0 || plan.run_factor < 0.0, "settings: negative");
-        note(plan.classes.iter().any(|c| !c.aim_ms.is_finite()), "settings: class with absurd times");
+        count_if(plan.cold_start, "settings: cold start");
+        count_if(plan.preemption == PreemptionKind::Off, "settings: no preemption");
+        count_if(plan.preemption == PreemptionKind::Abort, "settings: preemption by abort");
+        count_if(plan.preemption == PreemptionKind::Suspend, "settings: preemption by suspension");
+        count_if(plan.cores.is_nan() || plan.memory_kb.is_nan(), "settings: NaN");
+        count_if(plan.cores.is_infinite() || plan.memory_kb.is_infinite(), "settings: infinite");
+        count_if(plan.cores < 0.0 || plan.run_memory_factor < 0.0, "settings: negative");
+        count_if(
+            plan.classes.iter().any(|c| !c.latency_objective_ms.is_finite()),
+            "settings: class with absurd times",
+        );
     }
 
     fn deliver(&mut self, input: Input) -> Step {
-        let outputs = self.module.take(self.now as f64, &input);
-        let (level, cut) = (self.module.level(), self.module.cut());
-        Step { now: self.now as f64, input, outputs, level, cut }
+        let outputs = self.module.process(self.now as f64, &input);
+        let (level, priority_threshold) = (self.module.level(), self.module.priority_threshold());
+        Step { now: self.now as f64, input, outputs, level, priority_threshold }
     }
 
     fn tick(&mut self) {
         self.now += TICK_MS;
         let now = self.now;
-        self.kept.retain(|_, kept| kept.until > now as f64);
+        self.reserved.retain(|_, reserved| reserved.until > now as f64);
         self.work();
         self.end_calls();
         self.end_reuses();
         self.arrivals();
-        self.clients_leave();
+        self.disconnect_client();
         self.oddities();
-        self.leave();
+        self.request_shutdown();
         self.reconfigure();
         self.timers();
         let queued = self.requests.values().any(|r| r.stage == Stage::Queued);
@@ -174,19 +179,19 @@
         self.requests.values().filter(|r| r.stage == Stage::Running).count()
     }
 
-    /// Memory in use by the machine's own count, kB.
+    /// Returns the memory in use by the machine's own count, kB.
     fn memory_kb(&self) -> f64 {
         let of = |r: &Request| match r.stage {
-            Stage::Queued | Stage::Reusing => r.queued_kb as f64,
-            _ => r.queued_kb as f64 * self.plan.run_factor,
+            Stage::Queued | Stage::Reusing => r.request_kb as f64,
+            _ => r.request_kb as f64 * self.plan.run_memory_factor,
         };
-        self.requests.values().map(of).sum::<f64>() + self.kept.len() as f64 * self.plan.key_kb
+        self.requests.values().map(of).sum::<f64>() + self.reserved.len() as f64 * self.plan.key_memory_kb
     }
 
-    fn leave(&mut self) {
-        let Some((notice, stop)) = self.script.drain else { return };
-        if self.leaving.is_none() && self.now >= notice {
-            self.leaving = Some((notice, stop));
+    fn request_shutdown(&mut self) {
+        let Some((requested_at, stop)) = self.script.drain else { return };
+        if self.shutdown.is_none() && self.now >= requested_at {
+            self.shutdown = Some((requested_at, stop));
             self.cases.count(if self.plan.drain_grace_ms > 0.0 { "drain: grace" } else { "drain: no grace" });
             self.inputs.push_back(Input::Drain { stop_at: stop as f64 });
         }
@@ -203,7 +208,7 @@
         }
     }
 
-    /// When a timer that was set for so long comes; none if it never does.
+    /// Returns the time at which a timer with this delay fires; `None` if it never does.
     fn timer_at(&mut self, delay_ms: u64) -> Option<u64> {
         let at = self.now + delay_ms;
         match self.script.timers {
@@ -223,7 +228,7 @@
         }
     }
 
-    fn readings(&mut self) -> Readings {
+    fn readings(&mut self) -> GaugeReadings {
         let on = self.running() as u64;
         let mut busy = on.min(self.script.cores) * 100 / self.script.cores;
         let mut others = self.random.below(3);
@@ -232,7 +237,7 @@
             busy = 80 + self.random.below(21);
             others = self.random.below(16 * self.script.cores);
         }
-        let good = Readings {
+        let good = GaugeReadings {
             busy: Some(busy as f64 / 100.0),
             run_queue: Some((on + others) as f64),
             memory: Some(0.5),
@@ -242,20 +247,20 @@
             GaugeKind::Good => good,
             GaugeKind::Missing if self.random.percent(20) => {
                 self.cases.count("gauges: all missing");
-                Readings::default()
+                GaugeReadings::default()
             }
             GaugeKind::Missing => {
                 self.cases.count("gauges: some missing");
-                Readings {
+                GaugeReadings {
                     busy: good.busy.filter(|_| self.random.percent(50)),
                     run_queue: good.run_queue.filter(|_| self.random.percent(50)),
-                    ..Readings::default()
+                    ..GaugeReadings::default()
                 }
             }
             GaugeKind::Absurd if self.random.percent(40) => {
                 self.cases.count("gauges: absurd");
                 let absurd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -1.0, 1e9, 1.5, 200.0, 0.0];
-                Readings {
+                GaugeReadings {
                     busy: Some(self.random.pick(&absurd)),
                     run_queue: Some(self.random.pick(&absurd)),
                     memory: Some(self.random.pick(&absurd)),
--- a/tests/recorded/play/oddities.rs
+++ b/tests/recorded/play/oddities.rs
@@ -1,49 +1,49 @@
-//! What goes wrong or comes unasked: absurd numbers, events about unknown requests, pauses, clients that leave and
-//! settings that change.
+//! Faults and unexpected events: absurd numbers, events about unknown requests, suspensions, clients that
+//! disconnect and settings that change.
 
 use super::{Machine, Stage};
-use crate::recorded::module::{Arriving, Input, Readings};
-use crate::recorded::plan::{Outcome, Stopping};
+use crate::recorded::module::{GaugeReadings, IncomingRequest, Input};
+use crate::recorded::plan::{Outcome, PreemptionKind};
 
 /// An id that no request has.
 const UNKNOWN: u64 = 1_000_000_000;
 
 impl Machine<'_> {
-    /// In some arrivals one number is absurd.
-    pub(super) fn make_absurd(&mut self, arriving: &mut Arriving) {
+    /// Makes one number of some arrivals absurd.
+    pub(super) fn make_absurd(&mut self, incoming: &mut IncomingRequest) {
         if self.random.below(1000) >= self.script.odd {
             return;
         }
         self.cases.count("arrival: absurd number");
         let absurd = self.random.pick(&[f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -7.0, 1e300]);
         match self.random.below(7) {
-            0 => arriving.priority = absurd,
-            1 => arriving.queued_kb = absurd,
-            2 => arriving.age_ms = absurd,
-            3 => arriving.cost_ms = Some(absurd),
-            4 => arriving.deadline = Some(absurd),
-            5 => arriving.deadline = Some(1.0),
-            _ => arriving.prior = Some(UNKNOWN),
+            0 => incoming.priority = absurd,
+            1 => incoming.request_kb = absurd,
+            2 => incoming.age_ms = absurd,
+            3 => incoming.cost_ms = Some(absurd),
+            4 => incoming.deadline = Some(absurd),
+            5 => incoming.deadline = Some(1.0),
+            _ => incoming.duplicate_of = Some(UNKNOWN),
         }
     }
 
-    /// An odd event now and then.
+    /// Generates an unexpected event at some ticks.
     pub(super) fn oddities(&mut self) {
-        self.pause();
+        self.suspend_unrequested();
         if self.random.below(1000) >= self.script.odd {
             return;
         }
         let some_id = self.requests.keys().next().copied().unwrap_or(UNKNOWN);
         let input = match self.random.below(9) {
             0 => Input::Ended { id: UNKNOWN, outcome: Outcome::Ok, took_ms: 5.0 },
-            1 => Input::Gone(UNKNOWN),
+            1 => Input::ClientGone(UNKNOWN),
             2 => Input::CallNeeded(UNKNOWN),
             3 => Input::CallEnded { id: UNKNOWN, outcome: Outcome::Ok, took_ms: f64::NAN },
-            4 => Input::Timer { token: 77, readings: Readings::default() },
-            5 => Input::Arrive(Arriving { id: some_id, ..Arriving::default() }),
-            6 => Input::Arrive(Arriving { id: UNKNOWN, class: 99, ..Arriving::default() }),
+            4 => Input::Timer { token: 77, readings: GaugeReadings::default() },
+            5 => Input::Arrive(IncomingRequest { id: some_id, ..IncomingRequest::default() }),
+            6 => Input::Arrive(IncomingRequest { id: UNKNOWN, class: 99, ..IncomingRequest::default() }),
             7 => Input::Ended { id: UNKNOWN, outcome: Outcome::Cancelled, took_ms: f64::INFINITY },
-            _ => return self.stop_unasked(),
+            _ => return self.cancel_unrequested(),
         };
         self.cases.count("event: unknown id, class or token");
         // An id that is not in use yet would be a new request.
@@ -52,31 +52,36 @@
         }
     }
 
-    /// A run that is stopped without having been asked for.
-    fn stop_unasked(&mut self) {
+    /// Cancels a run without a request by the controller.
+    fn cancel_unrequested(&mut self) {
         let running = self.requests.iter().find(|(_, r)| r.stage == Stage::Running && !r.answered);
-        if let Some(id) = running.map(|(id, _)| *id).filter(|_| self.plan.stopping != Stopping::Suspend) {
+        if let Some(id) =
+            running.map(|(id, _)| *id).filter(|_| self.plan.preemption != PreemptionKind::Suspend)
+        {
             self.cases.count("run: stopped unasked");
             self.end(id, Outcome::Cancelled);
         }
     }
 
-    /// A run is paused by the machine; the module resumes it.
-    fn pause(&mut self) {
-        if !self.script.pauses || self.plan.stopping != Stopping::Suspend || !self.random.percent(4) {
+    /// Suspends a run without a request by the controller, which resumes it later.
+    fn suspend_unrequested(&mut self) {
+        if !self.script.suspensions
+            || self.plan.preemption != PreemptionKind::Suspend
+            || !self.random.percent(4)
+        {
             return;
         }
         let running = self.requests.iter_mut().find(|(_, r)| r.stage == Stage::Running && !r.answered);
         if let Some((id, r)) = running {
-            r.stage = Stage::Paused;
+            r.stage = Stage::Suspended;
             self.cases.count("run: paused");
             let took_ms = (self.now - r.since) as f64;
             self.inputs.push_back(Input::Ended { id: *id, outcome: Outcome::Cancelled, took_ms });
         }
     }
 
-    /// A client gives up now and then.
-    pub(super) fn clients_leave(&mut self) {
+    /// Disconnects a client at some ticks.
+    pub(super) fn disconnect_client(&mut self) {
         let waiting = self.requests.iter().filter(|(_, r)| !r.answered);
         let waiting: Vec<u64> = waiting.map(|(id, _)| *id).collect();
         if waiting.is_empty() || self.random.below(40) > 0 {
@@ -89,11 +94,11 @@
             Stage::Queued => "gone: queued",
             Stage::Running => "gone: running",
             Stage::AtCall | Stage::Calling { .. } => "gone: at a call",
-            Stage::Paused => "gone: paused",
+            Stage::Suspended => "gone: paused",
             Stage::Reusing => "gone: reusing",
         });
-        self.inputs.push_back(Input::Gone(id));
-        self.let_go(id);
+        self.inputs.push_back(Input::ClientGone(id));
+        self.end_abandoned(id);
     }
 
     pub(super) fn reconfigure(&mut self) {
--- a/tests/recorded/play/work.rs
+++ b/tests/recorded/play/work.rs
@@ -1,19 +1,19 @@
-//! What the cores and the upstream calls come to: runs that end, calls that end, and reused results.
+//! Advances the runs and the upstream calls: ends of runs, ends of calls, and reused results.
 
 use super::{Machine, Phase, Stage, TICK_MS};
 use crate::recorded::module::Input;
 use crate::recorded::plan::Outcome;
 
-/// Runs fail after this much work where they fail, microseconds of one core.
+/// Work after which a run fails in a time span of failures, microseconds of one core.
 const FAILING_AFTER: u64 = 5000;
 
 impl Machine<'_> {
-    /// How fast the cores are, in percent.
+    /// Returns the speed of the cores, in percent.
     fn speed(&self) -> u64 {
-        if self.plan.cold { (30 + self.now * 70 / 10_000).min(100) } else { 100 }
+        if self.plan.cold_start { (30 + self.now * 70 / 10_000).min(100) } else { 100 }
     }
 
-    /// A tick of work, shared among what runs.
+    /// Advances the runs by one tick of work, shared among them.
     pub(super) fn work(&mut self) {
         let (cores, on) = (self.script.cores, self.running() as u64);
         let each = TICK_MS * 1000 * self.speed() / 100 * cores / on.max(cores);
@@ -45,12 +45,12 @@
         }
     }
 
-    /// A run or a reuse is over.
+    /// Ends a run or the reuse of a result.
     pub(super) fn end(&mut self, id: u64, outcome: Outcome) {
         let Some(request) = self.requests.remove(&id) else { return };
         let reused = request.stage == Stage::Reusing;
-        if let Some(kept) = self.kept.get_mut(&id).filter(|_| !reused) {
-            kept.phase = Phase::Ended { at: self.now, good: outcome == Outcome::Ok };
+        if let Some(reserved) = self.reserved.get_mut(&id).filter(|_| !reused) {
+            reserved.phase = Phase::Ended { at: self.now, good: outcome == Outcome::Ok };
         }
         let took_ms = (self.now - request.since) as f64;
         self.inputs.push_back(Input::Ended { id, outcome, took_ms });
@@ -66,23 +66,23 @@
         for (id, (since, outcome)) in calls {
             let Some(r) = self.requests.get_mut(&id) else { continue };
             r.stage = if outcome == Outcome::Ok { Stage::Running } else { Stage::AtCall };
-            self.note_call(outcome);
+            self.count_call(outcome);
             let took_ms = (self.now - since) as f64;
             self.inputs.push_back(Input::CallEnded { id, outcome, took_ms });
         }
     }
 
-    fn note_call(&mut self, outcome: Outcome) {
-        let case = match (self.plan.upstream_share.is_some(), outcome) {
+    fn count_call(&mut self, outcome: Outcome) {
+        let case = match (self.plan.upstream_call_share.is_some(), outcome) {
             (true, Outcome::Ok) => "call with a share: ok",
             (true, Outcome::Error) => "call with a share: error",
-            (true, Outcome::Refused) => "call with a share: refused",
+            (true, Outcome::Rejected) => "call with a share: refused",
             (true, Outcome::TimedOut) => "call with a share: timed out",
             (true, Outcome::Unreachable) => "call with a share: unreachable",
             (true, _) => "call with a share: cut off",
             (false, Outcome::Ok) => "call without a share: ok",
             (false, Outcome::Error) => "call without a share: error",
-            (false, Outcome::Refused) => "call without a share: refused",
+            (false, Outcome::Rejected) => "call without a share: refused",
             (false, Outcome::TimedOut) => "call without a share: timed out",
             (false, Outcome::Unreachable) => "call without a share: unreachable",
             (false, _) => "call without a share: cut off",
@@ -90,13 +90,13 @@
         self.cases.count(case);
     }
 
-    /// Duplicates get the result of the request that they repeat as soon as there is one.
+    /// Ends duplicates with the result of their original as soon as it is available.
     pub(super) fn end_reuses(&mut self) {
         let reuses = self.requests.iter().filter(|(_, r)| r.stage == Stage::Reusing);
         let reuses: Vec<(u64, usize, Option<u64>)> = reuses.map(|(id, r)| (*id, r.class, r.group)).collect();
         for (id, class, group) in reuses {
             let holder = group.and_then(|group| self.holders.get(&(class, group)));
-            let phase = holder.and_then(|holder| self.kept.get(holder)).map(|kept| kept.phase);
+            let phase = holder.and_then(|holder| self.reserved.get(holder)).map(|reserved| reserved.phase);
             match phase {
                 Some(Phase::Running) => {}
                 Some(Phase::Ended { good: true, .. }) => self.end(id, Outcome::Ok),
--- a/tests/recorded/random.rs
+++ b/tests/recorded/random.rs
@@ -1,4 +1,5 @@
-//! Random integers: the raw words of ChaCha8, so that no library's way of drawing from ranges matters.
+//! Random integers from the raw words of ChaCha8, so that the streams do not depend on how a library draws
+//! from ranges.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,12 +11,12 @@
         Random(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// A number below `n`, which is above 0.
+    /// Returns a number below `n`, which must be above 0.
     pub fn below(&mut self, n: u64) -> u64 {
         self.0.next_u64() % n
     }
 
-    /// Whether something that happens so often in a hundred happens.
+    /// Returns `true` with a probability of `percent` in a hundred.
     pub fn percent(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
--- a/tests/recorded/wire.rs
+++ b/tests/recorded/wire.rs
@@ -1,18 +1,19 @@
-//! Streams as input of the simulator's text wire. Only a recording needs it: the recorded input is played as it is.
+//! Streams as input of the simulator's text protocol. It is needed only for recording; otherwise the
+//! recorded input is played unchanged.
 
 use super::cases::Cases;
-use super::module::{Arriving, Input, Readings};
-use super::plan::{Class, Outcome, Plan, Repeat, Stopping, Stream};
+use super::module::{GaugeReadings, IncomingRequest, Input};
+use super::plan::{Class, Outcome, Plan, PreemptionKind, RetryKind, Stream};
 use super::play::{Step, play};
 
-/// What the wire answers to a text.
+/// Returns the reply of the simulator to an input text.
 pub fn serve(input: &str) -> String {
     let mut reply = Vec::new();
-    dunlinspread::simulator::serve(input.as_bytes(), &mut reply).expect("the input is as the wire has it");
-    String::from_utf8(reply).expect("the wire answers in UTF-8")
+    dunlinspread::simulator::serve(input.as_bytes(), &mut reply).expect("the input follows the protocol");
+    String::from_utf8(reply).expect("the reply is UTF-8")
 }
 
-/// The input of a stream, one batch for each time.
+/// Returns the input text of a stream, with one batch for each time.
 pub fn input(stream: &Stream) -> String {
     let (mut text, mut now) = (String::new(), None);
     play(stream, &mut Cases::default(), |step| {
@@ -41,16 +42,16 @@
         Input::Ended { id, outcome, took_ms } => {
             format!("DONE i=7 xid=c:{id} reason={} wait_time_ms={took_ms}", reason(*outcome))
         }
-        Input::Gone(id) => format!("GONE i=7 xid=c:{id}"),
+        Input::ClientGone(id) => format!("GONE i=7 xid=c:{id}"),
         Input::Drain { stop_at } => format!("WIND_DOWN i=7 deadline_ms={stop_at}"),
         Input::Timer { token, readings } => format!("RING i=7 mark={token} stats={}", stats(readings)),
-        Input::Reconfigured { .. } => panic!("the wire has no changes of settings"),
+        Input::Reconfigured { .. } => panic!("the text protocol has no changes of settings"),
     }
 }
 
-fn arrival(a: &Arriving) -> String {
+fn arrival(a: &IncomingRequest) -> String {
     let mut line = format!("ARRIVAL i=7 xid=c:{} profile={} account={}", a.id, a.class, a.tenant);
-    if a.subject {
+    if a.shareable {
         line.push_str(" affinity=1");
     }
     if let Some(deadline) = a.deadline {
@@ -59,15 +60,15 @@
     if let Some(cost) = a.cost_ms {
         line.push_str(&format!(" cost_ms={cost}"));
     }
-    line.push_str(&format!(" mem_kb={} precedence={} age_ms={}", a.queued_kb, a.priority, a.age_ms));
-    line.push_str(&format!(" is_retry={}", u8::from(a.retry)));
-    if let Some(prior) = a.prior {
-        line.push_str(&format!(" forerunner=c:{prior}"));
+    line.push_str(&format!(" mem_kb={} precedence={} age_ms={}", a.request_kb, a.priority, a.age_ms));
+    line.push_str(&format!(" is_retry={}", u8::from(a.is_retry)));
+    if let Some(duplicate_of) = a.duplicate_of {
+        line.push_str(&format!(" forerunner=c:{duplicate_of}"));
     }
     line
 }
 
-fn stats(readings: &Readings) -> String {
+fn stats(readings: &GaugeReadings) -> String {
     let gauges = [
         ("core_use", readings.busy),
         ("on_cores", readings.run_queue),
@@ -82,16 +83,16 @@
     match outcome {
         Outcome::Ok => "OK",
         Outcome::Error => "INTERNAL",
-        Outcome::Refused => "RESOURCE_EXHAUSTED",
+        Outcome::Rejected => "RESOURCE_EXHAUSTED",
         Outcome::TimedOut => "DEADLINE_EXCEEDED",
         Outcome::Unreachable => "UNAVAILABLE",
-        Outcome::CutOff => "ABORTED",
+        Outcome::ConnectionLost => "ABORTED",
         Outcome::Cancelled => "CANCELLED",
-        Outcome::TooLate => "TOO_LATE",
+        Outcome::NotStarted => "TOO_LATE",
     }
 }
 
-/// The values of all classes, comma by comma.
+/// Returns the values of all classes, separated by commas.
 fn listed(classes: &[Class], value: impl Fn(&Class) -> String) -> String {
     classes.iter().map(value).collect::<Vec<_>>().join(",")
 }
@@ -101,46 +102,46 @@
         format!("BOOT i=7 nonce64={seed} servers={} specifics.n_cores={}", plan.servers, plan.cores);
     let mut add = |key: &str, value: &dyn std::fmt::Display| line.push_str(&format!(" {key}={value}"));
     add("tick_ms", &plan.tick_ms);
-    add("safety.answer_slack_ms", &plan.answer_slack_ms);
+    add("safety.answer_slack_ms", &plan.response_slack_ms);
     add("safety.drain_grace_ms", &plan.drain_grace_ms);
-    add("safety.fall_multiple", &plan.survivable_per_core);
+    add("safety.fall_multiple", &plan.survivable_runs_per_core);
     add("specifics.memory_kb", &plan.memory_kb);
-    add("specifics.run_factor", &plan.run_factor);
-    add("specifics.key_kb", &plan.key_kb);
+    add("specifics.run_factor", &plan.run_memory_factor);
+    add("specifics.key_kb", &plan.key_memory_kb);
     add("specifics.say", &"share_of");
-    let stopping = match plan.stopping {
-        Stopping::Off => "off",
-        Stopping::Abort => "abort",
-        Stopping::Suspend => "suspend",
+    let preemption = match plan.preemption {
+        PreemptionKind::Off => "off",
+        PreemptionKind::Abort => "abort",
+        PreemptionKind::Suspend => "suspend",
     };
-    add("specifics.preemption", &stopping);
-    add("specifics.below", &plan.upstream_share.map_or("tier", |_| "shared"));
-    add("specifics.calls_out", &plan.upstream_share.unwrap_or(0.0));
+    add("specifics.preemption", &preemption);
+    add("specifics.below", &plan.upstream_call_share.map_or("tier", |_| "shared"));
+    add("specifics.calls_out", &plan.upstream_call_share.unwrap_or(0.0));
     add("specifics.dep_window_ms", &plan.upstream_window_ms);
-    add("specifics.linger_ms", &plan.linger_ms);
-    add("specifics.fresh_for_ms", &plan.fresh_ms);
+    add("specifics.linger_ms", &plan.call_linger_ms);
+    add("specifics.fresh_for_ms", &plan.shared_result_ttl_ms);
     add("policy_limits.retry_after", &u8::from(plan.retry_after));
     add("policy_limits.max_retry_after_ms", &plan.max_retry_after_ms);
-    add("specifics.passes_deadline", &u8::from(plan.tells_deadline));
-    add("specifics.callers", &plan.callers);
-    add("specifics.keepalive_max_ms", &plan.idle_max_ms);
-    add("over_share_worth", &plan.over_quota_worth);
-    add("specifics.class_calls", &listed(&plan.classes, |c| u8::from(c.calls).to_string()));
-    add("specifics.class_skip_worth", &listed(&plan.classes, |c| c.skip_worth.to_string()));
+    add("specifics.passes_deadline", &u8::from(plan.passes_deadline));
+    add("specifics.callers", &plan.client_count);
+    add("specifics.keepalive_max_ms", &plan.client_idle_timeout_ms);
+    add("over_share_worth", &plan.over_quota_weight);
+    add("specifics.class_calls", &listed(&plan.classes, |c| u8::from(c.makes_upstream_calls).to_string()));
+    add("specifics.class_skip_worth", &listed(&plan.classes, |c| c.degraded_weight.to_string()));
     add("profiles.count", &plan.classes.len());
     for (at, class) in plan.classes.iter().enumerate() {
-        let effect = match class.repeat {
-            Repeat::Safe => "pure",
-            Repeat::Keyed => "token",
-            Repeat::Never => "once",
+        let effect = match class.retry_safety {
+            RetryKind::Safe => "pure",
+            RetryKind::Keyed => "token",
+            RetryKind::Never => "once",
         };
         add(&format!("profiles.{at}.effect"), &effect);
-        add(&format!("profiles.{at}.target_ms"), &class.aim_ms);
-        add(&format!("profiles.{at}.aim_stretch"), &class.aim_stretch);
-        add(&format!("profiles.{at}.give_up_ms"), &class.give_up_ms);
-        add(&format!("profiles.{at}.memory_span_ms"), &class.window_ms);
-        add(&format!("profiles.{at}.worth"), &class.worth);
-        add(&format!("profiles.{at}.late_worth"), &class.late_worth);
+        add(&format!("profiles.{at}.target_ms"), &class.latency_objective_ms);
+        add(&format!("profiles.{at}.aim_stretch"), &class.objective_per_cost);
+        add(&format!("profiles.{at}.give_up_ms"), &class.client_timeout_ms);
+        add(&format!("profiles.{at}.memory_span_ms"), &class.key_window_ms);
+        add(&format!("profiles.{at}.worth"), &class.priority_weight);
+        add(&format!("profiles.{at}.late_worth"), &class.late_weight);
     }
     add("accounts.count", &plan.quotas.len());
     for (at, quota) in plan.quotas.iter().enumerate() {
--- a/tests/recorded_decisions.rs
+++ b/tests/recorded_decisions.rs
@@ -1,22 +1,23 @@
-//! The decisions of the module, action by action, as recorded before it was changed.
+//! Compares the decisions of the admission controller, action by action, with recordings.
 //!
-//! Streams of events that follow from a seed are played against the module, closed loop, and what it does is compared
-//! with the recordings under `tests/recorded/`:
+//! Streams of events that follow from a seed are played against the controller in a closed loop, and its
+//! actions are compared with the recordings under `tests/recorded/`:
 //!
 //! - `texts/*.txt`: short streams, all events and actions;
-//! - `digests.txt`: long streams, a line for each 100 events: the first one's number, a digest of the events and one
-//!   of the actions with the level and the cut after each event;
-//! - `wire/*.in.txt` and `wire/*.out.txt`: short streams through the simulator's text wire.
+//! - `digests.txt`: long streams, a line for each 100 events: the first one's number, a digest of the events
+//!   and one of the actions with the level and the priority threshold after each event;
+//! - `wire/*.in.txt` and `wire/*.out.txt`: short streams through the simulator's text protocol.
 //!
-//! A change that is meant to leave the behaviour as it is leaves all recordings as they are. One that is meant to
-//! change it records anew, in the same commit:
+//! A change that is meant to keep the behaviour leaves all recordings unchanged. One that is meant to change
+//! it updates the recordings in the same commit:
 //!
 //! ```text
 //! RECORD_DECISIONS=1 cargo test --test recorded_decisions
 //! ```
 //!
-//! Types and fields of the library are named in `recorded/module.rs` alone. The module takes `exp` and `powf` from
-//! the platform's mathematical library: on another platform the last digits, and so the digests, may differ.
+//! Only `recorded/module.rs` names types and fields of the library. The controller uses `exp` and `powf` of
+//! the platform's mathematical library, so the last digits, and with them the digests, may differ on another
+//! platform.
 
 mod recorded;
 
@@ -26,7 +27,7 @@
 use std::collections::BTreeMap;
 use std::sync::OnceLock;
 
-/// Threads that play long streams.
+/// Number of threads that play long streams.
 const THREADS: usize = 3;
 
 struct Played {
@@ -35,7 +36,7 @@
     events: u64,
 }
 
-/// Plays streams on some threads; the order stays.
+/// Plays streams on [`THREADS`] threads and returns the results in the order of the streams.
 fn play_all(streams: Vec<Stream>) -> (Vec<Played>, Cases) {
     let part = streams.len().div_ceil(THREADS);
     let (mut all, mut total) = (Vec::new(), Cases::default());
@@ -50,7 +51,7 @@
     (all, total)
 }
 
-/// All long streams, played once for all tests.
+/// Returns the results of all long streams, which are played once for all tests.
 fn long_streams() -> &'static (Vec<Played>, Cases) {
     static LONG: OnceLock<(Vec<Played>, Cases)> = OnceLock::new();
     LONG.get_or_init(|| play_all(streams::long()))
@@ -117,15 +118,22 @@
         let played = wire::serve(&recording::read(&input_file));
         let recorded = recording::read(&output_file);
         let batch = |text: &str| text.split_terminator("END\n").map(str::to_owned).collect::<Vec<_>>();
-        let (was, is) = (batch(&recorded), batch(&played));
-        let at = was.iter().zip(&is).position(|(was, is)| was != is);
+        let (expected, actual) = (batch(&recorded), batch(&played));
+        let at = expected.iter().zip(&actual).position(|(expected, actual)| expected != actual);
         if let Some(at) = at {
-            let (was, is) = (&was[at], &is[at]);
+            let (expected, actual) = (&expected[at], &actual[at]);
             let seed = stream.seed;
-            differences
-                .push(format!("wire {}, seed {seed}, batch {at}:\nrecorded\n{was}played\n{is}", stream.name));
+            differences.push(format!(
+                "wire {}, seed {seed}, batch {at}:\nrecorded\n{expected}played\n{actual}",
+                stream.name
+            ));
         } else if recorded != played {
-            differences.push(format!("wire {}: {} batches, recorded {}", stream.name, is.len(), was.len()));
+            differences.push(format!(
+                "wire {}: {} batches, recorded {}",
+                stream.name,
+                actual.len(),
+                expected.len()
+            ));
         }
     }
     assert!(differences.is_empty(), "{} streams differ:\n{}", differences.len(), differences.join("\n"));
@@ -144,6 +152,6 @@
     assert!(unstated.is_empty(), "cases without a stated minimum: {unstated:?}");
     for (case, minimum) in stated {
         let count = cases.counts().get(case).copied().unwrap_or(0);
-        assert!(count >= minimum, "{case}: {count} times, at least {minimum} are wanted");
+        assert!(count >= minimum, "{case}: {count} times, expected at least {minimum}");
     }
 }
