--- a/tests/pauses.rs
+++ b/tests/pauses.rs
@@ -1,5 +1,5 @@
-//! A server that stands still or lags, as on a machine that is short of cores, with as many connections open as clients may
-//! have: what was written meanwhile is answered, and no connection is closed over it.
+//! A server that is stopped or lags, as on a machine that is short of cores, while clients have the maximum
+//! number of connections open: requests written meanwhile are answered, and no connection with one is closed.
 //!
 //! `DAILY_SEED` sets the seed.
 
@@ -21,18 +21,20 @@
 
 /// The seed where the environment sets none.
 const DEFAULT_SEED: u64 = 1;
-/// Connections before the pause, and those that are opened in it: together at most half of the descriptor limit.
+/// Connections opened before the pause. With those opened during it, they are at most half of the descriptor
+/// limit.
 const CONNECTIONS: usize = 496;
+/// Connections opened during the pause.
 const FURTHER_CONNECTIONS: usize = 16;
-/// Connections on which a request is written in the pause: those that have been idle longest.
+/// Number of connections on which a request is written during the pause: those that have been idle longest.
 const REQUESTS: usize = 50;
-/// The pause, far beyond the 50 ms within which a request may cross a close.
+/// Length of the pause, far beyond the 50 ms within which a request may cross a close.
 const PAUSE: Duration = Duration::from_millis(300);
 
-/// The last id of an attempt; ids are unique in the test program.
+/// The last attempt id that was used; ids are unique in the test program.
 static LAST_CALL: AtomicU64 = AtomicU64::new(0);
 
-/// A connection and what was read of it.
+/// A client connection and the bytes read from it that are not decoded yet.
 struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -43,12 +45,13 @@
 impl Connection {
     /// Opens a connection and writes a request.
     fn open(address: SocketAddr) -> Connection {
-        Connection::new(TcpStream::connect(address).expect("it listens"))
+        Connection::new(TcpStream::connect(address).expect("the server listens"))
     }
 
-    /// As [`Connection::open`]; `None` if the system has no room and the first packet has to be sent again.
+    /// Opens a connection and writes a request, as [`Connection::open`] does; returns `None` if the accept
+    /// queue is full, so that the first packet would have to be sent again.
     fn open_at_once(address: SocketAddr) -> Option<Connection> {
-        /// The first packet is sent again after one second.
+        /// Less than the second after which the system sends the first packet again.
         const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
         TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok().map(Connection::new)
     }
@@ -75,7 +78,7 @@
         self.stream.write_all(&request).expect("the connection is open");
     }
 
-    /// Returns the response to the last message; `None` if the connection ends without.
+    /// Returns the response to the last request, or `None` if the connection ends without one.
     fn response(&mut self) -> Option<Response> {
         let mut chunk = [0; 4096];
         loop {
@@ -97,8 +100,8 @@
     }
 }
 
-/// Requests that were written on idle connections while the server stood still are answered, also where more connections
-/// than before wait to be accepted.
+/// Requests that were written on idle connections while the server was stopped are answered, also when
+/// further connections wait to be accepted.
 #[test]
 fn requests_written_in_a_pause_are_answered() {
     let seed = from_environment("DAILY_SEED", DEFAULT_SEED);
@@ -126,8 +129,9 @@
     assert_eq!(of_further, FURTHER_CONNECTIONS, "seed {seed}: requests on further connections lost");
 }
 
-/// Guards against a queue of connections that overflows while the server stands still: the system drops what clients write
-/// on those that find no room, and they are closed for their silence before it is sent again.
+/// Guards against an accept queue that overflows while the server is stopped: the system drops what clients
+/// write on connections beyond the queue's length, and the server closes these as silent before the bytes
+/// are sent again.
 #[test]
 fn as_many_connections_as_clients_may_open_find_room_at_a_stopped_server() {
     const WAITING_CONNECTIONS: usize = 512;
@@ -135,18 +139,18 @@
     let mut site = Site::start(seed);
     let mut process = site.start_first();
     process.signal("STOP");
-    wait_for(seed, "the server stands still", || process.is_stopped());
+    wait_for(seed, "the server is stopped", || process.is_stopped());
     let waiting: Vec<Connection> =
         (0..WAITING_CONNECTIONS).map_while(|_| Connection::open_at_once(site.listen)).collect();
     process.signal("CONT");
-    let found_room = waiting.len();
+    let queued = waiting.len();
     let answered = waiting.into_iter().filter_map(|mut connection| connection.response()).count();
-    println!("seed {seed}: {found_room} found room, {answered} of {WAITING_CONNECTIONS} answered");
-    assert_eq!(found_room, WAITING_CONNECTIONS, "seed {seed}: the queue has no room for more");
+    println!("seed {seed}: {queued} queued, {answered} of {WAITING_CONNECTIONS} answered");
+    assert_eq!(queued, WAITING_CONNECTIONS, "seed {seed}: the accept queue is full");
     assert_eq!(answered, WAITING_CONNECTIONS, "seed {seed}: requests on waiting connections lost");
 }
 
-/// A load under which the event loop lags loses nothing: what is not served is refused.
+/// Under a load that makes the event loop lag, no request is lost: each that is not served is refused.
 #[test]
 fn a_load_past_what_the_event_loop_bears_loses_nothing() {
     const LOAD_TIME: Duration = Duration::from_secs(3);
--- a/tests/play/bytes.rs
+++ b/tests/play/bytes.rs
@@ -1,4 +1,4 @@
-//! What clients send and read, as bytes and as the text of scripts.
+//! Encoding and decoding of client messages, as bytes and as the text of scripts.
 
 use dunlinspread::codec::msgpack;
 use std::io::{ErrorKind, Read};
@@ -20,7 +20,8 @@
     out
 }
 
-/// Returns the request `ID CLASS key=value…`. Fields that are not named get default values; an empty one is left out.
+/// Returns the bytes of the request `ID CLASS key=value…`. Fields that are not named get default values, and
+/// fields with an empty value are omitted.
 pub fn request(name: &str, text: &str) -> Vec<u8> {
     let mut words = text.split(' ');
     let id: u64 = words.next().and_then(|word| word.parse().ok()).expect("a message id");
@@ -69,7 +70,7 @@
             Ok(0) => return "closed".to_owned(),
             Ok(_) => all.push(byte[0]),
             Err(e) if e.kind() == ErrorKind::ConnectionReset => return "reset".to_owned(),
-            Err(e) => panic!("nothing comes: {e}"),
+            Err(e) => panic!("no message arrives: {e}"),
         }
         decoder.feed(&byte);
         if decoder.next_message().expect("MessagePack").is_some() {
--- a/tests/play/mod.rs
+++ b/tests/play/mod.rs
@@ -1,8 +1,9 @@
-//! Plays a recorded exchange against the built server: a text file says what the peers send and when something is
-//! awaited, and the transcript shows both, bytes escaped.
+//! Plays a scripted exchange against the built server: a text file states what the peers send and what is
+//! expected, and the transcript shows both, with bytes escaped.
 //!
-//! Every wait is for an event, never for a span of time, and every port is chosen by the system. The readings of the
-//! worker pool's gauges and the reports to the registry are answered here and stay out of the transcript.
+//! Every wait is for an event, never for a fixed time, and every port is chosen by the system. Gauge
+//! readings of the worker pool and reports to the registry are answered automatically and do not appear in
+//! the transcript.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 pub mod alone;
@@ -26,7 +27,7 @@
 pub use playback::{Playback, Setup};
 use std::time::Duration;
 
-/// The time limit of each wait, far beyond any delay of a working server: it ends a test that would hang.
+/// Time limit of each wait, far beyond any delay of a working server, which ends a test that would hang.
 const HANG: Duration = Duration::from_secs(60);
 
 /// Plays a script and returns its transcript.
@@ -34,7 +35,7 @@
     play_on(&mut Playback::start(&Setup::of_script(script)), script)
 }
 
-/// Plays a script on a server that was started with its settings, and returns its transcript.
+/// Plays a script on a server that was started with the script's settings, and returns the transcript.
 pub fn play_on(playback: &mut Playback, script: &str) -> String {
     let mut transcript = String::new();
     for line in script.lines().filter(|line| !line.is_empty() && !Setup::is_setting(line)) {
--- a/tests/play/peers.rs
+++ b/tests/play/peers.rs
@@ -1,4 +1,5 @@
-//! The peers of the server: the worker pool, the upstream service and the registry, on ports of their own.
+//! The simulated peers of the server: the worker pool, the upstream service and the registry, each on its
+//! own port.
 
 use super::HANG;
 use super::process::config;
@@ -16,13 +17,13 @@
     pub registry: TcpListener,
 }
 
-/// The loopback addresses that this test program has taken.
+/// Number of loopback addresses that this test program has used.
 static ADDRESSES_TAKEN: AtomicU32 = AtomicU32::new(0);
 
-/// Returns a loopback address of its own for the peers of one server. A server of another test that goes on connecting to a
-/// port which the system has given out anew doesn't reach them.
+/// Returns a separate loopback address for the peers of one server. A server of another test that keeps
+/// connecting to a port which the system has assigned again doesn't reach them.
 fn own_address() -> Ipv4Addr {
-    /// The upper half of the loopback network.
+    /// First address of the upper half of the loopback network.
     const FIRST: u32 = 0x7f80_0000;
     const NUMBER_BITS: u32 = 10;
     const PROCESS_BITS: u32 = 13;
@@ -44,7 +45,7 @@
     }
 }
 
-/// A peer with the connection that it uses, accepted when it is first needed.
+/// A peer with the connection that it uses, which is accepted when it is first needed.
 pub struct Peer {
     listener: TcpListener,
     pub connection: Option<BufReader<TcpStream>>,
@@ -55,12 +56,12 @@
         Peer { listener, connection: None }
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which the peer listens.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("an address")
     }
 
-    /// Returns the connection, or the next one that the server opens.
+    /// Returns the connection, and accepts the next one from the server if there is none.
     pub fn connected(&mut self) -> &mut BufReader<TcpStream> {
         self.connection.get_or_insert_with(|| accept(&self.listener))
     }
@@ -72,16 +73,17 @@
     BufReader::new(stream)
 }
 
-/// Reads a line without its end.
+/// Reads a line, and returns it without the line ending.
 pub fn read_line(reader: &mut BufReader<TcpStream>) -> String {
     let mut text = String::new();
     if let Err(error) = reader.read_line(&mut text) {
-        panic!("no line: {error}, {}", describe_peer(reader.get_ref()));
+        panic!("no line is received: {error}, {}", describe_peer(reader.get_ref()));
     }
     text.trim_end().to_owned()
 }
 
-/// Reads an HTTP request and returns its head and body on one line, without what is the same in all; none at the end.
+/// Reads an HTTP request and returns its head and body on one line, without headers that are the same in all
+/// requests; `None` at the end of the connection.
 pub fn read_http_request(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let (mut request, mut length) = (read_line(reader), 0);
     loop {
@@ -103,7 +105,7 @@
     Some(format!("{request} | {}", body.escape_ascii()))
 }
 
-/// Answers the reports to a registry in a thread of its own, and passes each change on.
+/// Answers the reports to a registry in a separate thread, and sends each changed report to `changes`.
 pub fn answer_reports(registry: TcpListener, changes: Sender<String>) {
     std::thread::spawn(move || {
         let mut last = String::new();
--- a/tests/play/playback.rs
+++ b/tests/play/playback.rs
@@ -1,4 +1,4 @@
-//! One server with its peers and clients, driven by the lines of a script.
+//! A server with its peers and clients, driven by the lines of a script.
 
 use super::HANG;
 use super::bytes::{message, request, unescape};
@@ -12,24 +12,24 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// Health checks that a flood sends at a time.
+/// Number of health checks that a flood sends at once.
 const FLOOD_CHECKS: usize = 1000;
 
-/// What a server is started with.
+/// The settings with which a server is started.
 #[derive(Default)]
 pub struct Setup {
-    /// What is replaced in its configuration, and by what.
+    /// Replacements in the configuration, each from the first text to the second.
     pub config_changes: Vec<(String, String)>,
-    /// How many descriptors it has; as many as the system allows without it.
+    /// The descriptor limit; `None` for the limit of the system.
     pub descriptors: Option<String>,
-    /// Where it panics, as `POINT:PASS`.
+    /// The point at which the server panics, as `POINT:PASS`.
     pub panic: Option<String>,
-    /// Its operator file.
+    /// The operator file of the server.
     pub operator_file: Option<PathBuf>,
 }
 
 impl Setup {
-    /// Returns what the lines of a script set.
+    /// Returns the settings that the lines of a script state.
     pub fn of_script(script: &str) -> Setup {
         let values = |key: &str| {
             let prefix = format!("{key} ");
@@ -44,20 +44,20 @@
         }
     }
 
-    /// Returns whether a line of a script sets something.
+    /// Returns whether a line of a script is a setting.
     pub fn is_setting(line: &str) -> bool {
         ["config ", "descriptors ", "panic "].iter().any(|key| line.starts_with(key))
     }
 }
 
-/// The running exchange.
+/// A running exchange: the server with its peers and clients.
 pub struct Playback {
     server: Child,
     config_file: PathBuf,
-    /// What the script changes in the configuration.
+    /// The script's replacements in the configuration.
     config_changes: Vec<(String, String)>,
     address: String,
-    /// The log until the server served.
+    /// The log lines up to the start of serving.
     start_lines: Vec<String>,
     log: Receiver<String>,
     reports: Receiver<String>,
@@ -113,18 +113,18 @@
         playback
     }
 
-    /// Returns where the upstream service listens.
+    /// Returns the address on which the upstream service listens.
     pub fn upstream_address(&self) -> SocketAddr {
         self.upstream.address()
     }
 
-    /// Returns the log line with these words that was written before the server served.
+    /// Returns the log line with these words from before the server served.
     pub fn start_line(&self, words: &str) -> &str {
         let line = self.start_lines.iter().find(|line| line.contains(words));
         line.unwrap_or_else(|| panic!("not logged: {words}"))
     }
 
-    /// Has a party send something: the line `NAME: TEXT` of a script.
+    /// Makes a peer or client send a text, for the line `NAME: TEXT` of a script.
     pub fn send(&mut self, name: &str, text: &str) {
         match name {
             "pool" => self.send_from_pool(text),
@@ -142,19 +142,19 @@
         }
     }
 
-    /// Waits for what a party receives: the line `NAME?WORDS` of a script.
+    /// Waits for what a peer or client receives, for the line `NAME?WORDS` of a script, and returns it.
     pub fn expect(&mut self, name: &str, words: &str) -> String {
         match name {
             "pool" => self.pool_command(),
             "catalog" => self.reports.recv_timeout(HANG).expect("a report"),
             "log" => self.expected_log_line(words),
-            "exit" => self.server.wait().expect("it ends").to_string(),
+            "exit" => self.server.wait().expect("the server ends").to_string(),
             "index" => read_http_request(self.upstream.connected()).unwrap_or_else(|| "closed".to_owned()),
             _ => message(self.client(name)),
         }
     }
 
-    /// Returns the next log line with these words.
+    /// Waits for the next log line with these words, and returns it.
     fn log_line(&self, words: &str) -> String {
         loop {
             let line = self.log.recv_timeout(HANG).unwrap_or_else(|_| panic!("not logged: {words}"));
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Returns the next log line with these words, without what differs between runs.
+    /// Waits for the next log line with these words, and returns it without the parts that differ between
+    /// runs.
     fn expected_log_line(&self, words: &str) -> String {
         let mut line = self.log_line(words);
         if words == "event loop stalled" {
@@ -172,19 +173,21 @@
         }
         let line = without_file(&line);
         let text = line.split_once(" WARN ").map_or(words, |(_, text)| text);
-        // How many are open when descriptors run out depends on the other links at that moment.
+        // The number of open connections when descriptors run out depends on the other connections at that
+        // time.
         let (before, after) = text.split_once("open: ").unwrap_or((text, ""));
         let after = after.trim_start_matches(|digit: char| digit.is_ascii_digit());
         if after.is_empty() { before.to_owned() } else { format!("{before}open: N{after}") }
     }
 
-    /// Returns the next command to the worker pool; the readings of the gauges are answered here.
+    /// Returns the next command to the worker pool, and answers the gauge readings before it.
     fn pool_command(&mut self) -> String {
         let connection = self.pool.connected();
         let since = Instant::now();
         loop {
-            // The readings of the gauges never end, so the time limit of the connection does not hold here.
-            assert!(since.elapsed() < HANG, "no command comes");
+            // Gauge readings arrive without end, so the time limit of the connection's reads is not
+            // sufficient.
+            assert!(since.elapsed() < HANG, "no command arrives");
             let text = read_line(connection);
             let Some((_, tag)) = text.split_once(r#"{"op":"poll","tag":""#) else { return text };
             let tag = tag.trim_end_matches("\"}");
@@ -207,7 +210,7 @@
     fn send_from_upstream(&mut self, text: &str) {
         match text {
             "close" => self.upstream.connection = None,
-            // The next call is awaited on another connection; this one stays open.
+            // The next call is accepted on another connection; this one stays open.
             "next" => self.old_upstream = self.upstream.connection.take(),
             _ => {
                 let connection = self.upstream.connection.as_mut().expect("a call");
@@ -216,8 +219,8 @@
         }
     }
 
-    /// Has the server reread its configuration: the text, or with `moved` one that names new peers. The old pool and
-    /// upstream service go on for what is open.
+    /// Makes the server reload its configuration: the text, or for `moved` one that names new peers. The old
+    /// pool and upstream service stay available for open requests.
     fn reload(&mut self, text: &str) {
         if text != "moved" {
             std::fs::write(&self.config_file, text).expect("the configuration is written");
@@ -231,8 +234,8 @@
         self.signal("HUP");
     }
 
-    /// Stops the process for so many milliseconds. It is the one span of time here: a stopped process can't tell when it
-    /// has been stopped for long enough.
+    /// Stops the process for this many milliseconds. This is the only wait for a fixed time, because a
+    /// stopped process can't report that it was stopped for long enough.
     fn stop_for(&mut self, ms: u64) {
         self.signal("STOP");
         std::thread::sleep(Duration::from_millis(ms));
@@ -241,10 +244,10 @@
 
     fn signal(&mut self, signal: &str) {
         let sent = Command::new("kill").args(["-s", signal, &self.server.id().to_string()]).status();
-        assert!(sent.expect("kill is there").success());
+        assert!(sent.expect("`kill` can be run").success());
     }
 
-    /// Opens so many silent connections, or with `drop` closes all of them.
+    /// Opens a number of silent connections, or closes all of them for `drop`.
     fn change_crowd(&mut self, text: &str) {
         if text == "drop" {
             return self.clients.retain(|name, _| !name.starts_with("crowd"));
@@ -255,8 +258,8 @@
         }
     }
 
-    /// Opens connections with requests on each, and a check on each that shows that all before it were read:
-    /// `CONNECTIONS REQUESTS REQUEST`.
+    /// Opens connections and sends requests on each, followed by a health check whose answer shows that all
+    /// requests were read, for the text `CONNECTIONS REQUESTS REQUEST`.
     fn fill(&mut self, text: &str) {
         let (connections, rest) = text.split_once(' ').expect("how many connections");
         let (requests, what) = rest.split_once(' ').expect("how many on each, and what");
@@ -271,7 +274,7 @@
             }
             self.send_from_client(name, "well 100");
         }
-        // Requests beyond a bound are rejected before the check is answered.
+        // Requests beyond a limit are rejected before the check is answered.
         for name in &names {
             while !message(self.client(name)).starts_with(r"\x94\x01d") {}
         }
@@ -290,7 +293,7 @@
         let (verb, rest) = text.split_once(' ').unwrap_or((text, ""));
         match verb {
             "flood" => {
-                // Health checks whose answers nobody reads, until the server closes the connection.
+                // Sends health checks without reading the answers, until the server closes the connection.
                 let checks = unescape("\\x94\\x00\\x01\\xa6isWell\\x91\\x80").repeat(FLOOD_CHECKS);
                 while self.client(name).write_all(&checks).is_ok() {}
             }
@@ -304,7 +307,7 @@
     }
 }
 
-/// Returns what a client sends for a line of the script.
+/// Returns the bytes that a client sends for a line of the script.
 fn client_bytes(name: &str, verb: &str, rest: &str) -> Vec<u8> {
     let id = || rest.parse::<u8>().expect("an id");
     match verb {
@@ -317,7 +320,7 @@
     }
 }
 
-/// Returns the bytes of an HTTP message that a script spells with escapes.
+/// Returns the bytes of an HTTP message that a script states with escapes.
 fn http_bytes(text: &str) -> Vec<u8> {
     unescape(&text.replace("\\r\\n", "\r\n"))
 }
--- a/tests/play/process.rs
+++ b/tests/play/process.rs
@@ -1,4 +1,4 @@
-//! The server as a process with a configuration of its own.
+//! Server processes, each with its own configuration file.
 
 use super::HANG;
 use rustix::process::{Pid, Signal, kill_process};
@@ -17,7 +17,7 @@
 "below":"tier","class_calls":[true,true],"class_skip_worth":[0.5,0],"keepalive_max_ms":32000000000,"callers":1,
 "gauges":["core_use","on_cores","heap_share","links"]}}"#;
 
-/// The configuration files that this test program has written.
+/// Number of configuration files that this test program has written.
 static FILES_WRITTEN: AtomicUsize = AtomicUsize::new(0);
 
 /// The variable that makes the server panic at a named point.
@@ -43,18 +43,18 @@
     text
 }
 
-/// Starts the server on a configuration.
+/// Starts the server with a configuration.
 pub fn start(config: &str) -> Child {
     start_with(config, "unlimited").0
 }
 
-/// Starts the server on a configuration and with so many descriptors, and returns it with its configuration file.
+/// Starts the server with a configuration and a descriptor limit, and returns it with its configuration file.
 pub fn start_with(config: &str, descriptors: &str) -> (Child, PathBuf) {
     let (mut command, path) = command(config, descriptors);
     (command.spawn().expect("the server starts"), path)
 }
 
-/// Returns what starts the server, with its log in a pipe, and its configuration file.
+/// Returns the command that starts the server, with its log in a pipe, and the configuration file.
 pub fn command(config: &str, descriptors: &str) -> (Command, PathBuf) {
     let number = FILES_WRITTEN.fetch_add(1, Ordering::Relaxed);
     let unique = format!("dunlinspread-{}-{number}.json", std::process::id());
@@ -77,15 +77,15 @@
     file.map_or(text.to_owned(), |(from, to)| [&text[..from], &text[to + ".json: ".len()..]].concat())
 }
 
-/// Returns the listening address in the log line that gives it.
+/// Returns the listening address if a log line states it.
 pub fn listening_address(line: &str) -> Option<String> {
     Some(line.split_once("listen: ")?.1.split(',').next()?.to_owned())
 }
 
-/// A server whose log is read line by line, without played peers.
+/// A server whose log is read line by line, without simulated peers.
 pub struct LoggedServer {
     process: Child,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: String,
     log: Receiver<String>,
 }
@@ -98,7 +98,7 @@
 }
 
 impl LoggedServer {
-    /// Starts a server; it may not serve yet.
+    /// Starts a server without waiting until it serves.
     pub fn spawn(command: &mut Command) -> LoggedServer {
         let mut process = command.spawn().expect("the server starts");
         let (sender, log) = channel();
@@ -116,7 +116,7 @@
         server
     }
 
-    /// Returns the next log line with these words.
+    /// Waits for the next log line that contains these words, and returns it.
     pub fn log_line(&self, words: &str) -> String {
         loop {
             let line = self.log.recv_timeout(HANG).unwrap_or_else(|_| panic!("not logged: {words}"));
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns all further lines of the log, once the server has ended.
+    /// Waits until the server has ended, and returns the remaining log lines.
     pub fn log_to_end(&self) -> Vec<String> {
         let line = || match self.log.recv_timeout(HANG) {
             Ok(line) => Some(line),
@@ -139,13 +139,14 @@
     /// Sends a signal to the server.
     pub fn signal(&self, signal: &str) {
         let sent = Command::new("kill").args(["-s", signal, &self.process.id().to_string()]).status();
-        assert!(sent.expect("kill is there").success());
+        assert!(sent.expect("`kill` can be run").success());
     }
 
-    /// Requests the end of the server, and returns when. No other process is started for it, which would take time of its own.
+    /// Sends SIGTERM to the server, and returns the time of that. The system call is used, because starting
+    /// another process for it would take additional time.
     pub fn request_end(&self) -> Instant {
         let requested_at = Instant::now();
-        kill_process(Pid::from_child(&self.process), Signal::TERM).expect("it runs");
+        kill_process(Pid::from_child(&self.process), Signal::TERM).expect("the process runs");
         requested_at
     }
 
@@ -154,13 +155,14 @@
         self.process.id()
     }
 
-    /// Stops the process for so long, and returns for how long it was stopped. Nothing is done to one that has ended.
+    /// Stops the process for this time, and returns the time for which it was stopped. A process that has
+    /// ended is left alone.
     pub fn stand_still(&mut self, stop: Duration) -> Duration {
         if self.has_ended() {
             return Duration::ZERO;
         }
         let since = Instant::now();
-        // The process may end at any time; it stays until it is waited for.
+        // The process may end at any time; its id stays valid until it is waited for.
         let _ = kill_process(Pid::from_child(&self.process), Signal::STOP);
         std::thread::sleep(stop);
         let _ = kill_process(Pid::from_child(&self.process), Signal::CONT);
@@ -172,7 +174,7 @@
         self.process.try_wait().expect("its state").is_some()
     }
 
-    /// Returns how the server ended, which is waited for.
+    /// Waits until the server has ended, and returns its exit status.
     pub fn end(&mut self) -> ExitStatus {
         let since = Instant::now();
         while since.elapsed() < HANG {
--- a/tests/play/sockets.rs
+++ b/tests/play/sockets.rs
@@ -1,4 +1,4 @@
-//! The TCP sockets of a process, as the system shows them.
+//! The TCP sockets of a process, as the operating system reports them.
 
 use super::HANG;
 use std::collections::HashSet;
@@ -8,11 +8,11 @@
 /// The state of a TCP socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketState {
-    /// Its first packet was sent and is not answered yet.
+    /// The first packet was sent and is not answered yet.
     Connecting,
-    /// It listens.
+    /// The socket listens for connections.
     Listening,
-    /// Any other.
+    /// Any other state.
     Other,
 }
 
@@ -42,7 +42,8 @@
         .collect()
 }
 
-/// Returns both ends of a connection with the process at the other end, as far as the system shows it.
+/// Describes both ends of a connection and the process at the other end, as far as the operating system
+/// reports them.
 pub fn describe_peer(stream: &TcpStream) -> String {
     let port_of = |address: std::io::Result<SocketAddr>| address.map_or(0, |address| address.port());
     let (local, peer) = (port_of(stream.local_addr()), port_of(stream.peer_addr()));
@@ -54,23 +55,23 @@
     format!("port {local}, peer's port {peer}, of process {owner:?}: {command:?}")
 }
 
-/// Waits until a process listens, and returns where.
+/// Waits until a process listens, and returns its address.
 pub fn listening_address(id: u32) -> String {
     let listening =
         wait_for(|| of_process(id).into_iter().find(|socket| socket.state == SocketState::Listening));
     format!("127.0.0.1:{}", listening.local_port)
 }
 
-/// Waits until there is something to return.
+/// Waits until `condition` returns a value, and returns it.
 pub fn wait_for<T>(condition: impl Fn() -> Option<T>) -> T {
     let since = Instant::now();
     while since.elapsed() < HANG {
-        if let Some(found) = condition() {
-            return found;
+        if let Some(value) = condition() {
+            return value;
         }
         std::thread::sleep(Duration::from_millis(2));
     }
-    panic!("the condition is not met");
+    panic!("the condition is not met within the time limit");
 }
 
 /// Returns the inodes of a process's sockets.
--- a/tests/swap.rs
+++ b/tests/swap.rs
@@ -1,5 +1,5 @@
-//! A change of the settings takes effect between two requests, whatever waits at the dispatcher's mailbox: no request is
-//! judged by half of it.
+//! A change of the settings takes effect between two requests, whatever is queued in the dispatcher's
+//! mailbox: no request is processed with a part of a change.
 
 use async_executor::LocalExecutor;
 use dunlinspread::server::distributed_config::{DistributedSettings, EffectiveSettings, PlatformSettings};
@@ -20,7 +20,8 @@
 const FRONTENDS: u64 = 16;
 const REQUESTS: u64 = 400;
 const CHANGES: u64 = 120;
-/// Far fewer than there are frontends, so that many of them wait to send.
+/// Capacity of the dispatcher's mailbox, far below the number of frontends, so that many of them wait to
+/// send.
 const MAILBOX: usize = 2;
 
 fn platform() -> Arc<PlatformSettings> {
@@ -32,8 +33,8 @@
     })
 }
 
-/// The change that makes the route lead to one class more and the tenant's allowance the change's number. Every tenth
-/// is large, with many tenants of its own.
+/// Returns a change that routes to the next class and sets the tenant's allowance to the change's number.
+/// Every tenth change is large, with many additional tenants.
 fn change(number: u64) -> Vec<Change> {
     let class = format!("c{}", number as usize % CLASSES);
     let allowance = |tenant: &str| {
@@ -48,22 +49,22 @@
     changes
 }
 
-/// The tasks under test, and what they share.
-struct Tasks {
+/// The state that the tasks under test share.
+struct SharedState {
     distributed: Rc<DistributedSettings>,
     dispatcher: DispatcherSender,
     wheel: Rc<TimerWheel>,
     frontends_left: Rc<Cell<u64>>,
 }
 
-/// Looks names up and sends as a connection does, and yields at random.
-async fn run_frontend(tasks: Rc<Tasks>, seed: u64) {
+/// Looks up names and sends requests as a connection does, and yields at random.
+async fn run_frontend(shared: Rc<SharedState>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mailbox, _answers) = async_channel::bounded(1);
     for id in 0..REQUESTS {
-        tasks.distributed.wait_for_pending_change(&tasks.wheel).await;
-        let class = tasks.distributed.route(b"r").expect("the route is there");
-        let tenant = tasks.distributed.tenant(Some("t")).expect("the tenant is there");
+        shared.distributed.wait_for_pending_change(&shared.wheel).await;
+        let class = shared.distributed.route(b"r").expect("the route exists");
+        let tenant = shared.distributed.tenant(Some("t")).expect("the tenant exists");
         let incoming = IncomingRequest {
             id,
             attempt: 0,
@@ -79,8 +80,8 @@
             body: Vec::new(),
             reply: ReplyHandle { mailbox: mailbox.clone(), tag: id, class: None, progress: None },
         };
-        let guard = tasks.distributed.guard_lookup();
-        tasks
+        let guard = shared.distributed.guard_lookup();
+        shared
             .dispatcher
             .send(DispatcherMessage::Request(Box::new(incoming)))
             .await
@@ -90,10 +91,11 @@
             yield_now().await;
         }
     }
-    tasks.frontends_left.set(tasks.frontends_left.get() - 1);
+    shared.frontends_left.set(shared.frontends_left.get() - 1);
 }
 
-/// Checks that each request has the class that goes with the allowance in force; counts the requests.
+/// Checks that each request has the class that belongs to the allowance in force; returns the numbers of
+/// requests and changes.
 async fn run_dispatcher(mut inbox: DispatcherInbox, seed: u64) -> (u64, u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let (mut requests, mut changes) = (0, 0);
@@ -102,14 +104,18 @@
         match message {
             DispatcherMessage::Request(incoming) => {
                 requests += 1;
-                assert_eq!(incoming.class, allowance as usize % CLASSES, "seed {seed}: half a change");
+                assert_eq!(
+                    incoming.class,
+                    allowance as usize % CLASSES,
+                    "seed {seed}: a change was applied in part"
+                );
                 assert_eq!(incoming.tenant, 1, "seed {seed}");
             }
             DispatcherMessage::Reconfigured(reconfigured) => {
                 changes += 1;
                 let new = reconfigured.changes.quotas.iter().find(|change| change.tenant == 1);
                 allowance = new.and_then(|change| change.per_second).expect("its allowance");
-                reconfigured.done.try_send(()).expect("it is awaited");
+                reconfigured.done.try_send(()).expect("the sender of the change waits");
             }
             other => panic!("{other:?}"),
         }
@@ -120,9 +126,9 @@
     (requests, changes)
 }
 
-async fn put_change(tasks: &Tasks, number: u64) {
-    let put = tasks.distributed.apply(change(number), &tasks.dispatcher, &tasks.wheel);
-    put.await.expect("it is put in force");
+async fn put_change(shared: &SharedState, number: u64) {
+    let put = shared.distributed.apply(change(number), &shared.dispatcher, &shared.wheel);
+    put.await.expect("the change is applied");
 }
 
 fn interleave(seed: u64) {
@@ -131,24 +137,24 @@
     let wheel = TimerWheel::new(Clock::start(), 1.0);
     executor.spawn(wheel.clone().advance()).detach();
     let counted = executor.spawn(run_dispatcher(inbox, seed));
-    let tasks = Rc::new(Tasks {
+    let shared = Rc::new(SharedState {
         distributed: Rc::new(DistributedSettings::new(EffectiveSettings::new(platform()))),
         dispatcher: sender,
         wheel,
         frontends_left: Rc::new(Cell::new(FRONTENDS)),
     });
     let (requests, changes) = block_on(executor.run(async {
-        put_change(&tasks, 0).await;
+        put_change(&shared, 0).await;
         for at in 0..FRONTENDS {
-            executor.spawn(run_frontend(tasks.clone(), seed * 1000 + at)).detach();
+            executor.spawn(run_frontend(shared.clone(), seed * 1000 + at)).detach();
         }
         for number in 1..CHANGES {
-            put_change(&tasks, number).await;
+            put_change(&shared, number).await;
         }
-        while tasks.frontends_left.get() > 0 {
+        while shared.frontends_left.get() > 0 {
             yield_now().await;
         }
-        drop(tasks);
+        drop(shared);
         counted.await
     }));
     assert_eq!((requests, changes), (FRONTENDS * REQUESTS, CHANGES), "seed {seed}");
--- a/tests/task_panics.rs
+++ b/tests/task_panics.rs
@@ -1,5 +1,5 @@
-//! Panics of single tasks and of the ledger's threads in the built program: what is owed to others is still given, or the
-//! process names the task and ends with a code.
+//! Panics of single tasks and of the ledger's threads in the built program: peers and clients still get
+//! their responses, or the process names the task and ends with an exit code.
 
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod play;
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// An address that nobody listens on.
-const NOBODY: &str = "127.0.0.1:1";
-/// How long a test waits for a file.
+/// An address without a listener.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
+/// Time limit of a wait for a file.
 const HANG: Duration = Duration::from_secs(60);
 
 macro_rules! panics {
@@ -25,21 +25,24 @@
 
 panics! { connection upstream_before upstream_after }
 
-/// Guards against a connection of another test's server, to a port that the system gave out anew, being taken for the server's
-/// own: the peers waited on it without end.
+/// Guards against mistaking a connection of another test's server for the own server's: that server connects
+/// to a port that the system has assigned again, and the peers waited on its connection without end.
 #[test]
 fn a_server_that_connects_to_a_port_given_out_anew_does_not_reach_the_peers_of_another() {
     let script = include_str!("panics/upstream_before.txt");
     let mut playback = Playback::start(&Setup::of_script(script));
     let upstream = playback.upstream_address();
-    // It takes a port of the host address for its worker pool's, which is the upstream service's port now.
+    // The other server's worker pool address is on the host address, with the port that the upstream service
+    // has now.
     let worker_pool = format!("127.0.0.1:{}", upstream.port());
-    let other = LoggedServer::start(&mut command(&config(&worker_pool, NOBODY, NOBODY, &[]), "unlimited").0);
+    let other = LoggedServer::start(
+        &mut command(&config(&worker_pool, UNUSED_ADDRESS, UNUSED_ADDRESS, &[]), "unlimited").0,
+    );
     other.log_line("worker pool unreachable");
     assert_eq!(play::play_on(&mut playback, script), play::play(script));
 }
 
-/// A server's ledger in a folder of its own.
+/// The ledger of a server, in a separate folder.
 struct Ledger {
     folder: TempDir,
     operator_file: PathBuf,
@@ -59,7 +62,7 @@
         Ledger { folder, operator_file }
     }
 
-    /// Starts a server on it, which panics at `panic` if that is given, and accepts its link.
+    /// Starts a server with this ledger, which panics at `panic` if that is given, and accepts its link.
     fn serve(&self, panic: Option<&str>) -> Playback {
         let setup = Setup {
             panic: panic.map(str::to_owned),
@@ -77,7 +80,7 @@
     }
 }
 
-/// Has a request run to its good end in the worker pool.
+/// Sends a request and reports the successful end of its run in the worker pool.
 fn run(server: &mut Playback, number: u64) {
     server.send("a", &format!("req {number} route-sheet"));
     assert!(server.expect("pool", "").contains("spawn"));
@@ -94,7 +97,7 @@
     digits.parse().expect("a number")
 }
 
-/// Returns how many lines a server finds in the ledger that another one left without closing it.
+/// Returns how many lines a server finds in a ledger that the server before it did not close.
 fn lines_after_unclean_end(ledger: &Ledger) -> u64 {
     let server = ledger.serve(None);
     let opened = server.start_line("ledger opened");
@@ -102,8 +105,8 @@
     number_after("lines: ", opened)
 }
 
-/// With a strict ledger no response could be sent any more: the process ends, and every response that was sent has its
-/// line.
+/// With a strict ledger, no response could be sent without the store: the process ends, and every response
+/// that was sent has its line.
 #[test]
 fn the_store_of_a_strict_ledger() {
     let ledger = Ledger::new("strict");
@@ -114,11 +117,12 @@
     assert_eq!(server.expect("a", ""), "closed", "the second is never answered");
     server.expect("log", "task failed: store panicked: deliberate panic at store-progress");
     assert_eq!(server.expect("exit", ""), "exit status: 1");
-    // The second line was durable as its report panicked, as it may be before a kill.
+    // The second line was durable when its report panicked, as it may be before a kill.
     assert_eq!(lines_after_unclean_end(&ledger), 3);
 }
 
-/// With an interval ledger responses go out before their lines: the process ends too, as what is at risk would grow.
+/// With an interval ledger, responses are sent before their lines are durable: the process ends as well,
+/// because the number of lines at risk would grow.
 #[test]
 fn the_store_of_an_interval_ledger() {
     let ledger = Ledger::new("interval");
@@ -129,16 +133,16 @@
     assert_eq!(lines_after_unclean_end(&ledger), 2);
 }
 
-/// The process ends, and what the export worker had not done is done by the next one.
+/// The process ends, and the next process's export worker executes the request that was left.
 #[test]
 fn the_export_worker() {
     let ledger = Ledger::new("strict");
     let mut server = ledger.serve(Some("export-worker-request:1"));
     run(&mut server, 1);
     assert!(server.expect("a", "").starts_with(r"\x94\x01\x01"));
-    // The worker makes the folder as it starts, unless it is there.
+    // The worker creates the folder when it starts, unless it exists.
     std::fs::create_dir_all(ledger.requests_folder()).expect("the folder");
-    std::fs::write(ledger.requests_folder().join("t1.request"), "no request").expect("it is written");
+    std::fs::write(ledger.requests_folder().join("t1.request"), "no request").expect("the file is written");
     server.expect("log", "task failed: export worker panicked: deliberate panic at export-worker-request");
     assert_eq!(server.expect("exit", ""), "exit status: 1");
     let answers = ledger.requests_folder();
@@ -155,11 +159,13 @@
     assert!(text.starts_with("error: "), "{text}");
 }
 
-/// Without the thread SIGTERM would have no effect: the process shuts down as if it had come.
+/// Without the signals thread, SIGTERM would have no effect: the process shuts down as if it had received
+/// one.
 #[test]
 fn the_signals_thread() {
     let stop = (r#""stop_ms":30000"#.to_owned(), r#""stop_ms":2000"#.to_owned());
-    let (mut command, _) = command(&config(NOBODY, NOBODY, NOBODY, &[stop]), "unlimited");
+    let (mut command, _) =
+        command(&config(UNUSED_ADDRESS, UNUSED_ADDRESS, UNUSED_ADDRESS, &[stop]), "unlimited");
     let mut server = LoggedServer::spawn(command.env(PANIC_AT, "signal-received:1"));
     server.log_line("serving");
     server.signal("HUP");
@@ -169,7 +175,7 @@
     assert_eq!(server.end().code(), Some(0));
 }
 
-/// Returns the answer to the operator's request, once it is there.
+/// Returns the answer to the operator's request; `None` while there is none.
 fn answer(folder: &Path) -> Option<String> {
     let files = std::fs::read_dir(folder).expect("the folder").flatten().map(|entry| entry.path());
     let mut answers = files.filter(|path| path.extension().is_some_and(|suffix| suffix == "answer"));
--- a/tests/unread_close.rs
+++ b/tests/unread_close.rs
@@ -1,6 +1,7 @@
-//! No connection is closed over a request that lies unread in the system's buffer, on real sockets: the server is stopped
-//! while clients write, at a time when their connections are due to be closed once it continues. Stops are shorter and
-//! longer than the stall that the server excludes from the times of its clients.
+//! The server closes no connection with an unread request in the system's receive buffer, tested on real
+//! sockets: the server is stopped while clients write, when their connections are due to be closed as soon
+//! as it continues. Some stops are shorter and some longer than the stall that the server excludes from the
+//! time limits of its clients.
 
 #[allow(unused_imports, reason = "each test program uses a part of it")]
 mod fleet;
@@ -15,26 +16,27 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Descriptors in the configuration of the server.
+/// Number of descriptors in the configuration of the server.
 const DESCRIPTORS: usize = 64;
-/// The most connections with so many descriptors.
+/// Maximum number of connections with [`DESCRIPTORS`] descriptors.
 const MAX_CONNECTIONS: usize = DESCRIPTORS / 2 + DESCRIPTORS / 16;
-/// Connections up to which none is evicted.
-const COMFORTABLE_CONNECTIONS: usize = MAX_CONNECTIONS - MAX_CONNECTIONS / 8;
-/// A stop that the server does not notice, and one that it excludes from the times of its clients.
+/// Number of connections up to which none is evicted.
+const EVICTION_THRESHOLD: usize = MAX_CONNECTIONS - MAX_CONNECTIONS / 8;
+/// Length of a stop that the server does not detect, and of one that it excludes from the time limits of its
+/// clients.
 const STOPS: [Duration; 2] = [Duration::from_millis(300), Duration::from_millis(700)];
-/// Rounds with each stop: the order of the server's tasks as it continues is not the same in all.
+/// Number of rounds with each stop, because the order of the server's tasks after it continues varies.
 const ROUNDS: usize = 3;
 /// An idle timeout that is not reached.
 const NO_IDLE_TIMEOUT_MS: u64 = 32_000_000_000;
-/// Time limit for the end of a connection that sends no request: 2 s for a whole message, 0.8 s for unread bytes, and
-/// slack for a starved machine.
+/// Time limit for the close of a connection that sends no request: 2 s for a whole message, 0.8 s for unread
+/// bytes, and slack for an overloaded machine.
 const CLOSE_LIMIT: Duration = Duration::from_millis(2800 + 2200);
 
-/// The number of the last attempt: each has one of its own.
+/// The number of the last attempt; each attempt has a unique number.
 static LAST_ATTEMPT: AtomicU64 = AtomicU64::new(0);
 
-/// Returns the class and the attempt of a new request.
+/// Returns the class and the attempt id of a new request.
 fn new_attempt() -> String {
     format!("route-sheet call={:016x}", LAST_ATTEMPT.fetch_add(1, Ordering::Relaxed) + 1)
 }
@@ -49,7 +51,7 @@
         Site::start_with(idle_timeout_ms, Alone::new)
     }
 
-    /// Starts a server that will stop itself at this point.
+    /// Starts a server that stops itself at this point.
     fn stopping_at(point: &str) -> Site {
         Site::start_with(NO_IDLE_TIMEOUT_MS, |config| Alone::stopping_at(config, point))
     }
@@ -68,7 +70,8 @@
         Site { pool, server }
     }
 
-    /// Opens connections, each with a request that is answered: none is idle before all are open.
+    /// Opens connections, each with a request that is answered only after all are open, so that none is idle
+    /// before.
     fn open_answered(&self, count: usize) -> Vec<Client> {
         self.pool.hold_runs();
         let mut clients: Vec<Client> = (0..count).map(|_| Client::new(&self.server.address)).collect();
@@ -81,7 +84,7 @@
         clients
     }
 
-    /// Stops the server, has `write` called, and continues it once it has been stopped for so long.
+    /// Stops the server, calls `write`, and continues the server once it has been stopped for `stop`.
     fn while_stopped(&self, stop: Duration, write: impl FnOnce()) {
         self.server.stop();
         let since = Instant::now();
@@ -91,8 +94,8 @@
     }
 }
 
-/// Keeps the server busy with health checks until it is dropped. A server that is stopped while it works, and not while it
-/// waits, comes to its timers first when it continues, and only then to its sockets.
+/// Keeps the server busy with health checks until dropped. A server that is stopped while it works, and not
+/// while it waits, processes its timers first when it continues, and only then its sockets.
 struct HealthChecks {
     is_over: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
@@ -100,7 +103,7 @@
 
 impl HealthChecks {
     const THREADS: usize = 2;
-    /// Health checks that are sent at once.
+    /// Number of health checks that are sent at once.
     const BATCH: usize = 24;
 
     fn start(address: &str) -> HealthChecks {
@@ -120,11 +123,11 @@
 impl Drop for HealthChecks {
     fn drop(&mut self) {
         self.is_over.store(true, Ordering::Relaxed);
-        self.threads.drain(..).for_each(|thread| thread.join().expect("it checks"));
+        self.threads.drain(..).for_each(|thread| thread.join().expect("the thread does not panic"));
     }
 }
 
-/// Makes health checks until the end, or until the connection is closed.
+/// Sends health checks until `is_over` is set or the connection is closed.
 fn check_until(is_over: &AtomicBool, client: &mut Client) {
     let check = unescape("\\x94\\x00\\x01\\xa6isWell\\x91\\x80");
     while !is_over.load(Ordering::Relaxed) && client.write(&check.repeat(HealthChecks::BATCH)) {
@@ -144,7 +147,7 @@
     );
 }
 
-/// Asserts that each of these clients is answered its second request, after all were given the time to.
+/// Waits for the responses of all clients, and asserts that each is the one to its second request.
 fn assert_all_answered(what: &str, clients: &mut [Client]) {
     let responses: Vec<String> = clients.iter_mut().map(Client::response).collect();
     let lost: Vec<&String> = responses.iter().filter(|text| !text.starts_with(r"\x94\x01\x02")).collect();
@@ -155,7 +158,7 @@
     STOPS.into_iter().flat_map(|stop| std::iter::repeat_n(stop, ROUNDS))
 }
 
-/// More idle connections than the server keeps: eviction is due at the first sweep after the stop.
+/// With more idle connections than the server keeps, an eviction is due at the first sweep after the stop.
 #[test]
 fn no_request_is_lost_to_an_eviction_after_a_stop() {
     for stop in rounds() {
@@ -164,10 +167,10 @@
         let mut clients = site.open_answered(MAX_CONNECTIONS - HealthChecks::THREADS - 1);
         let mut waiting = None;
         site.while_stopped(stop, || {
-            // What the server closed before it was stopped has ended for its clients.
+            // Connections that the server closed before it was stopped do not count.
             clients.retain_mut(Client::is_open);
             assert!(!clients.is_empty(), "the server closed all before it was stopped");
-            // The listener is woken before the connections are.
+            // The listener becomes ready before the connections.
             waiting = Some(Client::new(&site.server.address));
             clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
         });
@@ -175,15 +178,15 @@
     }
 }
 
-/// New connections wait in the accept queue as the server continues, so that idle ones are evicted for them.
+/// New connections are in the accept queue when the server continues, so that it evicts idle ones for them.
 #[test]
 fn no_request_is_lost_to_an_eviction_for_waiting_connections() {
     for stop in rounds() {
         let site = Site::start(NO_IDLE_TIMEOUT_MS);
-        let mut clients = site.open_answered(COMFORTABLE_CONNECTIONS);
+        let mut clients = site.open_answered(EVICTION_THRESHOLD);
         let mut waiting = Vec::new();
         site.while_stopped(stop, || {
-            // The listener is woken before the connections are.
+            // The listener becomes ready before the connections.
             waiting.extend((0..DESCRIPTORS).map(|_| Client::new(&site.server.address)));
             clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
             waiting.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
@@ -193,17 +196,17 @@
     }
 }
 
-/// Has every client that was not notified write a request while the server, with one connection more than it keeps free of
-/// eviction, stands still at this point.
+/// Stops the server at this point, with one connection more than the eviction threshold, and lets every
+/// client that was not notified write a request meanwhile; asserts that all are answered.
 fn assert_none_lost_at(point: &str) {
     for stop in STOPS {
         let site = Site::stopping_at(point);
-        let mut clients = site.open_answered(COMFORTABLE_CONNECTIONS);
+        let mut clients = site.open_answered(EVICTION_THRESHOLD);
         clients.push(Client::new(&site.server.address));
         site.server.wait_until_stopped();
         let since = Instant::now();
         clients.retain(Client::is_quiet);
-        assert!(clients.len() >= COMFORTABLE_CONNECTIONS, "only {} were not notified", clients.len());
+        assert!(clients.len() >= EVICTION_THRESHOLD, "only {} were not notified", clients.len());
         clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
         std::thread::sleep(stop.saturating_sub(since.elapsed()));
         site.server.resume();
@@ -211,30 +214,31 @@
     }
 }
 
-/// Guards against an eviction that closes at once: a request that comes after the look for unread bytes would be discarded.
+/// Guards against an eviction that closes at once: a request that arrives after the check for unread bytes
+/// would be discarded.
 #[test]
 fn no_request_is_lost_between_the_look_for_unread_bytes_and_an_eviction() {
     assert_none_lost_at("eviction-checked:1");
 }
 
-/// The evicted client was notified and sends nothing: the close ends no other connection.
+/// The evicted client was notified and sends nothing; closing its connection closes no other one.
 #[test]
 fn no_request_is_lost_between_the_look_for_unread_bytes_and_the_close_of_an_evicted_connection() {
     assert_none_lost_at("close-checked:1");
 }
 
-/// The stop is in the accept of the connection for which another one is to be evicted.
+/// The server stops right after it accepts the connection for which another one is to be evicted.
 #[test]
 fn no_request_is_lost_between_an_accept_and_the_first_read() {
-    assert_none_lost_at(&format!("connection-accepted:{}", COMFORTABLE_CONNECTIONS + 1));
+    assert_none_lost_at(&format!("connection-accepted:{}", EVICTION_THRESHOLD + 1));
 }
 
-/// Guards against a close over a request that crossed the notification: the time that its client has to close the connection
-/// ends while the server stands still.
+/// Guards against closing a connection with a request that crossed the notification: the grace that its
+/// client has to close the connection ends while the server is stopped.
 #[test]
 fn no_request_is_lost_to_the_end_of_a_close_grace() {
     const IDLE_TIMEOUT_MS: u64 = 200;
-    /// From the notification to the stop: a little less than the time that a client has.
+    /// Time from the notification to the stop, a little less than the grace of a client.
     const BEFORE_STOP: Duration = Duration::from_millis(850);
     const CONNECTIONS: usize = 16;
     for stop in rounds() {
@@ -246,7 +250,7 @@
         }
         std::thread::sleep(BEFORE_STOP);
         site.while_stopped(stop, || {
-            // On a starved machine the grace may be over before the stop.
+            // On an overloaded machine, the grace may be over before the stop.
             clients.retain_mut(Client::is_open);
             clients.iter_mut().for_each(|client| client.ask(2, &new_attempt()));
         });
@@ -255,7 +259,7 @@
     }
 }
 
-/// Returns after which time the connection ended under writes of `bytes`, one each `interval`.
+/// Writes one item of `bytes` each `interval`, and returns the time after which the connection ended.
 fn time_to_close(client: &mut Client, bytes: impl Iterator<Item = Vec<u8>>, interval: Duration) -> Duration {
     let since = Instant::now();
     for piece in bytes {
@@ -269,8 +273,8 @@
     since.elapsed()
 }
 
-/// Asserts that a connection under these writes ends in the time limit, which the server puts off by the time for which it
-/// stood still.
+/// Asserts that a connection under these writes ends within the time limit, which the server extends by the
+/// time for which it was stalled.
 fn assert_closed_in_time(
     site: &Site,
     what: &str,
@@ -285,8 +289,9 @@
     took
 }
 
-/// Connections that send no request end in a bounded time: silent, by single bytes of one message, and by notifications
-/// that are sent without a pause, so that some are unread whenever the server looks.
+/// Connections that send no request end in a bounded time: a silent one, one that sends single bytes of one
+/// message, and one that sends notifications without a pause, so that some are unread whenever the server
+/// checks.
 #[test]
 fn a_connection_without_a_request_is_closed_in_a_bounded_time() {
     let site = Site::start(NO_IDLE_TIMEOUT_MS);
@@ -297,8 +302,8 @@
     assert_closed_in_time(&site, "notifications", notifications(), Duration::ZERO);
 }
 
-/// The time for which the server stood still is no silence of its clients: a connection without a request ends that much
-/// later, and no later than that.
+/// The time for which the server was stalled does not count as silence of its clients: a connection without
+/// a request ends later by that time, and no later than that.
 #[test]
 fn stalls_of_the_server_put_off_the_close_of_a_connection_without_a_request() {
     const ROUNDS: u32 = 3;
@@ -312,12 +317,12 @@
             std::thread::sleep(BETWEEN);
             site.while_stopped(STOP, || {});
         }
-        flood.join().expect("it ends in time")
+        flood.join().expect("the connection ends in time")
     });
-    assert!(took >= STOP * ROUNDS, "closed while the server stood still: {took:?}");
+    assert!(took >= STOP * ROUNDS, "closed while the server was stopped: {took:?}");
 }
 
-/// Notifications without end.
+/// Returns an endless sequence of notifications.
 fn notifications() -> impl Iterator<Item = Vec<u8>> {
     std::iter::repeat_with(|| b"\x93\x02\xa4none\x90".repeat(64))
 }
--- a/tests/worker_pool_link.rs
+++ b/tests/worker_pool_link.rs
@@ -1,5 +1,5 @@
-//! The link to the worker pool while the pool's address changes: every connection that is begun to the new address is
-//! used. One that is left behind would come to the pool as a further link.
+//! The link to the worker pool while the pool's address changes: every connection attempt to the new address
+//! is used. The pool would take an abandoned one for a further link.
 
 use async_channel::Sender;
 use dunlinspread::server::messages::{
@@ -14,12 +14,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Messages that the dispatcher's mailbox has room for.
+/// Capacity of the dispatcher's mailbox.
 const MAILBOX: usize = 64;
-/// Time limit of what must happen.
+/// Time limit of each read.
 const TIME_LIMIT: Duration = Duration::from_secs(60);
 
-/// A link whose task is polled by the test.
+/// A worker pool link whose task the test polls.
 struct Link {
     task: BoxedLocal<()>,
     messages: Sender<WorkerPoolMessage>,
@@ -46,7 +46,7 @@
         assert!(block_on(poll_once(&mut self.task)).is_none(), "the link's task ended");
     }
 
-    /// Runs the task until `done` is.
+    /// Runs the task until `done` completes, and returns its output.
     fn run_until<T>(&mut self, done: impl Future<Output = T>) -> T {
         let ended = async {
             or(&mut self.task, self.wheel.clone().advance()).await;
@@ -62,7 +62,8 @@
     (listener, address)
 }
 
-/// Accepts a connection and returns it with its first line; an empty line if it was closed without any.
+/// Accepts a connection and returns it with its first line, which is empty if the connection was closed
+/// without one.
 fn accept(listener: &TcpListener) -> (TcpStream, String) {
     let (stream, _) = listener.accept().expect("a connection");
     stream.set_read_timeout(Some(TIME_LIMIT)).expect("a time limit");
@@ -81,7 +82,7 @@
     link.run_until(accepted.recv()).expect("a connection")
 }
 
-/// The first connection at the new address is the link, and there is no other.
+/// Asserts that the first connection at the new address is the link, and that there is no other.
 fn assert_moved(link: &mut Link, new_pool: TcpListener) {
     let (new_pool, _stream, line) = run_until_accepted(link, new_pool);
     assert_eq!(line, "{\"op\":\"bind\",\"seq\":0}\n", "the first connection is not the link");
@@ -90,7 +91,7 @@
     assert_eq!(further.kind(), ErrorKind::WouldBlock, "{further}");
 }
 
-/// The old address refuses while the connection to the new one is being made.
+/// The old address refuses the connection while the one to the new address is being established.
 #[test]
 fn a_refusal_at_the_old_address_leaves_the_connection_to_the_new_one() {
     let (old_pool, old_address) = listen();
@@ -98,12 +99,12 @@
     let (new_pool, new_address) = listen();
     let mut link = Link::new(old_address);
     link.set_address(new_address);
-    // Both attempts begin here, and neither can have ended before the next turn.
+    // Both attempts start here, and neither can end before the next poll.
     link.poll();
     assert_moved(&mut link, new_pool);
 }
 
-/// The old link ends while the connection to the new address is being made.
+/// The old link ends while the connection to the new address is being established.
 #[test]
 fn an_end_of_the_old_link_leaves_the_connection_to_the_new_one() {
     let (old_pool, old_address) = listen();
@@ -117,7 +118,7 @@
     assert_moved(&mut link, new_pool);
 }
 
-/// Addresses that change one after the other: the last one counts.
+/// After several changes of the address, the link connects to the last one.
 #[test]
 fn the_last_of_several_addresses_is_connected() {
     let (old_pool, old_address) = listen();
@@ -130,8 +131,8 @@
     assert_moved(&mut link, new_pool);
 }
 
-/// Commands that runs need and that waited for the writer are reported with the wait of the first; suspensions, readings of the
-/// gauges, and what is written at once, are not.
+/// Commands that runs need and that waited for the writer are reported with the wait of the first.
+/// Suspensions, gauge readings, and commands that are written at once are not reported.
 #[test]
 fn commands_that_waited_to_be_written_are_reported() {
     const WAITED_MS: f64 = 60_000.0;
@@ -149,13 +150,14 @@
         let command = LinkCommand { link: 1, given_at, command };
         link.messages.try_send(WorkerPoolMessage::Command(command)).expect("the queue is open");
     }
-    let mut events = link.events.take().expect("it is taken once");
+    let mut events = link.events.take().expect("the inbox is taken once");
     let event = link.run_until(events.next()).expect("an event");
     let DispatcherMessage::Pool(PoolEvent::CommandsDelayed { waited_ms }) = event else {
         panic!("another event")
     };
     assert!((WAITED_MS..2.0 * WAITED_MS).contains(&waited_ms), "waited {waited_ms} ms");
-    // What is given after the last writing has waited for no time, and what was given before it only since then.
+    // A command issued after the last write has not waited, and one issued before it has waited only since
+    // then.
     let suspension =
         LinkCommand { link: 1, given_at: now - WAITED_MS, command: PoolCommand::Suspend { attempt: 3 } };
     let given_now = LinkCommand { link: 1, given_at: f64::INFINITY, command: run };
