--- a/tests/machine/actions.rs
+++ b/tests/machine/actions.rs
@@ -1,4 +1,4 @@
-//! What the module asks of the machine, carried out, and the rules that an action can break.
+//! Carries out the controller's actions on the machine, and checks the rules that an action can break.
 
 use super::{Entry, Machine, Stage};
 use dunlinspread::{Action, Event, Outcome, Preemption, RequestId, RetrySafety, Signal};
@@ -14,7 +14,7 @@
                     self.settings.classes[request.class].retry_safety == RetrySafety::Idempotent
                 });
                 if ran && !safe {
-                    self.record_violation(format!("refused {id}, which ran"));
+                    self.record_violation(format!("rejected {id}, which ran"));
                 }
                 self.final_answer(id);
             }
@@ -41,7 +41,7 @@
                     _ => {}
                 }
                 if !self.settings.has_upstream {
-                    self.record_violation(format!("a call for {id}, with nothing below"));
+                    self.record_violation(format!("called for {id} without an upstream service"));
                 }
             }
             Action::SkipUpstreamCall(id) => {
@@ -50,11 +50,11 @@
                     request.stage = Stage::Running;
                 }
                 if self.settings.classes[request.class].degraded_weight <= 0.0 {
-                    self.record_violation(format!("left out the call of {id}, which can't be"));
+                    self.record_violation(format!("skipped the call of {id}, which can't be skipped"));
                 }
             }
             Action::AdvertiseShare(_) if self.settings.signal != Signal::Share => {
-                self.record_violation("said a value that nobody reads".to_owned());
+                self.record_violation("advertised a share that clients don't read".to_owned());
             }
             Action::SetTimer { token, delay_ms } => self.timers.push((self.now + delay_ms, token)),
             Action::AdvertiseShare(_) | Action::SetHealth(_) | Action::SetIdleTimeout(_) | Action::Log(_) => {
@@ -75,12 +75,14 @@
             }
         }
         if was_queued && runs_once && preempted {
-            self.record_violation(format!("ran {id} again after it was stopped"));
+            self.record_violation(format!("ran {id} again after it was preempted"));
         }
         if was_queued
-            && self.shutdown_at.is_some_and(|notice| arrived_at > notice + self.settings.drain_grace_ms)
+            && self
+                .shutdown_at
+                .is_some_and(|requested_at| arrived_at > requested_at + self.settings.drain_grace_ms)
         {
-            self.record_violation(format!("ran {id}, which came too late after the notice"));
+            self.record_violation(format!("ran {id}, which arrived after the drain grace"));
         }
         let Some(key) = key.filter(|_| was_queued) else { return };
         let window = self.settings.classes[class].key_window_ms;
@@ -91,7 +93,7 @@
         let twice = runs.iter().any(|(other, at)| *other != id && arrived_at - at <= window);
         runs.push((id, arrived_at));
         if twice {
-            self.record_violation(format!("ran {id}, a key that ran in its window"));
+            self.record_violation(format!("ran {id}, whose key ran within its window"));
         }
     }
 
@@ -110,7 +112,7 @@
 
     pub(super) fn preempt(&mut self, id: RequestId) {
         if self.settings.preemption == Preemption::Off {
-            self.record_violation(format!("stopped {id}, where nothing can be stopped"));
+            self.record_violation(format!("preempted {id}, although preemption is off"));
         }
         let Some(request) = self.requests.get_mut(&id).filter(|request| request.stage == Stage::Running)
         else {
@@ -126,7 +128,7 @@
         self.events.push(Event::RunEnded { id, outcome: Outcome::Cancelled, took_ms });
     }
 
-    /// A final answer that is no result; what runs goes on, all else is dropped.
+    /// Records a final answer without a result; a running request continues, and any other one ends.
     pub(super) fn final_answer(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.answered {
--- a/tests/machine/mod.rs
+++ b/tests/machine/mod.rs
@@ -1,5 +1,6 @@
-//! A small machine around the controller: cores, a table of keys, calls below and clients with their waits. It judges the
-//! four rules from the controller's actions alone. Time goes in the settings' ticks; one seed gives one day.
+//! A small model of a machine around the controller: cores, a table of keys, upstream calls and clients with
+//! timeouts. It checks the four rules from the controller's actions alone. Time advances in the ticks of the
+//! settings, and everything that happens follows from the seed.
 #![allow(dead_code)]
 
 mod actions;
@@ -9,10 +10,11 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 
-/// Length of a day, ms, with the notice to leave so long before its end.
-const DAY_MS: f64 = 12_000.0;
+/// Length of the simulation, ms.
+const SIMULATION_MS: f64 = 12_000.0;
+/// Time from the shutdown request to the end of the simulation, ms.
 const SHUTDOWN_MS: f64 = 2_500.0;
-/// The usual work of a run, ms of one core.
+/// Mean work of a run, ms of one core.
 const WORK_MS: f64 = 60.0;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -20,7 +22,7 @@
     Queued,
     Running,
     AtCall,
-    /// Until then, and how it will end.
+    /// An upstream call is in progress until this time, and will end with this outcome.
     Calling(f64, Outcome),
     Suspended,
     Reusing,
@@ -59,8 +61,9 @@
     next: RequestId,
     requests: BTreeMap<RequestId, MachineRequest>,
     entries: BTreeMap<u64, Entry>,
-    /// Beside the controller's table: the keys there were, and the tries of each that were run, by when they came.
+    /// All keys used so far, independent of the controller's table.
     keys: Vec<u64>,
+    /// The requests of each key that ran, with their times of arrival.
     runs: BTreeMap<u64, Vec<(RequestId, f64)>>,
     timers: Vec<(f64, u64)>,
     events: Vec<Event>,
@@ -68,13 +71,13 @@
     stall: (f64, f64),
     failing: (f64, f64),
     flood: (f64, f64),
-    /// Told waits are kept from the controller.
+    /// Whether stated deadlines are withheld from the controller.
     pub hides_deadlines: bool,
-    /// Requests served within their wait.
+    /// Number of requests served by their deadlines.
     pub served: u32,
-    /// Those of them that were served after the hang, by class.
+    /// Number of those requests that were served after the stall, by class.
     pub served_after: Vec<u32>,
-    /// The rules that were broken.
+    /// Descriptions of the rules that were broken.
     pub violations: Vec<String>,
 }
 
@@ -82,7 +85,7 @@
     pub fn new(seed: u64, settings: Settings) -> Machine {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut span = |len: f64| {
-            let from = rng.random_range(1000.0..DAY_MS - 2000.0);
+            let from = rng.random_range(1000.0..SIMULATION_MS - 2000.0);
             (from, from + len)
         };
         let (stall, failing, flood) = (span(900.0), span(1500.0), span(2000.0));
@@ -112,7 +115,7 @@
         machine
     }
 
-    /// Runs stand still from the start for that long, and there is no other trouble.
+    /// Makes runs stall from the start for this time, without other faults.
     pub fn stall_from_start(&mut self, ms: f64) {
         (self.stall, self.failing, self.flood) = ((0.0, ms), (0.0, 0.0), (0.0, 0.0));
     }
@@ -122,15 +125,15 @@
         self.served_after[class] += u32::from(self.now > self.stall.1);
     }
 
-    /// Plays the day to its end and the last answer.
+    /// Runs the simulation to its end, and checks that every request was answered.
     pub fn play(&mut self) {
-        while self.now < DAY_MS {
+        while self.now < SIMULATION_MS {
             self.now += self.settings.tick_ms;
             self.advance_runs();
             self.arrivals();
-            if self.shutdown_at.is_none() && self.now >= DAY_MS - SHUTDOWN_MS {
+            if self.shutdown_at.is_none() && self.now >= SIMULATION_MS - SHUTDOWN_MS {
                 self.shutdown_at = Some(self.now);
-                self.events.push(Event::Drain { stop_at: DAY_MS });
+                self.events.push(Event::Drain { stop_at: SIMULATION_MS });
             }
             let now = self.now;
             let fired: Vec<u64> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
@@ -171,7 +174,7 @@
         }
     }
 
-    /// A tick of work, shared among what runs; ends and calls become events.
+    /// Advances the runs by one tick of work, shared among them, and generates events for ends and calls.
     fn advance_runs(&mut self) {
         let on = self.on_cores() as f64;
         let each = self.settings.tick_ms * self.speed() * (self.settings.cores / on.max(self.settings.cores));
@@ -208,7 +211,7 @@
         }
     }
 
-    /// A run is over: its answer goes by itself, and those that wait for it get theirs.
+    /// Ends a run with its answer, and ends the requests that wait to reuse its result.
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         let Some(request) = self.requests.remove(&id) else { return };
         let took_ms = self.now - request.since;
@@ -238,7 +241,8 @@
     }
 
     fn arrivals(&mut self) {
-        // About as much as the cores do on the calm part, three times that from one tenant in its flood.
+        // About the capacity of the cores outside of the flood, and three times that from one tenant during
+        // it.
         let flood = self.within(self.flood);
         let chance =
             1.1 * self.settings.tick_ms * self.settings.cores / WORK_MS * if flood { 3.0 } else { 1.0 };
@@ -258,12 +262,12 @@
         let arrived_at = self.now - age_ms;
         let part: f64 = self.rng.random_range(0.1..1.0);
         let waits = if self.settings.passes_deadline { part } else { 1.0 } * stated.client_timeout_ms;
-        // A third of the keyed ones are retries of a key of late.
+        // A third of the keyed requests are retries of a recent key.
         let keyed = stated.retry_safety == RetrySafety::IdempotencyKey;
-        let again = keyed && self.rng.random_bool(0.33);
+        let is_retry = keyed && self.rng.random_bool(0.33);
         let known = self.keys.len();
         let key = match known {
-            n if again && n > 0 => Some(self.keys[self.rng.random_range(n.saturating_sub(20)..n)]),
+            n if is_retry && n > 0 => Some(self.keys[self.rng.random_range(n.saturating_sub(20)..n)]),
             _ => keyed.then_some(self.next + 1),
         };
         let original = key
@@ -324,7 +328,7 @@
         self.violations.push(format!("{:.0} ms: {what}", self.now));
     }
 
-    /// The rules that hold at every moment.
+    /// Checks the rules that hold at all times.
     fn check_rules(&mut self) {
         let slack = self.settings.response_slack_ms;
         let late = self
@@ -340,10 +344,13 @@
         for id in late {
             self.record_violation(format!("no answer to {id} by its due time"));
         }
-        let most =
+        let max_runs =
             self.settings.cores * (1.0 + (self.settings.survivable_runs_per_core - 1.0) * self.speed());
-        if self.on_cores() as f64 > most {
-            self.record_violation(format!("{} runs crowd the cores", self.on_cores()));
+        if self.on_cores() as f64 > max_runs {
+            self.record_violation(format!(
+                "{} runs are on the cores, more than the survivable number",
+                self.on_cores()
+            ));
         }
         let memory_kb = |request: &MachineRequest| match request.stage {
             Stage::Queued | Stage::Reusing => request.request_kb,
@@ -355,7 +362,7 @@
         let memory = self.requests.values().map(memory_kb).sum::<f64>()
             + self.entries.len() as f64 * self.settings.key_memory_kb;
         if memory > self.settings.memory_kb {
-            self.record_violation(format!("{memory:.0} kB are in use"));
+            self.record_violation(format!("{memory:.0} kB are in use, more than the limit"));
         }
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -25,13 +25,13 @@
 #[test]
 fn rises_one_step_a_timer_and_each_step_advertises_a_lower_share() {
     let mut driver = Driver::new(settings());
-    let mut last = 1.0;
+    let mut last_share = 1.0;
     for level in 1..=3 {
-        let said = advertised_shares(&driver.tick(1.0, 60.0));
+        let advertised = advertised_shares(&driver.tick(1.0, 60.0));
         assert_eq!(driver.controller.level(), level);
-        assert_eq!(said.len(), 1);
-        assert!(said[0] < last && said[0] > 0.0);
-        last = said[0];
+        assert_eq!(advertised.len(), 1);
+        assert!(advertised[0] < last_share && advertised[0] > 0.0);
+        last_share = advertised[0];
     }
     assert!(advertised_shares(&driver.tick(1.0, 60.0)).is_empty(), "the share is sent only when it changes");
     assert_eq!(driver.controller.level(), 3);
@@ -45,15 +45,15 @@
     assert_eq!(driver.controller.level(), 3, "one calm timer is not enough");
     driver.tick(1.0, 60.0);
     let mut levels = vec![3];
-    let mut said = Vec::new();
+    let mut advertised = Vec::new();
     while driver.controller.level() > 0 && driver.now < 5000.0 {
-        said.extend(advertised_shares(&driver.tick(0.1, 0.0)));
+        advertised.extend(advertised_shares(&driver.tick(0.1, 0.0)));
         if levels.last() != Some(&driver.controller.level()) {
             levels.push(driver.controller.level());
         }
     }
     assert_eq!(levels, vec![3, 2, 1, 0]);
-    assert_eq!(said.last(), Some(&1.0));
+    assert_eq!(advertised.last(), Some(&1.0));
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let mut driver = Driver::new(settings());
     (0..60).for_each(|_| drop(driver.arrive(0)));
     driver.tick(1.0, 2.0);
-    assert_eq!(driver.controller.level(), 1, "the gauge alone shows only what the run limit lets through");
+    assert_eq!(driver.controller.level(), 1, "the gauge alone shows only the runs within the run limit");
 }
 
 #[test]
@@ -80,7 +80,7 @@
         assert_eq!(driver.controller.level(), 0, "nothing runs: {gauge:?}");
         (0..60).for_each(|_| drop(driver.arrive(0)));
         driver.send(Event::Timer { token: 1, gauges });
-        assert_eq!(driver.controller.level(), 1, "the cores are full and the hold is long: {gauge:?}");
+        assert_eq!(driver.controller.level(), 1, "the cores are full and the queue is long: {gauge:?}");
     }
 }
 
@@ -119,8 +119,8 @@
 #[test]
 fn at_level_zero_with_the_threshold_at_zero_nothing_that_fits_is_rejected() {
     let mut driver = Driver::new(settings());
-    for rank in [0.0, 0.1, 0.9] {
-        let arrival = Arrival { priority: rank, ..driver.arrival(0) };
+    for any_priority in [0.0, 0.1, 0.9] {
+        let arrival = Arrival { priority: any_priority, ..driver.arrival(0) };
         let id = arrival.id;
         let actions = driver.send(Event::Arrival(arrival));
         assert_eq!(answers(&actions, id), 0);
@@ -142,7 +142,7 @@
     }
 }
 
-/// While a run could start, the gauges lag behind and the threshold rejects no first attempt.
+/// While a run could start, the gauges lag behind the load, so the threshold rejects no first attempt.
 #[test]
 fn the_threshold_rests_while_a_run_could_start_but_not_for_retries_nor_for_a_read_backlog() {
     let overloaded = || {
@@ -154,9 +154,9 @@
     let low = Arrival { priority: 0.0, ..driver.arrival(0) };
     let id = low.id;
     assert!(runs(&driver.send(Event::Arrival(low)), id));
-    let again = Arrival { priority: 0.0, is_retry: true, ..driver.arrival(0) };
-    let id = again.id;
-    assert!(rejected(&driver.send(Event::Arrival(again)), id));
+    let retry = Arrival { priority: 0.0, is_retry: true, ..driver.arrival(0) };
+    let id = retry.id;
+    assert!(rejected(&driver.send(Event::Arrival(retry)), id));
     let mut driver = overloaded();
     let mut last = Vec::new();
     for _ in 0..40 {
@@ -168,7 +168,7 @@
     assert!(last.iter().any(|action| matches!(action, Action::Reject { .. })));
 }
 
-/// Requests that waited unread show in their age, not in a gauge.
+/// The time that requests waited unread shows in their age, not in a gauge.
 #[test]
 fn requests_that_are_old_when_read_raise_the_level() {
     let level = |age_ms: f64| {
@@ -190,12 +190,12 @@
 fn a_first_attempt_runs_before_a_marked_retry() {
     let mut driver = Driver::new(settings());
     let running = [driver.arrive(0).0, driver.arrive(0).0];
-    let again = Arrival { is_retry: true, ..driver.arrival(0) };
-    let again_id = again.id;
-    driver.send(Event::Arrival(again));
+    let retry = Arrival { is_retry: true, ..driver.arrival(0) };
+    let retry_id = retry.id;
+    driver.send(Event::Arrival(retry));
     let (fresh, _) = driver.arrive(0);
     let actions = driver.end(running[0], Outcome::Ok);
-    assert!(runs(&actions, fresh) && !runs(&actions, again_id));
+    assert!(runs(&actions, fresh) && !runs(&actions, retry_id));
 }
 
 #[test]
@@ -225,7 +225,7 @@
     assert!(runs(&actions, high) && !runs(&actions, low));
 }
 
-/// Reads hide from the run queue that runs wait for the disk.
+/// Runs that wait for the disk do not count in the run queue, so idle cores beside a full queue show them.
 #[test]
 fn cores_that_idle_beside_a_full_queue_let_more_runs_start_within_the_survivable_number() {
     let mut driver = Driver::new(settings());
@@ -236,11 +236,14 @@
         started += actions.iter().filter(|action| matches!(action, Action::Run(_))).count();
     }
     assert!(started >= 1, "runs that wait for disk leave the cores idle");
-    assert!(2 + started <= 10, "the survivable crowd still binds");
+    assert!(2 + started <= 10, "the survivable number of runs still limits them");
     let mut driver = Driver::new(settings());
     (0..20).for_each(|_| drop(driver.arrive(0)));
     let actions: Vec<Action> = (0..10).flat_map(|_| driver.tick(1.0, 4.0)).collect();
-    assert!(!actions.iter().any(|action| matches!(action, Action::Run(_))), "none while the cores are full");
+    assert!(
+        !actions.iter().any(|action| matches!(action, Action::Run(_))),
+        "a run started while the cores are full"
+    );
 }
 
 #[test]
@@ -289,7 +292,8 @@
     assert!(driver.controller.level() > 0);
 }
 
-/// The threshold takes seconds to fall after the queue has drained.
+/// The threshold takes seconds to fall after the queue has drained; at level 0 it rejects no first attempt
+/// meanwhile.
 #[test]
 fn the_threshold_rests_at_level_zero_while_it_falls() {
     let mut driver = Driver::new(settings());
@@ -305,17 +309,17 @@
     while driver.controller.level() > 0 {
         driver.tick(1.0, 2.0);
     }
-    assert!(driver.controller.priority_threshold() > 0.0, "it has not fallen yet");
+    assert!(driver.controller.priority_threshold() > 0.0, "the threshold has fallen already");
     let (id, actions) = low(&mut driver);
     assert_eq!(answers(&actions, id), 0, "queued");
     // A short time at level 0 does not admit the retries of a storm.
-    let again = Arrival { priority: 0.0, is_retry: true, ..driver.arrival(0) };
-    let again_id = again.id;
-    assert!(rejected(&driver.send(Event::Arrival(again)), again_id), "a marked retry");
+    let retry = Arrival { priority: 0.0, is_retry: true, ..driver.arrival(0) };
+    let retry_id = retry.id;
+    assert!(rejected(&driver.send(Event::Arrival(retry)), retry_id), "a marked retry");
     assert!(running.iter().any(|of| runs(&driver.end(*of, Outcome::Ok), id)));
 }
 
-/// The averages depend on time, not on the number of events.
+/// The averages behind the level depend on time, not on the number of events.
 #[test]
 fn old_reads_and_fast_failures_count_alike_at_a_low_and_at_a_high_rate() {
     for gap in [1, 4, 8] {
--- a/tests/mechanism_callers.rs
+++ b/tests/mechanism_callers.rs
@@ -1,4 +1,4 @@
-//! What tenants may send and what clients are told: quotas, connections, advice to stay away.
+//! Limits on tenants and instructions to clients: quotas, idle timeouts of connections and the retry delay.
 mod common;
 use common::{Driver, rejected, settings};
 use dunlinspread::{Action, Arrival, Event, Outcome, Settings};
@@ -19,7 +19,7 @@
     assert_eq!(rejections[1], 0, "within its quota");
 }
 
-/// Idle connections of many clients would fill the connection table.
+/// Guards against a connection table that fills up with the idle connections of many clients.
 #[test]
 fn connections_of_clients_that_come_seldom_close_soon_and_those_of_frequent_ones_stay() {
     let last_limit = |clients: f64| {
@@ -41,10 +41,14 @@
     };
     assert_eq!(last_limit(20.0), 30_000.0, "five arrivals a second from 20 clients: 7 uses in the limit");
     assert!(last_limit(1000.0) < 1000.0, "from 1,000 clients: 0.15 uses in the limit");
-    assert!(last_limit(f64::NAN) > 1000.0 && last_limit(0.0) > 1000.0, "not told: the clients' own limit");
+    assert!(
+        last_limit(f64::NAN) > 1000.0 && last_limit(0.0) > 1000.0,
+        "number of clients unknown: the clients' own limit"
+    );
 }
 
-/// An even part of a quota may be about one request a second, around which arrivals vary by chance.
+/// An even share of a quota may be about one request a second, and the number of arrivals varies by chance
+/// around it.
 #[test]
 fn tenants_within_their_quota_are_not_marked_by_chance_nor_where_clients_prefer_an_instance() {
     let rejections_of = |gap_ms: f64, shares: [f64; 2]| {
@@ -70,14 +74,15 @@
         }
         rejections
     };
-    // The quotas come to 2 and 1 a second here; the arrivals to 3, then to 20 of them.
+    // This server's parts of the quotas are 2 and 1 a second. The arrivals are 3.3 a second, then 100 a
+    // second.
     assert_eq!(rejections_of(300.0, [700.0, 350.0]), 0);
-    assert_eq!(rejections_of(10.0, [700.0, 350.0]), 0, "more of all alike");
-    assert!(rejections_of(10.0, [35.0, 3500.0]) > 10, "a tenant far over its part");
-    assert_eq!(rejections_of(10.0, [0.0, 0.0]), 0, "no quota told");
+    assert_eq!(rejections_of(10.0, [700.0, 350.0]), 0, "more requests of all tenants alike");
+    assert!(rejections_of(10.0, [35.0, 3500.0]) > 10, "a tenant far over its share");
+    assert_eq!(rejections_of(10.0, [0.0, 0.0]), 0, "no quota stated");
 }
 
-/// A tenant at three times its quota is noticed at six arrivals a second.
+/// A tenant at three times its quota is detected at six arrivals a second.
 #[test]
 fn a_tenants_excess_is_marked_at_a_few_arrivals_a_second_and_its_quota_is_not() {
     let settings = Settings {
@@ -87,7 +92,8 @@
         ..settings()
     };
     let mut driver = Driver::new(settings);
-    // What arrives here: 4.5, 0.8 and 0.7 a second; the shares here are 1.4, 1 and 0.9.
+    // The tenants send this server 4.5, 0.8 and 0.7 requests a second; its shares of their quotas are 1.4, 1
+    // and 0.9.
     let (mut sent, mut rejections) = ([0, 0, 0], [0, 0, 0]);
     let (running, _) = driver.arrive(1);
     for i in 0..240 {
@@ -109,11 +115,11 @@
         }
     }
     assert_eq!((rejections[1], rejections[2]), (0, 0), "within their shares: {rejections:?} of {sent:?}");
-    let kept = sent[0] - rejections[0];
-    assert!((24..=80).contains(&kept), "its share is some 37 of {}: {kept} kept", sent[0]);
+    let admitted = sent[0] - rejections[0];
+    assert!((24..=80).contains(&admitted), "its share is some 37 of {}: {admitted} admitted", sent[0]);
 }
 
-/// Where opening connections takes up the cores, closing idle ones would only make clients open more.
+/// While opening connections occupies the cores, closing idle ones would only make clients open more.
 #[test]
 fn a_storm_of_new_connections_keeps_them_until_the_cores_idle() {
     let mut driver =
@@ -133,13 +139,13 @@
     assert_eq!(limits(storm), Some(30_000.0), "kept in a storm");
     let mut full = Vec::new();
     (0..40).for_each(|_| full.extend(driver.tick(1.0, 4.0)));
-    assert_eq!(limits(full), None, "and as long as the cores are full");
+    assert_eq!(limits(full), None, "kept while the cores are full");
     let mut idle = Vec::new();
     (0..60).for_each(|_| idle.extend(driver.tick(0.5, 1.0)));
     assert_eq!(limits(idle), Some(200.0));
 }
 
-/// Clients that choose the quickest instance would return at once to one that rejects.
+/// Clients that choose the instance with the fastest responses would return at once to one that rejects.
 #[test]
 fn a_rejection_carries_a_retry_after_within_the_settings_and_a_clients_usual_gap() {
     let retry_after = |settings: Settings| {
@@ -162,18 +168,19 @@
         }
         longest
     };
-    let told = Settings { retry_after: true, max_retry_after_ms: 1000.0, ..settings() };
-    assert_eq!(retry_after(settings()), 0.0, "not passed on");
+    let enabled = Settings { retry_after: true, max_retry_after_ms: 1000.0, ..settings() };
+    assert_eq!(retry_after(settings()), 0.0, "clients read no retry delay");
     assert_eq!(
-        retry_after(Settings { client_count: 500.0, ..told.clone() }),
+        retry_after(Settings { client_count: 500.0, ..enabled.clone() }),
         1000.0,
-        "many clients: the longest followed"
+        "many clients: the longest delay that the settings allow"
     );
-    let few = retry_after(Settings { client_count: 4.0, ..told });
+    let few = retry_after(Settings { client_count: 4.0, ..enabled });
     assert!((50.0..=200.0).contains(&few), "four clients at 20 a second come every 200 ms: {few}");
 }
 
-/// With half of the traffic beyond quota, the threshold stays within it long enough for the level to fall.
+/// With half of the traffic beyond quota, the threshold stays within the priorities of that half long enough
+/// for the level to fall.
 #[test]
 fn the_threshold_rejects_as_much_a_step_within_an_excess_as_elsewhere() {
     let settings = Settings {
@@ -187,7 +194,8 @@
     let (mut excess, mut rejections) = (0, [0, 0]);
     for i in 0..200 {
         driver.progress(running);
-        // Ten a second of the first tenant and one of the other; each may send one.
+        // Nine of ten requests are of the first tenant and one is of the other; this server's part of each
+        // quota is one request a second.
         driver.tick(if i < 170 { 0.5 } else { 1.0 }, if i < 170 { 1.0 } else { 60.0 });
         let tenant = usize::from(i % 10 == 9);
         let arrival = Arrival { tenant, priority: f64::from(i % 7) / 7.0, ..driver.arrival(0) };
@@ -202,7 +210,7 @@
     }
     assert!(
         rejections[0] > 0 && rejections[0] < excess * 2 / 3,
-        "a fifth of the way up: {rejections:?} of {excess}"
+        "a fifth of the way up the range of priorities: {rejections:?} of {excess}"
     );
-    assert_eq!(rejections[1], 0, "none within its quota");
+    assert_eq!(rejections[1], 0, "rejected within its quota");
 }
--- a/tests/progress.rs
+++ b/tests/progress.rs
@@ -1,4 +1,5 @@
-//! Work that hangs, here or below: each test fails when the guard it names is taken out.
+//! Runs that stall, in this instance or in an upstream service. Each test fails if the guard that it names
+//! is removed.
 mod common;
 use common::{Driver, runs, settings};
 use dunlinspread::{Action, Arrival, Event, Gauges, Outcome, Settings};
@@ -10,7 +11,7 @@
         .collect()
 }
 
-/// An instance that served for ten seconds, and a run that goes on.
+/// Returns an instance that has served for ten seconds, and the id of a run in progress.
 fn busy_instance() -> (Driver, u64) {
     let mut driver = Driver::new(Settings { retry_after: true, max_retry_after_ms: 800.0, ..settings() });
     let (running, _) = driver.arrive(2);
@@ -24,23 +25,23 @@
     (driver, next)
 }
 
-/// A stalled instance lets clients retry elsewhere.
+/// A stalled instance rejects requests with permission to retry at another instance.
 #[test]
 fn without_progress_what_is_queued_or_arrives_is_rejected_at_once_and_may_go_elsewhere() {
     let (mut driver, running) = busy_instance();
     driver.arrive(2);
-    let (held, actions) = driver.arrive(0);
-    assert!(!runs(&actions, held));
+    let (queued, actions) = driver.arrive(0);
+    assert!(!runs(&actions, queued));
     let until = driver.now + 1500.0;
     let actions = driver.run_until(until);
-    let told = Action::Reject { id: held, retry_after_ms: 800.0, do_not_retry: false };
-    assert!(actions.contains(&told), "{actions:?}");
+    let expected = Action::Reject { id: queued, retry_after_ms: 800.0, do_not_retry: false };
+    assert!(actions.contains(&expected), "{actions:?}");
     assert_eq!(healths(&actions), vec![false]);
     let (id, actions) = driver.arrive(0);
     assert!(actions.contains(&Action::Reject { id, retry_after_ms: 800.0, do_not_retry: false }));
     let mut actions = driver.end(running, Outcome::Ok);
     actions.extend(driver.tick(1.0, 2.0));
-    assert_eq!(healths(&actions), vec![true], "the first progress ends it");
+    assert_eq!(healths(&actions), vec![true], "the first progress ends the stall");
     let (id, actions) = driver.arrive(0);
     assert!(runs(&actions, id));
 }
@@ -49,7 +50,7 @@
 fn a_suspended_process_an_idle_one_and_plain_overload_are_not_stalled() {
     let (mut driver, running) = busy_instance();
     driver.now += 1500.0;
-    assert!(healths(&driver.tick(1.0, 2.0)).is_empty(), "frozen: the timer came late");
+    assert!(healths(&driver.tick(1.0, 2.0)).is_empty(), "suspended: the timer fired late");
     driver.end(running, Outcome::Ok);
     let until = driver.now + 5000.0;
     assert!(healths(&driver.run_until(until)).is_empty(), "idle");
@@ -66,7 +67,7 @@
 
 #[test]
 fn a_call_that_a_tier_rejected_is_retried_in_time_and_one_to_a_shared_upstream_is_skipped() {
-    for (share, again) in [(None, true), (Some(5.0), false)] {
+    for (share, retried) in [(None, true), (Some(5.0), false)] {
         let mut settings = Settings { has_upstream: true, upstream_call_share: share, ..settings() };
         settings.classes[0].degraded_weight = 0.5;
         let mut driver = Driver::new(settings);
@@ -74,17 +75,17 @@
         driver.send(Event::UpstreamCallNeeded(id));
         let mut actions =
             driver.send(Event::UpstreamCallEnded { id, outcome: Outcome::Rejected, took_ms: 5.0 });
-        assert_eq!(actions.contains(&Action::SkipUpstreamCall(id)), !again, "{share:?}");
+        assert_eq!(actions.contains(&Action::SkipUpstreamCall(id)), !retried, "{share:?}");
         actions.extend(driver.run_until(500.0));
         assert_eq!(
             actions.iter().any(|action| matches!(action, Action::CallUpstream { .. })),
-            again,
+            retried,
             "{share:?}"
         );
     }
 }
 
-/// An instance whose runs fail fast lets clients retry elsewhere and reports bad health.
+/// An instance whose runs fail fast lets clients retry at another instance and reports bad health.
 #[test]
 fn where_runs_fail_fast_arrivals_may_go_elsewhere_and_health_is_bad_until_it_is_over() {
     let (mut driver, running) = busy_instance();
@@ -93,30 +94,34 @@
     for _ in 0..80 {
         let arrival = Arrival { priority: 0.99, ..driver.arrival(0) };
         let id = arrival.id;
-        let told = driver.send(Event::Arrival(arrival));
+        let answer = driver.send(Event::Arrival(arrival));
         elsewhere +=
-            usize::from(told.contains(&Action::Reject { id, retry_after_ms: 800.0, do_not_retry: false }));
-        if runs(&told, id) {
+            usize::from(answer.contains(&Action::Reject { id, retry_after_ms: 800.0, do_not_retry: false }));
+        if runs(&answer, id) {
             tried += 1;
             driver.now += 5.0;
             driver.end(id, Outcome::Error);
         }
         actions.extend(driver.tick(0.1, 0.0));
     }
-    assert_eq!(healths(&actions), vec![false], "no flapping while it lasts");
-    assert!(elsewhere > 60 && (3..=20).contains(&tried), "{elsewhere} told, {tried} tried in four seconds");
+    assert_eq!(healths(&actions), vec![false], "health flaps while runs fail");
+    assert!(
+        elsewhere > 60 && (3..=20).contains(&tried),
+        "{elsewhere} rejected with a retry, {tried} run in four seconds"
+    );
     let mut actions = Vec::new();
     for _ in 0..80 {
-        let (id, told) = driver.arrive(0);
-        if runs(&told, id) {
+        let (id, answer) = driver.arrive(0);
+        if runs(&answer, id) {
             driver.end(id, Outcome::Ok);
         }
         actions.extend(driver.tick(0.1, 0.0));
     }
-    assert_eq!(healths(&actions), vec![true], "it finds out by itself");
+    assert_eq!(healths(&actions), vec![true], "the instance detects the recovery without outside help");
 }
 
-/// Guards against taking runs that the worker pool does not know for failed ones: of few runs they are a large share at once.
+/// Guards against counting runs that the worker pool does not know as failed ones: among few runs, a few of
+/// them would already be a large share.
 #[test]
 fn runs_that_are_lost_say_nothing_about_the_health() {
     for (outcome, expected) in [(Outcome::Lost, vec![]), (Outcome::Error, vec![false])] {
@@ -130,14 +135,14 @@
     }
 }
 
-/// Guards against taking the lag of this process for a stall of the runs: what they reported after the gauges were read lies
-/// unread behind them.
+/// Guards against mistaking the lag of this process for a stall of the runs: what they reported after the
+/// gauges were read is still unread when the gauges are processed.
 #[test]
 fn what_came_after_the_gauges_were_requested_is_no_stall() {
     const GAP_MS: f64 = 1.0;
     const GAPS: usize = 2000;
     const RUN_MS: f64 = 5.0;
-    /// Less than what shows that the process was suspended.
+    /// Less than the lag at which the controller assumes that the process was suspended.
     const LAG_MS: f64 = 45.0;
     let mut driver = Driver::new(settings());
     let (running, _) = driver.arrive(0);
@@ -163,13 +168,13 @@
     );
 }
 
-/// Guards against taking a lag of this process between the choice of a run and the writing of its command for a stall: the
-/// worker pool can't have worked on it.
+/// Guards against mistaking a lag of this process between the choice of a run and the writing of its command
+/// for a stall: the worker pool can't have worked on a run whose command was not written.
 #[test]
 fn what_waited_for_its_command_to_be_written_is_no_stall() {
     const RUN_MS: f64 = 5.0;
     const RUNS: usize = 2000;
-    /// Less than what shows that the process was suspended.
+    /// Less than the lag at which the controller assumes that the process was suspended.
     const LAG_MS: f64 = 45.0;
     for (written_late, expected) in [(true, vec![]), (false, vec![false])] {
         let mut driver = Driver::new(settings());
@@ -191,7 +196,7 @@
     }
 }
 
-/// A suspended machine brings timers in time, but neither events nor gauges.
+/// On a suspended machine, timers fire in time, but neither events nor gauges arrive; that is no stall.
 #[test]
 fn a_time_without_gauges_is_no_stall() {
     let mut driver = Driver::new(settings());
@@ -205,5 +210,5 @@
     }
     let mut bad = false;
     (0..40).for_each(|_| bad |= driver.tick(1.0, 2.0).contains(&Action::SetHealth(false)));
-    assert!(bad, "with gauges it is one");
+    assert!(bad, "with gauges, the lack of progress is a stall");
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,7 +1,9 @@
-//! A fleet that starts cold as a whole, with clients that know only what they heard and forget it after a second. What each
-//! server is sent in the settings' time is queued against N, the crowd that the settings let it survive then, and for
-//! chance 2 x sqrt(N) and 2 more. The controller runs in every server; clients come upon servers at random and pass one over by the share that
-//! it told them, until they come to a willing one.
+//! A fleet whose servers all start cold, with clients that know only the shares advertised to them and
+//! forget each after a second. The number of requests sent to each server within the overload window of the
+//! settings is compared with a bound: N, the number of runs that the settings let it survive at that time,
+//! plus 2 x sqrt(N) + 2 for random variation. An admission controller runs in every server. Each client
+//! tries servers in turn from a random one, and skips one with the probability that follows from the share
+//! that it advertised, until it reaches one that it does not skip.
 
 mod common;
 
@@ -11,17 +13,18 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
 
-/// How long a client keeps in mind what it was told, ms; the protocol's figure for both sites in service.
-const HEEDED_MS: f64 = 1000.0;
+/// Time for which a client respects an advertised share, ms; the protocol's figure for both sites in service.
+const SHARE_LIFETIME_MS: f64 = 1000.0;
 const STEP_MS: f64 = 5.0;
 
 struct Server {
     controller: AdmissionController,
     share: f64,
-    /// Runs under way: until when, and whose.
+    /// Runs in progress: the time at which each ends, its duration in ms, and its request's id.
     runs: Vec<(f64, f64, u64)>,
     timers: Vec<(f64, u64)>,
-    /// When requests came, within the settings' time, and whether their client heeds.
+    /// Times of the requests within the overload window, and whether each one's client respects the
+    /// advertised share.
     recent_arrivals: VecDeque<(f64, bool)>,
 }
 
@@ -31,15 +34,16 @@
     now: f64,
     next: u64,
     servers: Vec<Server>,
-    /// What each client was told by each server, and when.
-    heard: Vec<Vec<(f64, f64)>>,
-    heeds: Vec<bool>,
-    /// The most that a server was sent over its bound, as a factor: by all, and by clients that heed.
+    /// The share that each server last advertised to each client, and the time.
+    received_shares: Vec<Vec<(f64, f64)>>,
+    respects_share: Vec<bool>,
+    /// The highest ratio of requests sent to a server to its bound: by all clients, and by those that
+    /// respect the advertised share.
     highest_load: (f64, f64),
 }
 
 impl Fleet {
-    fn new(seed: u64, servers: usize, clients: usize, heeding: f64) -> Fleet {
+    fn new(seed: u64, servers: usize, clients: usize, respecting: f64) -> Fleet {
         let settings = Settings {
             server_count: servers as f64,
             client_count: clients as f64,
@@ -54,7 +58,7 @@
             ..settings()
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let heeds = (0..clients).map(|_| rng.random_bool(heeding)).collect();
+        let respects_share = (0..clients).map(|_| rng.random_bool(respecting)).collect();
         let server = |at: usize| Server {
             controller: AdmissionController::new(
                 0.0,
@@ -65,15 +69,15 @@
             timers: Vec::new(),
             recent_arrivals: VecDeque::new(),
         };
-        let heard = vec![vec![(1.0, f64::NEG_INFINITY); servers]; clients];
+        let received_shares = vec![vec![(1.0, f64::NEG_INFINITY); servers]; clients];
         let mut fleet = Fleet {
             servers: (0..servers).map(server).collect(),
             settings,
             rng,
             now: 0.0,
             next: 0,
-            heard,
-            heeds,
+            received_shares,
+            respects_share,
             highest_load: (0.0, 0.0),
         };
         for at in 0..servers {
@@ -87,12 +91,12 @@
             + (1.0 - self.settings.cold_start_speed) * (self.now / self.settings.warm_up_ms).min(1.0)
     }
 
-    /// N: the crowd that the settings let a server survive now.
-    fn budget(&self) -> f64 {
+    /// Returns N, the number of runs that the settings let a server survive now.
+    fn survivable_runs(&self) -> f64 {
         self.settings.cores * (1.0 + (self.settings.survivable_runs_per_core - 1.0) * self.speed())
     }
 
-    /// Hands an event to a server. Whoever gets an answer hears the share with it.
+    /// Delivers an event to a server. A client that gets an answer receives the advertised share with it.
     fn dispatch_event(&mut self, at: usize, event: Event, client: Option<usize>) {
         let mut actions = Vec::new();
         self.servers[at].controller.on_event(self.now, event, &mut actions);
@@ -108,7 +112,7 @@
                 }
                 Action::Reject { .. } | Action::Fail(_) => {
                     if let Some(client) = client {
-                        self.heard[client][at] = (self.servers[at].share, self.now);
+                        self.received_shares[client][at] = (self.servers[at].share, self.now);
                     }
                 }
                 _ => {}
@@ -116,13 +120,13 @@
         }
     }
 
-    /// One request of a client: the first server on its way round that it does not pass over.
+    /// Sends one request of a client to the first server in its order that it does not skip.
     fn request(&mut self, client: usize) {
         let first = self.rng.random_range(0..self.servers.len());
         for step in 0..self.servers.len() {
             let at = (first + step) % self.servers.len();
-            let (share, when) = self.heard[client][at];
-            let known = self.heeds[client] && self.now - when < HEEDED_MS;
+            let (share, when) = self.received_shares[client][at];
+            let known = self.respects_share[client] && self.now - when < SHARE_LIFETIME_MS;
             if known && !self.rng.random_bool(share.clamp(0.0, 1.0)) {
                 continue;
             }
@@ -133,7 +137,7 @@
                 priority: self.rng.random_range(0.0..1.0),
                 ..Arrival::default()
             };
-            self.servers[at].recent_arrivals.push_back((self.now, self.heeds[client]));
+            self.servers[at].recent_arrivals.push_back((self.now, self.respects_share[client]));
             self.dispatch_event(at, Event::Arrival(arrival), Some(client));
             return;
         }
@@ -145,18 +149,18 @@
             let mut due = rate_per_s * self.servers.len() as f64 * STEP_MS / 1000.0;
             while due > 0.0 {
                 if self.rng.random_bool(due.min(1.0)) {
-                    let client = self.rng.random_range(0..self.heeds.len());
+                    let client = self.rng.random_range(0..self.respects_share.len());
                     self.request(client);
                 }
                 due -= 1.0;
             }
             for at in 0..self.servers.len() {
                 let now = self.now;
-                let (over, runs) =
+                let (ended, runs) =
                     std::mem::take(&mut self.servers[at].runs).into_iter().partition(|run| run.0 <= now);
                 self.servers[at].runs = runs;
-                let over: Vec<(f64, f64, u64)> = over;
-                for (_, took_ms, id) in over {
+                let ended: Vec<(f64, f64, u64)> = ended;
+                for (_, took_ms, id) in ended {
                     self.dispatch_event(at, Event::RunEnded { id, outcome: Outcome::Ok, took_ms }, None);
                 }
                 let (timers, later) = std::mem::take(&mut self.servers[at].timers)
@@ -179,19 +183,19 @@
     }
 
     fn check_load(&mut self, at: usize) {
-        let n = self.budget();
+        let n = self.survivable_runs();
         let bound = n + 2.0 * n.sqrt() + 2.0;
         let since = self.now - self.settings.overload_window_ms;
         let recent_arrivals = &mut self.servers[at].recent_arrivals;
         while recent_arrivals.front().is_some_and(|(when, _)| *when < since) {
             recent_arrivals.pop_front();
         }
-        let heeding = recent_arrivals.iter().filter(|(_, heeds)| *heeds).count() as f64;
+        let respecting = recent_arrivals.iter().filter(|(_, respects)| *respects).count() as f64;
         self.highest_load = (
             self.highest_load.0.max(recent_arrivals.len() as f64 / bound),
-            self.highest_load.1.max(heeding / bound),
+            self.highest_load.1.max(respecting / bound),
         );
-        // What it runs of that is its own to bound, whatever clients send.
+        // The server itself limits its runs, whatever clients send.
         assert!(
             (self.servers[at].runs.len() as f64) < n,
             "{} runs at {:.0} ms",
@@ -201,10 +205,12 @@
     }
 }
 
-/// A server that tells nobody anything new is sent the usual traffic from its first second; the test's own yardstick. Where
-/// the usual traffic of a server is a third of what the settings let a warm one survive in that time, its sum stays within the
-/// bound with 20 and 30 clients and as many servers starting together, deaf clients included; at half and more it can't be
-/// held by what the protocol offers, and the figures say by how much it is passed.
+/// Here, the usual traffic is what a server is sent from its first second if its advertised share does not
+/// change; this definition is the test's own. If the usual traffic of a server is a third of what the
+/// settings let a warm one survive in the overload window, the requests sent stay within the bound with 20
+/// and 30 clients and as many servers that start together, including clients that ignore the share. At half
+/// of it and more, the means of the protocol can't keep the bound, and the printed figures show by how much
+/// it is exceeded.
 #[test]
 fn what_a_cold_fleet_is_sent() {
     for (servers, clients) in [(20, 20), (30, 30)] {
@@ -220,8 +226,9 @@
                     (highest_load.0.max(fleet.highest_load.0), highest_load.1.max(fleet.highest_load.1));
             }
             println!(
-                "{servers} servers, {clients} clients, usual traffic {part} of what a warm one survives, seeds 1 to 10: \
-                 sent by all {:.2} of N + 2 sqrt(N) + 2, by those that heed {:.2}",
+                "{servers} servers, {clients} clients, usual traffic {part} of what a warm one survives, \
+                 seeds 1 to 10: sent by all {:.2} of N + 2 sqrt(N) + 2, \
+                 by clients that respect the share {:.2}",
                 highest_load.0, highest_load.1
             );
             assert!(!held || highest_load.0 <= 1.0, "{servers} servers: {:.2} of the bound", highest_load.0);
@@ -229,7 +236,8 @@
     }
 }
 
-/// A cold server tells the part of the usual traffic that it bears, rising to all of it, and says so from its first answer.
+/// A cold server advertises the share of the usual traffic that its speed allows, from its first answer on;
+/// the share rises to 1.
 #[test]
 fn a_cold_server_advertises_the_share_of_its_speed() {
     let mut fleet = Fleet::new(1, 1, 1, 1.0);
--- a/tests/reconfigure.rs
+++ b/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Settings that change while requests run, in the decision module: quotas and class limits.
+//! Changes of quotas and class limits in the admission controller while requests run.
 
 mod common;
 
@@ -17,10 +17,10 @@
 }
 
 fn quota_changes(changes: &[(usize, Option<f64>)]) -> Event {
-    let allowances =
+    let quota_list =
         changes.iter().map(|(tenant, per_second)| QuotaChange { tenant: *tenant, per_second: *per_second });
-    let allowances = allowances.collect();
-    Event::Reconfigured(Box::new(Reconfiguration { quotas: allowances, ..Reconfiguration::default() }))
+    let quota_list = quota_list.collect();
+    Event::Reconfigured(Box::new(Reconfiguration { quotas: quota_list, ..Reconfiguration::default() }))
 }
 
 fn runs(actions: &[Action]) -> Vec<u64> {
@@ -28,13 +28,14 @@
     actions.iter().filter_map(run).collect()
 }
 
-fn roomy() -> Settings {
+/// Returns settings with cores for more runs than the tests start.
+fn many_cores() -> Settings {
     Settings { cores: 8.0, ..settings() }
 }
 
 #[test]
 fn a_class_at_its_limit_starts_no_more_and_others_go_on() {
-    let mut driver = Driver::new(roomy());
+    let mut driver = Driver::new(many_cores());
     assert_eq!(driver.send(class_limit(SAFE, Some(2))), []);
     let (first, actions) = driver.arrive(SAFE);
     assert_eq!(runs(&actions), [first]);
@@ -43,18 +44,19 @@
     let (third, actions) = driver.arrive(SAFE);
     assert_eq!(actions, [], "the third waits");
     let (keyed, actions) = driver.arrive(KEYED);
-    assert_eq!(runs(&actions), [keyed], "another class goes on");
+    assert_eq!(runs(&actions), [keyed], "another class still starts runs");
     assert_eq!(
         runs(&driver.end(keyed, Outcome::Ok)),
         NONE,
-        "another class's end lets none of this one start"
+        "a run started although its class is at its limit"
     );
     assert_eq!(runs(&driver.end(first, Outcome::Ok)), [third]);
 }
 
 #[test]
 fn a_request_at_a_call_counts_to_its_class() {
-    let mut driver = Driver::new(Settings { has_upstream: true, upstream_call_share: Some(1.0), ..roomy() });
+    let mut driver =
+        Driver::new(Settings { has_upstream: true, upstream_call_share: Some(1.0), ..many_cores() });
     driver.send(class_limit(SAFE, Some(1)));
     let (first, _) = driver.arrive(SAFE);
     driver.send(Event::UpstreamCallNeeded(first));
@@ -67,20 +69,20 @@
 
 #[test]
 fn runs_in_progress_stay_when_a_limit_comes_and_queued_ones_start_when_it_goes() {
-    let mut driver = Driver::new(roomy());
+    let mut driver = Driver::new(many_cores());
     let running: Vec<u64> = (0..4).map(|_| driver.arrive(SAFE).0).collect();
     assert_eq!(driver.send(class_limit(SAFE, Some(1))), [], "nothing is stopped, rejected or failed");
-    let (held, actions) = driver.arrive(SAFE);
+    let (queued, actions) = driver.arrive(SAFE);
     assert_eq!(actions, []);
     for id in &running[..3] {
-        assert_eq!(runs(&driver.end(*id, Outcome::Ok)), NONE, "still one under way");
+        assert_eq!(runs(&driver.end(*id, Outcome::Ok)), NONE, "one run is still in progress");
     }
-    assert_eq!(runs(&driver.send(class_limit(SAFE, None))), [held]);
+    assert_eq!(runs(&driver.send(class_limit(SAFE, None))), [queued]);
 }
 
 #[test]
 fn a_limit_raised_starts_as_many_as_it_lets() {
-    let mut driver = Driver::new(roomy());
+    let mut driver = Driver::new(many_cores());
     driver.send(class_limit(SAFE, Some(1)));
     let arrive = |driver: &mut Driver| {
         driver.now += 1.0;
@@ -110,8 +112,8 @@
     assert_eq!((level(false), level(true)), (3, 0));
 }
 
-/// Holds arrivals of two tenants, three of four the first one's, and tells in which order they run: what is past an
-/// quota is worth nothing, and runs last.
+/// Queues arrivals of two tenants, three of four of them from the first, and returns the order in which they
+/// run. Requests beyond a quota have no weight, so they run last.
 fn order_of_runs(driver: &mut Driver, flood: usize, other: usize) -> Vec<u64> {
     let mut running: Vec<u64> = (0..2).map(|_| driver.arrive(KEYED).0).collect();
     let first = running[1] + 1;
@@ -131,7 +133,7 @@
     order
 }
 
-/// How many of them were past a quota.
+/// Returns how many requests in this order of runs were beyond a quota.
 fn beyond_quota(order: &[u64]) -> usize {
     let within = order.windows(2).take_while(|pair| pair[0] < pair[1]).count() + 1;
     order.len() - within
@@ -144,7 +146,7 @@
 #[test]
 fn a_quota_that_is_added_is_judged_like_one_from_the_start() {
     let expected = order_of_runs(&mut with_tenants(vec![10.0, 100.0]), 0, 1);
-    assert!(beyond_quota(&expected) > 10, "the flood is noticed: {expected:?}");
+    assert!(beyond_quota(&expected) > 10, "the flood is not detected: {expected:?}");
     let mut changed = with_tenants(vec![500.0, 1.0]);
     assert_eq!(changed.send(quota_changes(&[(0, Some(10.0)), (1, Some(100.0))])), []);
     assert_eq!(order_of_runs(&mut changed, 0, 1), expected);
@@ -168,19 +170,19 @@
     }
     reused.send(quota_changes(&[(2, None)]));
     assert_eq!(order_of_runs(&mut reused, 0, 1), expected);
-    // What no list has is judged by no quota, and does not end the program.
+    // A tenant index outside of the list has no quota, and does not end the program.
     let arrival = Arrival { tenant: usize::MAX, ..reused.arrival(SAFE) };
     let id = arrival.id;
     assert_eq!(runs(&reused.send(Event::Arrival(arrival))), [id]);
 }
 
-/// Many changes leave no error behind in what the controller computes from all quotas.
+/// Many changes leave no rounding error in the values that the controller derives from all quotas.
 #[test]
 fn many_changes_leave_no_drift() {
     let mut stated = vec![100.0 / 49.0; 50];
     stated[0] = 10.0;
     let expected = order_of_runs(&mut with_tenants(stated.clone()), 0, 1);
-    assert!(beyond_quota(&expected) > 10, "the flood is noticed: {expected:?}");
+    assert!(beyond_quota(&expected) > 10, "the flood is not detected: {expected:?}");
     let mut changed = with_tenants(vec![0.1; 50]);
     for round in 0..20_000u32 {
         let tenant = (round % 50) as usize;
--- a/tests/repeated_lines.rs
+++ b/tests/repeated_lines.rs
@@ -1,9 +1,9 @@
-//! The state machine that counts log lines that repeat, under any order of lines and times.
+//! The state machine that limits and counts repeated log lines, under any order of lines and times.
 
 use dunlinspread::server::repeated_lines::{LineKind, Repeated, RepeatedLines, WINDOW_MS};
 use proptest::prelude::*;
 
-/// The kinds of lines here, by number; kind 2 is one that may have several lines in a window.
+/// A kind of line, by number; kind 2 may have several lines in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Kind(usize);
 
@@ -25,7 +25,7 @@
     assert_eq!(lines.next_end(), Some(WINDOW_MS));
     assert_eq!(lines.end_windows(WINDOW_MS - 1.0), vec![]);
     assert_eq!(lines.end_windows(WINDOW_MS), vec![Repeated { kind: Kind(0), count: 96 }]);
-    assert_eq!(lines.end_windows(5.0 * WINDOW_MS), vec![], "told twice");
+    assert_eq!(lines.end_windows(5.0 * WINDOW_MS), vec![], "a count was reported twice");
 }
 
 #[test]
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Line(Kind),
-    /// Time passes, and the windows that are over are ended.
+    /// This many milliseconds pass, and the windows that are over end.
     TimePasses(f64),
 }
 
@@ -69,18 +69,19 @@
 }
 
 proptest! {
-    /// Every line is written or told, and no stretch of a window's length has more lines of a kind than two windows.
+    /// Every line is written or counted, and no time span of a window's length has more lines of a kind than
+    /// two windows may have.
     #[test]
     fn every_line_is_written_or_told_and_no_window_has_too_many(steps in steps()) {
         let mut lines = RepeatedLines::default();
         let mut now = 0.0;
-        let (mut taken, mut accounted) = ([0; KINDS], [0; KINDS]);
-        // When lines of each kind were written, those that tell a count among them.
+        let (mut received, mut accounted) = ([0; KINDS], [0; KINDS]);
+        // Times at which lines of each kind were written, including the lines that report a count.
         let mut written: [Vec<f64>; KINDS] = Default::default();
         for step in steps {
             match step {
                 Step::Line(kind) => {
-                    taken[kind.0] += 1;
+                    received[kind.0] += 1;
                     if lines.admit(now, kind) {
                         accounted[kind.0] += 1;
                         written[kind.0].push(now);
@@ -100,12 +101,13 @@
         for Repeated { kind, count } in lines.end_all() {
             accounted[kind.0] += count;
         }
-        prop_assert_eq!(taken, accounted);
+        prop_assert_eq!(received, accounted);
         prop_assert_eq!((lines.next_end(), lines.end_all()), (None, vec![]));
         for (number, written) in written.iter().enumerate() {
-            let most = 2 * Kind(number).lines_per_window() as usize;
-            let count_from = |from: &f64| written.iter().filter(|at| (*from..from + WINDOW_MS).contains(*at)).count();
-            prop_assert!(written.iter().map(count_from).all(|count| count <= most), "{written:?}");
+            let max_lines = 2 * Kind(number).lines_per_window() as usize;
+            let count_from =
+                |from: &f64| written.iter().filter(|at| (*from..from + WINDOW_MS).contains(*at)).count();
+            prop_assert!(written.iter().map(count_from).all(|count| count <= max_lines), "{written:?}");
         }
     }
 }
--- a/tests/request_table.rs
+++ b/tests/request_table.rs
@@ -1,7 +1,9 @@
-//! The request table and the reservations answer every question from their indexes as a walk over all of them does.
+//! The request table and the reservations answer every query from their indexes as a scan over all entries
+//! does.
 //!
-//! Random changes are played against the table and against a plain one, and both are asked the same questions after
-//! each. Times, weights and sizes come from small sets, so that requests are often equal, and some differ by so little
-//! that their values are equal once rounded. `REQUEST_TABLE_SEED` sets the seed.
+//! Random changes are applied to the table and to a model without indexes, and the answers of both to the
+//! same queries are compared after each change. Times, weights and sizes come from small sets, so that
+//! requests are often equal, and some differ by so little that their values are equal once rounded.
+//! `REQUEST_TABLE_SEED` sets the seed.
 
 mod admission;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules: each test fails when the guard it names is taken out.
+//! The four rules of the admission controller. Each test fails if the guard that it names is removed.
 mod common;
 use common::{Driver, answers, rejected, runs, settings};
 use dunlinspread::{Action, Arrival, Event, Gauges, Outcome, Preemption, Settings, Signal};
@@ -105,12 +105,12 @@
     let first_id = first.id;
     driver.send(Event::Arrival(first));
     let (second, actions) = driver.repeat(1, first_id);
-    assert!(actions.is_empty(), "queued beside the first: {actions:?}");
+    assert!(actions.is_empty(), "queued like the first: {actions:?}");
     let actions = driver.run_until(400.0);
     assert_eq!(answers(&actions, first_id), 1);
     assert!(
         actions.iter().any(|action| matches!(action, Action::ReserveKey { id, .. } if *id == second)),
-        "the entry is handed on: {actions:?}"
+        "the reservation is not transferred: {actions:?}"
     );
     assert!(runs(&driver.end(blockers[0], Outcome::Ok), second));
 }
@@ -160,7 +160,7 @@
     assert_eq!(actions.first(), Some(&Action::Fail(id)));
 }
 
-/// A duplicate takes over from an original that never ran, but not after the grace time.
+/// A duplicate replaces an original that never ran, unless it arrived after the drain grace.
 #[test]
 fn a_duplicate_that_came_after_the_grace_is_not_run_in_its_originals_place() {
     let mut settings = settings();
@@ -274,7 +274,7 @@
         Settings { cores: f64::NAN, server_count: 0.0, memory_kb: f64::NAN, tick_ms: -1.0, ..settings() };
     let mut driver = Driver::new(bad);
     let (id, actions) = driver.arrive(0);
-    assert!(rejected(&actions, id), "no memory told: nothing fits");
+    assert!(rejected(&actions, id), "no memory limit is stated, so nothing fits");
 }
 
 #[test]
@@ -311,7 +311,7 @@
             if i % 4 == 0 {
                 all.extend(driver.send(Event::UpstreamCallNeeded(ids[i])));
             }
-            // The clock stands still, and no gauge is there.
+            // The time does not advance, and no gauge is available.
             all.extend(driver.send(Event::Timer { token: 1, gauges: Gauges::default() }));
         }
         for _ in 0..200 {
@@ -343,7 +343,7 @@
 
 #[test]
 fn past_an_objective_without_late_weight_a_write_goes_on_and_an_idempotent_run_is_rejected() {
-    for (class, gives_up) in [(0, true), (1, false), (2, false)] {
+    for (class, is_rejected) in [(0, true), (1, false), (2, false)] {
         let mut settings = Settings { preemption: Preemption::Abort, ..settings() };
         settings.classes.iter_mut().for_each(|c| c.late_weight = 0.0);
         let mut driver = Driver::new(settings);
@@ -353,6 +353,6 @@
             driver.progress(id);
             actions.extend(driver.tick(1.0, 2.0));
         }
-        assert_eq!(answers(&actions, id) == 1, gives_up, "class {class}");
+        assert_eq!(answers(&actions, id) == 1, is_rejected, "class {class}");
     }
 }
--- a/tests/rules_calls.rs
+++ b/tests/rules_calls.rs
@@ -1,11 +1,12 @@
-//! The rules where runs call what lies below: each test fails when the guard it names is taken out.
+//! The four rules for runs that call an upstream service. Each test fails if the guard that it names is
+//! removed.
 mod common;
 use common::{Driver, runs, settings};
 use dunlinspread::{Action, AdmissionController, Event, Outcome, Settings};
 
 #[test]
 fn a_keyed_call_is_retried_only_when_it_never_ran() {
-    for (outcome, again) in [
+    for (outcome, retried) in [
         (Outcome::Rejected, true),
         (Outcome::Unreachable, true),
         (Outcome::TimedOut, false),
@@ -19,11 +20,12 @@
         let mut actions = driver.send(Event::UpstreamCallEnded { id, outcome, took_ms: 5.0 });
         actions.extend(driver.run_until(1500.0));
         let called = actions.iter().any(|action| matches!(action, Action::CallUpstream { .. }));
-        assert_eq!(called, again, "{outcome:?}");
+        assert_eq!(called, retried, "{outcome:?}");
     }
 }
 
-/// A failed call is made again before its request loses weight, and no call is waited for up to the objective.
+/// A failed call is retried before its request loses weight, and the timeout of a call ends before the
+/// latency objective.
 #[test]
 fn an_idempotent_call_that_broke_off_or_timed_out_is_retried_twice_then_skipped() {
     let mut settings = Settings { has_upstream: true, ..settings() };
@@ -59,7 +61,7 @@
         }
     }
     assert!(calls >= 2);
-    assert!(calls <= 3, "one given up still lingers, two are out: {calls}");
+    assert!(calls <= 3, "one abandoned call still lingers, two are in progress: {calls}");
 }
 
 #[test]
@@ -81,20 +83,20 @@
 struct SimulatedCall {
     id: u64,
     from: f64,
-    /// Time at which it answers or times out.
+    /// Time at which the call is answered or times out.
     ends_at: f64,
-    /// Time until which it occupies the upstream service.
+    /// Time until which the call occupies the upstream service.
     until: f64,
 }
 
-/// Calls that take `duration_ms` each, or time out and linger for 200 ms.
+/// The upstream calls of a test, which take `duration_ms` each, or time out and linger for 200 ms.
 struct SimulatedCalls {
     duration_ms: f64,
     calls: Vec<SimulatedCall>,
 }
 
 impl SimulatedCalls {
-    /// Takes the calls that the actions make, and ends the runs that go on without one.
+    /// Starts the calls that the actions request, and ends the runs whose calls are skipped.
     fn carry_out(&mut self, driver: &mut Driver, actions: &[Action]) {
         for action in actions {
             match action {
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Ends the calls of the last timer period and their runs, and returns what the ends of the calls led to.
+    /// Ends the calls that are due in the last timer period and their runs, and returns the actions on the
+    /// ends of the calls.
     fn end_due(&self, driver: &mut Driver) -> Vec<Action> {
         let period = driver.now - 50.0..driver.now;
         let mut actions = Vec::new();
@@ -123,14 +126,14 @@
         actions
     }
 
-    /// Calls in progress on average over the last 5 s.
+    /// Returns the mean number of calls in progress over the last 5 s.
     fn mean_in_progress(&self, now: f64) -> f64 {
         let span_ms = |call: &SimulatedCall| (call.until.min(now) - call.from.max(now - 5000.0)).max(0.0);
         self.calls.iter().map(span_ms).sum::<f64>() / 5000.0
     }
 }
 
-/// A share below one call is a part of the window in which a call may be in progress.
+/// With a share below one call, a call may be in progress for that part of the window.
 #[test]
 fn a_share_under_one_call_holds_over_the_window_whatever_the_upstream_does() {
     let share = 0.45;
@@ -165,12 +168,12 @@
             assert!(mean <= share, "{mean} calls in progress over 5 s at {}", driver.now);
         }
         let made = calls.calls.len();
-        assert!(made >= 8, "calls are made still: {made}");
-        assert!(writes >= 1, "and for those that can't be skipped");
+        assert!(made >= 8, "too few calls are made: {made}");
+        assert!(writes >= 1, "no call is made that can't be skipped");
     }
 }
 
-/// No stated share is no limit, not a limit of none.
+/// If no share is stated, calls are not limited; it does not mean a share of zero.
 #[test]
 fn where_no_share_is_stated_calls_are_made_and_skipped_only_for_lack_of_time() {
     let mut settings = Settings { cores: 8.0, has_upstream: true, upstream_call_share: None, ..settings() };
@@ -189,7 +192,7 @@
     assert_eq!(
         driver.send(Event::UpstreamCallNeeded(id)),
         vec![Action::SkipUpstreamCall(id)],
-        "a share of none allows none"
+        "a share of zero allows no call"
     );
 }
 
@@ -218,7 +221,7 @@
 #[test]
 fn runs_at_a_call_count_towards_the_survivable_number() {
     let settings = Settings { cores: 8.0, has_upstream: true, memory_kb: 1e6, ..settings() };
-    let crowd = settings.cores * settings.survivable_runs_per_core;
+    let survivable_runs = settings.cores * settings.survivable_runs_per_core;
     let mut driver = Driver::new(settings);
     let mut at_call = 0;
     for _ in 0..100 {
@@ -228,24 +231,24 @@
             at_call += 1;
         }
     }
-    assert!(f64::from(at_call) < crowd && at_call > 8, "{at_call} come back at once");
+    assert!(f64::from(at_call) < survivable_runs && at_call > 8, "{at_call} return from calls at once");
 }
 
-/// Runs that would wait for a call in vain do not start.
+/// No further run starts while enough runs wait for an upstream call, because it would only wait as well.
 #[test]
 fn no_more_runs_start_while_enough_wait_for_a_call() {
     let settings =
         Settings { has_upstream: true, upstream_call_share: Some(0.4), memory_kb: 1e6, ..settings() };
     let mut driver = Driver::new(settings);
-    let mut begun = 0;
+    let mut started = 0;
     for _ in 0..20 {
         let (id, actions) = driver.arrive(0);
         if runs(&actions, id) {
-            begun += 1;
+            started += 1;
             driver.send(Event::UpstreamCallNeeded(id));
         }
     }
-    assert!((2..=5).contains(&begun), "{begun} begun, one call made");
+    assert!((2..=5).contains(&started), "{started} started, one call made");
     driver.controller = {
         let mut settings = Settings {
             has_upstream: true,
@@ -265,5 +268,5 @@
     let (write, actions) = driver.arrive(1);
     assert!(!runs(&actions, write));
     let (read, actions) = driver.arrive(0);
-    assert!(runs(&actions, read), "a class that does not call goes on");
+    assert!(runs(&actions, read), "a class without upstream calls does not start");
 }
--- a/tests/shared.rs
+++ b/tests/shared.rs
@@ -1,4 +1,4 @@
-//! Reads of one subject share an answer that is fresh: each test fails when the guard it names is taken out.
+//! Reads of one subject share a recent result. Each test fails if the guard that it names is removed.
 mod common;
 use common::{Driver, answers, rejected, runs, settings};
 use dunlinspread::{Action, Arrival, Event, Outcome, Preemption, Settings};
@@ -30,15 +30,15 @@
 
 #[test]
 fn nothing_is_reserved_where_no_result_may_be_shared_or_no_subject_is_named() {
-    let keeps =
+    let reserves =
         |actions: Vec<Action>| actions.iter().any(|action| matches!(action, Action::ReserveKey { .. }));
-    assert!(!keeps(read(&mut Driver::new(settings()), None).1));
+    assert!(!reserves(read(&mut Driver::new(settings()), None).1));
     let mut driver = Driver::new(sharing());
-    assert!(!keeps(driver.arrive(0).1));
+    assert!(!reserves(driver.arrive(0).1));
     let mut driver = Driver::new(settings());
     let (first, _) = read(&mut driver, None);
     let (second, actions) = read(&mut driver, Some(first));
-    assert!(runs(&actions, second), "a prior that can't be shared is none: {actions:?}");
+    assert!(runs(&actions, second), "an original whose result can't be shared counts as none: {actions:?}");
 }
 
 #[test]
@@ -83,13 +83,13 @@
 fn the_read_that_most_wait_for_runs_first_and_they_take_its_result() {
     let mut driver = Driver::new(sharing());
     let blockers: Vec<u64> = (0..2).map(|_| driver.arrive(2).0).collect();
-    let (lone, _) = read(&mut driver, None);
-    let (hot, _) = read(&mut driver, None);
-    let (waiting, actions) = read(&mut driver, Some(hot));
-    assert!(actions.is_empty(), "queued beside the first: {actions:?}");
+    let (single, _) = read(&mut driver, None);
+    let (shared, _) = read(&mut driver, None);
+    let (waiting, actions) = read(&mut driver, Some(shared));
+    assert!(actions.is_empty(), "queued like the first: {actions:?}");
     let actions = driver.end(blockers[0], Outcome::Ok);
     assert!(
-        runs(&actions, hot) && !runs(&actions, lone) && actions.contains(&Action::ReuseResult(waiting)),
+        runs(&actions, shared) && !runs(&actions, single) && actions.contains(&Action::ReuseResult(waiting)),
         "{actions:?}"
     );
 }
@@ -101,7 +101,8 @@
     assert_eq!(actions, vec![Action::Run(id)]);
 }
 
-/// An heir that came after the grace can't be run: it is told at once, not when its time is over.
+/// A duplicate that arrived after the drain grace can't run in place of its original: it is rejected at
+/// once, not at its deadline.
 #[test]
 fn an_heir_after_the_drain_grace_is_answered_at_once() {
     for class in [0, 1] {
--- a/tests/shutdown_schedule.rs
+++ b/tests/shutdown_schedule.rs
@@ -1,11 +1,11 @@
-//! The steps of a shutdown in virtual time: their order, and the time that they leave for the measured lag of
-//! the event loop.
+//! The steps of a shutdown in virtual time: their order, and the time that they reserve for the measured lag
+//! of the event loop.
 
 use dunlinspread::daemon::shutdown_schedule::ShutdownSchedule;
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Returns the maximum lag for which a shutdown of this length leaves time, ms.
+/// Returns the maximum lag for which a shutdown of this length reserves time, ms.
 fn max_lag_ms(stop_ms: f64) -> f64 {
     250.0_f64.min(stop_ms / 8.0)
 }
@@ -21,8 +21,8 @@
         prop_assert!(schedule.exit_at() + lag_ms < requested_at + stop_ms);
     }
 
-    /// However long the lag, the steps keep their order, and the admission controller has at least seven
-    /// eighths of the time less its margin.
+    /// With any lag, the steps keep their order, and the admission controller has at least seven eighths of
+    /// the time minus its margin.
     #[test]
     fn the_steps_keep_their_order_at_any_lag(
         requested_at in 0.0..1e12_f64, stop_ms in 600.0..60_000.0_f64, lag_ms in 0.0..1e7_f64,
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,8 +1,9 @@
-//! The deploy file names every file of the admission controller, and each stays small enough to read in one sitting.
+//! The deploy file lists every file of the admission controller, and each file stays within a size that can
+//! be read at once.
 
-/// The longest file, in lines.
+/// Maximum length of a file, in lines.
 const MAX_FILE_LINES: usize = 400;
-/// The widest line, in characters.
+/// Maximum width of a line, in characters.
 const MAX_LINE_WIDTH: usize = 110;
 
 fn rust_files(folder: &std::path::Path, files: &mut Vec<std::path::PathBuf>) {
@@ -26,7 +27,8 @@
     let mut present = Vec::new();
     rust_files(&root.join("src/admission"), &mut present);
     present.sort();
-    // A file of the controller that is not named would be left out of what is printed with its figures.
+    // A file that is not listed would be missing from the sources that are printed with the controller's
+    // figures.
     assert_eq!(present, named);
     for path in named {
         let text = std::fs::read_to_string(&path).expect("a named file");
--- a/tests/source_layout.rs
+++ b/tests/source_layout.rs
@@ -1,15 +1,16 @@
-//! The layout of the sources: no file is too long to read, and no two files of a crate import each other, directly or
-//! through others.
+//! The layout of the sources: no file is too long, and no two files of a crate import each other, directly
+//! or through others.
 //!
-//! A file imports another when it names a path into that file's module. A path that leads to a re-export counts for the
-//! file that defines the item, and a module's declarations and re-exports of its own children count for nothing.
+//! A file imports another when it names a path into that file's module. A path that leads to a re-export
+//! counts for the file that defines the item, and a module's declarations and re-exports of its own children
+//! count for nothing.
 
 mod layout;
 
 use layout::cycles::import_cycles;
 use layout::{crate_roots, rust_files, workspace_root};
 
-/// The longest source or test file, in lines.
+/// Maximum length of a source or test file, in lines.
 const MAX_FILE_LINES: usize = 400;
 
 #[test]
@@ -32,16 +33,17 @@
 
 #[test]
 fn no_files_import_each_other() {
-    let mut found = Vec::new();
+    let mut cycles = Vec::new();
     for at in crate_roots(&workspace_root()) {
         for cycle in import_cycles(&at.join("src")) {
-            found.push(format!("{}: {}", at.display(), cycle.join(", ")));
+            cycles.push(format!("{}: {}", at.display(), cycle.join(", ")));
         }
     }
-    assert!(found.is_empty(), "files that import each other:\n{}", found.join("\n"));
+    assert!(cycles.is_empty(), "files that import each other:\n{}", cycles.join("\n"));
 }
 
-/// The check itself, on a small crate with one cycle, one re-export that leads around it, and one chain without.
+/// Tests the check itself on two small crates: one with a cycle that a re-export hides, and one with a chain
+/// and no cycle.
 #[test]
 fn a_cycle_is_found_through_re_exports_and_a_chain_is_none() {
     let fixture = workspace_root().join("tests/layout/fixture");
--- a/tests/stated_settings.rs
+++ b/tests/stated_settings.rs
@@ -1,5 +1,5 @@
-//! The configuration file's settings, as a tree, are read the same as the simulator's, as pairs of paths and
-//! values; errors name their keys.
+//! Settings give the same result as a tree, as in the configuration file, and as pairs of paths and values,
+//! as from the simulator; errors name their keys.
 
 use dunlinspread::codec::json::{self, Value};
 use dunlinspread::config::{Config, ConfigFallbacks, StatedSettings};
--- a/tests/stream.rs
+++ b/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Random streams of events with a fixed seed against a small model of a machine.
+//! Plays random streams of events with a fixed seed against a small model of a machine.
 mod common;
 mod stream_model;
 
--- a/tests/stream_model/events.rs
+++ b/tests/stream_model/events.rs
@@ -1,4 +1,4 @@
-//! What happens to the model: one random event a step, or none.
+//! The events of the model: at most one random event per step.
 
 use super::{
     CALL_WINDOW_MS, IDEMPOTENT, KEYED, LINGER_MS, Model, ModelRequest, QUEUED_KB, RequestState, SHARED_MS,
@@ -10,7 +10,7 @@
 const SHUTDOWN_AT: f64 = 50_000.0;
 
 impl Model {
-    /// Lets one event happen, or none.
+    /// Generates at most one event.
     pub fn step(&mut self) {
         self.requests.retain(|_, request| request.state != RequestState::Ended);
         if self.now > SHUTDOWN_AT && self.shutdown_requested_at.is_none() {
@@ -47,7 +47,7 @@
         self.events.push_back(Event::Drain { stop_at: STOP_AT });
     }
 
-    /// Ends one call that is out of time; returns whether there was one.
+    /// Ends one call whose timeout is over; returns whether there was one.
     fn time_out_call(&mut self) -> bool {
         let now = self.now;
         let Some(call) = self.calls.iter_mut().find(|call| call.in_progress && call.until <= now) else {
@@ -66,7 +66,7 @@
         self.events.push_back(Event::Timer { token: 1, gauges });
     }
 
-    /// Reserved requests that a new one of the class may duplicate.
+    /// Returns the reserved requests that a new request of the class may duplicate.
     fn possible_originals(&self, class: usize, id: u64) -> Vec<u64> {
         let is_shared = |original: &u64| {
             let in_progress = self.requests.get(original).is_some_and(|request| request.class == IDEMPOTENT);
--- a/tests/stream_model/mod.rs
+++ b/tests/stream_model/mod.rs
@@ -1,5 +1,5 @@
-//! A small model of a machine around the controller: it carries out actions and checks the invariants of the four rules
-//! after every event.
+//! A small model of a machine around the controller: it carries out actions and checks the invariants of the
+//! four rules after every event.
 
 mod events;
 
@@ -17,9 +17,11 @@
 pub const STOP_AT: f64 = 60_000.0;
 /// Time after the shutdown request after which nothing that arrives is run, ms.
 const GRACE_MS: f64 = 1000.0;
-/// Memory of a queued request, of a running one and of a reserved key, kB.
+/// Memory of a queued request, kB.
 const QUEUED_KB: f64 = 20.0;
+/// Memory of a running request, kB.
 const RUNNING_KB: f64 = 80.0;
+/// Memory of a reserved key, kB.
 const KEY_KB: f64 = 50.0;
 /// Time over which upstream calls are averaged, ms.
 const CALL_WINDOW_MS: f64 = 5000.0;
@@ -27,7 +29,7 @@
 const LINGER_MS: f64 = 200.0;
 /// Time after its deadline at which a request without a response counts as lost, ms.
 const SLACK_MS: f64 = 80.0;
-/// Time for which the result of a read is shared, where it is, ms.
+/// Time for which the result of a read may be shared in models that share results, ms.
 pub const SHARED_MS: f64 = 1000.0;
 
 struct Random(u64);
@@ -53,7 +55,7 @@
 
 struct ModelRequest {
     class: usize,
-    /// The first attempt with the same key.
+    /// Id of the first attempt with the same key.
     root: u64,
     arrived_at: f64,
     deadline: f64,
@@ -65,7 +67,7 @@
 struct ModelCall {
     request: u64,
     from: f64,
-    /// Time until which it occupies the upstream service at most.
+    /// Latest time until which the call occupies the upstream service.
     until: f64,
     in_progress: bool,
 }
@@ -75,14 +77,14 @@
         (self.until, self.in_progress) = (until, false);
     }
 
-    /// The part of the averaging window that the call takes.
+    /// Returns the fraction of the averaging window in which the call was in progress.
     fn share(&self, now: f64) -> f64 {
         (self.until.min(now) - self.from.max(now - CALL_WINDOW_MS)).max(0.0) / CALL_WINDOW_MS
     }
 }
 
-/// What a machine may be like: what it can do to runs, its share of calls where one is stated, whether reads may share
-/// a result, and its cores.
+/// A kind of machine: how it can preempt runs, its share of upstream calls if one is stated, the time for
+/// which reads may share a result, and its cores.
 #[derive(Clone, Copy)]
 pub struct Kind {
     pub preemption: Preemption,
@@ -125,11 +127,11 @@
     shutdown_requested_at: Option<f64>,
     events: VecDeque<Event>,
     requests: BTreeMap<u64, ModelRequest>,
-    /// Runs of each first attempt.
+    /// Number of runs of each first attempt.
     runs: BTreeMap<u64, u32>,
-    /// Reserved requests, with the time until which they are.
+    /// Reserved requests, each with the time until which it is reserved.
     reserved: BTreeMap<u64, f64>,
-    /// Reads that completed, with the time at which they did.
+    /// Completed requests, each with the time of its completion.
     completed: BTreeMap<u64, f64>,
     calls: Vec<ModelCall>,
     shared_results: u32,
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Checks what holds once the stream has ended.
+    /// Checks the invariants at the end of a stream.
     pub fn check_end(&self) {
         let answered = |request: &ModelRequest| request.answers == 1 || request.client_gone;
         assert!(self.requests.values().all(answered), "unanswered at the stop");
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Carries out an action, one of all that an event led to.
+    /// Carries out an action; `all` are the actions of the same event.
     fn carry_out(&mut self, action: &Action, all: &[Action]) {
         match action {
             Action::Run(id) => self.run(*id),
@@ -198,7 +200,7 @@
             }
             Action::ReuseResult(id) => self.reuse_result(*id, all),
             Action::SetTimer { delay_ms, .. } => self.timer_at = self.now + delay_ms,
-            Action::SkipUpstreamCall(_) => panic!("no class may leave a call out"),
+            Action::SkipUpstreamCall(_) => panic!("a call was skipped, but no class may skip calls"),
             _ => {}
         }
     }
@@ -213,7 +215,7 @@
         if request.class != IDEMPOTENT {
             let count = self.runs.entry(request.root).or_insert(0);
             *count += 1;
-            assert_eq!(*count, 1, "an effect twice: {id}");
+            assert_eq!(*count, 1, "a request that must run once ran twice: {id}");
         }
         if request.class == KEYED {
             assert!(self.reserved.contains_key(&id), "run before it was reserved: {id}");
@@ -228,7 +230,7 @@
         self.answer(id);
     }
 
-    /// Counts a final response that is no result.
+    /// Counts a final response without a result.
     fn answer(&mut self, id: u64) {
         let request = self.request(id);
         request.answers += 1;
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Reserving a newer attempt of the same request hands its reservation on.
+    /// Reserves a request; a reservation of an older attempt with the same key is transferred to it.
     fn reserve(&mut self, id: u64, ttl_ms: f64) {
         let root = self.request(id).root;
         let requests = &self.requests;
@@ -245,7 +247,7 @@
         self.reserved.insert(id, self.now + ttl_ms);
     }
 
-    /// The result is there at once, and the reuse ends.
+    /// Ends the request with the reused result at once.
     fn reuse_result(&mut self, id: u64, all: &[Action]) {
         let answers = |action: &Action| matches!(action, Action::Fail(other) | Action::Reject { id: other, .. } if *other == id);
         let answered = all.iter().any(answers);
@@ -276,7 +278,8 @@
         }
     }
 
-    /// A call whose request ended is abandoned and lingers; all calls stay within the share.
+    /// Marks calls whose requests have ended as abandoned, so that they linger, and checks that all calls
+    /// stay within the share.
     fn check_calls(&mut self) {
         let now = self.now;
         for call in self.calls.iter_mut().filter(|call| call.in_progress) {
--- a/tests/task_times.rs
+++ b/tests/task_times.rs
@@ -1,4 +1,4 @@
-//! The times of tasks in the log line of a stall: by name, the longest first, counted from zero after each report.
+//! Task times in the log line of a stall: listed by name, longest first, and reset after each report.
 
 use dunlinspread::server::task_times::TaskTimes;
 use futures_lite::future::{block_on, yield_now};
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -1,4 +1,5 @@
-//! The figures of a process: random histories against a plain model, and reading while they are written.
+//! The telemetry counters of a process: random histories against a model, and snapshots during concurrent
+//! writes.
 
 use dunlinspread::server::telemetry::{ClassCounts, RequestEnd, Telemetry, TelemetrySnapshot};
 use proptest::prelude::{ProptestConfig, Strategy, prop_oneof, proptest};
@@ -8,32 +9,34 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 const CLASS_NAMES: [&str; 3] = ["report", "entry", "lookup"];
-/// Classes by number, one more than there are: what is of no class is under no count.
+/// Class numbers to draw from, one more than there are classes: a request of no known class appears in no
+/// class's counts.
 const CLASS_NUMBERS: std::ops::Range<usize> = 0..CLASS_NAMES.len() + 1;
-/// Requests of the test that reads while figures are written, for each writer.
+/// Requests of each writer in the test with concurrent writes.
 const REQUESTS_PER_WRITER: u64 = 200_000;
 const WRITERS: u64 = 2;
-/// Requests that are in flight all the time.
+/// Number of requests that stay in flight during the whole test.
 const HELD_REQUESTS: u64 = 1000;
 
 #[derive(Clone, Copy, Debug)]
 enum Record {
-    Taken,
-    /// The end of a request; passed over while none is in flight.
+    /// A request is received.
+    Received,
+    /// A request ends; ignored while none is in flight.
     End(usize, RequestEnd),
-    /// The same, for a client that left.
+    /// A request ends because its client disconnected; ignored while none is in flight.
     ClientGone,
     Attempt(usize),
 }
 
-/// The same figures as plain numbers.
+/// A model of the counters with plain numbers.
 #[derive(Default)]
-struct PlainFigures {
+struct ModelCounts {
     in_flight: u64,
     classes: [ClassCounts; CLASS_NAMES.len()],
 }
 
-impl PlainFigures {
+impl ModelCounts {
     fn snapshot(&self) -> TelemetrySnapshot {
         let names = CLASS_NAMES.map(str::to_owned);
         let requests: BTreeMap<String, ClassCounts> = names.into_iter().zip(self.classes).collect();
@@ -41,10 +44,10 @@
         TelemetrySnapshot { requests, in_flight: self.in_flight, attempts }
     }
 
-    /// Takes a record and returns whether it is possible at this place.
+    /// Applies a record, and returns whether it is possible in this state.
     fn apply(&mut self, record: Record) -> bool {
         match record {
-            Record::Taken => self.in_flight += 1,
+            Record::Received => self.in_flight += 1,
             Record::End(..) | Record::ClientGone if self.in_flight == 0 => return false,
             Record::ClientGone => self.in_flight -= 1,
             Record::End(class, end) => {
@@ -73,7 +76,7 @@
 
 fn write(telemetry: &Telemetry, record: Record) {
     match record {
-        Record::Taken => telemetry.record_received(),
+        Record::Received => telemetry.record_received(),
         Record::End(class, end) => telemetry.record_end(class, end),
         Record::ClientGone => telemetry.record_end_without_response(),
         Record::Attempt(class) => telemetry.record_attempt(class),
@@ -83,7 +86,7 @@
 fn record() -> impl Strategy<Value = Record> {
     let end = prop_oneof![Just(RequestEnd::Served), Just(RequestEnd::Refused), Just(RequestEnd::Failed)];
     prop_oneof![
-        5 => Just(Record::Taken),
+        5 => Just(Record::Received),
         4 => (CLASS_NUMBERS, end).prop_map(|(class, end)| Record::End(class, end)),
         1 => Just(Record::ClientGone),
         3 => CLASS_NUMBERS.prop_map(Record::Attempt),
@@ -96,7 +99,7 @@
     #[test]
     fn figures_are_those_of_plain_numbers(history in proptest::collection::vec(record(), 0..200)) {
         let telemetry = telemetry();
-        let mut plain = PlainFigures::default();
+        let mut plain = ModelCounts::default();
         for record in history {
             if plain.apply(record) {
                 write(&telemetry, record);
@@ -106,7 +109,7 @@
     }
 }
 
-/// Takes requests and ends each at once, so that what is held is the least in flight at any time.
+/// Records requests and ends each at once, so that the number in flight is never below [`HELD_REQUESTS`].
 fn write_requests(telemetry: &Telemetry) {
     let ends = [RequestEnd::Served, RequestEnd::Refused, RequestEnd::Failed];
     for number in 0..REQUESTS_PER_WRITER as usize {
@@ -135,8 +138,9 @@
 
 #[test]
 fn reading_while_figures_are_written_shows_no_shrunk_count_and_all_that_is_in_flight() {
-    // While a snapshot is taken, requests may be taken that its count of ends does not know yet; never more than all.
-    const MOST_IN_FLIGHT: u64 = HELD_REQUESTS + WRITERS * REQUESTS_PER_WRITER;
+    // Requests may be received during a snapshot after it has read the count of ends; the maximum is all
+    // requests.
+    const MAX_IN_FLIGHT: u64 = HELD_REQUESTS + WRITERS * REQUESTS_PER_WRITER;
     let telemetry = Arc::new(telemetry());
     (0..HELD_REQUESTS).for_each(|_| telemetry.record_received());
     let is_over = AtomicBool::new(false);
@@ -147,7 +151,7 @@
             while !is_over.load(Ordering::Acquire) {
                 let later = telemetry.snapshot();
                 assert_not_shrunk(&earlier, &later);
-                assert!((HELD_REQUESTS..=MOST_IN_FLIGHT).contains(&later.in_flight), "{later:?}");
+                assert!((HELD_REQUESTS..=MAX_IN_FLIGHT).contains(&later.in_flight), "{later:?}");
                 earlier = later;
                 reads += 1;
             }
@@ -158,7 +162,7 @@
             writer.join().expect("a writer ends");
         }
         is_over.store(true, Ordering::Release);
-        reader.join().expect("no figure was wrong")
+        reader.join().expect("the reader does not panic")
     });
     assert!(reads > 0, "nothing was read");
     let last = telemetry.snapshot();
--- a/tests/timer_lag.rs
+++ b/tests/timer_lag.rs
@@ -1,10 +1,10 @@
-//! Due answers on a machine that lags: the lateness of the timer moves them, and nothing else does.
+//! Times of due answers on a machine that lags: only a repeated lag of the timer moves them.
 mod common;
 use common::{Driver, answers, settings};
 use dunlinspread::{Arrival, Event};
 
-/// Guards against final answers past the deadline on a machine that lags: the timer comes late, and what it answers is
-/// written late.
+/// Guards against final answers after the deadline on a machine that lags: the timer fires late, and the
+/// answers that it sends are written late.
 #[test]
 fn what_is_due_is_answered_earlier_by_the_lag_of_the_timer() {
     const LAG_MS: f64 = 200.0;
@@ -31,7 +31,8 @@
     assert_eq!(answers(&actions, other), 1);
 }
 
-/// A suspension of the process is over when its timer comes: what is due later is answered at its usual time.
+/// A suspension of the process is over when its timer fires, so requests that are due later are answered at
+/// their usual time.
 #[test]
 fn a_single_late_timer_moves_no_answer() {
     const SUSPENDED_MS: f64 = 1000.0;
@@ -42,7 +43,7 @@
     assert_eq!(answers(&driver.run_until(2990.0), id), 1);
 }
 
-/// A server that starts beside a worker pool that has been up for long is not late by that.
+/// The time for which a worker pool was up before the server started does not count as lag.
 #[test]
 fn a_start_beside_an_older_worker_pool_is_no_lag() {
     const POOL_UP_MS: f64 = 5000.0;
