--- a/crates/scale/src/propagation/cluster.rs
+++ b/crates/scale/src/propagation/cluster.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: how each is set up, where it is reached, and what it said last.
+//! The processes of a run: the setup, the addresses and the last reported state of each.
 
 use super::control::{
     Command, DigestLine, Event, PositionLine, ProxySetup, PublisherSetup, RelaySetup, RunSettings,
@@ -15,57 +15,57 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How long is waited for a process at a time before conditions are looked at again.
-const PUMP: Duration = Duration::from_millis(50);
-/// The publisher's name.
+/// Maximum wait for an event before the awaited condition is checked again.
+const EVENT_POLL: Duration = Duration::from_millis(50);
+/// Server name of the publisher.
 const PUBLISHER_NAME: &str = "publisher";
-/// The region of the publisher, in which nobody else is.
+/// Region of the publisher, which has no other members.
 const PUBLISHER_REGION: &str = "control";
 
-/// What is known of a process.
+/// State of a process as the coordinator knows it.
 #[derive(Default)]
 pub struct NodeState {
     process: Option<NodeProcess>,
-    /// How often it was started before.
-    pub life: u32,
-    /// Whether the output of its last life has ended.
+    /// Number of earlier starts of the process.
+    pub incarnation: u32,
+    /// Whether the output of the last started process has ended.
     ended: bool,
-    /// Where it listens.
+    /// Addresses on which the process listens.
     pub listening: Vec<SocketAddr>,
-    /// When it was started, Unix ms.
+    /// Time at which the process was last started, Unix ms.
     pub started_unix_ms: u64,
-    /// When it said that it was ready and with which head; none while it has not.
+    /// Time, Unix ms, and head position of the process's ready event; none until it arrives.
     pub ready: Option<(u64, PositionLine)>,
-    /// The last answer to [`Command::Status`] of this life.
+    /// Last answer to [`Command::Status`] since the process was started.
     pub status: Option<PositionLine>,
-    /// The last answer to [`Command::ZoneStatus`]: subscribers and their least position.
+    /// Last answer to [`Command::ZoneStatus`]: number of subscribers and their lowest position.
     pub zone_status: Option<(u32, PositionLine)>,
-    /// The answer to [`Command::Usage`].
+    /// Answer to [`Command::Usage`].
     pub usage: Option<Usage>,
-    /// The answer to [`Command::Verify`].
+    /// Answer to [`Command::Verify`].
     pub verified: Option<Vec<(PositionLine, DigestLine)>>,
 }
 
-/// What the publisher says of transactions.
+/// An event of the publisher about transactions.
 #[derive(Debug)]
 pub enum PublisherEvent {
-    /// Accepted and durable.
+    /// The publisher accepted a transaction and made it durable.
     Accepted {
-        /// Which.
+        /// Sequence number of the transaction.
         sequence: u64,
-        /// Where it stands.
+        /// Position that the transaction got.
         position: PositionLine,
-        /// When it was proposed, Unix ms.
+        /// Time of the proposal, Unix ms.
         proposed_unix_ms: u64,
     },
-    /// Refused by the publisher itself.
+    /// The publisher rejected a transaction.
     Rejected {
-        /// Which.
+        /// Sequence number of the transaction.
         sequence: u64,
-        /// Why.
+        /// Reason for the rejection.
         reason: String,
     },
-    /// Refused by subscribers: member and position.
+    /// Subscribers refused positions; each entry has the member and the position.
     Refusals(Vec<(String, PositionLine)>),
 }
 
@@ -75,33 +75,33 @@
     directory: PathBuf,
     nodes: BTreeMap<NodeId, NodeState>,
     reports: Receiver<Report>,
-    reporter: Sender<Report>,
+    report_sender: Sender<Report>,
 }
 
 impl Cluster {
-    /// None yet.
+    /// Creates a cluster without processes.
     pub fn new(settings: RunSettings, directory: &Path) -> Cluster {
-        let (reporter, reports) = channel();
-        Cluster { settings, directory: directory.to_owned(), nodes: BTreeMap::new(), reports, reporter }
+        let (report_sender, reports) = channel();
+        Cluster { settings, directory: directory.to_owned(), nodes: BTreeMap::new(), reports, report_sender }
     }
 
-    /// What is known of a process.
+    /// Returns the state of a process.
     ///
     /// # Errors
-    /// If it was never started.
+    /// Returns an error if the process was never started.
     pub fn node(&self, node: NodeId) -> Result<&NodeState> {
         self.nodes.get(&node).with_context(|| format!("{node:?} was not started"))
     }
 
-    /// Processes that are up.
+    /// Returns the number of running processes.
     pub fn processes(&self) -> usize {
         self.nodes.values().filter(|state| state.process.is_some()).count()
     }
 
-    /// Sends a command to a process that is up.
+    /// Sends a command to a running process.
     ///
     /// # Errors
-    /// If it is down or does not read.
+    /// Returns an error if the process is down or does not read its input.
     pub fn send(&mut self, node: NodeId, command: &Command) -> Result<()> {
         let state = self.nodes.get_mut(&node).with_context(|| format!("{node:?} was not started"))?;
         let process = state.process.as_mut().with_context(|| format!("{node:?} is down"))?;
@@ -111,15 +111,15 @@
     /// Sends a command to all proxies.
     ///
     /// # Errors
-    /// If one is down.
+    /// Returns an error if a proxy is down.
     pub fn send_to_proxies(&mut self, command: &Command) -> Result<()> {
         (0..self.settings.shape().regions).try_for_each(|region| self.send(NodeId::Proxy(region), command))
     }
 
-    /// Kills a process and waits until it is gone.
+    /// Kills a process and waits until it has exited.
     ///
     /// # Errors
-    /// If it is down already.
+    /// Returns an error if the process is already down.
     pub fn kill(&mut self, node: NodeId) -> Result<()> {
         let state = self.nodes.get_mut(&node).with_context(|| format!("{node:?} was not started"))?;
         state.process.take().with_context(|| format!("{node:?} is down"))?.kill();
@@ -127,75 +127,75 @@
         Ok(())
     }
 
-    /// Stops a process where it is.
+    /// Suspends a process (SIGSTOP).
     ///
     /// # Errors
-    /// If it is down.
+    /// Returns an error if the process is down.
     pub fn pause(&self, node: NodeId) -> Result<()> {
         self.node(node)?.process.as_ref().with_context(|| format!("{node:?} is down"))?.pause()
     }
 
-    /// Lets it go on.
+    /// Resumes a suspended process (SIGCONT).
     ///
     /// # Errors
-    /// If it is down.
+    /// Returns an error if the process is down.
     pub fn resume(&self, node: NodeId) -> Result<()> {
         self.node(node)?.process.as_ref().with_context(|| format!("{node:?} is down"))?.resume()
     }
 
-    /// Whether all that the last life of a killed process said has been taken.
+    /// Returns whether all output of a killed process has been read.
     pub fn has_ended(&self, node: NodeId) -> bool {
         self.nodes.get(&node).is_some_and(|state| state.ended)
     }
 
-    /// Starts the publisher, where it listened before if it did.
+    /// Starts the publisher; after a restart it listens on its previous address.
     ///
     /// # Errors
-    /// If there can be no such process.
+    /// Returns an error if the process can't be started.
     pub fn start_publisher(&mut self) -> Result<()> {
         let ip = self.settings.topology.publisher_ip();
         let setup = Command::Publisher(Box::new(PublisherSetup {
             run: self.settings.clone(),
-            listen: self.listen(NodeId::Publisher, ip.into()),
+            listen: self.listening_address(NodeId::Publisher, ip.into()),
             directory: self.directory.join("publisher"),
             log: self.directory.join("publisher.log"),
         }));
         self.start(NodeId::Publisher, &setup)
     }
 
-    /// Starts a relay, where it listened before if it did.
+    /// Starts a relay; after a restart it listens on its previous address.
     ///
     /// # Errors
-    /// If there can be no such process, or those above it were not started.
+    /// Returns an error if the process can't be started or the servers that it follows were not started.
     pub fn start_relay(&mut self, relay: usize) -> Result<()> {
         let node = NodeId::Relay(relay);
         let ip = self.settings.topology.relay_ip(relay);
         let setup = Command::Relay(Box::new(RelaySetup {
             run: self.settings.clone(),
             relay,
-            listen: self.listen(node, ip.into()),
+            listen: self.listening_address(node, ip.into()),
             servers: self.servers_of_relay(relay)?,
             log: self.directory.join(format!("{}.log", relay_name(relay))),
         }));
         self.start(node, &setup)
     }
 
-    /// Starts the subscribers of a zone.
+    /// Starts the process of a zone's subscribers.
     ///
     /// # Errors
-    /// If there can be no such process, or the relays were not started.
+    /// Returns an error if the process can't be started or the relays were not started.
     pub fn start_zone(&mut self, zone: usize, base: PositionLine) -> Result<()> {
         let node = NodeId::Subscribers(zone);
-        let life = self.next_life(node);
+        let incarnation = self.next_incarnation(node);
         let setup = Command::Subscribers(Box::new(SubscribersSetup {
             run: self.settings.clone(),
             zone,
-            life,
+            incarnation,
             servers: self.servers_of_zone(zone, false)?,
             exposed_servers: self.servers_of_zone(zone, true)?,
             base,
             state: self.directory.join(format!("{}-state", zone_name(zone))),
-            observations: self.observations(zone, life),
+            observations: self.observations(zone, incarnation),
             log: self.directory.join(format!("{}.log", zone_name(zone))),
         }));
         self.start(node, &setup)
@@ -204,7 +204,7 @@
     /// Starts the proxy of a region.
     ///
     /// # Errors
-    /// If there can be no such process.
+    /// Returns an error if the process can't be started.
     pub fn start_proxy(&mut self, region: usize) -> Result<()> {
         let relays = self.settings.topology.relays.iter().map(|place| Some(place.region));
         let link_regions = relays.chain([None]).collect();
@@ -212,68 +212,69 @@
         self.start(NodeId::Proxy(region), &setup)
     }
 
-    /// Where the links of a proxy lead, in the order of [`Cluster::start_proxy`].
+    /// Returns the target of each link of a proxy, in the order of [`Cluster::start_proxy`].
     ///
     /// # Errors
-    /// If someone does not listen yet.
+    /// Returns an error if a relay or the publisher does not listen yet.
     pub fn link_targets(&self) -> Result<Vec<SocketAddr>> {
         let relays = (0..self.settings.shape().relays).map(NodeId::Relay);
         relays.chain([NodeId::Publisher]).map(|node| self.address(node, 0)).collect()
     }
 
-    /// The file of observations of a life of a zone's process.
-    pub fn observations(&self, zone: usize, life: u32) -> PathBuf {
-        self.directory.join(format!("{}-{life}.observations", zone_name(zone)))
+    /// Returns the observation file of one incarnation of a zone's process.
+    pub fn observations(&self, zone: usize, incarnation: u32) -> PathBuf {
+        self.directory.join(format!("{}-{incarnation}.observations", zone_name(zone)))
     }
 
-    /// Starts real daemons, which watch the relays of their region.
+    /// Starts real daemons, which subscribe to the relays of their region.
     ///
     /// # Errors
-    /// If there can be no such processes, or the relays were not started.
+    /// Returns an error if a process can't be started or the relays were not started.
     pub fn start_daemons(&self, count: usize) -> Result<Daemons> {
         let topology = &self.settings.topology;
-        let is_near = |relay: &usize| topology.relays[*relay].region == DAEMON_REGION;
-        let near = (0..self.settings.shape().relays).filter(is_near);
+        let is_in_region = |relay: &usize| topology.relays[*relay].region == DAEMON_REGION;
+        let in_region = (0..self.settings.shape().relays).filter(is_in_region);
         let servers: Vec<ServerLine> =
-            near.map(|relay| self.relay_line(relay, DAEMON_REGION, false)).collect::<Result<_>>()?;
+            in_region.map(|relay| self.relay_line(relay, DAEMON_REGION, false)).collect::<Result<_>>()?;
         Daemons::start(count, &self.settings, &servers, &self.directory)
     }
 
-    /// Takes what processes said until the condition holds.
+    /// Handles events of the processes until the condition holds.
     ///
     /// # Errors
-    /// If it does not hold in time, or a process failed.
+    /// Returns an error if the condition does not hold within `limit` or a process failed.
     pub fn wait_until(
         &mut self,
-        what: &str,
+        awaited: &str,
         limit: Duration,
         mut holds: impl FnMut(&mut Cluster) -> Result<bool>,
     ) -> Result<()> {
         let deadline = Instant::now() + limit;
         while !holds(self)? {
-            ensure!(Instant::now() < deadline, "{what}: not within {} s", limit.as_secs());
-            self.pump(PUMP)?;
+            ensure!(Instant::now() < deadline, "{awaited}: timed out after {} s", limit.as_secs());
+            self.handle_next_event(EVENT_POLL)?;
         }
         Ok(())
     }
 
-    /// Takes the next thing that a process said, if one says something in that time.
+    /// Handles the next event of a process, if one arrives within `limit`; returns it if it is about
+    /// transactions.
     ///
     /// # Errors
-    /// If a process failed, or ended without having been killed.
-    pub fn pump(&mut self, limit: Duration) -> Result<Option<PublisherEvent>> {
+    /// Returns an error if a process failed or ended without having been killed.
+    pub fn handle_next_event(&mut self, limit: Duration) -> Result<Option<PublisherEvent>> {
         let report = match self.reports.recv_timeout(limit) {
             Ok(report) => report,
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return Ok(None),
         };
         let node = report.node;
         let state = self.nodes.entry(node).or_default();
-        if report.life != state.life {
+        if report.incarnation != state.incarnation {
             return Ok(None);
         }
         let Some(event) = report.event else {
             state.ended = true;
-            ensure!(state.process.is_none(), "{node:?} ended by itself; its log says why");
+            ensure!(state.process.is_none(), "{node:?} exited unexpectedly; see its log");
             return Ok(None);
         };
         match event {
@@ -296,13 +297,13 @@
     }
 
     fn start(&mut self, node: NodeId, setup: &Command) -> Result<()> {
-        let life = self.next_life(node);
-        let process = NodeProcess::start(node, life, setup, self.reporter.clone())?;
+        let incarnation = self.next_incarnation(node);
+        let process = NodeProcess::start(node, incarnation, setup, self.report_sender.clone())?;
         let state = self.nodes.entry(node).or_default();
         let listening = std::mem::take(&mut state.listening);
         *state = NodeState {
             process: Some(process),
-            life,
+            incarnation,
             listening,
             started_unix_ms: unix_ms(),
             ..NodeState::default()
@@ -310,12 +311,12 @@
         Ok(())
     }
 
-    fn next_life(&self, node: NodeId) -> u32 {
-        self.nodes.get(&node).map_or(0, |state| state.life + 1)
+    fn next_incarnation(&self, node: NodeId) -> u32 {
+        self.nodes.get(&node).map_or(0, |state| state.incarnation + 1)
     }
 
-    /// Where a process is to listen: where it did before, or on any port.
-    fn listen(&self, node: NodeId, ip: IpAddr) -> SocketAddr {
+    /// Returns the address on which a process is to listen: its previous one, or any free port.
+    fn listening_address(&self, node: NodeId, ip: IpAddr) -> SocketAddr {
         self.address(node, 0).unwrap_or_else(|_| SocketAddr::new(ip, 0))
     }
 
@@ -324,17 +325,18 @@
         address.with_context(|| format!("{node:?} does not listen yet"))
     }
 
-    /// A region's relay watches the publisher, a zone's the relays of its region and, as a last resort, those of others.
+    /// Returns the servers of a relay: the publisher for a region's relay, and for a zone's relay the relays
+    /// of its region and, as a last resort, those of other regions.
     fn servers_of_relay(&self, relay: usize) -> Result<Vec<ServerLine>> {
         let place = &self.settings.topology.relays[relay];
         if place.zone.is_none() {
             return Ok(vec![self.publisher_line(place.region)?]);
         }
-        let above = self.settings.topology.region_relays();
-        above.map(|above| self.relay_line(above, place.region, false)).collect()
+        let region_relays = self.settings.topology.region_relays();
+        region_relays.map(|relay| self.relay_line(relay, place.region, false)).collect()
     }
 
-    /// A subscriber may watch any relay.
+    /// Returns the servers of a zone's subscribers, which may subscribe to any relay.
     fn servers_of_zone(&self, zone: usize, exposed: bool) -> Result<Vec<ServerLine>> {
         let region = self.settings.topology.region_of(zone);
         let relays = 0..self.settings.shape().relays;
@@ -350,8 +352,8 @@
         })
     }
 
-    /// A relay as it is reached from a region: through that region's proxy if it is in another one, or if the reader is
-    /// exposed to damaged frames.
+    /// Returns a relay with its address as seen from a region: that region's proxy if the relay is in another
+    /// region or the client is exposed to damaged frames.
     fn relay_line(&self, relay: usize, from_region: usize, exposed: bool) -> Result<ServerLine> {
         let place = &self.settings.topology.relays[relay];
         let address = if exposed || place.region != from_region {
--- a/crates/scale/src/propagation/control.rs
+++ b/crates/scale/src/propagation/control.rs
@@ -1,5 +1,5 @@
-//! What the coordinator and its processes tell each other: one JSON document a line, commands on a process's standard
-//! input, events on its standard output.
+//! Messages between the coordinator and its processes: one JSON document per line, commands on a process's
+//! standard input, events on its standard output.
 
 use super::topology::{Shape, Topology};
 use dunlinspread_config_sync::resource::{Digest, Position};
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A position on the line between processes.
+/// A position in a message between processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PositionLine {
-    /// The history.
+    /// Epoch of the publisher's history.
     pub epoch: u64,
-    /// The revision in it.
+    /// Revision within the epoch.
     pub revision: u64,
 }
 
@@ -28,12 +28,12 @@
     }
 }
 
-/// A digest on the line between processes: its two halves, as JSON has no integers of 128 bits.
+/// A digest in a message between processes, as two halves because JSON has no 128-bit integers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestLine {
-    /// The upper half.
+    /// Upper 64 bits.
     pub high: u64,
-    /// The lower half.
+    /// Lower 64 bits.
     pub low: u64,
 }
 
@@ -49,34 +49,34 @@
     }
 }
 
-/// A server that may be watched, with the address at which the reader reaches it.
+/// A server to which a client may subscribe, with the address at which the client reaches it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLine {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Where the reader reaches it, often through a proxy.
+    /// Address at which the client reaches the server, often that of a proxy.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the server; none for the publisher and a region's relay.
     pub zone: Option<String>,
-    /// Its region.
+    /// Region of the server.
     pub region: String,
 }
 
-/// What all processes of a run share.
+/// Settings that all processes of a run share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunSettings {
-    /// The places of all.
+    /// Placement of relays and subscribers.
     pub topology: Topology,
-    /// The seed of the table, the changes and the jitters.
+    /// Seed of the table, the changes and the jitter.
     pub seed: u64,
-    /// Transactions to be published.
+    /// Number of transactions to publish.
     pub changes: u64,
-    /// The key for the tags of frames.
+    /// Key of the authentication tags of frames.
     pub fleet_key: String,
 }
 
 impl RunSettings {
-    /// The sizes.
+    /// Returns the sizes of the run.
     pub fn shape(&self) -> Shape {
         self.topology.shape
     }
@@ -85,177 +85,181 @@
 /// The setup of a publisher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PublisherSetup {
-    /// Of the whole run.
+    /// Settings of the run.
     pub run: RunSettings,
-    /// Where it listens.
+    /// Address on which the publisher listens.
     pub listen: SocketAddr,
-    /// Its store.
+    /// Directory of the publisher's store.
     pub directory: PathBuf,
-    /// Where the last position and the time of each acceptance are written.
+    /// Log file, which has the last position and the time of each acceptance.
     pub log: PathBuf,
 }
 
 /// The setup of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelaySetup {
-    /// Of the whole run.
+    /// Settings of the run.
     pub run: RunSettings,
-    /// Which relay.
+    /// Index of the relay.
     pub relay: usize,
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub listen: SocketAddr,
-    /// Whom it watches.
+    /// Servers to which the relay may subscribe.
     pub servers: Vec<ServerLine>,
-    /// Where its log goes.
+    /// Log file.
     pub log: PathBuf,
 }
 
-/// The setup of a zone's hollow subscribers.
+/// The setup of a zone's client-only subscribers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubscribersSetup {
-    /// Of the whole run.
+    /// Settings of the run.
     pub run: RunSettings,
-    /// Which zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// How often the process was started before.
-    pub life: u32,
-    /// Whom its subscribers watch.
+    /// Number of earlier starts of the process.
+    #[serde(rename = "life")]
+    pub incarnation: u32,
+    /// Servers to which the subscribers may subscribe.
     pub servers: Vec<ServerLine>,
-    /// The same through the proxy's links within the region, whose frames are damaged now and then.
+    /// The same servers through the proxy's links within the region, on which frames are occasionally
+    /// damaged.
     pub exposed_servers: Vec<ServerLine>,
-    /// The position of the first table, which the last good states of a first start have.
+    /// Position of the initial table, which is that of the last good states at a first start.
     pub base: PositionLine,
-    /// Where the state of the one subscriber that keeps it on disk lies.
+    /// State directory of the one subscriber that keeps its state on disk.
     pub state: PathBuf,
-    /// The file of observations.
+    /// Observation file.
     pub observations: PathBuf,
-    /// Where its log goes.
+    /// Log file.
     pub log: PathBuf,
 }
 
 /// The setup of a region's proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxySetup {
-    /// The region.
+    /// Index of the region.
     pub region: usize,
-    /// The region of each link's target; none for the publisher, which is in no region.
+    /// Region of each link's target; none for the publisher, which is outside all regions.
     pub link_regions: Vec<Option<usize>>,
 }
 
-/// How a region is cut off.
+/// How a region is partitioned from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CutKind {
-    /// Nothing arrives any more; connections stay open and new ones are not answered.
+    /// No data passes; open connections stay open and new ones are not answered.
     Silent,
-    /// Connections are closed and new ones refused.
+    /// Open connections are closed and new ones refused.
     Refuse,
 }
 
-/// Links of a proxy.
+/// A selection of a proxy's links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkScope {
-    /// Those that leave the region.
+    /// Links that cross the region's border.
     Crossing,
-    /// Those within it.
+    /// Links within the region.
     Within,
 }
 
-/// From the coordinator to a process.
+/// A command from the coordinator to a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// The first line to a publisher.
+    /// Sets up a publisher; its first line of input.
     Publisher(Box<PublisherSetup>),
-    /// The first line to a relay.
+    /// Sets up a relay; its first line of input.
     Relay(Box<RelaySetup>),
-    /// The first line to a zone's subscribers.
+    /// Sets up a zone's subscribers; their first line of input.
     Subscribers(Box<SubscribersSetup>),
-    /// The first line to a proxy.
+    /// Sets up a proxy; its first line of input.
     Proxy(Box<ProxySetup>),
-    /// To the publisher: propose the planned transaction.
+    /// To the publisher: propose a planned transaction.
     Propose {
-        /// Which.
+        /// Sequence number of the transaction.
         sequence: u64,
     },
-    /// To a proxy: where its links lead, in their order.
+    /// To a proxy: the targets of its links, in the order of the links.
     Targets(Vec<SocketAddr>),
-    /// To a proxy: this region is cut off.
+    /// To a proxy: cut a region off.
     Cut {
-        /// The region.
+        /// Index of the region.
         region: usize,
-        /// In which way.
+        /// How the region is cut off.
         kind: CutKind,
     },
-    /// To a proxy: it is no longer.
+    /// To a proxy: reconnect a region.
     Heal {
-        /// The region.
+        /// Index of the region.
         region: usize,
     },
-    /// To a proxy: damage one byte of what goes from a server to its client, once in each open connection.
+    /// To a proxy: damage one byte on its way from a server to its client, once in each open connection.
     Damage {
-        /// Of which links.
+        /// Links whose connections are damaged.
         scope: LinkScope,
     },
-    /// To relays and subscribers: say how far they are.
+    /// To relays and subscribers: report the position in force.
     Status,
-    /// To the publisher: say how far the subscribers of a zone are by their acknowledgements.
+    /// To the publisher: report the lowest position that the subscribers of a zone acknowledged.
     ZoneStatus {
-        /// The zone's name.
+        /// Name of the zone.
         zone: String,
     },
-    /// To relays and subscribers: what is used is measured from now on.
+    /// To relays and subscribers: start measuring resource usage.
     BeginMeasuring,
-    /// To relays and subscribers: say what was used.
+    /// To relays and subscribers: report the measured usage.
     Usage,
-    /// To subscribers: compare the whole tables.
+    /// To subscribers: compute the digests of the whole tables anew.
     Verify,
 }
 
-/// What a process has used since it was told to begin measuring, or since it was ready.
+/// Resource usage of a process since [`Command::BeginMeasuring`], or since it was ready.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// How long that is, ms.
+    /// Length of the measurement, ms.
     pub wall_ms: u64,
-    /// Processor time, ms.
+    /// CPU time, ms.
     pub cpu_ms: f64,
-    /// Resident memory now, KB.
+    /// Current resident memory, KB.
     pub resident_kb: u64,
-    /// Resident memory that its subscribers took, KB: by their start, and since the measuring began.
+    /// Resident memory of the process's subscribers, KB: growth at their start plus growth since the
+    /// measurement began.
     pub subscribers_kb: u64,
-    /// What its connections did.
+    /// Traffic of the process's connections.
     pub traffic: Traffic,
 }
 
-/// What the connections of a process did.
+/// Traffic of the connections of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Bytes received, as the application sees them.
+    /// Bytes received by the application.
     pub bytes_in: u64,
-    /// Bytes sent.
+    /// Bytes sent by the application.
     pub bytes_out: u64,
     /// Frames received and sent.
     pub frames: u64,
     /// Snapshots applied.
     pub snapshots: u64,
-    /// Connections closed for a bad frame.
+    /// Connections closed because of a bad frame.
     pub bad_frames: u64,
 }
 
-/// The headers of Ethernet, IP and TCP (with its time stamps) of one segment, in bytes.
+/// Size of the Ethernet, IP and TCP headers (with TCP timestamps) of one segment, bytes.
 const SEGMENT_HEADERS: u64 = 14 + 20 + 32;
-/// Segments that a frame costs at the most: its own and one that acknowledges it.
+/// Maximum number of segments per frame: its own and one that acknowledges it.
 const SEGMENTS_PER_FRAME: u64 = 2;
 
 impl Traffic {
-    /// Bytes received and sent on the wire with headers, where each frame has a segment of its own and is acknowledged by
-    /// itself: frames that share a segment, or an acknowledgement on the back of another frame, cost less.
+    /// Returns the bytes received and sent on the wire with headers, assuming that each frame has its own
+    /// segment and its own acknowledgement; frames that share a segment, or an acknowledgement piggybacked on
+    /// another frame, cost less.
     pub fn wire_bytes(self) -> u64 {
         self.bytes_in + self.bytes_out + self.frames * SEGMENTS_PER_FRAME * SEGMENT_HEADERS
     }
 
-    /// What was added since.
+    /// Returns the traffic since an earlier reading.
     pub fn since(self, earlier: Traffic) -> Traffic {
         Traffic {
             bytes_in: self.bytes_in.saturating_sub(earlier.bytes_in),
@@ -267,57 +271,58 @@
     }
 }
 
-/// From a process to the coordinator.
+/// An event from a process to the coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// It listens there.
+    /// The process listens on these addresses.
     Listening(Vec<SocketAddr>),
-    /// The publisher has the first table or what it had before; subscribers have their last good states and run.
+    /// The publisher has published the initial table or recovered its store; subscribers have their last good
+    /// states and run.
     Ready {
-        /// The newest position.
+        /// Newest position of the process.
         head: PositionLine,
     },
-    /// The publisher accepted it and made it durable.
+    /// The publisher accepted a transaction and made it durable.
     Accepted {
-        /// Which.
+        /// Sequence number of the transaction.
         sequence: u64,
-        /// Where it stands.
+        /// Position that the transaction got.
         position: PositionLine,
-        /// When it was proposed, Unix ms.
+        /// Time of the proposal, Unix ms.
         proposed_unix_ms: u64,
     },
-    /// The publisher refused it.
+    /// The publisher rejected a transaction.
     Rejected {
-        /// Which.
+        /// Sequence number of the transaction.
         sequence: u64,
-        /// Why.
+        /// Reason for the rejection.
         reason: String,
     },
-    /// How far a relay or the subscribers of a zone are.
+    /// Position of a relay or of the subscribers of a zone.
     Status {
-        /// The least position in force; of a relay, the one that it serves.
+        /// Lowest position in force; for a relay, the position that it serves.
         least: PositionLine,
     },
-    /// How far the subscribers of the zone are that the publisher was asked for.
+    /// Acknowledged position of the zone that [`Command::ZoneStatus`] names.
     ZoneStatus {
-        /// Subscribers connected.
+        /// Number of connected subscribers.
         subscribers: u32,
-        /// The least position that they acknowledged.
+        /// Lowest position that the subscribers acknowledged.
         least: PositionLine,
     },
-    /// Refusals that reached the publisher.
+    /// Refusals of subscribers that reached the publisher.
     Refusals {
-        /// The member and position of each.
+        /// Member and position of each refusal.
         refusals: Vec<(String, PositionLine)>,
     },
-    /// What was used.
+    /// Measured resource usage.
     Usage(Usage),
-    /// The digest of each subscriber's whole table, computed anew.
+    /// Digest of each subscriber's whole table, computed anew.
     Verified {
-        /// Digest and position by subscriber, in the order of the zone.
+        /// Position and digest of each subscriber, in the order of the zone.
         tables: Vec<(PositionLine, DigestLine)>,
     },
-    /// It can't go on.
+    /// The process failed and can't continue.
     Failed(String),
 }
--- a/crates/scale/src/propagation/coordinator.rs
+++ b/crates/scale/src/propagation/coordinator.rs
@@ -1,4 +1,4 @@
-//! A run from its start to its verdict.
+//! Coordinates a run from its start to its verdict.
 
 use super::Options;
 use super::changes::{PlannedTransaction, planned_transactions, refusing_zone};
@@ -22,19 +22,20 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How long subscribers may take to have everything once all faults are over.
+/// Maximum time for subscribers to reach the head after the last fault has ended.
 const SETTLE_LIMIT: Duration = Duration::from_secs(40);
-/// How long a process may take to answer.
+/// Maximum time for a process to answer a command.
 const ANSWER_LIMIT: Duration = Duration::from_secs(60);
-/// The least time for each fault, ms.
-const SHORTEST_TURN_MS: u64 = 2_500;
-/// Loopback networks from which runs at the same time take theirs.
+/// Minimum time slot of each fault, ms.
+const MIN_FAULT_SLOT_MS: u64 = 2_500;
+/// Second octets of the loopback networks from which concurrent runs choose.
 const LOOPBACK_OCTETS: std::ops::Range<u32> = 8..240;
 
-/// Runs and prints the report.
+/// Runs the experiment and prints the report.
 ///
 /// # Errors
-/// If the run could not be carried out; a run that shows a fault is an error as well, after its report was printed.
+/// Returns an error if the run could not be carried out, and, after the report was printed, if a requirement
+/// was not met.
 pub fn run(options: &Options) -> Result<()> {
     let temporary = tempfile::tempdir()?;
     let directory = options.keep.clone().unwrap_or_else(|| temporary.path().to_owned());
@@ -43,24 +44,24 @@
     let text =
         if options.json { serde_json::to_string(&report)? } else { serde_json::to_string_pretty(&report)? };
     println!("{text}");
-    ensure!(report.ok, "not all that must hold held: {}", report.failures.join("; "));
+    ensure!(report.ok, "requirements not met: {}", report.failures.join("; "));
     Ok(())
 }
 
-/// What is to happen in a run.
+/// Transactions and faults of a run, with their times.
 struct Plan {
     topology: Topology,
     transactions: Vec<PlannedTransaction>,
-    /// When each transaction is proposed, ms after the beginning.
+    /// Proposal time of each transaction, ms after the start of the flow.
     times_ms: Vec<u64>,
     steps: Vec<TimedStep>,
 }
 
-/// Transactions that one zone refuses.
+/// Counts of the transactions that one zone refuses.
 struct Refusals {
-    /// Those that it had to refuse.
+    /// Number of accepted transactions that the zone had to refuse.
     expected: usize,
-    /// Those of them that the publisher was told of.
+    /// Number of those whose refusal reached the publisher.
     reported: usize,
 }
 
@@ -108,21 +109,21 @@
     }
 
     fn run(mut self) -> Result<PropagationReport> {
-        let began = Instant::now();
+        let started = Instant::now();
         let base = self.start_servers()?;
         self.start_subscribers(base)?;
         let mut daemons = self.start_daemons(base)?;
         let plan = self.plan();
         self.begin_measuring()?;
-        let start_seconds = began.elapsed().as_secs_f64();
+        let start_seconds = started.elapsed().as_secs_f64();
         let mut flow = Flow::new(&plan.topology, &plan.transactions, base, self.replay(base));
-        let (flow_began, began_unix_ms) = (Instant::now(), unix_ms());
+        let (flow_started, began_unix_ms) = (Instant::now(), unix_ms());
         flow.run(&mut self.cluster, &plan.times_ms, &plan.steps, START_LIMIT)?;
-        let flow_seconds = flow_began.elapsed().as_secs_f64();
+        let flow_seconds = flow_started.elapsed().as_secs_f64();
         let mut failures = self.settle_all(&mut flow, &mut daemons)?;
         let ended_unix_ms = unix_ms();
         let record = flow.into_record();
-        failures.extend(record.rejected.iter().map(|reason| format!("the publisher refused {reason}")));
+        failures.extend(record.rejected.iter().map(|reason| format!("the publisher rejected {reason}")));
         let (subscribers, relays) = self.usage()?;
         let verdict = self.verdict(&record, ended_unix_ms)?;
         let refusals = Refusals::count(&record);
@@ -149,36 +150,37 @@
         Ok(PropagationReport::new(measured, verdict))
     }
 
-    /// Returns what is to happen, and when, by the seed.
+    /// Returns the transactions and faults of the run with their times, derived from the seed.
     fn plan(&self) -> Plan {
         let (topology, seed) = (self.settings.topology.clone(), self.settings.seed);
         let transactions = planned_transactions(topology.shape, seed, self.settings.changes);
-        let shortest_ms = fault_count(&topology) as u64 * SHORTEST_TURN_MS;
-        let times_ms = proposal_times_ms(self.settings.changes, self.options.rate, shortest_ms);
+        let min_duration_ms = fault_count(&topology) as u64 * MIN_FAULT_SLOT_MS;
+        let times_ms = proposal_times_ms(self.settings.changes, self.options.rate, min_duration_ms);
         let duration_ms = times_ms.last().copied().unwrap_or_default();
         let steps = schedule(&topology, seed, duration_ms);
         Plan { topology, transactions, times_ms, steps }
     }
 
-    /// Waits until all are at the head. Returns what did not come to pass.
+    /// Waits until all subscribers and daemons are at the head. Returns the conditions that did not hold.
     fn settle_all(&mut self, flow: &mut Flow<'_>, daemons: &mut Daemons) -> Result<Vec<String>> {
         let mut failures = Vec::new();
         let head = flow.head();
         if !self.settle(flow, head)? {
-            failures.push(format!("not all are at {head:?} after {} s", SETTLE_LIMIT.as_secs()));
+            failures
+                .push(format!("not all subscribers reached {head:?} within {} s", SETTLE_LIMIT.as_secs()));
         }
         if !self.settle_daemons(flow, daemons.len(), head)? {
             failures.push(format!("not all daemons acknowledged {head:?}"));
         }
         let daemons_ended = daemons.ended()?;
         if daemons_ended > 0 {
-            failures.push(format!("{daemons_ended} daemons ended by themselves"));
+            failures.push(format!("{daemons_ended} daemons exited unexpectedly"));
         }
         Ok(failures)
     }
 
-    /// Starts the publisher, the proxies and the relays, each level once those above it listen; gives the position of
-    /// the first table, which all relays have then.
+    /// Starts the publisher, the proxies and the relays, each level once the level above it listens. Returns
+    /// the position of the initial table, which all relays then have.
     fn start_servers(&mut self) -> Result<PositionLine> {
         let cluster = &mut self.cluster;
         let shape = self.settings.shape();
@@ -186,9 +188,9 @@
         let proxies: Vec<NodeId> = (0..shape.regions).map(NodeId::Proxy).collect();
         (0..shape.regions).try_for_each(|region| cluster.start_proxy(region))?;
         wait_listening(cluster, "proxies", &proxies)?;
-        let (of_regions, of_zones): (Vec<usize>, Vec<usize>) =
+        let (region_relays, zone_relays): (Vec<usize>, Vec<usize>) =
             (0..shape.relays).partition(|&relay| self.settings.topology.relays[relay].zone.is_none());
-        for level in [of_regions, of_zones] {
+        for level in [region_relays, zone_relays] {
             level.iter().try_for_each(|&relay| cluster.start_relay(relay))?;
             let nodes: Vec<NodeId> = level.into_iter().map(NodeId::Relay).collect();
             wait_listening(cluster, "relays", &nodes)?;
@@ -196,10 +198,10 @@
         wait_listening(cluster, "the publisher", &[NodeId::Publisher])?;
         let targets = cluster.link_targets()?;
         cluster.send_to_proxies(&Command::Targets(targets))?;
-        wait_ready(cluster, "the publisher with the first table", &[NodeId::Publisher])?;
+        wait_ready(cluster, "the publisher with the initial table", &[NodeId::Publisher])?;
         let base = cluster.node(NodeId::Publisher)?.ready.map(|(_, head)| head).unwrap_or_default();
         let relays: Vec<NodeId> = (0..shape.relays).map(NodeId::Relay).collect();
-        wait_at(cluster, "relays with the first table", &relays, base)?;
+        wait_at(cluster, "relays with the initial table", &relays, base)?;
         Ok(base)
     }
 
@@ -209,23 +211,23 @@
         (0..zones).try_for_each(|zone| cluster.start_zone(zone, base))?;
         let nodes: Vec<NodeId> = (0..zones).map(NodeId::Subscribers).collect();
         wait_ready(cluster, "subscribers", &nodes)?;
-        wait_at(cluster, "subscribers with the first table", &nodes, base)
+        wait_at(cluster, "subscribers with the initial table", &nodes, base)
     }
 
     fn start_daemons(&mut self, base: PositionLine) -> Result<Daemons> {
         let daemons = self.cluster.start_daemons(self.options.daemons)?;
-        let (count, mut asked) = (daemons.len(), None);
-        self.cluster.wait_until("daemons with the first table", START_LIMIT, |cluster| {
-            daemons_are_at(cluster, count, base, &mut asked)
+        let (count, mut requested) = (daemons.len(), None);
+        self.cluster.wait_until("daemons with the initial table", START_LIMIT, |cluster| {
+            daemons_are_at(cluster, count, base, &mut requested)
         })?;
         Ok(daemons)
     }
 
-    /// Waits until all daemons acknowledged the head.
+    /// Waits until all daemons have acknowledged the head; returns whether they did.
     fn settle_daemons(&mut self, flow: &mut Flow<'_>, count: usize, head: PositionLine) -> Result<bool> {
-        let mut asked = None;
+        let mut requested = None;
         flow.settle(&mut self.cluster, SETTLE_LIMIT, |cluster| {
-            daemons_are_at(cluster, count, head, &mut asked)
+            daemons_are_at(cluster, count, head, &mut requested)
         })
     }
 
@@ -238,11 +240,11 @@
         Replay::new(base.into(), table, refusing_zone(shape, seed))
     }
 
-    /// Waits until all subscribers are at the head.
+    /// Waits until all subscribers are at the head; returns whether they are.
     fn settle(&mut self, flow: &mut Flow<'_>, head: PositionLine) -> Result<bool> {
         let nodes: Vec<NodeId> = (0..self.settings.shape().zones).map(NodeId::Subscribers).collect();
-        let mut asked = None;
-        flow.settle(&mut self.cluster, SETTLE_LIMIT, |cluster| is_at(cluster, &nodes, head, &mut asked))
+        let mut requested = None;
+        flow.settle(&mut self.cluster, SETTLE_LIMIT, |cluster| is_at(cluster, &nodes, head, &mut requested))
     }
 
     fn begin_measuring(&mut self) -> Result<()> {
@@ -263,18 +265,18 @@
         self.cluster.wait_until("answers to usage", ANSWER_LIMIT, |cluster| {
             all_nodes(&all, |node| Ok(cluster.node(node)?.usage.is_some()))
         })?;
-        let mut of_subscribers = UsageSummary::default();
+        let mut subscriber_usage = UsageSummary::default();
         for (zone, &node) in zones.iter().enumerate() {
             let state = self.cluster.node(node)?;
             let usage = state.usage.unwrap_or_default();
-            of_subscribers.add(&usage, topology.zone_subscribers[zone], state.life > 0);
+            subscriber_usage.add(&usage, topology.zone_subscribers[zone], state.incarnation > 0);
         }
-        let mut of_relays = UsageSummary::default();
+        let mut relay_usage = UsageSummary::default();
         for &node in &relays {
             let state = self.cluster.node(node)?;
-            of_relays.add(&state.usage.unwrap_or_default(), 1, state.life > 0);
+            relay_usage.add(&state.usage.unwrap_or_default(), 1, state.incarnation > 0);
         }
-        Ok((of_subscribers, of_relays))
+        Ok((subscriber_usage, relay_usage))
     }
 
     fn verdict(&mut self, record: &FlowRecord, ended_unix_ms: u64) -> Result<Verdict> {
@@ -292,13 +294,13 @@
     fn judge_zone(&self, judge: &mut Judge<'_>, zone: usize) -> Result<()> {
         let topology = &self.settings.topology;
         let node = self.cluster.node(NodeId::Subscribers(zone))?;
-        let lives = (0..=node.life)
-            .map(|life| read_observations(&self.cluster.observations(zone, life)))
+        let incarnations = (0..=node.incarnation)
+            .map(|incarnation| read_observations(&self.cluster.observations(zone, incarnation)))
             .collect::<Result<Vec<_>>>()?;
         let first = topology.first_subscriber(zone);
-        let mut by_subscriber = split(&lives, first, topology.zone_subscribers[zone]);
-        for (index, lives) in by_subscriber.drain(..).enumerate() {
-            judge.subscriber(first + index, zone, &lives);
+        let mut by_subscriber = group_by_subscriber(&incarnations, first, topology.zone_subscribers[zone]);
+        for (index, incarnations) in by_subscriber.drain(..).enumerate() {
+            judge.subscriber(first + index, zone, &incarnations);
             match node.verified.as_ref().and_then(|tables| tables.get(index)) {
                 Some(&(position, digest)) => {
                     judge.final_table(first + index, zone, position.into(), digest.into());
@@ -310,21 +312,26 @@
     }
 }
 
-/// The observations of each subscriber of a zone, by life.
-fn split(lives: &[Vec<Observation>], first: usize, subscribers: usize) -> Vec<Vec<Vec<Observation>>> {
-    let mut by_subscriber = vec![vec![Vec::new(); lives.len()]; subscribers];
-    for (life, observations) in lives.iter().enumerate() {
+/// Groups the observations of a zone by subscriber, and for each subscriber by process start.
+fn group_by_subscriber(
+    incarnations: &[Vec<Observation>],
+    first: usize,
+    subscribers: usize,
+) -> Vec<Vec<Vec<Observation>>> {
+    let mut by_subscriber = vec![vec![Vec::new(); incarnations.len()]; subscribers];
+    for (incarnation, observations) in incarnations.iter().enumerate() {
         for observation in observations {
             let index = (observation.subscriber as usize).checked_sub(first);
             if let Some(own) = index.and_then(|index| by_subscriber.get_mut(index)) {
-                own[life].push(*observation);
+                own[incarnation].push(*observation);
             }
         }
     }
     by_subscriber
 }
 
-/// Runs at the same time are different processes.
+/// Returns the octet of this run's loopback network, derived from the process id because concurrent runs are
+/// different processes.
 fn loopback_octet() -> u8 {
     let octets = LOOPBACK_OCTETS.end - LOOPBACK_OCTETS.start;
     u8::try_from(LOOPBACK_OCTETS.start + std::process::id() % octets).unwrap_or(u8::MAX)
--- a/crates/scale/src/propagation/daemons.rs
+++ b/crates/scale/src/propagation/daemons.rs
@@ -1,5 +1,6 @@
-//! Real round servers among the hollow ones: this same program as the daemon, with the distribution of configuration
-//! switched on in its operator file, in a zone of their own. What they have in force is what they acknowledge.
+//! Real daemons beside the client-only subscribers: this same program as the daemon, with distributed
+//! configuration switched on in its operator file, in a zone of their own. Their position in force is the one
+//! that they acknowledge.
 
 use super::control::{RunSettings, ServerLine};
 use super::dataset::class_name;
@@ -11,14 +12,15 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// The hidden command under which a daemon is started.
+/// Hidden command that runs this program as a daemon.
 pub const DAEMON_COMMAND: &str = "propagation-daemon";
-/// The zone of the daemons.
+/// Zone of the daemons.
 pub const DAEMON_ZONE: &str = "zone-daemons";
-/// The region of that zone.
+/// Region of the daemons' zone.
 pub const DAEMON_REGION: usize = 0;
-/// The daemon's neighbours on its platform, which play no part here: nobody listens on this port.
-const NOBODY: &str = "127.0.0.1:1";
+/// Address of the daemon's worker pool and directory, which the experiment does not need: no process listens
+/// on this port.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
 /// The running daemons.
 #[derive(Default)]
@@ -27,10 +29,10 @@
 }
 
 impl Daemons {
-    /// Starts so many.
+    /// Starts `count` daemons.
     ///
     /// # Errors
-    /// If a file can't be written or a process can't be started.
+    /// Returns an error if a file can't be written or a process can't be started.
     pub fn start(
         count: usize,
         settings: &RunSettings,
@@ -39,33 +41,33 @@
     ) -> Result<Daemons> {
         let mut daemons = Daemons::default();
         let key_file = directory.join("fleet.key");
-        std::fs::write(&key_file, &settings.fleet_key).context("the fleet's key")?;
+        std::fs::write(&key_file, &settings.fleet_key).context("writing the fleet key")?;
         for index in 0..count {
             let name = format!("daemon-{index}");
-            let files = Files::write(&name, settings, servers, &key_file, directory)?;
+            let files = DaemonFiles::write(&name, settings, servers, &key_file, directory)?;
             daemons.children.push(files.start().with_context(|| format!("starting {name}"))?);
         }
         Ok(daemons)
     }
 
-    /// How many there are.
+    /// Returns the number of started daemons.
     pub fn len(&self) -> usize {
         self.children.len()
     }
 
-    /// Resident memory of the largest, KB.
+    /// Returns the resident memory of the largest daemon, KB.
     pub fn largest_kb(&self) -> u64 {
         self.children.iter().map(|child| resident_kb(child.id())).max().unwrap_or(0)
     }
 
-    /// How many have ended, which none should.
+    /// Returns the number of daemons that have exited; none should.
     ///
     /// # Errors
-    /// If the system does not say.
+    /// Returns an error if the state of a process can't be read.
     pub fn ended(&mut self) -> Result<usize> {
         let mut ended = 0;
         for child in &mut self.children {
-            ended += usize::from(child.try_wait().context("asking for a daemon")?.is_some());
+            ended += usize::from(child.try_wait().context("reading the state of a daemon")?.is_some());
         }
         Ok(ended)
     }
@@ -74,7 +76,7 @@
 impl Drop for Daemons {
     fn drop(&mut self) {
         for child in &mut self.children {
-            // One that has ended by itself can't be killed; either way it is waited for.
+            // Killing a daemon that has already exited fails; it is reaped in either case.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -82,25 +84,25 @@
 }
 
 /// The files of one daemon.
-struct Files {
+struct DaemonFiles {
     config: PathBuf,
     operator: PathBuf,
     log: PathBuf,
 }
 
-impl Files {
+impl DaemonFiles {
     fn write(
         name: &str,
         settings: &RunSettings,
         servers: &[ServerLine],
         key_file: &Path,
         directory: &Path,
-    ) -> Result<Files> {
+    ) -> Result<DaemonFiles> {
         let file = |ending: &str| directory.join(format!("{name}.{ending}"));
-        let files = Files { config: file("json"), operator: file("hcl"), log: file("log") };
+        let files = DaemonFiles { config: file("json"), operator: file("hcl"), log: file("log") };
         let state = directory.join(format!("{name}-state"));
-        std::fs::write(&files.config, platform_file(name, settings.shape().classes))?;
-        std::fs::write(&files.operator, operator_file(servers, key_file, &state)?)?;
+        std::fs::write(&files.config, platform_config(name, settings.shape().classes))?;
+        std::fs::write(&files.operator, operator_config(servers, key_file, &state)?)?;
         Ok(files)
     }
 
@@ -119,11 +121,11 @@
     }
 }
 
-/// The platform's file: all classes of the table, and nobody around.
-fn platform_file(name: &str, classes: usize) -> String {
+/// Returns the platform's configuration file, with all classes of the table and no neighbouring processes.
+fn platform_config(name: &str, classes: usize) -> String {
     let profile = |class| json!({"name": &*class_name(class), "effect": "pure", "give_up_ms": 90_000, "target_ms": 80_000, "worth": 1});
     json!({
-        "name": name, "listen": "127.0.0.1:0", "pool": NOBODY, "directory": NOBODY,
+        "name": name, "listen": "127.0.0.1:0", "pool": UNUSED_ADDRESS, "directory": UNUSED_ADDRESS,
         "seed": "8c1f30d27a5be964", "stop_ms": 3000,
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 1024},
         "settings": {
@@ -142,7 +144,7 @@
     .to_string()
 }
 
-fn operator_file(servers: &[ServerLine], key_file: &Path, state: &Path) -> Result<String> {
+fn operator_config(servers: &[ServerLine], key_file: &Path, state: &Path) -> Result<String> {
     let mut text = String::new();
     writeln!(text, "config_sync {{")?;
     writeln!(text, "  zone            = \"{DAEMON_ZONE}\"")?;
@@ -161,7 +163,7 @@
     Ok(text)
 }
 
-/// Resident memory of another process, KB; 0 where the system does not say.
+/// Returns the resident memory of another process, KB; 0 if it can't be read.
 fn resident_kb(process: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/scale/src/propagation/fault_proxy.rs
+++ b/crates/scale/src/propagation/fault_proxy.rs
@@ -1,5 +1,5 @@
-//! A TCP proxy for one region, between its members and those whom they reach through it, which can cut the region off and
-//! damage what passes.
+//! A TCP proxy for the links of one region's members to their servers. It can cut regions off and damage the
+//! data that passes through it.
 
 use super::control::{CutKind, LinkScope};
 use async_executor::Executor;
@@ -12,16 +12,16 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What is read at once.
+/// Size of the read buffer.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// How often a connection that is held up looks whether it may go on.
-const HELD_POLL: Duration = Duration::from_millis(10);
-/// The most connections at once; further ones are refused.
-const MOST_CONNECTIONS: usize = 4_000;
-/// The bit that is turned over in a damaged byte.
+/// Interval at which a blocked connection checks whether it may continue.
+const BLOCKED_POLL: Duration = Duration::from_millis(10);
+/// Maximum number of concurrent connections; further ones are refused.
+const MAX_CONNECTIONS: usize = 4_000;
+/// Bit that is flipped in a damaged byte.
 const DAMAGED_BIT: u8 = 0x10;
 
-/// A region's proxy. It runs as long as the executor does.
+/// The proxy of a region. It runs as long as the executor.
 pub struct FaultProxy {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
@@ -29,7 +29,7 @@
 
 struct Shared {
     region: usize,
-    /// The region of each link's target; none for the publisher.
+    /// Region of each link's target; none for the publisher.
     link_regions: Vec<Option<usize>>,
     state: Mutex<State>,
 }
@@ -46,15 +46,15 @@
     link: usize,
     client: Async<TcpStream>,
     server: Async<TcpStream>,
-    /// The next bytes to the client are to be damaged.
+    /// Whether the next chunk to the client is to be damaged.
     damage: AtomicBool,
 }
 
 impl FaultProxy {
-    /// Listens once for each link.
+    /// Opens one listener per link.
     ///
     /// # Errors
-    /// If there is no port or descriptor left.
+    /// Returns an error if no port or descriptor is left.
     pub fn start(
         region: usize,
         link_regions: Vec<Option<usize>>,
@@ -68,22 +68,22 @@
             listeners.iter().map(|listener| listener.get_ref().local_addr()).collect::<io::Result<_>>()?;
         let shared = Arc::new(Shared { region, link_regions, state: Mutex::default() });
         for (link, listener) in listeners.into_iter().enumerate() {
-            executor.spawn(serve(shared.clone(), link, listener, executor.clone())).detach();
+            executor.spawn(accept_connections(shared.clone(), link, listener, executor.clone())).detach();
         }
         Ok(FaultProxy { shared, addresses })
     }
 
-    /// Where it listens, by link.
+    /// Returns the listening address of each link.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Says where the links lead.
+    /// Sets the target address of each link.
     pub fn set_targets(&self, targets: Vec<SocketAddr>) {
         self.shared.state().targets = targets;
     }
 
-    /// Cuts a region off, this one or another.
+    /// Cuts off a region, the proxy's own or another.
     pub fn cut(&self, region: usize, kind: CutKind) {
         self.shared.state().cuts.insert(region, kind);
         if kind == CutKind::Refuse {
@@ -93,12 +93,12 @@
         }
     }
 
-    /// Ends that.
+    /// Reconnects a region that was cut off.
     pub fn heal(&self, region: usize) {
         self.shared.state().cuts.remove(&region);
     }
 
-    /// Damages a byte on its way to the client in each open connection of such links.
+    /// Damages one byte on its way to the client in each open connection of the links in `scope`.
     pub fn damage(&self, scope: LinkScope) {
         for connection in self.shared.connections(|link| self.shared.scope_of(link) == scope) {
             connection.damage.store(true, Ordering::Relaxed);
@@ -115,7 +115,7 @@
         if self.link_regions[link] == Some(self.region) { LinkScope::Within } else { LinkScope::Crossing }
     }
 
-    /// How a link is cut off, if it is: a link within the region never is.
+    /// Returns how a link is cut off, or none if it is not. A link within the region is never cut off.
     fn cut_of(&self, link: usize) -> Option<CutKind> {
         if self.scope_of(link) == LinkScope::Within {
             return None;
@@ -130,20 +130,20 @@
         all.into_iter().filter(|connection| wanted(connection.link)).collect()
     }
 
-    /// Waits while the link is silent; false if it refuses.
-    async fn passes(&self, link: usize) -> bool {
+    /// Waits while the link is cut off silently; returns false if it refuses connections.
+    async fn wait_until_open(&self, link: usize) -> bool {
         loop {
             match self.cut_of(link) {
                 None => return true,
                 Some(CutKind::Refuse) => return false,
-                Some(CutKind::Silent) => Timer::after(HELD_POLL).await,
+                Some(CutKind::Silent) => Timer::after(BLOCKED_POLL).await,
             };
         }
     }
 
     fn register(&self, connection: &Arc<Connection>) -> Option<u64> {
         let mut state = self.state();
-        if state.connections.len() >= MOST_CONNECTIONS {
+        if state.connections.len() >= MAX_CONNECTIONS {
             return None;
         }
         let number = state.next_connection;
@@ -161,7 +161,7 @@
     }
 }
 
-async fn serve(
+async fn accept_connections(
     shared: Arc<Shared>,
     link: usize,
     listener: Async<TcpListener>,
@@ -169,48 +169,48 @@
 ) {
     loop {
         match listener.accept().await {
-            Ok((client, _)) => executor.spawn(pass(shared.clone(), link, client)).detach(),
+            Ok((client, _)) => executor.spawn(forward_connection(shared.clone(), link, client)).detach(),
             Err(_) => {
-                Timer::after(HELD_POLL).await;
+                Timer::after(BLOCKED_POLL).await;
             }
         }
     }
 }
 
-async fn pass(shared: Arc<Shared>, link: usize, client: Async<TcpStream>) {
-    if !shared.passes(link).await {
+async fn forward_connection(shared: Arc<Shared>, link: usize, client: Async<TcpStream>) {
+    if !shared.wait_until_open(link).await {
         return;
     }
     let Some(target) = shared.state().targets.get(link).copied() else { return };
     let Ok(server) = Async::<TcpStream>::connect(target).await else { return };
-    // Without it frames wait for acknowledgements, which would count as the system's latency.
+    // With Nagle's algorithm, frames would wait for acknowledgements and add to the measured latency.
     if client.get_ref().set_nodelay(true).is_err() || server.get_ref().set_nodelay(true).is_err() {
         return;
     }
     let connection = Arc::new(Connection { link, client, server, damage: AtomicBool::new(false) });
     let Some(number) = shared.register(&connection) else { return };
-    let upward = pump(&shared, &connection, &connection.client, &connection.server, false);
-    let downward = pump(&shared, &connection, &connection.server, &connection.client, true);
-    future::or(upward, downward).await;
+    let to_server = forward(&shared, &connection, &connection.client, &connection.server, false);
+    let to_client = forward(&shared, &connection, &connection.server, &connection.client, true);
+    future::or(to_server, to_client).await;
     connection.close();
     shared.state().connections.remove(&number);
 }
 
-/// Passes bytes on in one direction until either end closes.
-async fn pump(
+/// Forwards bytes in one direction until either end closes.
+async fn forward(
     shared: &Shared,
     connection: &Connection,
     mut from: &Async<TcpStream>,
     mut to: &Async<TcpStream>,
-    damages: bool,
+    may_damage: bool,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let Ok(count @ 1..) = from.read(&mut chunk).await else { return };
-        if !shared.passes(connection.link).await {
+        if !shared.wait_until_open(connection.link).await {
             return;
         }
-        if damages && connection.damage.swap(false, Ordering::Relaxed) {
+        if may_damage && connection.damage.swap(false, Ordering::Relaxed) {
             chunk[count / 2] ^= DAMAGED_BIT;
         }
         if to.write_all(&chunk[..count]).await.is_err() {
--- a/crates/scale/src/propagation/flow.rs
+++ b/crates/scale/src/propagation/flow.rs
@@ -1,4 +1,4 @@
-//! The part of a run in which changes flow and faults happen.
+//! The phase of a run in which changes are published and faults are injected.
 
 use super::changes::PlannedTransaction;
 use super::cluster::{Cluster, PublisherEvent};
@@ -14,52 +14,52 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// The longest wait for a process before the time is looked at again.
-const LONGEST_WAIT: Duration = Duration::from_millis(20);
-/// How long the output of a killed process may take to end.
-const OUTPUT_LIMIT: Duration = Duration::from_secs(5);
+/// Maximum wait for an event before due proposals and steps are checked again.
+const MAX_EVENT_WAIT: Duration = Duration::from_millis(20);
+/// Maximum time until the output of a killed process ends.
+const OUTPUT_END_LIMIT: Duration = Duration::from_secs(5);
 
-/// A proposal that has no answer yet.
+/// A proposal that the publisher has not answered yet.
 struct Proposed {
     sequence: u64,
     at_unix_ms: u64,
 }
 
-/// The state of the flow.
+/// The state of the phase in which changes are published.
 pub struct Flow<'run> {
     topology: &'run Topology,
     planned: &'run [PlannedTransaction],
     base: PositionLine,
     replay: Replay,
     unanswered: VecDeque<Proposed>,
-    /// The sequence number of the next proposal.
-    next: u64,
-    /// Whether the publisher was killed and has not said yet where it goes on.
+    /// Sequence number of the next proposal.
+    next_sequence: u64,
+    /// Whether the publisher was killed and has not yet reported the head from which it continues.
     publisher_down: bool,
     outages: Vec<Outage>,
-    /// Zones whose process was started again and is not ready.
+    /// Zones whose process was started again and is not ready yet.
     starting_zones: BTreeSet<usize>,
     refused_positions: BTreeSet<PositionLine>,
     rejected: Vec<String>,
     publisher_restart_ms: u64,
 }
 
-/// What a flow leaves behind.
+/// The result of a [`Flow`].
 pub struct FlowRecord {
-    /// What was accepted, with its digests.
+    /// Accepted transactions with the digests that follow from them.
     pub replay: Replay,
-    /// When whom could not be reached.
+    /// Times in which zones were unreachable.
     pub outages: Vec<Outage>,
-    /// The positions that the publisher heard subscribers refuse.
+    /// Positions whose refusal by subscribers reached the publisher.
     pub refused_positions: BTreeSet<PositionLine>,
-    /// What the publisher itself refused, and why.
+    /// Transactions that the publisher rejected, with the reasons.
     pub rejected: Vec<String>,
-    /// From the start of the publisher's process until it went on from its store, ms.
+    /// Time from the start of the publisher's process until it continued from its store, ms.
     pub publisher_restart_ms: u64,
 }
 
 impl<'run> Flow<'run> {
-    /// Begins at the first table, which `replay` holds.
+    /// Creates a flow that begins with the initial table, which `replay` holds.
     pub fn new(
         topology: &'run Topology,
         planned: &'run [PlannedTransaction],
@@ -72,7 +72,7 @@
             base,
             replay,
             unanswered: VecDeque::new(),
-            next: 1,
+            next_sequence: 1,
             publisher_down: false,
             outages: Vec::new(),
             starting_zones: BTreeSet::new(),
@@ -82,10 +82,12 @@
         }
     }
 
-    /// Proposes each transaction at its time and carries out each step at its own, until all are done and answered.
+    /// Proposes each transaction and carries out each step at its time, until all steps are done and all
+    /// proposals answered.
     ///
     /// # Errors
-    /// If a process fails by itself, or the publisher gives no answers within `limit` of the last step.
+    /// Returns an error if a process fails unexpectedly, or the publisher does not answer within `limit` of
+    /// the last step.
     pub fn run(
         &mut self,
         cluster: &mut Cluster,
@@ -99,22 +101,23 @@
         let mut steps: VecDeque<TimedStep> = steps.iter().copied().collect();
         loop {
             let elapsed_ms = u64::try_from(begin.elapsed().as_millis())?;
-            self.take_steps(cluster, &mut steps, elapsed_ms)?;
+            self.run_due_steps(cluster, &mut steps, elapsed_ms)?;
             self.propose_due(cluster, times_ms, elapsed_ms)?;
             if steps.is_empty() && self.is_done(times_ms) {
                 return Ok(());
             }
             ensure!(Instant::now() < deadline, "{} proposals have no answer", self.unanswered.len());
-            let event = cluster.pump(LONGEST_WAIT)?;
-            self.take_event(event)?;
-            self.look_at_restarts(cluster)?;
+            let event = cluster.handle_next_event(MAX_EVENT_WAIT)?;
+            self.handle_event(event)?;
+            self.check_restarts(cluster)?;
         }
     }
 
-    /// Waits until the condition holds, taking what the publisher says meanwhile.
+    /// Waits until the condition holds and handles the publisher's events meanwhile. Returns `false` if it
+    /// does not hold within `limit`.
     ///
     /// # Errors
-    /// If a process fails by itself. A condition that does not hold in time is no error: `false` is returned.
+    /// Returns an error if a process fails unexpectedly.
     pub fn settle(
         &mut self,
         cluster: &mut Cluster,
@@ -126,18 +129,18 @@
             if Instant::now() >= deadline {
                 return Ok(false);
             }
-            let event = cluster.pump(LONGEST_WAIT)?;
-            self.take_event(event)?;
+            let event = cluster.handle_next_event(MAX_EVENT_WAIT)?;
+            self.handle_event(event)?;
         }
         Ok(true)
     }
 
-    /// The newest accepted position.
+    /// Returns the newest accepted position.
     pub fn head(&self) -> PositionLine {
         self.replay.history().head().into()
     }
 
-    /// What is left of it.
+    /// Returns the result.
     pub fn into_record(self) -> FlowRecord {
         FlowRecord {
             replay: self.replay,
@@ -149,7 +152,7 @@
     }
 
     fn is_done(&self, times_ms: &[u64]) -> bool {
-        self.next > times_ms.len() as u64
+        self.next_sequence > times_ms.len() as u64
             && self.unanswered.is_empty()
             && self.starting_zones.is_empty()
             && !self.publisher_down
@@ -157,12 +160,12 @@
 
     fn propose_due(&mut self, cluster: &mut Cluster, times_ms: &[u64], elapsed_ms: u64) -> Result<()> {
         while !self.publisher_down {
-            let Some(&due_ms) = times_ms.get(usize::try_from(self.next)? - 1) else { break };
+            let Some(&due_ms) = times_ms.get(usize::try_from(self.next_sequence)? - 1) else { break };
             if due_ms > elapsed_ms {
                 break;
             }
-            self.propose(cluster, self.next)?;
-            self.next += 1;
+            self.propose(cluster, self.next_sequence)?;
+            self.next_sequence += 1;
         }
         Ok(())
     }
@@ -172,16 +175,16 @@
         cluster.send(NodeId::Publisher, &Command::Propose { sequence })
     }
 
-    fn take_event(&mut self, event: Option<PublisherEvent>) -> Result<()> {
+    fn handle_event(&mut self, event: Option<PublisherEvent>) -> Result<()> {
         match event {
             None => {}
             Some(PublisherEvent::Accepted { sequence, position, proposed_unix_ms }) => {
-                let proposed = self.answered(sequence)?;
-                // The publisher's own time is the later one, and so the better; both are before the acceptance.
+                let proposed = self.take_proposal(sequence)?;
+                // Both times precede the acceptance; the publisher's own is later and so closer to it.
                 self.accept(sequence, position, proposed_unix_ms.max(proposed.at_unix_ms))?;
             }
             Some(PublisherEvent::Rejected { sequence, reason }) => {
-                self.answered(sequence)?;
+                self.take_proposal(sequence)?;
                 self.rejected.push(format!("transaction {sequence}: {reason}"));
             }
             Some(PublisherEvent::Refusals(refusals)) => {
@@ -191,9 +194,13 @@
         Ok(())
     }
 
-    fn answered(&mut self, sequence: u64) -> Result<Proposed> {
-        let oldest = self.unanswered.pop_front().context("an answer to no proposal")?;
-        ensure!(oldest.sequence == sequence, "transaction {} answered by {sequence}", oldest.sequence);
+    fn take_proposal(&mut self, sequence: u64) -> Result<Proposed> {
+        let oldest = self.unanswered.pop_front().context("an answer without a proposal")?;
+        ensure!(
+            oldest.sequence == sequence,
+            "expected the answer to transaction {}, got {sequence}",
+            oldest.sequence
+        );
         Ok(oldest)
     }
 
@@ -205,7 +212,7 @@
         Ok(())
     }
 
-    fn take_steps(
+    fn run_due_steps(
         &mut self,
         cluster: &mut Cluster,
         steps: &mut VecDeque<TimedStep>,
@@ -213,12 +220,12 @@
     ) -> Result<()> {
         while steps.front().is_some_and(|step| step.at_ms <= elapsed_ms) {
             let Some(due) = steps.pop_front() else { break };
-            self.take_step(cluster, due.step).with_context(|| format!("{:?}", due.step))?;
+            self.run_step(cluster, due.step).with_context(|| format!("{:?}", due.step))?;
         }
         Ok(())
     }
 
-    fn take_step(&mut self, cluster: &mut Cluster, step: Step) -> Result<()> {
+    fn run_step(&mut self, cluster: &mut Cluster, step: Step) -> Result<()> {
         match step {
             Step::KillRelay(relay) => cluster.kill(NodeId::Relay(relay)),
             Step::StartRelay(relay) => cluster.start_relay(relay),
@@ -270,21 +277,22 @@
     fn kill_publisher(&mut self, cluster: &mut Cluster) -> Result<()> {
         self.publisher_down = true;
         cluster.kill(NodeId::Publisher)?;
-        // What it accepted before it was killed is in its output still, and counts.
-        let ended = self.settle(cluster, OUTPUT_LIMIT, |cluster| Ok(cluster.has_ended(NodeId::Publisher)))?;
-        ensure!(ended, "the output of the killed publisher does not end");
+        // Its remaining output has the transactions that it accepted before it was killed; they count.
+        let ended =
+            self.settle(cluster, OUTPUT_END_LIMIT, |cluster| Ok(cluster.has_ended(NodeId::Publisher)))?;
+        ensure!(ended, "the output of the killed publisher did not end");
         Ok(())
     }
 
-    fn end_outage(&mut self, is_it: impl Fn(&Outage) -> bool, until_unix_ms: u64) {
-        let open = self.outages.iter_mut().find(|outage| outage.until_unix_ms.is_none() && is_it(outage));
+    fn end_outage(&mut self, is_match: impl Fn(&Outage) -> bool, until_unix_ms: u64) {
+        let open = self.outages.iter_mut().find(|outage| outage.until_unix_ms.is_none() && is_match(outage));
         if let Some(outage) = open {
             outage.until_unix_ms = Some(until_unix_ms);
         }
     }
 
-    /// Takes up what became ready again.
-    fn look_at_restarts(&mut self, cluster: &mut Cluster) -> Result<()> {
+    /// Handles restarted processes that have become ready.
+    fn check_restarts(&mut self, cluster: &mut Cluster) -> Result<()> {
         for zone in self.starting_zones.clone() {
             let node = cluster.node(NodeId::Subscribers(zone))?;
             let Some((ready_unix_ms, _)) = node.ready else { continue };
@@ -297,7 +305,7 @@
             if let Some((ready_unix_ms, head)) = node.ready {
                 self.publisher_down = false;
                 self.publisher_restart_ms = ready_unix_ms.saturating_sub(node.started_unix_ms);
-                self.take_publisher_head(cluster, head)?;
+                self.resume_publisher(cluster, head)?;
             }
         }
         Ok(())
@@ -313,12 +321,19 @@
         }
     }
 
-    /// The publisher goes on at `head`: what it had made durable without an answer is accepted, the rest is proposed again.
-    fn take_publisher_head(&mut self, cluster: &mut Cluster, head: PositionLine) -> Result<()> {
+    /// Continues with the restarted publisher at `head`: transactions that it had made durable without an
+    /// answer are accepted, the others are proposed again.
+    fn resume_publisher(&mut self, cluster: &mut Cluster, head: PositionLine) -> Result<()> {
         let known: PositionLine = self.head();
-        ensure!(head >= known, "the publisher came back at {head:?}, before {known:?} which it accepted");
+        ensure!(
+            head >= known,
+            "the publisher restarted at {head:?}, before {known:?}, which it had accepted"
+        );
         while self.head() < head {
-            let proposed = self.unanswered.pop_front().context("the publisher has more than was proposed")?;
+            let proposed = self
+                .unanswered
+                .pop_front()
+                .context("the publisher has more transactions than were proposed")?;
             let position = self.replay.history().head().next();
             self.accept(proposed.sequence, position.into(), proposed.at_unix_ms)?;
         }
--- a/crates/scale/src/propagation/garbage.rs
+++ b/crates/scale/src/propagation/garbage.rs
@@ -1,4 +1,4 @@
-//! Damaged frames for a listener: bytes that no member of the fleet sends.
+//! Invalid frames for a listener, as no member of the fleet sends them.
 
 use anyhow::{Context, Result};
 use dunlinspread_config_sync::frame::{TAG_BYTES, VERSION};
@@ -6,25 +6,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a connection to a listener may take.
+/// Timeout for connecting to a listener.
 const CONNECT_LIMIT: Duration = Duration::from_secs(2);
 
-/// Sends each kind of damaged frame on a connection of its own.
+/// Sends each kind of invalid frame on a separate connection.
 ///
 /// # Errors
-/// If nobody listens there.
+/// Returns an error if there is no address or the connection fails.
 pub fn send_garbage(addresses: &[SocketAddr]) -> Result<()> {
     let address = addresses.first().context("no address")?;
     for bytes in damaged_frames() {
         let mut stream = TcpStream::connect_timeout(address, CONNECT_LIMIT)
             .with_context(|| format!("connecting to {address}"))?;
-        // The listener may close as soon as it has read enough.
+        // The listener may close the connection as soon as it has read enough.
         let _ = stream.write_all(&bytes);
     }
     Ok(())
 }
 
-/// Plain text, a length beyond all bounds, a version that does not exist, a tag that does not fit, and half a frame.
+/// Returns plain text, a frame whose length exceeds all limits, one of an unknown version, one with a wrong
+/// tag, and a truncated frame.
 fn damaged_frames() -> Vec<Vec<u8>> {
     let wrong_tag = frame(VERSION, &[0x5a; 80]);
     let half = wrong_tag[..wrong_tag.len() / 2].to_vec();
--- a/crates/scale/src/propagation/history.rs
+++ b/crates/scale/src/propagation/history.rs
@@ -1,4 +1,5 @@
-//! What the publisher accepted, and what follows from it: the digest that a table in force must have at each position.
+//! The transactions that the publisher accepted, and the digests that a table in force must therefore have at
+//! each position.
 
 use super::changes::PlannedTransaction;
 use dunlinspread_config_sync::resource::{Digest, Position};
@@ -7,39 +8,40 @@
 /// A transaction that the publisher accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// Its place in the order of proposals.
+    /// Sequence number in the order of proposals.
     pub sequence: u64,
-    /// Its position.
+    /// Position of the transaction.
     pub position: Position,
-    /// When it was proposed to the publisher that accepted it, Unix ms: never later than its acceptance.
+    /// Time of the proposal to the publisher that accepted it, Unix ms; never later than the acceptance.
     pub at_unix_ms: u64,
-    /// Whether the refusing zone refuses it.
+    /// Whether the refusing zone refuses the transaction.
     pub refused: bool,
 }
 
-/// The run as it must have been applied.
+/// The accepted transactions of a run and the digests that subscribers must have.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// The position of the first table.
+    /// Position of the initial table.
     pub base: Position,
-    /// What was accepted after it, in order.
+    /// Transactions accepted after the initial table, in order.
     pub accepted: Vec<Accepted>,
-    /// The digest of the publisher's table at the first table and after each transaction.
+    /// Digests of the publisher's table: the initial one, then that after each transaction.
     pub digests: Vec<Digest>,
-    /// The same for a table from which the refused transactions were kept out.
+    /// The same digests for a table without the refused transactions.
     pub refusing_digests: Vec<Digest>,
-    /// The zone that refuses.
+    /// Zone that refuses transactions.
     pub refusing_zone: usize,
 }
 
 impl History {
-    /// Begins with the first table.
+    /// Creates a history that begins with the initial table.
     pub fn new(base: Position, table: &Table, refusing_zone: usize) -> History {
         let digests = vec![table.digest()];
         History { base, accepted: Vec::new(), refusing_digests: digests.clone(), digests, refusing_zone }
     }
 
-    /// How many transactions had been accepted at a position; none if the publisher was never there.
+    /// Returns the number of transactions accepted up to a position, or none if the publisher never had that
+    /// position.
     pub fn index_of(&self, position: Position) -> Option<usize> {
         if position.epoch != self.base.epoch {
             return None;
@@ -48,24 +50,24 @@
         (index < self.digests.len()).then_some(index)
     }
 
-    /// The digest of what must be in force in a zone after so many transactions.
+    /// Returns the digest that the table in force in a zone must have after `index` transactions.
     pub fn expected(&self, zone: usize, index: usize) -> Digest {
         let digests = if zone == self.refusing_zone { &self.refusing_digests } else { &self.digests };
         digests[index]
     }
 
-    /// Whether a zone's servers keep that transaction out of force.
+    /// Returns whether a zone's servers refuse a transaction.
     pub fn is_refused(&self, zone: usize, accepted: &Accepted) -> bool {
         accepted.refused && zone == self.refusing_zone
     }
 
-    /// The position after the last transaction.
+    /// Returns the position after the last transaction.
     pub fn head(&self) -> Position {
         self.accepted.last().map_or(self.base, |accepted| accepted.position)
     }
 }
 
-/// Replays what was accepted, so that the history has its digests.
+/// Applies the accepted transactions to tables to compute the digests of the history.
 pub struct Replay {
     history: History,
     published: Table,
@@ -73,13 +75,13 @@
 }
 
 impl Replay {
-    /// Begins with the first table.
+    /// Creates a replay that begins with the initial table.
     pub fn new(base: Position, table: Table, refusing_zone: usize) -> Replay {
         let history = History::new(base, &table, refusing_zone);
         Replay { history, refusing: table.clone(), published: table }
     }
 
-    /// Adds the next transaction.
+    /// Adds the next accepted transaction.
     pub fn accept(&mut self, position: Position, at_unix_ms: u64, planned: &PlannedTransaction) {
         self.published.apply(&planned.changes);
         if !planned.refused {
@@ -91,7 +93,7 @@
         self.history.refusing_digests.push(self.refusing.digest());
     }
 
-    /// What was accepted so far.
+    /// Returns the history of the transactions accepted so far.
     pub fn history(&self) -> &History {
         &self.history
     }
--- a/crates/scale/src/propagation/judge.rs
+++ b/crates/scale/src/propagation/judge.rs
@@ -1,14 +1,15 @@
-//! The verdict on a run, from what each subscriber had in force and from nothing else.
+//! The verdict on a run, derived only from what each subscriber had in force.
 //!
 //! | fault | meaning |
 //! | --- | --- |
-//! | lost | a subscriber that can be reached at the end does not have a change in force, and did not refuse it |
+//! | lost | at the end a reachable subscriber does not have a change in force that it did not refuse |
 //! | reordered | a value was put in force after one of a later change |
-//! | torn | the digest of what was in force at a position is not that of the publisher's table there |
-//! | diverged | the whole table at the end, its digest computed anew, is not the publisher's |
+//! | torn | the digest in force at a position differs from that of the publisher's table there |
+//! | diverged | the digest of the whole table at the end, computed anew, differs from the publisher's |
 //! | regressed | a position was put in force after a later one |
 //!
-//! The publisher's table means, for the zone that refuses some transactions, that table without them.
+//! For the zone that refuses some transactions, the publisher's table means that table without these
+//! transactions.
 
 use super::history::History;
 use super::outage::{Cause, Outage};
@@ -17,59 +18,61 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// The longest time that the histogram of latencies tells apart, ms.
-const LONGEST_LATENCY_MS: u64 = 600_000;
-/// Significant digits of that histogram.
+/// Largest value of the latency histogram, ms.
+const MAX_LATENCY_MS: u64 = 600_000;
+/// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 3;
-/// Faults that are explained; further ones are only counted.
-const EXPLAINED: usize = 12;
+/// Maximum number of faults that are described; further ones are only counted.
+const MAX_EXPLAINED_FAULTS: usize = 12;
 
-/// A change that came in force at a subscriber.
+/// A change that was put in force at a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Delivery {
-    /// How long it took, ms.
+    /// Time from the proposal until the change was in force, ms.
     pub latency_ms: u64,
-    /// Which change.
+    /// Sequence number of the change.
     pub sequence: u64,
-    /// When it was proposed, Unix ms.
+    /// Time of the proposal, Unix ms.
     pub published_unix_ms: u64,
-    /// The subscriber, by its number over all zones.
+    /// Number of the subscriber over all zones.
     pub subscriber: usize,
-    /// Its zone.
+    /// Zone of the subscriber.
     pub zone: usize,
 }
 
-/// What was found.
+/// The result of judging a run.
 #[derive(Clone, Debug)]
 pub struct Verdict {
-    /// From acceptance to being in force, ms, for each change at each subscriber that could be reached.
+    /// Time from the proposal of an accepted change until it was in force, ms, for each change at each
+    /// reachable subscriber.
     pub latency_ms: Histogram<u64>,
-    /// The one that took longest.
+    /// Delivery with the highest latency.
     pub slowest: Option<Delivery>,
-    /// The longest time from the end of an outage to having all that was accepted before that end, ms.
+    /// Longest time from the end of an outage until all changes accepted before that end were in force, ms.
     pub heal_ms: u64,
-    /// The longest time from the start of a zone's process to the same, ms.
+    /// Longest time from the start of a zone's process until all changes accepted before the end of its
+    /// outage were in force, ms.
     pub cold_zone_ms: u64,
-    /// Changes at subscribers that don't have them.
+    /// Number of changes missing at subscribers, summed over the subscribers.
     pub lost: u64,
-    /// Updates with a value older than one applied before.
+    /// Number of updates with a value older than one applied before.
     pub reordered: u64,
-    /// Updates after which the table was not the publisher's.
+    /// Number of updates after which the table differed from the publisher's.
     pub torn: u64,
-    /// Subscribers whose whole table is not the publisher's at the end.
+    /// Number of subscribers whose whole table differs from the publisher's at the end.
     pub diverged: u64,
-    /// Updates to an earlier position.
+    /// Number of updates to an earlier position.
     pub regressed: u64,
-    /// Updates that were looked at.
+    /// Number of checked updates.
     pub updates: u64,
-    /// Some of the faults in words.
+    /// Descriptions of the first faults.
     pub faults: Vec<String>,
 }
 
 impl Default for Verdict {
     fn default() -> Self {
-        let latency_ms = Histogram::new_with_max(LONGEST_LATENCY_MS, LATENCY_DIGITS)
-            .expect("these bounds are those of a histogram");
+        let latency_ms =
+            Histogram::new_with_max(MAX_LATENCY_MS, LATENCY_DIGITS).expect("the histogram bounds are valid");
         Verdict {
             latency_ms,
             slowest: None,
@@ -87,19 +90,19 @@
 }
 
 impl Verdict {
-    /// Whether nothing was lost, reordered, torn, diverged or regressed.
+    /// Returns whether no change was lost and no update or table was reordered, torn, diverged or regressed.
     pub fn is_clean(&self) -> bool {
         self.lost + self.reordered + self.torn + self.diverged + self.regressed == 0
     }
 
     fn explain(&mut self, fault: impl FnOnce() -> String) {
-        if self.faults.len() < EXPLAINED {
+        if self.faults.len() < MAX_EXPLAINED_FAULTS {
             self.faults.push(fault());
         }
     }
 }
 
-/// Judges subscribers one by one.
+/// Judges a run, one subscriber at a time.
 pub struct Judge<'run> {
     history: &'run History,
     outages: &'run [Outage],
@@ -108,18 +111,18 @@
 }
 
 impl<'run> Judge<'run> {
-    /// For a run that ended then.
+    /// Creates a judge for a run that ended at `ended_unix_ms`.
     pub fn new(history: &'run History, outages: &'run [Outage], ended_unix_ms: u64) -> Judge<'run> {
         Judge { history, outages, ended_unix_ms, verdict: Verdict::default() }
     }
 
-    /// Judges a subscriber by its observations, those of each life of its process in their order.
-    pub fn subscriber(&mut self, subscriber: usize, zone: usize, lives: &[Vec<Observation>]) {
+    /// Judges a subscriber by its observations, given for each incarnation of its process in order.
+    pub fn subscriber(&mut self, subscriber: usize, zone: usize, incarnations: &[Vec<Observation>]) {
         let mut applied = Applied::new(self.history.accepted.len());
-        for life in lives {
+        for incarnation in incarnations {
             let mut previous: Option<Observation> = None;
             let mut greatest_sequence = None;
-            for observation in life {
+            for observation in incarnation {
                 self.verdict.updates += 1;
                 self.check_order(previous, greatest_sequence, observation);
                 self.check_digest(zone, observation);
@@ -135,24 +138,24 @@
         self.count_lost(subscriber, zone, &applied);
     }
 
-    /// Judges the whole table that a subscriber had in force at the end.
+    /// Judges the whole table that a subscriber had in force at the end of the run.
     pub fn final_table(&mut self, subscriber: usize, zone: usize, position: Position, digest: Digest) {
         let head = self.history.head();
-        let wanted = self.history.expected(zone, self.history.accepted.len());
-        if position != head || digest != wanted {
+        let expected = self.history.expected(zone, self.history.accepted.len());
+        if position != head || digest != expected {
             self.verdict.diverged += 1;
             self.verdict
                 .explain(|| format!("diverged: subscriber {subscriber} ends at {position:?}, head {head:?}"));
         }
     }
 
-    /// A subscriber that gave no table at the end.
+    /// Records a subscriber that reported no table at the end.
     pub fn no_final_table(&mut self, subscriber: usize) {
         self.verdict.diverged += 1;
         self.verdict.explain(|| format!("diverged: subscriber {subscriber} has no table at the end"));
     }
 
-    /// What was found.
+    /// Returns the verdict.
     pub fn into_verdict(self) -> Verdict {
         self.verdict
     }
@@ -197,7 +200,7 @@
         for (accepted, applied_unix_ms) in self.history.accepted.iter().zip(&applied.times) {
             let Some(applied_unix_ms) = *applied_unix_ms else { continue };
             if self.history.is_refused(zone, accepted)
-                || self.met_outage(zone, accepted.at_unix_ms, applied_unix_ms)
+                || self.overlaps_outage(zone, accepted.at_unix_ms, applied_unix_ms)
             {
                 continue;
             }
@@ -209,10 +212,10 @@
         }
     }
 
-    fn met_outage(&self, zone: usize, published_unix_ms: u64, applied_unix_ms: u64) -> bool {
+    fn overlaps_outage(&self, zone: usize, published_unix_ms: u64, applied_unix_ms: u64) -> bool {
         self.outages
             .iter()
-            .any(|outage| outage.zones.contains(&zone) && outage.meets(published_unix_ms, applied_unix_ms))
+            .any(|outage| outage.zones.contains(&zone) && outage.overlaps(published_unix_ms, applied_unix_ms))
     }
 
     fn measure_heals(&mut self, zone: usize, applied: &Applied) {
@@ -244,7 +247,7 @@
     }
 }
 
-/// When each transaction came in force at one subscriber.
+/// Times at which the transactions came in force at one subscriber.
 struct Applied {
     times: Vec<Option<u64>>,
     count: usize,
@@ -255,7 +258,7 @@
         Applied { times: vec![None; transactions], count: 0 }
     }
 
-    /// All transactions before `index` are in force by then.
+    /// Records that all transactions before `index` are in force at `at_unix_ms`.
     fn advance(&mut self, index: usize, at_unix_ms: u64) {
         for time in self.times.iter_mut().take(index).skip(self.count) {
             *time = Some(at_unix_ms);
--- a/crates/scale/src/propagation/mod.rs
+++ b/crates/scale/src/propagation/mod.rs
@@ -1,9 +1,11 @@
-//! The command `propagation`: distribution of configuration at the size of the target fleet, on loopback sockets with the
-//! real publisher, relays and subscribers, while changes flow and faults happen by seed.
+//! The command `propagation`: an experiment that distributes configuration at the size of the target fleet,
+//! on loopback sockets with the real publisher, relays and subscribers, while changes are published and
+//! faults injected by a seed.
 //!
-//! One process is the publisher, one each relay, one the subscribers of each zone, and one the proxy of each region,
-//! through which everything passes that leaves the region. Each subscriber records what it has in force; the verdict
-//! ([`judge`]) follows from these records alone. When a subscriber counts as reachable is said in [`outage`].
+//! The publisher, each relay, the subscribers of each zone and the proxy of each region have a process of
+//! their own. All traffic that leaves a region passes through the region's proxy. Each subscriber records
+//! what it has in force, and the verdict ([`judge`]) follows from these records alone. [`outage`] defines
+//! when a subscriber counts as reachable.
 
 pub mod changes;
 mod cluster;
@@ -36,13 +38,13 @@
 /// Options of `propagation`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Options {
-    /// Hollow subscribers.
+    /// Client-only subscribers.
     #[arg(long, default_value_t = 7_100)]
     pub subscribers: usize,
     /// Relays of both levels.
     #[arg(long, default_value_t = 43)]
     pub relays: usize,
-    /// Real daemons among them, in a zone of their own.
+    /// Real daemons that subscribe as well, in a zone of their own.
     #[arg(long, default_value_t = 0)]
     pub daemons: usize,
     /// Tenants in the table.
@@ -60,16 +62,16 @@
     /// Zones.
     #[arg(long, default_value_t = 16)]
     pub zones: usize,
-    /// Transactions to publish while faults happen.
+    /// Transactions to publish while faults are injected.
     #[arg(long, default_value_t = 480)]
     pub changes: u64,
-    /// Transactions a second between bursts, which have 25 a second.
+    /// Transactions per second between bursts, which have 25 per second.
     #[arg(long, default_value_t = 5.0)]
     pub rate: f64,
     /// Seed of the table, the changes, the faults and all jitter.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The longest time that a change may take to be in force at a subscriber that can be reached, ms.
+    /// Longest allowed time until a change is in force at a reachable subscriber, ms.
     #[arg(long, default_value_t = report::IN_FORCE_LIMIT_MS)]
     pub in_force_limit_ms: u64,
     /// Print JSON on one line.
--- a/crates/scale/src/propagation/node/coordinator_link.rs
+++ b/crates/scale/src/propagation/node/coordinator_link.rs
@@ -1,16 +1,16 @@
-//! The link of a node's process to the coordinator: commands on the standard input, events on the standard output.
+//! The link of a process to the coordinator: commands on standard input, events on standard output.
 
 use crate::propagation::control::{Command, Event};
 use anyhow::{Context, Result};
 use std::io::{BufRead, Lines, StdinLock, Write};
 
-/// The commands on the standard input.
+/// The commands that the process receives on its standard input.
 pub struct Commands {
     lines: Lines<StdinLock<'static>>,
 }
 
 impl Commands {
-    /// Those that this process is sent from now on.
+    /// Reads commands from the standard input of this process.
     pub fn from_standard_input() -> Commands {
         Commands { lines: std::io::stdin().lock().lines() }
     }
@@ -23,13 +23,14 @@
         let line = self.lines.next()?;
         Some(
             line.context("reading commands").and_then(|line| {
-                serde_json::from_str(&line).with_context(|| format!("not a command: {line}"))
+                serde_json::from_str(&line).with_context(|| format!("invalid command: {line}"))
             }),
         )
     }
 }
 
-/// Tells the coordinator; if it is gone, so is this process soon.
+/// Sends an event to the coordinator. Write errors are ignored: without the coordinator, standard input ends
+/// as well and this process exits.
 pub fn emit(event: &Event) {
     let Ok(mut line) = serde_json::to_vec(event) else { return };
     line.push(b'\n');
--- a/crates/scale/src/propagation/node/file_log.rs
+++ b/crates/scale/src/propagation/node/file_log.rs
@@ -1,4 +1,4 @@
-//! The log of a process: a line for each message in a file of the run's directory.
+//! The log of a process: one line per message, in a file of the run's directory.
 
 use anyhow::{Context, Result};
 use slog::{Drain, KV, Logger, OwnedKVList, Record, Serializer};
@@ -8,10 +8,10 @@
 use std::path::Path;
 use std::sync::Mutex;
 
-/// A logger that appends to a file.
+/// Returns a logger that appends to a file.
 pub fn file_logger(path: &Path) -> Result<Logger> {
     let file = OpenOptions::new().create(true).append(true).open(path);
-    let file = file.with_context(|| format!("the log {}", path.display()))?;
+    let file = file.with_context(|| format!("opening the log {}", path.display()))?;
     Ok(Logger::root(FileDrain { file: Mutex::new(file) }.ignore_res(), slog::o!()))
 }
 
--- a/crates/scale/src/propagation/node/mod.rs
+++ b/crates/scale/src/propagation/node/mod.rs
@@ -1,4 +1,5 @@
-//! The processes of a run: each reads its setup and then commands from its standard input, and ends with it.
+//! The processes of a run. Each reads its setup and then commands from its standard input, and exits when the
+//! input ends.
 
 mod coordinator_link;
 mod file_log;
@@ -12,10 +13,10 @@
 use anyhow::{Context, Result, bail};
 use coordinator_link::{Commands, emit};
 
-/// Runs the process that the first command describes.
+/// Runs the process that the first command sets up.
 ///
 /// # Errors
-/// If it can't go on; the coordinator is told as well.
+/// Returns an error if the process can't continue; the error is also sent to the coordinator as an event.
 pub fn run() -> Result<()> {
     let result = run_role();
     if let Err(error) = &result {
@@ -26,7 +27,7 @@
 
 fn run_role() -> Result<()> {
     let mut commands = Commands::from_standard_input();
-    match commands.next().context("no setup")?? {
+    match commands.next().context("standard input ended before the setup")?? {
         Command::Publisher(setup) => publisher::run(&setup, commands),
         Command::Relay(setup) => relay::run(&setup, commands),
         Command::Subscribers(setup) => subscribers::run(&setup, commands),
--- a/crates/scale/src/propagation/node/proxy.rs
+++ b/crates/scale/src/propagation/node/proxy.rs
@@ -1,4 +1,4 @@
-//! The process of a region's proxy.
+//! The process of the proxy of a region.
 
 use super::coordinator_link::{Commands, emit};
 use crate::propagation::control::{Command, Event, ProxySetup};
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Descriptors for passing connections, two each.
+/// Number of descriptors for forwarded connections, two for each connection.
 const DESCRIPTORS: usize = 9_000;
 
 pub fn run(setup: &ProxySetup, commands: Commands) -> Result<()> {
--- a/crates/scale/src/propagation/node/publisher.rs
+++ b/crates/scale/src/propagation/node/publisher.rs
@@ -15,12 +15,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// Transactions of the first table that are under way at once.
+/// Maximum number of unanswered transactions while the initial table is published.
 const BASE_WINDOW: usize = 8;
-/// How often refusals are asked for.
+/// Interval at which refusals are read from the publisher.
 const REFUSALS_PERIOD: Duration = Duration::from_millis(200);
 
-/// A proposal whose answer is awaited.
+/// A submitted proposal with its pending answer.
 struct Submitted {
     sequence: u64,
     proposed_unix_ms: u64,
@@ -40,9 +40,9 @@
     let node = Arc::new(node);
     let planned = planned_transactions(run.shape(), run.seed, run.changes);
     let (submitted, answers) = channel();
-    thread::spawn(move || tell_answers(&answers));
-    let refusing = node.clone();
-    thread::spawn(move || tell_refusals(&refusing));
+    thread::spawn(move || report_answers(&answers));
+    let refusal_source = node.clone();
+    thread::spawn(move || report_refusals(&refusal_source));
     emit(&Event::Ready { head: node.head().into() });
     for command in commands {
         match command? {
@@ -62,17 +62,17 @@
 }
 
 fn publish_base(node: &PublisherNode, setup: &PublisherSetup) -> Result<()> {
-    let mut under_way: VecDeque<Pending> = VecDeque::new();
+    let mut unanswered: VecDeque<Pending> = VecDeque::new();
     for changes in base_transactions(setup.run.shape(), setup.run.seed) {
-        if under_way.len() == BASE_WINDOW {
-            if let Some(oldest) = under_way.pop_front() {
-                oldest.wait().context("publishing the first table")?;
+        if unanswered.len() == BASE_WINDOW {
+            if let Some(oldest) = unanswered.pop_front() {
+                oldest.wait().context("publishing the initial table")?;
             }
         }
-        under_way.push_back(node.submit(changes));
+        unanswered.push_back(node.submit(changes));
     }
-    for pending in under_way {
-        pending.wait().context("publishing the first table")?;
+    for pending in unanswered {
+        pending.wait().context("publishing the initial table")?;
     }
     Ok(())
 }
@@ -85,7 +85,7 @@
     Ok(Submitted { sequence, proposed_unix_ms, pending })
 }
 
-fn tell_answers(answers: &Receiver<Submitted>) {
+fn report_answers(answers: &Receiver<Submitted>) {
     for Submitted { sequence, proposed_unix_ms, pending } in answers {
         emit(&match pending.wait() {
             Ok(position) => Event::Accepted { sequence, position: position.into(), proposed_unix_ms },
@@ -94,7 +94,7 @@
     }
 }
 
-fn tell_refusals(node: &PublisherNode) {
+fn report_refusals(node: &PublisherNode) {
     loop {
         thread::sleep(REFUSALS_PERIOD);
         let refusals = node.take_refusals();
--- a/crates/scale/src/propagation/node/relay.rs
+++ b/crates/scale/src/propagation/node/relay.rs
@@ -10,7 +10,7 @@
 use dunlinspread_config_sync::message::{Member, Role};
 use dunlinspread_config_sync::net::{RelayNode, RelayNodeSettings};
 
-/// A region's relay has no zone of its own.
+/// Zone name of a region's relay, which is in no zone.
 const NO_ZONE: &str = "none";
 
 pub fn run(setup: &RelaySetup, commands: Commands) -> Result<()> {
--- a/crates/scale/src/propagation/node/subscribers.rs
+++ b/crates/scale/src/propagation/node/subscribers.rs
@@ -1,4 +1,5 @@
-//! The process of a zone's hollow subscribers: the real client code of each, one table for all, no round server.
+//! The process of a zone's client-only subscribers. Each runs the real client code, without a daemon around
+//! it; all share one table.
 
 use super::coordinator_link::{Commands, emit};
 use super::file_log::file_logger;
@@ -26,36 +27,36 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Subscribers that reach their region through the proxy, where frames are damaged.
-const EXPOSED: std::ops::Range<usize> = 0..2;
-/// The subscriber that keeps its state on disk, and begins with nothing the first time.
-const KEEPER: usize = 2;
-/// Another that begins with nothing the first time.
-const EMPTY: usize = 3;
-/// How long subscribers may take to be connected at the start.
+/// Indexes of the subscribers that reach the relays of their region through the proxy, which damages frames.
+const EXPOSED_INDICES: std::ops::Range<usize> = 0..2;
+/// Index of the subscriber that keeps its state on disk and has no state at the first start.
+const PERSISTENT_INDEX: usize = 2;
+/// Index of another subscriber that has no state at the first start.
+const INITIALLY_EMPTY_INDEX: usize = 3;
+/// Maximum time for subscribers to connect at the start.
 const CONNECT_LIMIT: Duration = Duration::from_secs(120);
-/// How often that is looked at.
+/// Interval between checks of the subscribers' connections.
 const CONNECT_POLL: Duration = Duration::from_millis(20);
 
 pub fn run(setup: &SubscribersSetup, commands: Commands) -> Result<()> {
     let zone = Zone::new(setup)?;
-    let kept = zone.kept_state()?;
+    let kept_state = zone.kept_state()?;
     let executor = Arc::new(Executor::new());
     let runner = executor.clone();
     thread::spawn(move || async_io::block_on(runner.run(future::pending::<()>())));
 
     let (resumed, others): (Vec<usize>, Vec<usize>) =
-        (0..zone.subscribers()).partition(|&index| kept.is_some() && zone.resumes(index));
+        (0..zone.subscribers()).partition(|&index| kept_state.is_some() && zone.resumes_kept_state(index));
     let before_kb = resident_kb();
-    let mut handles = zone.start(&resumed, kept.as_ref(), &executor)?;
-    if setup.life == 0 {
+    let mut handles = zone.start(&resumed, kept_state.as_ref(), &executor)?;
+    if setup.incarnation == 0 {
         wait_connected(&handles)?;
     }
-    let started_kb = resident_kb().saturating_sub(before_kb);
+    let start_growth_kb = resident_kb().saturating_sub(before_kb);
     handles.extend(zone.start(&others, None, &executor)?);
-    drop(kept);
+    drop(kept_state);
 
-    let mut usage = UsageMeter::start(started_kb);
+    let mut usage = UsageMeter::start(start_growth_kb);
     emit(&Event::Ready { head: least_in_force(&handles).into() });
     for command in commands {
         match command? {
@@ -69,7 +70,7 @@
     Ok(())
 }
 
-/// The subscribers of a zone while they are started.
+/// Starts the subscribers of a zone.
 struct Zone<'run> {
     setup: &'run SubscribersSetup,
     servers: Vec<Server>,
@@ -99,11 +100,12 @@
         self.setup.run.topology.zone_subscribers[self.setup.zone]
     }
 
-    /// The last good state of those that have one: the first table at first, then what the keeper has on disk. None if
-    /// the keeper had come to nothing.
+    /// Returns the last good state of the subscribers that have one: the initial table at the first start,
+    /// later the state that the persistent subscriber has on disk. Returns none if that subscriber had not
+    /// stored a state.
     fn kept_state(&self) -> Result<Option<PersistedState>> {
-        if self.setup.life > 0 {
-            return self.state_on_disk().context("the state on disk");
+        if self.setup.incarnation > 0 {
+            return self.state_on_disk().context("reading the state on disk");
         }
         let mut mirror = Table::new();
         for changes in base_transactions(self.setup.run.shape(), self.setup.run.seed) {
@@ -113,51 +115,60 @@
         Ok(Some(PersistedState { position, mirror, ..PersistedState::default() }))
     }
 
-    /// Reads what the keeper keeps; the store is closed again before the keeper opens it.
+    /// Reads the state of the persistent subscriber. The store is closed again before the subscriber opens
+    /// it.
     fn state_on_disk(&self) -> Result<Option<PersistedState>> {
         let disk = Arc::new(RealDisk::new(&self.setup.state)?);
-        let (store, state) = StateStore::open(disk, &subscriber_name(self.number(KEEPER)))?;
+        let (store, state) = StateStore::open(disk, &subscriber_name(self.number(PERSISTENT_INDEX)))?;
         store.close()?;
         Ok(state)
     }
 
-    /// A subscriber's number over all zones.
+    /// Returns the number of a subscriber over all zones.
     fn number(&self, index: usize) -> usize {
         self.setup.run.topology.first_subscriber(self.setup.zone) + index
     }
 
-    /// Whether a subscriber goes on from the kept state that all share. The keeper reads its own from disk.
-    fn resumes(&self, index: usize) -> bool {
-        let begins_empty = self.setup.life == 0 && index == EMPTY;
-        index != KEEPER && !begins_empty
+    /// Returns whether a subscriber resumes from the shared kept state. The persistent subscriber reads its
+    /// own state from disk.
+    fn resumes_kept_state(&self, index: usize) -> bool {
+        let starts_empty = self.setup.incarnation == 0 && index == INITIALLY_EMPTY_INDEX;
+        index != PERSISTENT_INDEX && !starts_empty
     }
 
     fn start(
         &self,
         indices: &[usize],
-        kept: Option<&PersistedState>,
+        kept_state: Option<&PersistedState>,
         executor: &Executor<'static>,
     ) -> Result<Vec<SubscriberHandle>> {
-        indices.iter().map(|&index| self.start_subscriber(index, kept, executor)).collect()
+        indices.iter().map(|&index| self.start_subscriber(index, kept_state, executor)).collect()
     }
 
     fn start_subscriber(
         &self,
         index: usize,
-        kept: Option<&PersistedState>,
+        kept_state: Option<&PersistedState>,
         executor: &Executor<'static>,
     ) -> Result<SubscriberHandle> {
         let number = self.number(index);
         let settings = self.client_settings(index, number);
         let (judge, observer) = (self.judge(), self.observer.observer(index));
         let tables = Some(self.tables.clone());
-        let (task, handle) = match kept {
+        let (task, handle) = match kept_state {
             None => SubscriberTask::new(settings, judge, observer, tables, self.log.clone()),
-            Some(kept) => {
-                let mut in_force = kept.mirror.clone();
-                in_force.apply(&kept.held_back);
-                self.observer.begin(index, kept.position, in_force);
-                SubscriberTask::resume(settings, judge, observer, tables, self.log.clone(), kept.clone())
+            Some(kept_state) => {
+                let mut in_force = kept_state.mirror.clone();
+                in_force.apply(&kept_state.held_back);
+                self.observer.begin(index, kept_state.position, in_force);
+                SubscriberTask::resume(
+                    settings,
+                    judge,
+                    observer,
+                    tables,
+                    self.log.clone(),
+                    kept_state.clone(),
+                )
             }
         }
         .with_context(|| subscriber_name(number))?;
@@ -167,7 +178,7 @@
 
     fn client_settings(&self, index: usize, number: usize) -> ClientSettings {
         let setup = self.setup;
-        let servers = if EXPOSED.contains(&index) { &self.exposed_servers } else { &self.servers };
+        let servers = if EXPOSED_INDICES.contains(&index) { &self.exposed_servers } else { &self.servers };
         ClientSettings {
             member: Member {
                 name: subscriber_name(number).into(),
@@ -177,8 +188,8 @@
             },
             servers: servers.clone(),
             fleet_key: setup.run.fleet_key.clone().into_bytes(),
-            state_directory: (index == KEEPER).then(|| setup.state.clone()),
-            seed: setup.run.seed ^ (number as u64) << 16 ^ u64::from(setup.life) << 48,
+            state_directory: (index == PERSISTENT_INDEX).then(|| setup.state.clone()),
+            seed: setup.run.seed ^ (number as u64) << 16 ^ u64::from(setup.incarnation) << 48,
         }
     }
 
@@ -188,7 +199,7 @@
     }
 }
 
-/// Refuses, in one zone, limits that are more than its servers can run.
+/// Refuses, in the refusing zone, class limits above what its servers can run.
 struct LimitJudge {
     refuses: bool,
 }
@@ -209,11 +220,11 @@
     handles.iter().map(|handle| handle.status().in_force).min().unwrap_or_default()
 }
 
-/// Waits until all have a connection, so that its memory is counted.
+/// Waits until all subscribers are connected, so that the memory of the connections is counted.
 fn wait_connected(handles: &[SubscriberHandle]) -> Result<()> {
     let deadline = Instant::now() + CONNECT_LIMIT;
     while handles.iter().any(|handle| handle.status().connections == 0) {
-        ensure!(Instant::now() < deadline, "not connected within {} s", CONNECT_LIMIT.as_secs());
+        ensure!(Instant::now() < deadline, "subscribers not connected within {} s", CONNECT_LIMIT.as_secs());
         thread::sleep(CONNECT_POLL);
     }
     Ok(())
--- a/crates/scale/src/propagation/node/zone_observer.rs
+++ b/crates/scale/src/propagation/node/zone_observer.rs
@@ -1,5 +1,6 @@
-//! What the hollow subscribers of a zone have in force. Each puts its updates into a table of its own, apart from the
-//! mirror that the code under test keeps; equal tables then share their memory.
+//! Records what the client-only subscribers of a zone have in force. The updates of each subscriber are
+//! applied to a table of its own, separate from the mirror that the code under test keeps. Equal tables then
+//! share their memory.
 
 use crate::propagation::control::{DigestLine, PositionLine};
 use crate::propagation::dataset::sequence_of;
@@ -13,10 +14,10 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Tables that are kept for others to share.
-const KEPT_TABLES: usize = 256;
+/// Maximum number of distinct tables that are kept for sharing.
+const MAX_SHARED_TABLES: usize = 256;
 
-/// The tables in force in a zone.
+/// Observes the tables in force in a zone and writes the observations.
 #[derive(Clone)]
 pub struct ZoneObserver {
     state: Arc<Mutex<State>>,
@@ -26,10 +27,10 @@
 struct State {
     writer: ObservationWriter,
     servers: Vec<ServerState>,
-    /// The newest distinct tables.
+    /// Most recent distinct tables, which subscribers with equal tables share.
     shared: VecDeque<Table>,
-    /// Steps that several take; apart from those of the mirrors.
-    steps: SharedSteps,
+    /// Table updates shared by several subscribers, separate from those of the mirrors.
+    shared_steps: SharedSteps,
 }
 
 #[derive(Clone, Default)]
@@ -40,14 +41,15 @@
 }
 
 impl ZoneObserver {
-    /// For so many subscribers, of which the first has that number over all zones.
+    /// Creates an observer of `subscribers` subscribers; `first_subscriber` is the number of the first over
+    /// all zones.
     pub fn new(writer: ObservationWriter, first_subscriber: usize, subscribers: usize) -> ZoneObserver {
         let servers = vec![ServerState::default(); subscribers];
-        let state = State { writer, servers, shared: VecDeque::new(), steps: SharedSteps::default() };
+        let state = State { writer, servers, shared: VecDeque::new(), shared_steps: SharedSteps::default() };
         ZoneObserver { state: Arc::new(Mutex::new(state)), first_subscriber }
     }
 
-    /// A subscriber begins with this table in force.
+    /// Records that a subscriber begins with this table in force.
     pub fn begin(&self, index: usize, position: Position, table: Table) {
         let mut state = self.state();
         let digest = table.digest();
@@ -64,12 +66,12 @@
         state.write(&observation);
     }
 
-    /// The observer of one subscriber.
+    /// Returns the observer of one subscriber.
     pub fn observer(&self, index: usize) -> Box<dyn Observer> {
         Box::new(ServerObserver { zone: self.clone(), index })
     }
 
-    /// The position and the digest, computed anew from its resources, of each table in force.
+    /// Returns the position of each table in force and its digest, computed anew from its resources.
     pub fn verified_tables(&self) -> Vec<(PositionLine, DigestLine)> {
         let servers = self.state().servers.clone();
         let mut computed: Vec<(Table, Digest)> = Vec::new();
@@ -89,13 +91,13 @@
 
     fn put_in_force(&self, index: usize, update: &Update) {
         let mut state = self.state();
-        let State { servers, steps, .. } = &mut *state;
+        let State { servers, shared_steps, .. } = &mut *state;
         let server = &mut servers[index];
         let initial = !std::mem::replace(&mut server.started, true);
         server.position = update.position;
-        steps.apply(&mut server.table, &update.changes);
+        shared_steps.apply(&mut server.table, &update.changes);
         let digest = server.table.digest();
-        state.share(index, digest);
+        state.deduplicate(index, digest);
         let sequences = || update.changes.iter().filter_map(sequence_of);
         let observation = Observation {
             subscriber: self.number(index),
@@ -119,14 +121,15 @@
 }
 
 impl State {
-    /// A table that others have as well takes the memory of one.
-    fn share(&mut self, index: usize, digest: Digest) {
+    /// Replaces a subscriber's table by an equal one that is already kept, so that equal tables share
+    /// memory.
+    fn deduplicate(&mut self, index: usize, digest: Digest) {
         let table = &mut self.servers[index].table;
         if let Some(known) = self.shared.iter().rev().find(|known| known.digest() == digest) {
             *table = known.clone();
             return;
         }
-        if self.shared.len() == KEPT_TABLES {
+        if self.shared.len() == MAX_SHARED_TABLES {
             self.shared.pop_front();
         }
         self.shared.push_back(table.clone());
@@ -134,14 +137,15 @@
 
     fn write(&mut self, observation: &Observation) {
         if let Err(error) = self.writer.write(observation) {
-            // Without its records the run can't be judged: the coordinator sees this process end.
-            eprintln!("dunlinspread-scale: observations: {error}");
+            // The run can't be judged without these records. The coordinator notices that this process has
+            // exited.
+            eprintln!("dunlinspread-scale: writing observations: {error}");
             std::process::exit(1);
         }
     }
 }
 
-/// The observer of one subscriber.
+/// Observes one subscriber of a zone.
 struct ServerObserver {
     zone: ZoneObserver,
     index: usize,
--- a/crates/scale/src/propagation/record.rs
+++ b/crates/scale/src/propagation/record.rs
@@ -1,5 +1,5 @@
-//! What each subscriber had in force, and when: records of a fixed length in a file for each life of a zone's process,
-//! written at once so that they outlive a kill.
+//! Records of what each subscriber had in force, and when. They have a fixed length, and each incarnation of
+//! a zone's process writes a file of them, unbuffered so that they survive a kill.
 
 use anyhow::{Context, Result};
 use dunlinspread_config_sync::resource::{Digest, Position};
@@ -7,25 +7,25 @@
 use std::io::{Read, Write};
 use std::path::Path;
 
-/// The length of a record.
+/// Length of a record, bytes.
 const RECORD_BYTES: usize = 64;
 
 /// One update that a subscriber put in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// The subscriber, by its number over all zones.
+    /// Number of the subscriber over all zones.
     pub subscriber: u32,
-    /// Whether this is the state that it began with.
+    /// Whether this is the state with which the subscriber began.
     pub initial: bool,
-    /// The position that came in force.
+    /// Position that was put in force.
     pub position: Position,
-    /// The digest of the whole table that was in force then.
+    /// Digest of the whole table that was then in force.
     pub digest: Digest,
-    /// When, Unix ms.
+    /// Time of the update, Unix ms.
     pub at_unix_ms: u64,
-    /// The least sequence number among the values that were put in force; none if no value carried one.
+    /// Lowest sequence number among the values put in force; none if no value carried one.
     pub least_sequence: Option<u64>,
-    /// The greatest.
+    /// Highest sequence number among the values put in force; none if no value carried one.
     pub greatest_sequence: Option<u64>,
 }
 
@@ -44,64 +44,65 @@
     }
 
     fn decode(record: &[u8]) -> Observation {
-        let word = |at: usize| u64::from_le_bytes(std::array::from_fn(|index| record[at + index]));
-        let half = |at: usize| u32::from_le_bytes(std::array::from_fn(|index| record[at + index]));
+        let u64_at = |offset: usize| u64::from_le_bytes(std::array::from_fn(|index| record[offset + index]));
+        let u32_at = |offset: usize| u32::from_le_bytes(std::array::from_fn(|index| record[offset + index]));
         Observation {
-            subscriber: half(0),
-            initial: half(4) != 0,
-            position: Position { epoch: word(8), revision: word(16) },
-            digest: Digest(u128::from(word(24)) | u128::from(word(32)) << 64),
-            at_unix_ms: word(40),
-            least_sequence: decode_sequence(word(48)),
-            greatest_sequence: decode_sequence(word(56)),
+            subscriber: u32_at(0),
+            initial: u32_at(4) != 0,
+            position: Position { epoch: u64_at(8), revision: u64_at(16) },
+            digest: Digest(u128::from(u64_at(24)) | u128::from(u64_at(32)) << 64),
+            at_unix_ms: u64_at(40),
+            least_sequence: decode_sequence(u64_at(48)),
+            greatest_sequence: decode_sequence(u64_at(56)),
         }
     }
 }
 
-/// No sequence number is this one.
+/// Encoding of an absent sequence number.
 const NO_SEQUENCE: u64 = u64::MAX;
 
 fn encode_sequence(sequence: Option<u64>) -> u64 {
     sequence.unwrap_or(NO_SEQUENCE)
 }
 
-fn decode_sequence(word: u64) -> Option<u64> {
-    (word != NO_SEQUENCE).then_some(word)
+fn decode_sequence(encoded: u64) -> Option<u64> {
+    (encoded != NO_SEQUENCE).then_some(encoded)
 }
 
-/// Writes observations.
+/// Writes observations to a file.
 pub struct ObservationWriter {
     file: File,
 }
 
 impl ObservationWriter {
-    /// A new file.
+    /// Creates the file.
     ///
     /// # Errors
-    /// If it can't be made.
+    /// Returns an error if the file can't be created.
     pub fn create(path: &Path) -> Result<ObservationWriter> {
-        let file = File::create(path).with_context(|| format!("observations in {}", path.display()))?;
+        let file =
+            File::create(path).with_context(|| format!("creating the observations {}", path.display()))?;
         Ok(ObservationWriter { file })
     }
 
-    /// Adds one.
+    /// Appends an observation.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// Returns the error of the write.
     pub fn write(&mut self, observation: &Observation) -> std::io::Result<()> {
         self.file.write_all(&observation.encode())
     }
 }
 
-/// Reads the observations of one life of a zone's process, in the order in which they were made. What a kill cut off in
-/// the middle of a record is left out.
+/// Reads the observations of one incarnation of a zone's process, in the order in which they were made. An
+/// incomplete record at the end, left by a kill, is skipped.
 ///
 /// # Errors
-/// If the file can't be read.
+/// Returns an error if the file can't be read.
 pub fn read_observations(path: &Path) -> Result<Vec<Observation>> {
     let mut bytes = Vec::new();
     File::open(path)
         .and_then(|mut file| file.read_to_end(&mut bytes))
-        .with_context(|| format!("observations in {}", path.display()))?;
+        .with_context(|| format!("reading the observations {}", path.display()))?;
     Ok(bytes.chunks_exact(RECORD_BYTES).map(Observation::decode).collect())
 }
--- a/crates/scale/src/propagation/report.rs
+++ b/crates/scale/src/propagation/report.rs
@@ -1,4 +1,4 @@
-//! What a run prints.
+//! The report that a run prints.
 
 use super::control::Usage;
 use super::faults::TimedStep;
@@ -6,97 +6,99 @@
 use super::topology::Shape;
 use serde::Serialize;
 
-/// The longest time in which a change may come in force at a subscriber that can be reached, ms.
+/// Default limit of the time until a change is in force at a reachable subscriber, ms.
 pub const IN_FORCE_LIMIT_MS: u64 = 6_000;
 
 /// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct PropagationReport {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Subscribers.
+    /// Number of client-only subscribers.
     pub subscribers: usize,
-    /// Relays.
+    /// Number of relays.
     pub relays: usize,
-    /// Real daemons among the subscribers.
+    /// Number of real daemons that subscribe as well.
     pub daemons: usize,
-    /// Memory of the largest daemon, KB.
+    /// Resident memory of the largest daemon, KB.
     pub daemon_kb_max: u64,
-    /// Changes that the publisher accepted, as transactions, besides those of the first table.
+    /// Number of transactions that the publisher accepted, without those of the initial table.
     pub changes: usize,
-    /// From the proposal of a change to its being in force at a subscriber that can be reached: half of all are below.
+    /// Median time from the proposal of a change until it was in force at a reachable subscriber, ms.
     pub in_force_ms_p50: u64,
-    /// 99 in 100 are below.
+    /// 99th percentile of the time until a change was in force, ms.
     pub in_force_ms_p99: u64,
-    /// The longest.
+    /// Maximum time until a change was in force, ms.
     pub in_force_ms_max: u64,
-    /// The longest time from the end of an outage until a subscriber had all that was accepted before that end.
+    /// Longest time from the end of an outage until a subscriber had all changes accepted before that end in
+    /// force, ms.
     pub heal_ms_max: u64,
-    /// The longest such time of the zone whose subscribers were restarted, from the start of their process.
+    /// Longest time from the start of a restarted zone's process until a subscriber had all changes accepted
+    /// before the end of the outage in force, ms.
     pub cold_zone_ms: u64,
-    /// Bytes received and sent by a subscriber in a second, on average, on the wire with headers.
+    /// Mean bytes per second that a subscriber received and sent on the wire, with headers.
     pub bytes_per_second_subscriber: f64,
-    /// The same of a relay, on average over the relays.
+    /// Mean bytes per second that a relay received and sent on the wire, with headers.
     pub bytes_per_second_relay: f64,
-    /// Part of a core that a subscriber needs, with its part of the recording.
+    /// Mean share of a core that a subscriber used, including its share of the recording.
     pub cpu_share_subscriber: f64,
-    /// Part of a core that a relay needs, on average.
+    /// Mean share of a core that a relay used.
     pub cpu_share_relay: f64,
-    /// The part of a core of the busiest relay.
+    /// Share of a core that the busiest relay used.
     pub cpu_share_relay_max: f64,
-    /// Memory of a subscriber beyond the table, which the subscribers of a process share, KB: what it takes when it is
-    /// connected, and what the process grew by while changes flowed.
+    /// Memory of a subscriber without the table, which the subscribers of a process share, KB: growth of the
+    /// process when the subscribers connected and while changes were published.
     pub kb_per_subscriber: f64,
-    /// Memory of a relay, KB, the largest.
+    /// Resident memory of the largest relay, KB.
     pub kb_relay_max: u64,
-    /// Changes at subscribers that don't have them at the end.
+    /// Number of changes missing at subscribers at the end, summed over the subscribers.
     pub lost: u64,
-    /// Updates with an older value than one applied before.
+    /// Number of updates with a value older than one applied before.
     pub reordered: u64,
-    /// Updates after which the table was not the publisher's.
+    /// Number of updates after which the table differed from the publisher's.
     pub torn: u64,
-    /// Subscribers whose whole table is not the publisher's at the end.
+    /// Number of subscribers whose whole table differs from the publisher's at the end.
     pub diverged: u64,
-    /// Updates to an earlier position.
+    /// Number of updates to an earlier position.
     pub regressed: u64,
-    /// Transactions of which the publisher heard that subscribers refused them.
+    /// Number of transactions whose refusal by subscribers reached the publisher.
     pub refused: usize,
-    /// Transactions that one zone's servers had to refuse.
+    /// Number of transactions that the servers of one zone had to refuse.
     pub refused_expected: usize,
-    /// Connections that subscribers and relays closed for a bad frame.
+    /// Number of connections that subscribers and relays closed because of a bad frame.
     pub bad_frames: u64,
-    /// Snapshots that subscribers applied.
+    /// Number of snapshots that subscribers applied.
     pub snapshots: u64,
-    /// Faults that happened.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Their steps in their order.
+    /// Steps of the faults in their order.
     pub fault_steps: Vec<FaultLine>,
-    /// The change that took longest, and its time in ms after the first.
+    /// Slowest delivery, with its proposal time in ms after the first change.
     pub slowest: Option<(u64, Delivery)>,
-    /// Whether all that must hold held.
+    /// Whether all requirements were met.
     pub ok: bool,
-    /// What did not.
+    /// Requirements that were not met.
     pub failures: Vec<String>,
-    /// Updates that were judged.
+    /// Number of checked updates.
     pub updates: u64,
-    /// How long the changes flowed, s.
+    /// Duration of the phase in which changes were published, s.
     pub flow_seconds: f64,
-    /// From the start of the publisher's second process until it went on from its store, ms.
+    /// Time from the start of the publisher's second process until it continued from its store, ms.
     pub publisher_restart_ms: u64,
-    /// How long it took until all processes had the first table, s.
+    /// Time until all processes had the initial table, s.
     pub start_seconds: f64,
-    /// Processes that were there at the same time.
+    /// Number of concurrent processes, including the coordinator.
     pub processes: usize,
-    /// Resident memory of relays and subscribers together, MB.
+    /// Total resident memory of relays and subscribers, MB.
     pub memory_mb: u64,
 }
 
-/// A step of the faults.
+/// A step of the fault schedule.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultLine {
-    /// When, ms after the first change.
+    /// Time of the step, ms after the first change.
     pub at_ms: u64,
-    /// What.
+    /// Step that was carried out.
     pub step: super::faults::Step,
 }
 
@@ -106,15 +108,16 @@
     }
 }
 
-/// What the processes of one kind used. Those that were started again during the run count for what they met alone:
-/// their shares and rates would be those of a start.
+/// Summed resource usage of the processes of one kind. Processes that were restarted during the run count
+/// only towards bad frames, snapshots and resident memory, because their CPU shares and rates would be
+/// those of a start.
 #[derive(Clone, Debug, Default)]
 pub struct UsageSummary {
     members: f64,
-    shares: f64,
-    largest_share: f64,
+    cpu_shares: f64,
+    largest_cpu_share: f64,
     bytes_per_second: f64,
-    kb: f64,
+    subscribers_kb: f64,
     largest_kb: u64,
     resident_kb: u64,
     bad_frames: u64,
@@ -122,7 +125,7 @@
 }
 
 impl UsageSummary {
-    /// Adds a process that stands for so many members.
+    /// Adds a process that runs `members` members.
     pub fn add(&mut self, usage: &Usage, members: usize, was_restarted: bool) {
         let traffic = usage.traffic;
         self.bad_frames += traffic.bad_frames;
@@ -135,70 +138,72 @@
         let wall_ms = usage.wall_ms.max(1) as f64;
         let share = usage.cpu_ms / wall_ms;
         self.members += members as f64;
-        self.shares += share;
-        self.largest_share = self.largest_share.max(share);
+        self.cpu_shares += share;
+        self.largest_cpu_share = self.largest_cpu_share.max(share);
         self.bytes_per_second += traffic.wire_bytes() as f64 * 1e3 / wall_ms;
-        self.kb += usage.subscribers_kb as f64;
+        self.subscribers_kb += usage.subscribers_kb as f64;
     }
 
-    fn each(&self, total: f64) -> f64 {
+    fn per_member(&self, total: f64) -> f64 {
         total / self.members.max(1.0)
     }
 }
 
-/// What a report is made of besides the verdict.
+/// The data of a report besides the verdict.
 pub struct Measured {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The sizes.
+    /// Sizes of the run.
     pub shape: Shape,
-    /// Real daemons.
+    /// Number of real daemons.
     pub daemons: usize,
-    /// Memory of the largest of them, KB.
+    /// Resident memory of the largest daemon, KB.
     pub daemon_kb_max: u64,
-    /// Accepted transactions.
+    /// Number of accepted transactions.
     pub changes: usize,
-    /// Refused ones of which the publisher heard.
+    /// Number of transactions whose refusal reached the publisher.
     pub refused: usize,
-    /// Refused ones that there had to be.
+    /// Number of transactions that had to be refused.
     pub refused_expected: usize,
-    /// Faults that happened.
+    /// Number of injected faults.
     pub faults: usize,
-    /// Their steps.
+    /// Steps of the faults.
     pub steps: Vec<TimedStep>,
-    /// What subscribers used.
+    /// Resource usage of the subscribers.
     pub subscribers: UsageSummary,
-    /// What relays used.
+    /// Resource usage of the relays.
     pub relays: UsageSummary,
-    /// When changes began to flow, Unix ms.
+    /// Start of the phase in which changes were published, Unix ms.
     pub began_unix_ms: u64,
-    /// How long changes flowed, s.
+    /// Duration of the phase in which changes were published, s.
     pub flow_seconds: f64,
-    /// How long the publisher's second process took to go on from its store, ms.
+    /// Time from the start of the publisher's second process until it continued from its store, ms.
     pub publisher_restart_ms: u64,
-    /// How long the start took, s.
+    /// Time until all processes had the initial table, s.
     pub start_seconds: f64,
-    /// Processes, with the coordinator.
+    /// Number of processes, including the coordinator.
     pub processes: usize,
-    /// The longest time that is allowed from acceptance to being in force, ms.
+    /// Limit of the time from the proposal of a change until it is in force, ms.
     pub in_force_limit_ms: u64,
-    /// What went wrong besides the verdict.
+    /// Failures besides those of the verdict.
     pub failures: Vec<String>,
 }
 
 impl PropagationReport {
-    /// Puts a report together and decides whether all that must hold held.
+    /// Builds a report and decides whether all requirements were met.
     pub fn new(measured: Measured, verdict: Verdict) -> PropagationReport {
         let Measured { shape, subscribers, relays, .. } = &measured;
         let in_force_ms_max = verdict.latency_ms.max();
         let mut failures = measured.failures.clone();
         failures.extend(verdict.faults.iter().cloned());
         if in_force_ms_max >= measured.in_force_limit_ms {
-            failures
-                .push(format!("in force after {in_force_ms_max} ms, allowed {}", measured.in_force_limit_ms));
+            failures.push(format!(
+                "in force after {in_force_ms_max} ms, limit {} ms",
+                measured.in_force_limit_ms
+            ));
         }
         if measured.refused == 0 && measured.refused_expected > 0 {
-            failures.push("the publisher heard of no refusal".into());
+            failures.push("no refusal reached the publisher".into());
         }
         PropagationReport {
             seed: measured.seed,
@@ -212,12 +217,12 @@
             in_force_ms_max,
             heal_ms_max: verdict.heal_ms,
             cold_zone_ms: verdict.cold_zone_ms,
-            bytes_per_second_subscriber: rounded(subscribers.each(subscribers.bytes_per_second)),
-            bytes_per_second_relay: rounded(relays.each(relays.bytes_per_second)),
-            cpu_share_subscriber: rounded(subscribers.each(subscribers.shares)),
-            cpu_share_relay: rounded(relays.each(relays.shares)),
-            cpu_share_relay_max: rounded(relays.largest_share),
-            kb_per_subscriber: rounded(subscribers.each(subscribers.kb)),
+            bytes_per_second_subscriber: rounded(subscribers.per_member(subscribers.bytes_per_second)),
+            bytes_per_second_relay: rounded(relays.per_member(relays.bytes_per_second)),
+            cpu_share_subscriber: rounded(subscribers.per_member(subscribers.cpu_shares)),
+            cpu_share_relay: rounded(relays.per_member(relays.cpu_shares)),
+            cpu_share_relay_max: rounded(relays.largest_cpu_share),
+            kb_per_subscriber: rounded(subscribers.per_member(subscribers.subscribers_kb)),
             kb_relay_max: relays.largest_kb,
             lost: verdict.lost,
             reordered: verdict.reordered,
@@ -245,7 +250,7 @@
     }
 }
 
-/// Six digits after the point are enough for a part of a core.
+/// Rounds to six decimal places, which are enough for a share of a core.
 fn rounded(value: f64) -> f64 {
     (value * 1e6).round() / 1e6
 }
--- a/crates/scale/src/propagation/servers.rs
+++ b/crates/scale/src/propagation/servers.rs
@@ -1,9 +1,9 @@
-//! Lists of servers between the coordinator's lines and the crate's settings.
+//! Converts the server lists of the coordinator's messages to those of the client settings.
 
 use super::control::ServerLine;
 use dunlinspread_config_sync::client::Server;
 
-/// The servers of the lines.
+/// Converts a list of servers.
 pub fn servers(lines: &[ServerLine]) -> Vec<Server> {
     lines
         .iter()
--- a/crates/scale/src/propagation/supervisor.rs
+++ b/crates/scale/src/propagation/supervisor.rs
@@ -1,5 +1,5 @@
-//! Processes of a run: each is this same program under a hidden command. They are ended, by their own handles only, when
-//! the coordinator drops them.
+//! The child processes of a run. Each is this same program under a hidden command. When the coordinator drops
+//! them they are killed, only through their own handles.
 
 use super::control::{Command, Event};
 use anyhow::{Context, Result};
@@ -9,30 +9,30 @@
 use std::sync::mpsc::Sender;
 use std::thread;
 
-/// The hidden command under which a process is started.
+/// Hidden command that runs this program as a process of a run.
 pub const NODE_COMMAND: &str = "propagation-node";
 
-/// Which process of the run.
+/// Identifies a process of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NodeId {
     /// The publisher.
     Publisher,
-    /// A relay by index.
+    /// A relay, by index.
     Relay(usize),
-    /// The subscribers of a zone.
+    /// The subscribers of a zone, by index of the zone.
     Subscribers(usize),
-    /// The proxy of a region.
+    /// The proxy of a region, by index of the region.
     Proxy(usize),
 }
 
-/// What came from a process.
+/// An event of a process, or the end of its output.
 #[derive(Debug)]
 pub struct Report {
-    /// From which.
+    /// Process that sent the event.
     pub node: NodeId,
-    /// Which of its lives.
-    pub life: u32,
-    /// What; none once its output has ended.
+    /// Incarnation of the process.
+    pub incarnation: u32,
+    /// Event; none if the output has ended.
     pub event: Option<Event>,
 }
 
@@ -43,11 +43,16 @@
 }
 
 impl NodeProcess {
-    /// Starts a process and gives it its setup. Its events go to `reports`.
+    /// Starts a process and sends it its setup. Its events go to `reports`.
     ///
     /// # Errors
-    /// If there can be no such process.
-    pub fn start(node: NodeId, life: u32, setup: &Command, reports: Sender<Report>) -> Result<NodeProcess> {
+    /// Returns an error if the process can't be started.
+    pub fn start(
+        node: NodeId,
+        incarnation: u32,
+        setup: &Command,
+        reports: Sender<Report>,
+    ) -> Result<NodeProcess> {
         let program = std::env::current_exe().context("this program's own path")?;
         let mut child = std::process::Command::new(program)
             .arg(NODE_COMMAND)
@@ -55,54 +60,54 @@
             .stdout(Stdio::piped())
             .spawn()
             .with_context(|| format!("starting {node:?}"))?;
-        let input = child.stdin.take().context("its input")?;
-        let output = child.stdout.take().context("its output")?;
+        let input = child.stdin.take().context("the child has no standard input")?;
+        let output = child.stdout.take().context("the child has no standard output")?;
         let mut process = NodeProcess { child, input };
-        thread::spawn(move || read_events(node, life, BufReader::new(output), &reports));
+        thread::spawn(move || read_events(node, incarnation, BufReader::new(output), &reports));
         process.send(setup)?;
         Ok(process)
     }
 
-    /// Sends a command.
+    /// Sends a command to the process.
     ///
     /// # Errors
-    /// If the process no longer reads.
+    /// Returns an error if the process no longer reads its input.
     pub fn send(&mut self, command: &Command) -> Result<()> {
         let mut line = serde_json::to_vec(command)?;
         line.push(b'\n');
-        self.input.write_all(&line).context("a process does not read its commands")?;
+        self.input.write_all(&line).context("sending a command to a process")?;
         Ok(())
     }
 
-    /// Stops it where it is (SIGSTOP).
+    /// Suspends the process (SIGSTOP).
     ///
     /// # Errors
-    /// If it is no longer there.
+    /// Returns an error if the process no longer exists.
     pub fn pause(&self) -> Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets it go on (SIGCONT).
+    /// Resumes the process (SIGCONT).
     ///
     /// # Errors
-    /// If it is no longer there.
+    /// Returns an error if the process no longer exists.
     pub fn resume(&self) -> Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Kills it and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub fn kill(mut self) {
-        self.end();
+        self.kill_and_wait();
     }
 
     fn signal(&self, signal: Signal) -> Result<()> {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
-        let pid = pid.context("a process without a number")?;
+        let pid = pid.context("the process id is invalid")?;
         kill_process(pid, signal).context("signalling a process of this run")
     }
 
-    fn end(&mut self) {
-        // The child is not yet waited for, so the number is its own still.
+    fn kill_and_wait(&mut self) {
+        // The child has not been reaped yet, so its process id has not been reused.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -110,18 +115,18 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        self.end();
+        self.kill_and_wait();
     }
 }
 
-fn read_events(node: NodeId, life: u32, output: impl BufRead, reports: &Sender<Report>) {
+fn read_events(node: NodeId, incarnation: u32, output: impl BufRead, reports: &Sender<Report>) {
     for line in output.lines() {
         let Ok(line) = line else { break };
         let event = serde_json::from_str(&line)
-            .unwrap_or_else(|error| Event::Failed(format!("a line that is no event: {error}")));
-        if reports.send(Report { node, life, event: Some(event) }).is_err() {
+            .unwrap_or_else(|error| Event::Failed(format!("invalid event: {error}")));
+        if reports.send(Report { node, incarnation, event: Some(event) }).is_err() {
             return;
         }
     }
-    let _ = reports.send(Report { node, life, event: None });
+    let _ = reports.send(Report { node, incarnation, event: None });
 }
--- a/crates/scale/src/propagation/topology.rs
+++ b/crates/scale/src/propagation/topology.rs
@@ -1,100 +1,104 @@
-//! Who takes part: regions, zones, relays in two levels, and the subscribers of each zone.
+//! The topology of a run: regions, zones, relays in two levels, and the subscribers of each zone.
 
 use anyhow::{Result, ensure};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// Relays of a zone that are wanted before a region gets a second one.
-const WANTED_ZONE_RELAYS: usize = 2;
-/// The most relays of one region's own level.
-const MOST_REGION_RELAYS: usize = 2;
+/// Number of relays that each zone gets before a region gets a second one.
+const PREFERRED_ZONE_RELAYS: usize = 2;
+/// Maximum number of relays in the own level of a region.
+const MAX_REGION_RELAYS: usize = 2;
 
 /// Sizes of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shape {
-    /// Hollow subscribers.
+    /// Number of client-only subscribers.
     pub subscribers: usize,
-    /// Relays of both levels.
+    /// Number of relays of both levels.
     pub relays: usize,
-    /// Tenants in the table.
+    /// Number of tenants in the table.
     pub tenants: usize,
-    /// Routes in the table.
+    /// Number of routes in the table.
     pub routes: usize,
-    /// Classes that have a limit in the table.
+    /// Number of classes that have a limit in the table.
     pub classes: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones, spread evenly over the regions.
+    /// Number of zones, which are spread evenly over the regions.
     pub zones: usize,
 }
 
-/// A relay's place.
+/// The placement of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayPlace {
-    /// Its region.
+    /// Region of the relay.
     pub region: usize,
-    /// Its zone; none for a region's relay.
+    /// Zone of the relay; none for a region's relay.
     pub zone: Option<usize>,
 }
 
-/// The places of all.
+/// The placement of relays and subscribers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Topology {
-    /// The sizes it was made for.
+    /// Sizes for which the topology was made.
     pub shape: Shape,
-    /// The relays: those of the regions first.
+    /// Relays, with those of the regions first.
     pub relays: Vec<RelayPlace>,
-    /// Subscribers in each zone.
+    /// Number of subscribers in each zone.
     pub zone_subscribers: Vec<usize>,
-    /// The second octet of the relays' loopback addresses, which differs between runs at the same time.
+    /// Second octet of the loopback addresses of the publisher and the relays, which differs between
+    /// concurrent runs.
     pub loopback_octet: u8,
 }
 
 impl Topology {
-    /// Places relays and subscribers. Every zone gets one relay at least, then a second one where there are enough,
-    /// then every region a second one; what is left goes to the zones.
+    /// Places relays and subscribers. Every region and every zone gets at least one relay, then every zone a
+    /// second one if there are enough, then every region a second one; the remaining relays go to the zones.
     ///
     /// # Errors
-    /// If there are fewer relays than regions and zones, or fewer zones than regions.
+    /// Returns an error if there are fewer relays than regions and zones together, fewer zones than regions,
+    /// fewer subscribers than zones, or no region.
     pub fn new(shape: Shape, loopback_octet: u8) -> Result<Topology> {
         let Shape { regions, zones, relays, subscribers, .. } = shape;
-        ensure!(regions >= 1 && zones >= regions, "{zones} zones can't fill {regions} regions");
-        ensure!(subscribers >= zones, "{subscribers} subscribers can't fill {zones} zones");
+        ensure!(regions >= 1 && zones >= regions, "{zones} zones can't cover {regions} regions");
+        ensure!(subscribers >= zones, "{subscribers} subscribers can't cover {zones} zones");
         ensure!(
             relays >= regions + zones,
-            "{relays} relays: each of {regions} regions and {zones} zones needs one"
+            "{relays} relays are too few: each of {regions} regions and {zones} zones needs one"
         );
         let region_relays =
-            relays.saturating_sub(WANTED_ZONE_RELAYS * zones).clamp(regions, MOST_REGION_RELAYS * regions);
-        let of_regions = (0..region_relays).map(|index| RelayPlace { region: index % regions, zone: None });
-        let of_zones = (0..relays - region_relays).map(|index| {
+            relays.saturating_sub(PREFERRED_ZONE_RELAYS * zones).clamp(regions, MAX_REGION_RELAYS * regions);
+        let region_places =
+            (0..region_relays).map(|index| RelayPlace { region: index % regions, zone: None });
+        let zone_places = (0..relays - region_relays).map(|index| {
             let zone = index % zones;
             RelayPlace { region: zone % regions, zone: Some(zone) }
         });
         Ok(Topology {
             shape,
-            relays: of_regions.chain(of_zones).collect(),
-            zone_subscribers: (0..zones).map(|zone| share(subscribers, zones, zone)).collect(),
+            relays: region_places.chain(zone_places).collect(),
+            zone_subscribers: (0..zones).map(|zone| even_share(subscribers, zones, zone)).collect(),
             loopback_octet,
         })
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     pub fn region_of(&self, zone: usize) -> usize {
         zone % self.shape.regions
     }
 
-    /// The zones of a region.
+    /// Returns the zones of a region.
     pub fn zones_of(&self, region: usize) -> Vec<usize> {
         (0..self.shape.zones).filter(|&zone| self.region_of(zone) == region).collect()
     }
 
-    /// The number, over all zones, of a zone's first subscriber.
+    /// Returns the number, over all zones, of a zone's first subscriber.
     pub fn first_subscriber(&self, zone: usize) -> usize {
         self.zone_subscribers[..zone].iter().sum()
     }
 
-    /// The zone of a subscriber by its number over all zones.
+    /// Returns the zone of a subscriber, given its number over all zones; the number of zones if there is no
+    /// such subscriber.
     pub fn zone_of(&self, subscriber: usize) -> usize {
         let mut first = 0;
         for (zone, count) in self.zone_subscribers.iter().enumerate() {
@@ -106,17 +110,18 @@
         self.shape.zones
     }
 
-    /// The relays of the regions' level, by index.
+    /// Returns the indexes of the relays of the regions' level.
     pub fn region_relays(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.relays.len()).filter(|&relay| self.relays[relay].zone.is_none())
     }
 
-    /// The relays of the zones' level, by index.
+    /// Returns the indexes of the relays of the zones' level.
     pub fn zone_relays(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.relays.len()).filter(|&relay| self.relays[relay].zone.is_some())
     }
 
-    /// A relay's own loopback address, so that its port stays free for it while it is down.
+    /// Returns the loopback address of a relay, which no other process uses so that its port stays free while
+    /// it is down.
     pub fn relay_ip(&self, relay: usize) -> Ipv4Addr {
         const HOSTS: usize = 250;
         let third = u8::try_from(1 + relay / HOSTS).unwrap_or(u8::MAX);
@@ -124,33 +129,33 @@
         Ipv4Addr::new(127, self.loopback_octet, third, fourth)
     }
 
-    /// The publisher's own loopback address.
+    /// Returns the loopback address of the publisher, which no other process uses.
     pub fn publisher_ip(&self) -> Ipv4Addr {
         Ipv4Addr::new(127, self.loopback_octet, 0, 1)
     }
 }
 
-/// The part of `total` that one of `parts` gets when it is spread evenly.
-fn share(total: usize, parts: usize, index: usize) -> usize {
+/// Returns the share of one of `parts` when `total` is spread evenly.
+fn even_share(total: usize, parts: usize, index: usize) -> usize {
     total / parts + usize::from(index < total % parts)
 }
 
-/// A region's name.
+/// Returns the name of a region.
 pub fn region_name(region: usize) -> String {
     format!("region-{region}")
 }
 
-/// A zone's name.
+/// Returns the name of a zone.
 pub fn zone_name(zone: usize) -> String {
     format!("zone-{zone:02}")
 }
 
-/// A relay's name.
+/// Returns the name of a relay.
 pub fn relay_name(relay: usize) -> String {
     format!("relay-{relay:02}")
 }
 
-/// A subscriber's name.
+/// Returns the name of a subscriber.
 pub fn subscriber_name(subscriber: usize) -> String {
     format!("server-{subscriber:05}")
 }
