--- a/crates/ledger/tests/accumulator.rs
+++ b/crates/ledger/tests/accumulator.rs
@@ -280,9 +280,8 @@
         prop_assert_eq!(world.sent, world.billed);
     }
 
-    /// For any change of the clock across restarts, closes follow one another without gaps and no usage is
-    /// added to a closed period, which `LedgerState::apply` checks. All periods that have ended are closed in
-    /// the end.
+    /// For any change of the clock across restarts, closes follow one another without gaps, no usage is added
+    /// to a closed period (`LedgerState::apply` checks both), and all ended periods are closed in the end.
     #[test]
     fn periods_close_in_order_whatever_the_clock(steps in steps(true)) {
         let mut world = World::new(settings(DurabilityMode::Strict, FailurePolicy::Reject, 8));
@@ -290,13 +289,8 @@
         world.make_all_durable();
         world.tick(2 * PERIOD + 200);
         world.sync(usize::MAX);
-        let state = read_state(&world.store);
-        prop_assert!(
-            state.closed_to + PERIOD + 100 > state.latest_ms,
-            "{} {}",
-            state.closed_to,
-            state.latest_ms
-        );
+        let last = read_state(&world.store);
+        prop_assert!(last.closed_to + PERIOD + 100 > last.latest_ms, "{} {}", last.closed_to, last.latest_ms);
     }
 }
 
@@ -311,17 +305,9 @@
     for _ in 0..5 {
         world.bill(1, 0, 0);
     }
-    assert_eq!(
-        (world.sent, world.held.len(), world.pending.len()),
-        (0, 5, 1),
-        "one record is handed over, the others wait"
-    );
+    assert_eq!((world.sent, world.held.len(), world.pending.len()), (0, 5, 1), "one is pending, others wait");
     world.sync(1);
-    assert_eq!(
-        (world.sent, world.held.len(), world.pending.len()),
-        (1, 4, 1),
-        "the other replies share one record"
-    );
+    assert_eq!((world.sent, world.held.len(), world.pending.len()), (1, 4, 1), "the others share one record");
     world.sync(1);
     assert_eq!((world.sent, world.held.len(), world.pending.len()), (5, 0, 0));
     assert_eq!(world.durable(), (5, 0));
@@ -378,14 +364,13 @@
     assert_eq!(world.sent, 1);
     world.crash(0, 10);
     world.sync(9);
-    let is_unbilled_line =
-        |k: &LineKind| matches!(k, LineKind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
-    assert!(kinds(&world).iter().any(is_unbilled_line));
+    let is_unbilled = |k: &LineKind| matches!(k, LineKind::Unbilled(u) if u.at_most == 7 && !u.unbounded);
+    assert!(kinds(&world).iter().any(is_unbilled));
     // A restart after a clean shutdown does not write an unbilled line.
     let before = world.store.len();
     world.restart(true);
     world.sync(9);
-    assert!(!kinds(&world)[before..].iter().any(is_unbilled_line));
+    assert!(!kinds(&world)[before..].iter().any(is_unbilled));
 }
 
 #[test]
