--- a/crates/scale/src/child.rs
+++ b/crates/scale/src/child.rs
@@ -1,4 +1,4 @@
-//! The hidden command that runs one load in a process of its own and prints its figure or its report.
+//! The hidden command `child`: runs one load in its own process and prints the measured value or report.
 
 use crate::probes;
 use anyhow::{Result, bail};
@@ -6,21 +6,21 @@
 pub use crate::child_process::{Load, ReportingLoad, measure, report};
 pub use crate::resident_growth::Growth;
 
-/// Options of the hidden command.
+/// Options of the hidden command `child`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// The name of the load, as in [`probes::child_loads`].
+    /// Name of the load, as in [`probes::child_loads`].
     load: String,
-    /// Its size.
+    /// Size of the load.
     size: u64,
-    /// Its seed.
+    /// Seed of the load.
     seed: u64,
 }
 
-/// Runs a load in this process and prints its figure or its report, either of them as JSON.
+/// Runs a load in this process and prints its measured value or its report as JSON.
 ///
 /// # Errors
-/// If there is no such load, or it fails.
+/// Returns an error if no load has the given name, or if the load fails.
 pub fn run(options: &Options) -> Result<()> {
     if let Some((_, load)) = probes::child_loads().iter().find(|(name, _)| *name == options.load) {
         println!("{}", load(options.size, options.seed)?);
@@ -28,7 +28,7 @@
     }
     let loads = probes::reporting_loads();
     let Some((_, load)) = loads.iter().find(|(name, _)| *name == options.load) else {
-        bail!("no load `{}`", options.load);
+        bail!("unknown load `{}`", options.load);
     };
     println!("{}", load(options.size, options.seed)?);
     Ok(())
--- a/crates/scale/src/descriptors.rs
+++ b/crates/scale/src/descriptors.rs
@@ -1,12 +1,14 @@
-//! The limit on open descriptors of this process.
+//! The limit on open file descriptors of this process.
 
 use anyhow::{Context, Result, ensure};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-/// Raises the soft limit of this process, which its children take over, as far as is needed.
+/// Raises the soft limit on open file descriptors to `needed` if it is lower. Child processes inherit the
+/// limit.
 ///
 /// # Errors
-/// If the hard limit is lower than that; the message says by how much.
+/// Returns an error if the hard limit is lower than `needed` (the message states both), or if the system call
+/// fails.
 pub fn raise_limit(needed: u64) -> Result<()> {
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_none_or(|soft| soft >= needed) {
@@ -15,9 +17,9 @@
     if let Some(hard) = limit.maximum {
         ensure!(
             hard >= needed,
-            "{needed} descriptors are needed, and the hard limit is {hard} (`ulimit -Hn`)"
+            "{needed} file descriptors are needed, but the hard limit is {hard} (`ulimit -Hn`)"
         );
     }
     setrlimit(Resource::Nofile, Rlimit { current: Some(needed), maximum: limit.maximum })
-        .context("raising the soft limit on descriptors")
+        .context("raising the soft limit on file descriptors")
 }
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,52 +1,58 @@
-//! Fits of a quantity to a size: constant, linear, logarithmic or power, by least squares of the relative error.
+//! Fits a quantity as a function of a size (constant, linear, logarithmic or power) by least squares of the
+//! relative error.
 //!
-//! The relative error is what counts because sizes span decades: a fit of absolute errors would be made by the largest
-//! size alone. Of two models the simpler one is kept unless the other one leaves at most [`GAIN`] of its error.
+//! The fit minimizes the relative error because sizes span decades: with absolute errors, the largest size
+//! alone would determine the fit. A more complex model replaces a simpler one only if its error is at most
+//! [`GAIN`] times as large.
 
 use crate::slope::{Fit, Model, Point, Slope};
 
-/// A more complex model replaces a simpler one only if its error is at most this part of the simpler one's.
+/// A more complex model replaces a simpler one only if its error is at most this fraction of the simpler
+/// one's.
 pub const GAIN: f64 = 0.75;
 
-/// A model whose error is below this is good enough: none more complex is looked at.
+/// Relative error at or below which a model is accepted and no more complex model is tried.
 pub const GOOD_ENOUGH: f64 = 0.02;
 
-/// A value counts in relative errors as at least this part of the largest one, so that a value of 0 has an error.
-const LEAST_SCALE: f64 = 1e-3;
+/// Lower bound for the divisor of a relative error, as a fraction of the largest value, so that the error of
+/// a value of 0 is finite.
+const MIN_SCALE: f64 = 1e-3;
 
-/// Steps of the search for the exponent of a power.
+/// Number of steps in the search for the exponent of a power.
 const POWER_STEPS: usize = 80;
 
-/// How far from the exponent of the logarithms that search begins.
+/// Half width of the range searched for the exponent, around the exponent of the line fitted to the
+/// logarithms.
 const POWER_SPAN: f64 = 0.5;
 
-/// Significant digits of every figure: enough for any use, and few enough that JSON gives back the same number.
+/// Significant digits of every reported number: enough for any use, and few enough that a number survives a
+/// round trip through JSON unchanged.
 const DIGITS: usize = 6;
 
-/// The models, the simplest first.
+/// All models, the simplest first.
 const MODELS: [Model; 4] = [Model::Constant, Model::Linear, Model::Logarithmic, Model::Power];
 
-/// One value to be fitted, with the scale of its relative error.
+/// One value to be fitted, with the divisor of its relative error.
 struct Sample {
     size: f64,
     value: f64,
     scale: f64,
 }
 
-/// The medians of `points` as samples.
+/// Returns the medians of `points` as samples.
 fn samples(points: &[Point]) -> Vec<Sample> {
     let largest = points.iter().map(|point| point.median.abs()).fold(0.0, f64::max);
-    let least = (largest * LEAST_SCALE).max(f64::MIN_POSITIVE);
+    let min_scale = (largest * MIN_SCALE).max(f64::MIN_POSITIVE);
     let sample = |point: &Point| Sample {
         size: point.size,
         value: point.median,
-        scale: point.median.abs().max(least),
+        scale: point.median.abs().max(min_scale),
     };
     points.iter().map(sample).collect()
 }
 
 impl Fit {
-    /// The fit's value at a size.
+    /// Returns the value of the fit at a size.
     pub fn at(&self, size: f64) -> f64 {
         match self.model {
             Model::Constant => self.intercept,
@@ -56,7 +62,7 @@
         }
     }
 
-    /// The best fit of one model to the medians of `points`; none if they do not determine it.
+    /// Returns the best fit of one model to the medians of `points`, or `None` if they do not determine it.
     pub fn of_model(model: Model, points: &[Point]) -> Option<Fit> {
         let samples = samples(points);
         let (intercept, slope) = match model {
@@ -71,14 +77,14 @@
         [intercept, slope, relative_error].iter().all(|number| number.is_finite()).then_some(fit)
     }
 
-    /// The best fit of all models: the simplest one unless a more complex one is better by [`GAIN`]. A model that is
-    /// negative at the target although no value is, is no candidate.
+    /// Returns the best fit of all models: the simplest one unless a more complex one is better by [`GAIN`].
+    /// A model that is negative at the target size is excluded unless some measured value is negative.
     pub fn best(points: &[Point], target_size: f64) -> Fit {
-        let none = Fit { model: Model::Constant, intercept: 0.0, slope: 0.0, relative_error: 0.0 };
+        let zero = Fit { model: Model::Constant, intercept: 0.0, slope: 0.0, relative_error: 0.0 };
         let may_be_negative = points.iter().any(|point| point.median < 0.0);
-        let possible = |fit: &Fit| may_be_negative || fit.at(target_size) >= 0.0;
-        let mut fits = MODELS.iter().filter_map(|model| Fit::of_model(*model, points)).filter(possible);
-        let Some(mut best) = fits.next() else { return none };
+        let is_candidate = |fit: &Fit| may_be_negative || fit.at(target_size) >= 0.0;
+        let mut fits = MODELS.iter().filter_map(|model| Fit::of_model(*model, points)).filter(is_candidate);
+        let Some(mut best) = fits.next() else { return zero };
         for fit in fits {
             if best.relative_error <= GOOD_ENOUGH {
                 break;
@@ -91,7 +97,7 @@
     }
 }
 
-/// The factor of `shape` with the least squared relative error.
+/// Returns the factor of `shape` that minimizes the squared relative error.
 fn scaled_mean(samples: &[Sample], shape: impl Fn(f64) -> f64) -> Option<f64> {
     let (mut numerator, mut denominator) = (0.0, 0.0);
     for sample in samples {
@@ -102,7 +108,7 @@
     (denominator > 0.0).then(|| numerator / denominator)
 }
 
-/// The line over `shape` of the size with the least squared relative error: intercept and slope.
+/// Returns the intercept and slope of the line over `shape(size)` that minimizes the squared relative error.
 fn line(samples: &[Sample], shape: impl Fn(f64) -> f64) -> Option<(f64, f64)> {
     let (mut weights, mut sum_x, mut sum_y) = (0.0, 0.0, 0.0);
     for sample in samples {
@@ -123,7 +129,7 @@
     (sum_xx > 0.0).then_some((mean_y - slope * mean_x, slope))
 }
 
-/// The power of the size with the least squared relative error: factor and exponent.
+/// Returns the factor and exponent of the power of the size that minimizes the squared relative error.
 fn power(samples: &[Sample]) -> Option<(f64, f64)> {
     if samples.iter().any(|sample| sample.value <= 0.0 || sample.size <= 0.0) {
         return None;
@@ -137,12 +143,12 @@
     let cost = |exponent: f64| {
         factor(exponent).map_or(f64::INFINITY, |factor| error(samples, |size| factor * size.powf(exponent)))
     };
-    let exponent = least(start - POWER_SPAN, start + POWER_SPAN, cost);
+    let exponent = argmin(start - POWER_SPAN, start + POWER_SPAN, cost);
     Some((factor(exponent)?, exponent))
 }
 
-/// Where `cost` is least between two ends, by ternary search.
-fn least(mut low: f64, mut high: f64, cost: impl Fn(f64) -> f64) -> f64 {
+/// Returns the argument that minimizes `cost` between `low` and `high`, by ternary search.
+fn argmin(mut low: f64, mut high: f64, cost: impl Fn(f64) -> f64) -> f64 {
     for _ in 0..POWER_STEPS {
         let third = (high - low) / 3.0;
         if cost(low + third) <= cost(high - third) {
@@ -154,7 +160,7 @@
     (low + high) / 2.0
 }
 
-/// The root of the mean squared relative error.
+/// Returns the root mean square of the relative errors.
 fn error(samples: &[Sample], value: impl Fn(f64) -> f64) -> f64 {
     let square = |sample: &Sample| ((value(sample.size) - sample.value) / sample.scale).powi(2);
     (samples.iter().map(square).sum::<f64>() / samples.len().max(1) as f64).sqrt()
@@ -169,34 +175,35 @@
     pub quantity: &'static str,
     /// The unit.
     pub unit: &'static str,
-    /// The size that varies, in words.
+    /// Description of the size that varies.
     pub against: &'static str,
-    /// What is held fixed, by name.
+    /// Parameters that are held constant, by name.
     pub fixed: &'static [(&'static str, f64)],
-    /// The size at the target.
+    /// The size in the target fleet.
     pub target_size: f64,
 }
 
 impl Quantity {
-    /// The slope through `points`: its fit, and its value at the target with the error. Where the target was measured
-    /// by one seed alone, the error is how far the fit of the other sizes lies from that.
+    /// Returns the slope through `points`: its fit, and its value at the target size with the error. If the
+    /// target size was measured with one seed only, the error is the relative distance between that
+    /// measurement and the fit of the other sizes.
     pub fn slope(&self, points: Vec<Point>) -> Slope {
         let fit = Fit::best(&points, self.target_size);
-        let (there, elsewhere): (Vec<&Point>, Vec<&Point>) =
+        let (at_target_points, other_points): (Vec<&Point>, Vec<&Point>) =
             points.iter().partition(|point| point.size == self.target_size);
-        let there: Vec<f64> = there.iter().map(|point| point.median).collect();
-        let measured_at_target = !there.is_empty();
-        let (at_target, at_target_error) = match there[..] {
+        let target_medians: Vec<f64> = at_target_points.iter().map(|point| point.median).collect();
+        let measured_at_target = !target_medians.is_empty();
+        let (at_target, at_target_error) = match target_medians[..] {
             [] => {
                 let error = fit.relative_error.max(seed_spread(&fit, &points, self.target_size));
                 (fit.at(self.target_size), error)
             }
-            [one] if one != 0.0 && !elsewhere.is_empty() => {
-                let elsewhere: Vec<Point> = elsewhere.into_iter().cloned().collect();
-                let fitted = Fit::best(&elsewhere, self.target_size).at(self.target_size);
+            [one] if one != 0.0 && !other_points.is_empty() => {
+                let other_points: Vec<Point> = other_points.into_iter().cloned().collect();
+                let fitted = Fit::best(&other_points, self.target_size).at(self.target_size);
                 (one, (fitted - one).abs() / one.abs())
             }
-            _ => (median(&there), spread(&there)),
+            _ => (median(&target_medians), spread(&target_medians)),
         };
         Slope {
             id: self.id.to_owned(),
@@ -215,7 +222,7 @@
 }
 
 impl Point {
-    /// The point of several runs at one size.
+    /// Summarizes several runs at one size as a point.
     pub fn of(size: f64, seed: u64, runs: &[f64]) -> Point {
         let min = runs.iter().copied().fold(f64::INFINITY, f64::min);
         Point {
@@ -228,12 +235,12 @@
     }
 }
 
-/// A number of [`DIGITS`] significant digits.
+/// Returns a number rounded to [`DIGITS`] significant digits.
 fn rounded(number: f64) -> f64 {
     format!("{number:.*e}", DIGITS - 1).parse().unwrap_or(number)
 }
 
-/// The median; the mean of the middle two of an even number, 0 of none.
+/// Returns the median: the mean of the middle two values if their number is even, 0 if there are none.
 pub fn median(values: &[f64]) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -245,7 +252,7 @@
     }
 }
 
-/// Half the range of `values` as a part of their median.
+/// Returns half the range of `values` divided by their median.
 pub fn spread(values: &[f64]) -> f64 {
     let low = values.iter().copied().fold(f64::INFINITY, f64::min);
     let high = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
@@ -253,14 +260,14 @@
     if middle > 0.0 { (high - low) / 2.0 / middle } else { 0.0 }
 }
 
-/// How far the fits of the same model to the points of each seed alone lie apart at a size.
+/// Returns the spread, at a size, of the fits of the same model to the points of each seed alone.
 fn seed_spread(fit: &Fit, points: &[Point], size: f64) -> f64 {
     let mut seeds: Vec<u64> = points.iter().map(|point| point.seed).collect();
     seeds.sort_unstable();
     seeds.dedup();
-    let of_seed = |seed: &u64| {
-        let own: Vec<Point> = points.iter().filter(|point| point.seed == *seed).cloned().collect();
-        Fit::of_model(fit.model, &own).map(|fit| fit.at(size))
+    let fit_of_seed = |seed: &u64| {
+        let seed_points: Vec<Point> = points.iter().filter(|point| point.seed == *seed).cloned().collect();
+        Fit::of_model(fit.model, &seed_points).map(|fit| fit.at(size))
     };
-    spread(&seeds.iter().filter_map(of_seed).collect::<Vec<f64>>())
+    spread(&seeds.iter().filter_map(fit_of_seed).collect::<Vec<f64>>())
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,5 +1,5 @@
-//! Scale tests: what each part costs against its size, the fit of that cost and its value at the size of the target, and
-//! the propagation of configuration at that size.
+//! Scale tests: measure the cost of each part as a function of its size, fit it, extrapolate it to the size
+//! of the target fleet, and test the propagation of configuration at that size.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -1,12 +1,12 @@
-//! Where and on what a run was made: the machine, and the commit that was measured.
+//! Describes the environment of a run: the machine, and the commit that was measured.
 
 use std::collections::BTreeMap;
 use std::process::Command;
 
-/// What is said where something cannot be read.
+/// Value reported for a property that cannot be read.
 const UNKNOWN: &str = "unknown";
 
-/// The processor, its cores, the memory, the kernel and the load when this was called.
+/// Returns the processor, number of cores, memory, kernel version and current load of the machine.
 pub fn describe() -> BTreeMap<String, String> {
     let cores = std::thread::available_parallelism().map_or(UNKNOWN.to_owned(), |cores| cores.to_string());
     let entries = [
@@ -19,7 +19,8 @@
     entries.into_iter().map(|(name, value)| (name.to_owned(), value)).collect()
 }
 
-/// The commit checked out here, `+changes` added if tracked files differ from it.
+/// Returns the commit checked out in the working directory, with `+changes` appended if tracked files differ
+/// from it.
 pub fn commit() -> String {
     let Some(commit) = git(&["rev-parse", "HEAD"]) else { return UNKNOWN.to_owned() };
     let changed =
@@ -27,18 +28,18 @@
     if changed { format!("{commit}+changes") } else { commit }
 }
 
-/// What git prints, if it can be run and succeeds.
+/// Runs git and returns its trimmed output, or `None` if it cannot be run or fails.
 fn git(arguments: &[&str]) -> Option<String> {
     let output = Command::new("git").args(arguments).output().ok()?;
     output.status.success().then(|| String::from_utf8_lossy(&output.stdout).trim().to_owned())
 }
 
-/// A file of one line.
+/// Returns the trimmed content of a one-line file.
 fn read(path: &str) -> String {
     std::fs::read_to_string(path).map_or(UNKNOWN.to_owned(), |text| text.trim().to_owned())
 }
 
-/// The value of the first line `name: value` in a file.
+/// Returns the value of the first `name: value` line in a file.
 fn field(path: &str, name: &str) -> String {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with(name));
@@ -46,7 +47,7 @@
     value.unwrap_or_else(|| UNKNOWN.to_owned())
 }
 
-/// The resident memory of this process, in bytes; 0 if it cannot be read.
+/// Returns the resident memory of this process in bytes, or 0 if it cannot be read.
 pub fn resident_bytes() -> u64 {
     let kilobytes = field("/proc/self/status", "VmRSS");
     let number = kilobytes.split_whitespace().next().and_then(|number| number.parse::<u64>().ok());
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,5 +1,5 @@
-//! Scale tests: what each part costs against its size, the capacity page made from it, and the propagation of
-//! configuration at the size of the target fleet.
+//! Command line of the scale tests: the cost of each part as a function of its size, the capacity page
+//! generated from it, and the propagation of configuration at the size of the target fleet.
 
 use clap::{Parser, Subcommand};
 use dunlinspread_scale::{capacity, child, propagation, slopes};
@@ -16,27 +16,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure slopes: the cost of each part against its size.
+    /// Measure slopes: the cost of each part as a function of its size.
     Slopes(slopes::Options),
-    /// Make the tables of the capacity page from the measurements, or check that it says what follows from them.
+    /// Generate the tables of the capacity page from the measurements, or check that the page matches them.
     Capacity(capacity::Options),
-    /// Measure one load in this process and print what it came to; `slopes` starts it.
+    /// Measure one load in this process and print the result; started by `slopes`.
     #[command(hide = true)]
     Child(child::Options),
-    /// Be the daemon, with its own arguments; quick probes start it.
+    /// Run the daemon with the given arguments; started by quick probes.
     #[command(hide = true, disable_help_flag = true)]
     Daemon(DaemonArguments),
-    /// Distribute configuration to a fleet of hollow subscribers while faults happen.
+    /// Distribute configuration to a fleet of simulated subscribers while faults are injected.
     Propagation(Box<propagation::Options>),
-    /// A process of `propagation`.
+    /// Run a node process; started by `propagation`.
     #[command(hide = true, name = propagation::NODE_COMMAND)]
     PropagationNode,
-    /// A real daemon of `propagation`.
+    /// Run a real daemon; started by `propagation`.
     #[command(hide = true, name = propagation::DAEMON_COMMAND)]
     PropagationDaemon,
 }
 
-/// The daemon's own arguments.
+/// Arguments passed through to the daemon.
 #[derive(clap::Args)]
 struct DaemonArguments {
     #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
--- a/crates/scale/src/probes/mod.rs
+++ b/crates/scale/src/probes/mod.rs
@@ -1,4 +1,5 @@
-//! The probes: each measures the slopes of one part. A new one is added to [`all`], its child loads to [`child_loads`].
+//! The probes: each measures the slopes of one part. Add a new probe to [`all`], and its child loads to
+//! [`child_loads`] or [`reporting_loads`].
 
 mod admission;
 mod admission_load;
@@ -25,7 +26,7 @@
 
 pub use probe::{Probe, ProbeOptions, SEEDS};
 
-/// All probes.
+/// Returns all probes.
 pub fn all() -> Vec<Box<dyn Probe>> {
     vec![
         Box::new(admission::AdmissionProbe),
@@ -42,7 +43,7 @@
     ]
 }
 
-/// The loads that are measured in a process of their own, by name.
+/// Returns the loads that run in a child process and return one number, by name.
 pub fn child_loads() -> Vec<(&'static str, Load)> {
     vec![
         (config_sync::LOAD, config_sync::table_load),
@@ -53,7 +54,7 @@
     ]
 }
 
-/// The same for loads with several figures.
+/// Returns the loads that run in a child process and return a report of several measurements, by name.
 pub fn reporting_loads() -> Vec<(&'static str, ReportingLoad)> {
     let mut loads: Vec<(&'static str, ReportingLoad)> = vec![
         (membership::SCENARIOS_LOAD, membership::scenarios_load),
--- a/crates/scale/src/probes/probe.rs
+++ b/crates/scale/src/probes/probe.rs
@@ -1,45 +1,45 @@
-//! What a probe is, and how probes run.
+//! The trait of a probe, and the options that probes run with.
 
 use crate::slope::Slope;
 use anyhow::Result;
 
-/// The seeds of every probe.
+/// Seeds used by every probe.
 pub const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// How the probes run.
+/// Options that the probes run with.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProbeOptions {
-    /// Few small sizes, one seed, one run.
+    /// Whether to use few small sizes, one seed and one run.
     pub quick: bool,
-    /// Also the run at the size of the target that checks an extrapolation, where it takes minutes.
+    /// Whether to also make the runs at the target size that check an extrapolation and take minutes.
     pub large: bool,
 }
 
 impl ProbeOptions {
-    /// The seeds to use.
+    /// Returns the seeds to use.
     pub fn seeds(&self) -> &'static [u64] {
         if self.quick { &SEEDS[..1] } else { &SEEDS }
     }
 
-    /// How many runs at each size and seed, of `full`.
+    /// Returns the number of runs at each size and seed: `full`, or 1 in quick mode.
     pub fn runs(&self, full: usize) -> usize {
         if self.quick { 1 } else { full }
     }
 
-    /// The sizes to use: all of `full`, or `quick`.
+    /// Returns the sizes to use: `full`, or `quick` in quick mode.
     pub fn sizes(&self, full: &'static [u64], quick: &'static [u64]) -> &'static [u64] {
         if self.quick { quick } else { full }
     }
 }
 
-/// A set of slopes of one part.
+/// Measures a set of slopes of one part.
 pub trait Probe {
-    /// What the ids of its slopes begin with, up to the first point.
+    /// Returns the prefix of the ids of the probe's slopes, up to the first dot.
     fn prefix(&self) -> &'static str;
 
-    /// Measures its slopes.
+    /// Measures the probe's slopes.
     ///
     /// # Errors
-    /// If a load cannot be built or run.
+    /// Returns an error if a load cannot be built or run.
     fn run(&self, options: &ProbeOptions) -> Result<Vec<Slope>>;
 }
--- a/crates/scale/src/probes/sample.rs
+++ b/crates/scale/src/probes/sample.rs
@@ -1,4 +1,4 @@
-//! What the probes have in common: points over sizes and seeds, and the time of repeated work.
+//! Helpers shared by the probes: points over sizes and seeds, parallel jobs, and the time of repeated work.
 
 use crate::slope::Point;
 use anyhow::{Result, bail};
@@ -6,13 +6,13 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Jobs that run at once.
+/// Number of jobs that run at the same time.
 const WORKERS: usize = 2;
 
-/// A point for each size and seed; `measure` gives the figures of its runs.
+/// Returns a point for each size and seed; `measure` returns the values of its runs.
 ///
 /// # Errors
-/// If a measurement fails.
+/// Returns an error if a measurement fails.
 pub fn points(
     sizes: &[u64],
     seeds: &[u64],
@@ -27,17 +27,18 @@
     Ok(points)
 }
 
-/// Runs `job` for each of `inputs`, on [`WORKERS`] threads; the results in the order of the inputs.
+/// Runs `job` for each of `inputs`, on [`WORKERS`] threads, and returns the results in the order of the
+/// inputs.
 ///
 /// # Errors
-/// With the first failure of a job.
+/// Returns the error of the first input whose job failed.
 pub fn in_parallel<I: Sync, O: Send>(inputs: &[I], job: impl Fn(&I) -> Result<O> + Sync) -> Result<Vec<O>> {
     let next = AtomicUsize::new(0);
     let results: Vec<Mutex<Option<Result<O>>>> = inputs.iter().map(|_| Mutex::new(None)).collect();
     std::thread::scope(|scope| {
         for _ in 0..WORKERS {
             scope.spawn(|| {
-                while let Some((input, result)) = take(&next, inputs, &results) {
+                while let Some((input, result)) = claim_next(&next, inputs, &results) {
                     let output = job(input);
                     *result.lock().unwrap_or_else(PoisonError::into_inner) = Some(output);
                 }
@@ -47,23 +48,24 @@
     let result = |cell: Mutex<Option<Result<O>>>| {
         cell.into_inner()
             .unwrap_or_else(PoisonError::into_inner)
-            .unwrap_or_else(|| bail!("a job did not run"))
+            .unwrap_or_else(|| bail!("a job produced no result"))
     };
     results.into_iter().map(result).collect()
 }
 
-/// The next input that nobody took, with the place of its result.
-fn take<'a, I, O>(next: &AtomicUsize, inputs: &'a [I], results: &'a [O]) -> Option<(&'a I, &'a O)> {
+/// Claims the next unprocessed input and returns it with the slot for its result.
+fn claim_next<'a, I, O>(next: &AtomicUsize, inputs: &'a [I], results: &'a [O]) -> Option<(&'a I, &'a O)> {
     let index = next.fetch_add(1, Ordering::Relaxed);
     inputs.get(index).zip(results.get(index))
 }
 
-/// Nanoseconds of each of `operations` that `work` does, for each of `runs` calls.
+/// Calls `work` `runs` times and returns, for each call, the nanoseconds per operation; one call does
+/// `operations`.
 pub fn nanoseconds(runs: usize, operations: u64, mut work: impl FnMut()) -> Vec<f64> {
-    let time = |_| {
-        let began = Instant::now();
+    let time_per_operation = |_| {
+        let start = Instant::now();
         work();
-        began.elapsed().as_nanos() as f64 / operations as f64
+        start.elapsed().as_nanos() as f64 / operations as f64
     };
-    (0..runs).map(time).collect()
+    (0..runs).map(time_per_operation).collect()
 }
--- a/crates/scale/src/resident_growth.rs
+++ b/crates/scale/src/resident_growth.rs
@@ -1,19 +1,19 @@
-//! The growth of this process's resident memory.
+//! Measures the growth of this process's resident memory.
 
 use crate::machine::resident_bytes;
 
-/// Growth of this process's resident memory.
+/// Growth of this process's resident memory since [`Growth::begin`].
 pub struct Growth {
     before: u64,
 }
 
 impl Growth {
-    /// From now on.
+    /// Starts measuring from the current resident memory.
     pub fn begin() -> Growth {
         Growth { before: resident_bytes() }
     }
 
-    /// Bytes grown since then.
+    /// Returns the growth since [`Growth::begin`] in bytes, 0 if the memory shrank.
     pub fn bytes(&self) -> f64 {
         resident_bytes().saturating_sub(self.before) as f64
     }
--- a/crates/scale/src/slope.rs
+++ b/crates/scale/src/slope.rs
@@ -1,4 +1,4 @@
-//! A slope: one quantity measured against one size, with its fit and its value at the target.
+//! A slope: one quantity measured as a function of one size, with its fit and its value at the target size.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,19 +6,19 @@
 /// One measurement: several runs at one size with one seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size.
+    /// Size at which the runs were made.
     pub size: f64,
-    /// The seed of the load.
+    /// Seed of the load.
     pub seed: u64,
-    /// The least of the runs.
+    /// Smallest value of the runs.
     pub min: f64,
-    /// Their median, which is what is fitted.
+    /// Median of the runs, the value that is fitted.
     pub median: f64,
-    /// How many runs.
+    /// Number of runs.
     pub runs: usize,
 }
 
-/// The form of a fit.
+/// Function fitted to the measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Model {
@@ -32,55 +32,58 @@
     Power,
 }
 
-/// A fit to the medians, by least squares of the relative error.
+/// A fit to the medians of the points by least squares of the relative error.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Its form.
+    /// The fitted function.
     pub model: Model,
-    /// The first coefficient.
+    /// First coefficient of the model.
     pub intercept: f64,
-    /// The second one; 0 for a constant.
+    /// Second coefficient of the model; 0 for a constant.
     pub slope: f64,
-    /// The root of the mean squared relative error over the points.
+    /// Root mean square of the relative errors over the points.
     pub relative_error: f64,
 }
 
-/// A quantity against a size.
+/// A quantity measured as a function of a size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// What it is, as `part.quantity.size`, such as `policy.arrival_ns.tenants`.
+    /// Id of the slope, as `part.quantity.size`, such as `policy.arrival_ns.tenants`.
     pub id: String,
-    /// What is measured, in words.
+    /// Description of the measured quantity.
     pub quantity: String,
-    /// Its unit.
+    /// Unit of the quantity.
     pub unit: String,
-    /// The size that varies, in words.
+    /// Description of the size that varies.
     pub against: String,
-    /// What is held fixed, by name.
+    /// Parameters that are held constant, by name.
     pub fixed: BTreeMap<String, f64>,
-    /// The measurements.
+    /// Measured points.
     pub points: Vec<Point>,
-    /// The fit.
+    /// Fit to the points.
     pub fit: Fit,
-    /// The size at the target.
+    /// The size in the target fleet.
     pub target_size: f64,
-    /// The fit's value there, or the measured one where the target itself was measured.
+    /// Value at the target size: the measured one if the target size was measured, otherwise the value of the
+    /// fit.
     pub at_target: f64,
-    /// The error of that value, as a part of it: between seeds where it was measured, of the fit otherwise.
+    /// Relative error of `at_target`: the spread between seeds if the target size was measured with several
+    /// seeds, the distance from the fit of the other sizes if it was measured with one, and otherwise the
+    /// error of the fit.
     pub at_target_error: f64,
-    /// Whether the target itself was measured.
+    /// Whether the target size itself was measured.
     pub measured_at_target: bool,
 }
 
 /// All slopes of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The machine: processor, cores, memory, kernel.
+    /// Properties of the machine: processor, cores, memory, kernel and load.
     pub machine: BTreeMap<String, String>,
-    /// The commit that was measured.
+    /// Commit that was measured.
     pub commit: String,
-    /// The command.
+    /// Command line that produced the report.
     pub command: String,
-    /// The slopes, by id.
+    /// Slopes, sorted by id.
     pub slopes: Vec<Slope>,
 }
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -1,4 +1,4 @@
-//! The command `slopes`: runs the probes and prints what they found.
+//! The command `slopes`: runs the probes and prints the slopes that they measure.
 
 use crate::machine;
 use crate::probes::{self, ProbeOptions};
@@ -8,28 +8,28 @@
 /// Options of `slopes`.
 #[derive(clap::Args)]
 pub struct Options {
-    /// Print JSON.
+    /// Print the report as JSON.
     #[arg(long)]
     json: bool,
-    /// Only slopes whose id begins with one of these.
+    /// Measure only slopes whose id begins with one of these prefixes.
     #[arg(long, value_name = "PREFIX")]
     only: Vec<String>,
-    /// Few sizes and one run each: whether the probes work, no measurement.
+    /// Use few sizes and one run each, to check that the probes work; the results are not measurements.
     #[arg(long)]
     quick: bool,
-    /// Also the runs at the size of the target, which take some six minutes and 4 GB.
+    /// Also run at the size of the target, which takes about six minutes and 4 GB.
     #[arg(long)]
     large: bool,
 }
 
 impl Options {
-    /// Whether a probe may have a slope that is asked for.
+    /// Returns whether a probe may have a selected slope.
     fn wants_probe(&self, prefix: &str) -> bool {
         self.only.is_empty()
             || self.only.iter().any(|only| only.starts_with(prefix) || prefix.starts_with(only.as_str()))
     }
 
-    /// Whether a slope is asked for.
+    /// Returns whether a slope is selected.
     fn wants_slope(&self, slope: &Slope) -> bool {
         self.only.is_empty() || self.only.iter().any(|only| slope.id.starts_with(only.as_str()))
     }
@@ -38,7 +38,7 @@
 /// Runs the probes and prints the report.
 ///
 /// # Errors
-/// If a probe fails.
+/// Returns an error if a probe fails.
 pub fn run(options: &Options) -> Result<()> {
     let report = measure(options)?;
     if options.json {
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// Runs the probes that are asked for, one after the other.
+/// Runs the selected probes one after the other.
 fn measure(options: &Options) -> Result<Report> {
     let probe_options = ProbeOptions { quick: options.quick, large: options.large };
     let machine = machine::describe();
@@ -59,20 +59,21 @@
             continue;
         }
         eprintln!("measuring {}", probe.prefix());
-        let found = probe.run(&probe_options).with_context(|| format!("probe `{}`", probe.prefix()))?;
-        slopes.extend(found.into_iter().filter(|slope| options.wants_slope(slope)));
+        let measured = probe.run(&probe_options).with_context(|| format!("probe `{}`", probe.prefix()))?;
+        slopes.extend(measured.into_iter().filter(|slope| options.wants_slope(slope)));
     }
     slopes.sort_by(|one, other| one.id.cmp(&other.id));
     Ok(Report { machine, commit: machine::commit(), command: command(), slopes })
 }
 
-/// The command as it was given, without the path of the program.
+/// Returns the command line to repeat this run, with the arguments as given and `cargo run` in place of the
+/// program's path.
 fn command() -> String {
     let arguments = std::env::args().skip(1).collect::<Vec<_>>().join(" ");
     format!("cargo run --release -p dunlinspread-scale -- {arguments}")
 }
 
-/// The report for people: a line for each slope.
+/// Formats the report as a table with one line per slope.
 fn table(report: &Report) -> String {
     let machine: Vec<String> = report.machine.iter().map(|(name, value)| format!("{name} {value}")).collect();
     let mut text = format!("commit {}; {}\n", report.commit, machine.join("; "));
@@ -95,7 +96,7 @@
     text
 }
 
-/// A fit as a formula of `n`.
+/// Formats a fit as a formula of `n`.
 fn formula(slope: &Slope) -> String {
     let (intercept, factor) = (short(slope.fit.intercept), short(slope.fit.slope));
     let formula = match slope.fit.model {
@@ -107,7 +108,7 @@
     format!("{formula} (error {:.1}%)", slope.fit.relative_error * 100.0)
 }
 
-/// A number in at most four significant digits or so.
+/// Formats a number with about four significant digits.
 fn short(number: f64) -> String {
     match number.abs() {
         0.0 => "0".to_owned(),
