--- a/crates/scale/src/capacity/estimate.rs
+++ b/crates/scale/src/capacity/estimate.rs
@@ -1,20 +1,20 @@
-//! A figure with its error and where it comes from.
+//! Figures with their error and sources, and the verdict of comparing a figure with its limit.
 
 use std::collections::BTreeSet;
 
-/// What the weakest input of a figure rests on, strongest first.
+/// How the least reliable input of a figure was obtained, the most reliable first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Basis {
-    /// Measured at the size in question, or exact by definition.
+    /// The input was measured at the size in question, or is exact by definition.
     Measured,
-    /// A measured slope, extended to a size past the largest one measured.
+    /// The input is a measured slope extrapolated beyond the largest measured size.
     Extrapolated,
-    /// Assumed, not measured.
+    /// The input is assumed, not measured.
     Assumed,
 }
 
 impl Basis {
-    /// How the page says it.
+    /// Returns the word for this basis on the page.
     pub fn word(self) -> &'static str {
         match self {
             Basis::Measured => "measured",
@@ -24,37 +24,37 @@
     }
 }
 
-/// A figure, its error as a part of it, and its sources.
+/// A figure with its relative error and its sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Estimate {
-    /// The figure.
+    /// Value of the figure.
     pub value: f64,
-    /// Its error, as a part of it.
+    /// Error of the figure, as a fraction of its value.
     pub relative_error: f64,
-    /// The weakest basis of its inputs.
+    /// Basis of the least reliable input.
     pub basis: Basis,
-    /// The slopes it rests on.
+    /// Ids of the slopes that the figure is computed from.
     pub slopes: BTreeSet<String>,
 }
 
 impl Estimate {
-    /// A figure that is exact: a target, a count, a setting.
+    /// Creates an exact figure, such as a target, a count or a setting.
     pub fn exact(value: f64) -> Estimate {
         Estimate { value, relative_error: 0.0, basis: Basis::Measured, slopes: BTreeSet::new() }
     }
 
-    /// A figure that nobody measured.
+    /// Creates a figure that is assumed rather than measured.
     pub fn assumed(value: f64) -> Estimate {
         Estimate { basis: Basis::Assumed, ..Estimate::exact(value) }
     }
 
-    /// The figure times a factor known exactly.
+    /// Returns the figure multiplied by an exact factor.
     pub fn times(mut self, factor: f64) -> Estimate {
         self.value *= factor;
         self
     }
 
-    /// The sum of two figures; absolute errors add, since they may share a cause.
+    /// Returns the sum of two figures. Absolute errors add up, since they may have a common cause.
     pub fn plus(mut self, other: Estimate) -> Estimate {
         let error = self.value.abs() * self.relative_error + other.value.abs() * other.relative_error;
         self.value += other.value;
@@ -64,7 +64,7 @@
         self
     }
 
-    /// The product of two figures; relative errors add.
+    /// Returns the product of two figures. Relative errors add up.
     pub fn by(mut self, other: Estimate) -> Estimate {
         self.value *= other.value;
         self.relative_error += other.relative_error;
@@ -73,29 +73,29 @@
         self
     }
 
-    /// The most that the figure may be within its error.
+    /// Returns the upper bound of the figure within its error.
     pub fn upper(&self) -> f64 {
         self.value * (1.0 + self.relative_error)
     }
 }
 
-/// Whether a figure keeps to its limit.
+/// Result of comparing a figure with its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It does, and could grow by this factor.
+    /// The figure is within its limit, error included, and could grow by this factor.
     Fits(f64),
-    /// It does by its value and not by its error.
+    /// The value is within the limit, but the upper bound of its error is not.
     WithinError,
-    /// It does not: it would have to shrink by this factor.
+    /// The value exceeds the limit and would have to shrink by this factor.
     DoesNotFit(f64),
-    /// Nothing carries it yet; the figure says what would be needed.
+    /// No implemented mechanism provides the figure yet; it states what would be needed.
     NotBuilt,
-    /// It has no limit of its own.
+    /// The figure has no limit of its own.
     NoLimit,
 }
 
 impl Verdict {
-    /// The verdict that follows from a figure and its limit.
+    /// Returns the verdict for a figure, its limit and whether its mechanism is implemented.
     pub fn of(value: &Estimate, limit: Option<f64>, built: bool) -> Verdict {
         let Some(limit) = limit else {
             return if built { Verdict::NoLimit } else { Verdict::NotBuilt };
--- a/crates/scale/src/capacity/render.rs
+++ b/crates/scale/src/capacity/render.rs
@@ -1,4 +1,5 @@
-//! The generated parts of the page: tables between markers, everything else is written by hand and kept.
+//! Renders the generated parts of the page: the tables between markers. All other text is written by hand and
+//! kept.
 
 use super::book::Book;
 use super::estimate::Basis;
@@ -8,10 +9,10 @@
 use anyhow::{Context, Result};
 use std::fmt::Write as _;
 
-/// The page with its generated parts made anew.
+/// Returns the page with its generated parts replaced.
 ///
 /// # Errors
-/// If the page lacks the markers of a table; the error names it.
+/// Returns an error that names the missing marker if the page lacks a marker of a table.
 pub fn fill(page: &str, book: &Book, all_roles: &[Role]) -> Result<String> {
     let mut filled = replace(page, "target", &target_table())?;
     filled = replace(&filled, "source", &source(book))?;
@@ -25,9 +26,10 @@
 
 fn replace(page: &str, id: &str, content: &str) -> Result<String> {
     let (begin, end) = (format!("<!-- begin {id} -->\n"), format!("<!-- end {id} -->"));
-    let from = page.find(&begin).with_context(|| format!("the page lacks `{}`", begin.trim()))? + begin.len();
-    let length = page[from..].find(&end).with_context(|| format!("the page lacks `{end}`"))?;
-    Ok(format!("{}{content}{}", &page[..from], &page[from + length..]))
+    let start = page.find(&begin).with_context(|| format!("the page has no marker `{}`", begin.trim()))?
+        + begin.len();
+    let length = page[start..].find(&end).with_context(|| format!("the page has no marker `{end}`"))?;
+    Ok(format!("{}{content}{}", &page[..start], &page[start + length..]))
 }
 
 fn target_table() -> String {
@@ -78,8 +80,8 @@
         ),
     ];
     let mut out = "| figure | target |\n| --- | --- |\n".to_owned();
-    for (what, value) in rows {
-        let _ = writeln!(out, "| {what} | {value} |");
+    for (name, value) in rows {
+        let _ = writeln!(out, "| {name} | {value} |");
     }
     out
 }
@@ -87,8 +89,8 @@
 fn source(book: &Book) -> String {
     let report = book.report();
     let mut out = format!("Slopes: commit `{}`, `{}`.", report.commit, report.command);
-    for (what, value) in &report.machine {
-        let _ = write!(out, " {what}: {value}.");
+    for (name, value) in &report.machine {
+        let _ = write!(out, " {name}: {value}.");
     }
     out.push('\n');
     out
@@ -173,12 +175,12 @@
     let mut out = "| slope | unit | sizes | fit | error of the fit | target size | there |\n| --- | --- | --- | --- | --- | --- | --- |\n".to_owned();
     for slope in book.slopes() {
         let sizes = slope.points.iter().map(|point| point.size);
-        let (least, most) =
-            sizes.fold((f64::INFINITY, 0.0f64), |(least, most), size| (least.min(size), most.max(size)));
-        let how = if slope.measured_at_target { "measured" } else { "extrapolated" };
+        let (min, max) =
+            sizes.fold((f64::INFINITY, 0.0f64), |(min, max), size| (min.min(size), max.max(size)));
+        let basis = if slope.measured_at_target { "measured" } else { "extrapolated" };
         let _ = writeln!(
             out,
-            "| `{}` | {} | {least} to {most} | {:?} {:.4e}, {:.4e} | {:.0}% | {} | {:.4e} {how}, ±{:.0}% |",
+            "| `{}` | {} | {min} to {max} | {:?} {:.4e}, {:.4e} | {:.0}% | {} | {:.4e} {basis}, ±{:.0}% |",
             slope.id,
             slope.unit,
             slope.fit.model,
--- a/crates/scale/src/capacity/roles/callers.rs
+++ b/crates/scale/src/capacity/roles/callers.rs
@@ -1,4 +1,4 @@
-//! A caller: its connections and the lists it gets.
+//! The role of a caller: its connections, and the server lists that it receives.
 
 use crate::capacity::assumptions::SUBSET;
 use crate::capacity::book::Book;
@@ -7,20 +7,22 @@
 use crate::capacity::target;
 use anyhow::Result;
 
-/// Standard deviations past the mean of the most loaded of 7,100 servers, where callers choose independently.
+/// Number of standard deviations by which the most loaded of 7,100 servers exceeds the mean when callers
+/// choose independently.
 const MOST_LOADED_DEVIATIONS: f64 = 3.8;
-/// Connections that a caller's process can hold beside its other descriptors.
+/// Number of connections that a caller's process can hold in addition to its other file descriptors.
 const CALLER_CONNECTIONS: f64 = 1_000.0;
-/// What the lists may take of a caller's network: as much as a round server may spend on control.
+/// Network bytes per second that the lists may use at a caller: as much as a round server may spend on
+/// control.
 const LIST_BYTES_PER_SECOND: f64 = target::CONTROL_BYTES_PER_SECOND;
 
-/// The rows of a caller.
+/// Returns the role of a caller.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn role(book: &Book) -> Result<Role> {
     let mean = target::CALLERS * SUBSET / target::SERVERS;
-    let most = mean + MOST_LOADED_DEVIATIONS * mean.sqrt();
+    let most_loaded = mean + MOST_LOADED_DEVIATIONS * mean.sqrt();
     let rate = target::REQUESTS_PER_SECOND / target::CALLERS / SUBSET;
     let mut rows = vec![
         Row::new(
@@ -40,7 +42,7 @@
             "connections of the most loaded server",
             When::Steady,
             Unit::Count,
-            Estimate::assumed(most),
+            Estimate::assumed(most_loaded),
             "mean 150,000 x 20 / 7,100 and 3.8 deviations",
         )
         .carried_by("rendezvous hashing in the zone")
@@ -59,11 +61,11 @@
     Ok(Role { id: "caller", rows })
 }
 
-/// Returns the rows of the lists of servers that a caller gets.
+/// Returns the rows of the server lists that a caller receives.
 fn list_rows(book: &Book) -> Result<Vec<Row>> {
-    let a_caller = 1.0 / target::CALLERS;
-    let whole = book.at_target("registry.list_bytes_per_s_whole.callers")?.times(a_caller);
-    let subset = book.at_target("registry.list_bytes_per_s_subset.callers")?.times(a_caller);
+    let per_caller = 1.0 / target::CALLERS;
+    let whole = book.at_target("registry.list_bytes_per_s_whole.callers")?.times(per_caller);
+    let subset = book.at_target("registry.list_bytes_per_s_subset.callers")?.times(per_caller);
     Ok(vec![
         Row::new(
             "bytes of lists, whole lists",
--- a/crates/scale/src/capacity/roles/configuration.rs
+++ b/crates/scale/src/capacity/roles/configuration.rs
@@ -1,4 +1,4 @@
-//! The publisher of configuration and its relays.
+//! The roles of the configuration publisher and of its relays.
 
 use crate::capacity::assumptions::{
     COLD_ZONE_SECONDS, CONTROL_MACHINE_BYTES_PER_SECOND, CONTROL_MACHINE_MEMORY_BYTES, REGION_RELAYS,
@@ -10,13 +10,13 @@
 use crate::capacity::target;
 use anyhow::Result;
 
-/// Bytes of a kilobyte as the system counts resident memory.
+/// Bytes per kilobyte in the operating system's figures of resident memory.
 const KIB: f64 = 1024.0;
 
-/// The rows of the publisher.
+/// Returns the role of the publisher.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn publisher(book: &Book) -> Result<Role> {
     let burst = target::CHANGES_PER_SECOND * target::CHANGE_BURST;
     let commit = book.at("store.commit_us.records", 1.0)?.times(1e-6 * burst);
@@ -67,10 +67,10 @@
     Ok(Role { id: "publisher", rows })
 }
 
-/// The rows of a relay.
+/// Returns the role of a relay.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn relay(book: &Book) -> Result<Role> {
     let mut rows = relay_session_rows();
     rows.extend(relay_load_rows(book)?);
@@ -80,14 +80,14 @@
 
 /// Returns the rows of the sessions that a zone's relay serves.
 fn relay_session_rows() -> Vec<Row> {
-    let of_a_zone = target::SERVERS_OF_A_ZONE / RELAYS_OF_A_ZONE;
-    let after_a_loss = target::SERVERS_OF_A_ZONE;
+    let sessions_per_relay = target::SERVERS_OF_A_ZONE / RELAYS_OF_A_ZONE;
+    let sessions_after_loss = target::SERVERS_OF_A_ZONE;
     vec![
         Row::new(
             "sessions of a zone's relay",
             When::Steady,
             Unit::Count,
-            Estimate::assumed(of_a_zone),
+            Estimate::assumed(sessions_per_relay),
             "444 / 2",
         )
         .carried_by("rendezvous order in the zone"),
@@ -95,14 +95,14 @@
             "sessions with the other one lost",
             When::RackLost,
             Unit::Count,
-            Estimate::assumed(after_a_loss),
+            Estimate::assumed(sessions_after_loss),
             "444",
         )
         .carried_by("rendezvous order in the zone"),
     ]
 }
 
-/// Returns the rows of what a relay sends, computes and holds.
+/// Returns the rows of a relay's network traffic, processor time and memory.
 fn relay_load_rows(book: &Book) -> Result<Vec<Row>> {
     Ok(vec![
         Row::new(
@@ -135,7 +135,7 @@
     ])
 }
 
-/// Returns the rows of a relay whose zone starts anew.
+/// Returns the rows of a relay whose zone starts, with its state on disk or without any.
 fn relay_restart_rows(book: &Book) -> Result<Vec<Row>> {
     let from_disk = book.propagated("cold_zone_ms")?;
     let snapshot = book.at_target("config.snapshot_bytes.resources")?;
--- a/crates/scale/src/capacity/roles/control_machines.rs
+++ b/crates/scale/src/capacity/roles/control_machines.rs
@@ -1,4 +1,4 @@
-//! The machines set aside for control, counted.
+//! The number of machines reserved for control.
 
 use crate::capacity::assumptions::{REGION_RELAYS, RELAYS_OF_A_ZONE};
 use crate::capacity::book::Book;
@@ -7,22 +7,23 @@
 use crate::capacity::target;
 use anyhow::Result;
 
-/// A publisher and one that stands by with a copy of its store.
+/// Number of publishers: an active one and a standby with a copy of its store.
 const PUBLISHERS: f64 = 2.0;
-/// Registry: the platform's own; its machines are counted here as two.
+/// Number of registry machines. The registry belongs to the platform; it is counted here as two machines.
 const REGISTRIES: f64 = 2.0;
-/// Machines for the collector of the usage ledger.
+/// Number of machines for the collector of the usage ledger.
 const COLLECTORS: f64 = 1.0;
 
-/// The rows of the machines.
+/// Returns the role of the control machines.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn role(book: &Book) -> Result<Role> {
     let zone_relays = target::ZONES * RELAYS_OF_A_ZONE;
     let sum = PUBLISHERS + REGION_RELAYS + zone_relays + REGISTRIES + COLLECTORS;
-    // Enough for the measured load with the other relay of the zone lost: what one core of a machine bears.
-    let by_load = book.propagated("cpu_share_relay")?;
+    // Processor time of a relay under the measured load with the other relay of the zone lost, relative to
+    // the one core that a relay can use.
+    let relay_core_share = book.propagated("cpu_share_relay")?;
     let count = |what, number, formula: &str| {
         Row::new(what, When::Steady, Unit::Count, Estimate::assumed(number), formula)
     };
@@ -46,7 +47,7 @@
             "core of a relay, of the one that its thread can use",
             When::ChangeBurst,
             Unit::CoreShare,
-            by_load,
+            relay_core_share,
             "`cpu_share_relay` of the propagation runs",
         )
         .limit(1.0)
--- a/crates/scale/src/capacity/roles/missing.rs
+++ b/crates/scale/src/capacity/roles/missing.rs
@@ -1,10 +1,11 @@
-//! What is missing: every row whose verdict is not that it fits.
+//! The table of missing capacity: every row that exceeds its limit, may exceed it within its error, or lacks
+//! an implementation.
 
 use crate::capacity::estimate::Verdict;
 use crate::capacity::row::Role;
 use std::fmt::Write as _;
 
-/// The table of all that does not fit or is not built.
+/// Returns the table of all rows whose verdict is neither that they fit nor that they have no limit.
 pub fn table(roles: &[Role]) -> String {
     let mut out = "| role | what | when | figure | limit | verdict | carried by |\n| --- | --- | --- | --- | --- | --- | --- |\n".to_owned();
     for role in roles {
--- a/crates/scale/src/capacity/roles/mod.rs
+++ b/crates/scale/src/capacity/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The roles of the fleet, each with its rows.
+//! The roles of the fleet and the rows of their tables.
 
 mod callers;
 mod configuration;
@@ -12,10 +12,10 @@
 use super::row::Role;
 use anyhow::Result;
 
-/// All roles in the order of the page.
+/// Returns all roles in the order of the page.
 ///
 /// # Errors
-/// If a measurement that a row rests on is missing; the error names it.
+/// Returns an error that names the measurement if one that a row is computed from is missing.
 pub fn all(book: &Book) -> Result<Vec<Role>> {
     Ok(vec![
         round_server::role(book)?,
--- a/crates/scale/src/capacity/roles/neighbours.rs
+++ b/crates/scale/src/capacity/roles/neighbours.rs
@@ -1,4 +1,5 @@
-//! Roles beside the round server: allocator of fleet limits, worker pool, next tier, collector of the usage ledger.
+//! Roles around the round server: allocator of fleet limits, worker pool, next tier and collector of the
+//! usage ledger.
 
 use crate::capacity::assumptions::{
     BUDGETS_OF_CLASSES, CALLS_PER_REQUEST, CONTROL_MACHINE_BYTES_PER_SECOND, CONTROL_MACHINE_MEMORY_BYTES,
@@ -10,13 +11,13 @@
 use crate::capacity::target;
 use anyhow::Result;
 
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 const NS_PER_SECOND: f64 = 1e9;
 
-/// The rows of an allocator.
+/// Returns the role of an allocator of fleet limits.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn quota_allocator(book: &Book) -> Result<Role> {
     let mut rows = quota_request_rows(book)?;
     rows.extend(quota_memory_rows(book)?);
@@ -33,13 +34,13 @@
     Ok(Role { id: "quota_allocator", rows })
 }
 
-/// Returns the rows of an allocator's lease requests: their rate, and what they take of a core.
+/// Returns the rows of an allocator's lease requests: their rate, and their share of a core.
 fn quota_request_rows(book: &Book) -> Result<Vec<Row>> {
     let requests = target::SERVERS * REQUESTS_PER_LEASE / LEASE_SECONDS;
     let request_ns = book.at_target("quota.ask_ns.members")?;
     let core_share = |budgets: f64| request_ns.clone().times(requests * budgets / NS_PER_SECOND);
-    let of_classes = core_share(BUDGETS_OF_CLASSES).by(Estimate::assumed(1.0));
-    let of_tenants = core_share(target::TENANTS).by(Estimate::assumed(1.0));
+    let class_budgets_share = core_share(BUDGETS_OF_CLASSES).by(Estimate::assumed(1.0));
+    let tenant_budgets_share = core_share(target::TENANTS).by(Estimate::assumed(1.0));
     let zone_requests = target::SERVERS_OF_A_ZONE * REQUESTS_PER_LEASE / LEASE_SECONDS;
     let by_zone = book
         .at("quota.ask_ns.members", target::SERVERS_OF_A_ZONE)?
@@ -67,7 +68,7 @@
             "core, 20 budgets of classes, one allocator",
             When::Steady,
             Unit::CoreShare,
-            of_classes,
+            class_budgets_share,
             "the same x 20",
         )
         .limit(1.0)
@@ -86,7 +87,7 @@
             "core, a budget a tenant, one allocator",
             When::Steady,
             Unit::CoreShare,
-            of_tenants,
+            tenant_budgets_share,
             "the same x 390,000",
         )
         .limit(1.0)
@@ -119,10 +120,10 @@
     ])
 }
 
-/// The rows of a worker pool.
+/// Returns the role of a worker pool.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn worker_pool(book: &Book) -> Result<Role> {
     let rate = target::REQUESTS_PER_SERVER;
     let rows = vec![
@@ -156,10 +157,10 @@
     Ok(Role { id: "worker_pool", rows })
 }
 
-/// The rows of the next tier.
+/// Returns the role of the next tier.
 ///
 /// # Errors
-/// None today: its figures follow from the target.
+/// Returns no error at present, because its figures follow from the target alone.
 pub fn next_tier() -> Result<Role> {
     let calls = target::REQUESTS_PER_SECOND * CALLS_PER_REQUEST;
     let rows = vec![
@@ -186,14 +187,14 @@
     Ok(Role { id: "next_tier", rows })
 }
 
-/// The rows of the collector.
+/// Returns the role of the collector of the usage ledger.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn ledger_collector(book: &Book) -> Result<Role> {
     let batch =
         book.at("ledger.batch_bytes.tenants", TENANTS_PER_SERVER_AND_PERIOD)?.by(Estimate::assumed(1.0));
-    let a_second = batch.clone().times(target::SERVERS / LEDGER_PERIOD_SECONDS);
+    let per_second = batch.clone().times(target::SERVERS / LEDGER_PERIOD_SECONDS);
     let burst = batch.clone().times(target::SERVERS / 60.0);
     let mut rows = vec![
         Row::new(
@@ -208,7 +209,7 @@
             "bytes in, spread over the period",
             When::Steady,
             Unit::BytesPerSecond,
-            a_second,
+            per_second,
             "the same x 7,100 / 900 s",
         )
         .limit(CONTROL_MACHINE_BYTES_PER_SECOND)
@@ -228,7 +229,7 @@
     Ok(Role { id: "ledger_collector", rows })
 }
 
-/// Returns the rows of what the ledger takes of each server.
+/// Returns the rows of the ledger's memory, disk and recovery time at each server.
 fn ledger_server_rows(book: &Book) -> Result<Vec<Row>> {
     let table =
         book.at("ledger.table_bytes.tenants", TENANTS_PER_SERVER_AND_PERIOD)?.by(Estimate::assumed(1.0));
--- a/crates/scale/src/capacity/roles/round_server.rs
+++ b/crates/scale/src/capacity/roles/round_server.rs
@@ -1,4 +1,4 @@
-//! The round server: what a request costs it, what it spends on control, and the worst events.
+//! The role of the round server: the cost of a request, the resources spent on control, and the worst events.
 
 use crate::capacity::assumptions::{
     BUDGETS_OF_CLASSES, CONNECTION_WORK_MS, POOL_CORES, RECONNECT_SECONDS, SUBSET,
@@ -9,15 +9,15 @@
 use crate::capacity::target;
 use anyhow::Result;
 
-/// Nanoseconds in a second: from ns/s to a part of a core.
+/// Nanoseconds per second, which converts ns/s to a share of a core.
 const NS_PER_SECOND: f64 = 1e9;
-/// Bytes of a kilobyte as the system counts resident memory.
+/// Bytes per kilobyte in the operating system's figures of resident memory.
 const KIB: f64 = 1024.0;
 
-/// The rows of the round server.
+/// Returns the role of the round server.
 ///
 /// # Errors
-/// If a measurement is missing.
+/// Returns an error if a measurement is missing.
 pub fn role(book: &Book) -> Result<Role> {
     let mut rows = requests(book)?;
     rows.extend(connections(book)?);
@@ -30,9 +30,9 @@
 
 fn requests(book: &Book) -> Result<Vec<Row>> {
     let rate = target::REQUESTS_PER_SERVER;
-    let few = book.at("policy.arrival_ns.tenants", 40.0)?;
-    let many = book.at_target("policy.arrival_ns.tenants")?;
-    let growth = Estimate { value: many.value / few.value, ..many.clone() };
+    let few_tenants = book.at("policy.arrival_ns.tenants", 40.0)?;
+    let many_tenants = book.at_target("policy.arrival_ns.tenants")?;
+    let growth = Estimate { value: many_tenants.value / few_tenants.value, ..many_tenants.clone() };
     Ok(vec![
         Row::new(
             "added to a request, 99 in 100",
@@ -65,7 +65,7 @@
             "core for the decisions on arrivals",
             When::Steady,
             Unit::CoreShare,
-            many.times(rate / NS_PER_SECOND),
+            many_tenants.times(rate / NS_PER_SECOND),
             "`policy.arrival_ns.tenants` x 282/s",
         )
         .limit(1.0)
@@ -74,14 +74,14 @@
 }
 
 fn connections(book: &Book) -> Result<Vec<Row>> {
-    let mesh = book.at("daemon.memory_kb.connections", target::CALLERS)?.times(KIB);
+    let full_mesh = book.at("daemon.memory_kb.connections", target::CALLERS)?.times(KIB);
     let subset = target::CALLERS * SUBSET / target::SERVERS;
     Ok(vec![
         Row::new(
             "memory with a connection from every caller",
             When::Steady,
             Unit::Bytes,
-            mesh,
+            full_mesh,
             "`daemon.memory_kb.connections` at 150,000",
         )
         .limit(target::CONTROL_MEMORY_BYTES)
--- a/crates/scale/src/capacity/row.rs
+++ b/crates/scale/src/capacity/row.rs
@@ -1,26 +1,26 @@
-//! A line of the capacity page: one figure of one role, its formula, its limit and the verdict that follows.
+//! Rows of the capacity page: one figure of one role, with its formula, its limit and the resulting verdict.
 
 use super::estimate::{Estimate, Verdict};
 
-/// When a figure holds.
+/// Condition under which a figure holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum When {
-    /// On an ordinary day at the peak.
+    /// Peak load of an ordinary day.
     Steady,
-    /// While configuration changes come at the burst's rate.
+    /// Configuration changes arrive at the rate of a burst.
     ChangeBurst,
-    /// While a rack's servers are lost at once.
+    /// All servers of a rack fail at once.
     RackLost,
-    /// While a zone's servers start at once with nothing.
+    /// All servers of a zone start at once without stored state.
     ZoneCold,
-    /// While all callers reconnect.
+    /// All callers reconnect.
     CallersReconnect,
-    /// While regions can't reach each other, and when they can again.
+    /// Regions cannot reach each other, or have just regained contact.
     RegionsApart,
 }
 
 impl When {
-    /// How the page says it.
+    /// Returns the text for this condition on the page.
     pub fn words(self) -> &'static str {
         match self {
             When::Steady => "steady",
@@ -38,22 +38,22 @@
 pub enum Unit {
     /// Bytes.
     Bytes,
-    /// Bytes a second.
+    /// Bytes per second.
     BytesPerSecond,
-    /// A part of one core.
+    /// Share of one core.
     CoreShare,
     /// Milliseconds.
     Milliseconds,
     /// Seconds.
     Seconds,
-    /// Events a second.
+    /// Events per second.
     PerSecond,
     /// A count.
     Count,
 }
 
 impl Unit {
-    /// The figure as text, with three digits that mean something.
+    /// Formats a value with this unit and about three significant digits.
     pub fn text(self, value: f64) -> String {
         match self {
             Unit::Bytes => scaled(value, "B"),
@@ -93,8 +93,8 @@
 fn with_commas(text: &str) -> String {
     let (whole, rest) = text.split_once('.').map_or((text, None), |(whole, rest)| (whole, Some(rest)));
     let mut grouped = String::new();
-    for (at, digit) in whole.chars().enumerate() {
-        if at > 0 && (whole.len() - at) % 3 == 0 && digit != '-' && !grouped.ends_with('-') {
+    for (index, digit) in whole.chars().enumerate() {
+        if index > 0 && (whole.len() - index) % 3 == 0 && digit != '-' && !grouped.ends_with('-') {
             grouped.push(',');
         }
         grouped.push(digit);
@@ -105,26 +105,26 @@
 /// One figure of one role.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// What is counted.
+    /// Name of the measured figure.
     pub what: &'static str,
-    /// When.
+    /// Condition under which the figure holds.
     pub when: When,
-    /// The formula, in words and slope ids.
+    /// Formula of the figure, in words and slope ids.
     pub formula: String,
-    /// The figure.
+    /// The figure with its error and sources.
     pub estimate: Estimate,
-    /// Its unit.
+    /// Unit of the figure.
     pub unit: Unit,
-    /// What it must not pass.
+    /// Upper limit of the figure, if it has one.
     pub limit: Option<f64>,
-    /// The mechanism that carries it.
+    /// Mechanism that provides the figure.
     pub mechanism: &'static str,
-    /// Whether that mechanism exists.
+    /// Whether the mechanism is implemented.
     pub built: bool,
 }
 
 impl Row {
-    /// A figure with no limit, carried by a mechanism that exists.
+    /// Creates a row with no limit and an implemented mechanism without a name.
     pub fn new(
         what: &'static str,
         when: When,
@@ -135,35 +135,35 @@
         Row { what, when, formula: formula.into(), estimate, unit, limit: None, mechanism: "", built: true }
     }
 
-    /// What it must not pass.
+    /// Sets the upper limit of the figure.
     pub fn limit(mut self, limit: f64) -> Row {
         self.limit = Some(limit);
         self
     }
 
-    /// The mechanism that carries it.
+    /// Sets the mechanism that provides the figure.
     pub fn carried_by(mut self, mechanism: &'static str) -> Row {
         self.mechanism = mechanism;
         self
     }
 
-    /// The mechanism that would carry it does not exist yet.
+    /// Marks the mechanism as not implemented yet.
     pub fn not_built(mut self) -> Row {
         self.built = false;
         self
     }
 
-    /// The verdict that follows from the figures.
+    /// Returns the verdict for the figure and its limit.
     pub fn verdict(&self) -> Verdict {
         Verdict::of(&self.estimate, self.limit, self.built)
     }
 }
 
-/// A role in the fleet.
+/// A role in the fleet with the rows of its table.
 #[derive(Clone, Debug)]
 pub struct Role {
-    /// Its id, under which the page has its table.
+    /// Id of the role, which names the markers of its table in the page.
     pub id: &'static str,
-    /// Its rows.
+    /// Rows of the role's table.
     pub rows: Vec<Row>,
 }
--- a/crates/scale/src/capacity/target.rs
+++ b/crates/scale/src/capacity/target.rs
@@ -1,49 +1,49 @@
-//! The fleet that the operators plan for, and what its parts may spend.
+//! Size of the fleet that the operators plan for, and the resource limits of its parts.
 
-/// Round servers.
+/// Number of round servers.
 pub const SERVERS: f64 = 7_100.0;
-/// Callers (client proxies).
+/// Number of callers (client proxies).
 pub const CALLERS: f64 = 150_000.0;
-/// Services behind the round servers.
+/// Number of services behind the round servers.
 pub const SERVICES: f64 = 3_000.0;
-/// Requests a second over the fleet at the peak.
+/// Requests per second over the whole fleet at the peak.
 pub const REQUESTS_PER_SECOND: f64 = 2_000_000.0;
-/// Routes.
+/// Number of routes.
 pub const ROUTES: f64 = 64_000.0;
-/// Tenants.
+/// Number of tenants.
 pub const TENANTS: f64 = 390_000.0;
-/// Time that a round server may add to a request, ms, for 99 in 100.
+/// Latency that a round server may add to a request at the 99th percentile, ms.
 pub const ADDED_MS_P99: f64 = 3.4;
-/// Regions.
+/// Number of regions.
 pub const REGIONS: f64 = 6.0;
-/// Zones.
+/// Number of zones.
 pub const ZONES: f64 = 16.0;
-/// Round servers of one zone.
+/// Number of round servers in one zone.
 pub const SERVERS_OF_A_ZONE: f64 = 444.0;
-/// Round servers of one rack.
+/// Number of round servers in one rack.
 pub const SERVERS_OF_A_RACK: f64 = 40.0;
-/// Configuration changes a day.
+/// Configuration changes per day.
 pub const CHANGES_PER_DAY: f64 = 22_000.0;
-/// A burst of changes, in times the mean rate.
+/// Rate of a burst of changes, as a multiple of the mean rate.
 pub const CHANGE_BURST: f64 = 100.0;
-/// Time within which a change is in force everywhere, ms.
+/// Time within which a change must be in force everywhere, ms.
 pub const IN_FORCE_MS: f64 = 6_000.0;
 /// Share of one core that a round server may spend on control.
 pub const CONTROL_CORE_SHARE: f64 = 0.011;
 /// Memory that a round server may spend on control, bytes.
 pub const CONTROL_MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
-/// Bytes a second that a round server may spend on control.
+/// Network bytes per second that a round server may spend on control.
 pub const CONTROL_BYTES_PER_SECOND: f64 = 9_000.0;
-/// Machines set aside for control.
+/// Number of machines reserved for control.
 pub const CONTROL_MACHINES: f64 = 43.0;
-/// Machines that fail on an ordinary day.
+/// Number of machines that fail on an ordinary day.
 pub const FAILURES_PER_DAY: f64 = 300.0;
-/// Round servers restarted or replaced on an ordinary day.
+/// Number of round servers restarted or replaced on an ordinary day.
 pub const REPLACEMENTS_PER_DAY: f64 = 44_000.0;
-/// Seconds of a day.
+/// Seconds per day.
 pub const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Requests a second at one round server.
+/// Requests per second at one round server.
 pub const REQUESTS_PER_SERVER: f64 = REQUESTS_PER_SECOND / SERVERS;
-/// Configuration changes a second, mean.
+/// Mean number of configuration changes per second.
 pub const CHANGES_PER_SECOND: f64 = CHANGES_PER_DAY / SECONDS_PER_DAY;
