--- a/crates/scale/src/capacity/roles/control_machines.rs
+++ b/crates/scale/src/capacity/roles/control_machines.rs
@@ -21,8 +21,8 @@
 pub fn role(book: &Book) -> Result<Role> {
     let zone_relays = target::ZONES * RELAYS_OF_A_ZONE;
     let sum = PUBLISHERS + REGION_RELAYS + zone_relays + REGISTRIES + COLLECTORS;
-    // Processor time of a relay under the measured load with the other relay of the zone lost, relative to
-    // the one core that a relay can use.
+    // One relay can carry the measured load with the other relay of its zone lost, as long as its thread needs at
+    // most one core.
     let relay_core_share = book.propagated("cpu_share_relay")?;
     let count = |what, number, formula: &str| {
         Row::new(what, When::Steady, Unit::Count, Estimate::assumed(number), formula)
--- a/crates/scale/src/probes/latency.rs
+++ b/crates/scale/src/probes/latency.rs
@@ -1,7 +1,8 @@
-//! The latency that the daemon adds to a request: the same open-loop load once through a daemon in front of a stand-in
-//! worker pool, and once straight to such a pool in the pool's own protocol, as the daemon speaks it. What is added is
-//! the difference of the two percentiles of the same run. Runs take next to no work, so that the pool's cores are idle
-//! and nothing is held: waiting for a busy machine is not what the daemon adds.
+//! Measures the latency that the daemon adds to a request. The same open-loop load is sent once through a
+//! daemon in front of a stand-in worker pool, and once directly to such a pool in the pool's own protocol, as
+//! the daemon speaks it. The added latency is the difference of the two percentiles of the same run. Runs
+//! need almost no work, so that the pool's cores are idle and no request is queued: waiting for a busy
+//! machine is not latency added by the daemon.
 
 use super::daemon_client;
 use super::daemon_process::{Daemon, Program};
@@ -15,32 +16,34 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The mean rate of a server of the target, twice, four times and ten times that.
+/// Request rates, per second: the mean rate of a server in the target fleet, and two, four and ten times
+/// that.
 const RATES: &[u64] = &[282, 564, 1_128, 2_820];
-/// The rates that show whether the probe works.
+/// Rates used by quick runs, which only check that the probe works.
 const QUICK_RATES: &[u64] = &[200, 400];
-/// Runs at each rate and seed, each once with the daemon and once without.
+/// Number of runs at each rate and seed, each once with the daemon and once without it.
 const RUNS: usize = 3;
-/// Requests of a run.
+/// Number of requests per run.
 const REQUESTS: usize = 700;
-/// The same, only to show that the probe works.
+/// Value for quick runs, which only check that the probe works.
 const QUICK_REQUESTS: usize = 60;
-/// Tries of a run in which most requests are turned away.
-const TRIES: usize = 5;
-/// Requests that are sent before anything is measured.
+/// Maximum number of attempts at a run in which half of the requests or more are rejected.
+const MAX_ATTEMPTS: usize = 5;
+/// Load that is sent before the measurement.
 const WARM_UP: Load = Load { rate: 1000.0, requests: 200, seed: 0 };
-/// Connections of callers.
+/// Number of callers' connections.
 const CONNECTIONS: usize = 4;
-/// Tenants of the requests.
+/// Number of tenants that requests are drawn from.
 const TENANTS: usize = 40;
-/// An added latency is at least this, ms: the clock's own error.
-const LEAST_MS: f64 = 0.001;
-/// A sender that is later than this at 99 of 100 requests is said to be late, ms.
-const LATE_MS: f64 = 0.2;
-/// The body of a request to the pool, in base64: as long as that of [`daemon_client::request`].
+/// Lower bound of a reported added latency, ms: the error of the clock.
+const MIN_ADDED_MS: f64 = 0.001;
+/// Delay of the sender at the 99th percentile above which a warning is printed, ms.
+const LATE_WARNING_MS: f64 = 0.2;
+/// Length of the base64 body of a request to the pool, equal to the encoded length of the body of
+/// [`daemon_client::request`].
 const POOL_BODY: usize = 344;
 
-/// What is measured: id, words, unit.
+/// Measured quantities: id, description and unit.
 const FIGURES: [(&str, &str, &str); 8] = [
     (
         "daemon.added_ms_p50.rate",
@@ -72,7 +75,7 @@
     ),
 ];
 
-/// The probe of the added latency.
+/// Probe of the added latency.
 pub struct LatencyProbe;
 
 impl Probe for LatencyProbe {
@@ -87,7 +90,7 @@
             for &seed in options.seeds() {
                 let runs = Pair::start(&program, seed)?
                     .measure(rate, seed, options)
-                    .with_context(|| format!("at {rate} requests a second"))?;
+                    .with_context(|| format!("at {rate} requests/s"))?;
                 for (points, runs) in points.iter_mut().zip(&runs) {
                     points.push(Point::of(rate as f64, seed, runs));
                 }
@@ -108,7 +111,7 @@
     }
 }
 
-/// A daemon before a pool, and a pool of its own.
+/// A daemon in front of a worker pool, and a second worker pool without a daemon.
 struct Pair {
     daemon: Daemon,
     _around: Surroundings,
@@ -126,7 +129,7 @@
         Ok(pair)
     }
 
-    /// The runs of each figure, in the order of [`FIGURES`].
+    /// Returns the values of all runs for each figure, in the order of [`FIGURES`].
     fn measure(&self, rate: u64, seed: u64, options: &ProbeOptions) -> Result<[Vec<f64>; FIGURES.len()]> {
         let requests = if options.quick { QUICK_REQUESTS } else { REQUESTS };
         let mut runs: [Vec<f64>; FIGURES.len()] = Default::default();
@@ -161,33 +164,36 @@
     }
 }
 
-/// What the daemon adds at a percentile, ms.
+/// Returns the latency that the daemon adds at a percentile, ms.
 fn added(with: &Outcome, without: &Outcome, part: f64) -> f64 {
-    (percentile(&with.latency_ms, part) - percentile(&without.latency_ms, part)).max(LEAST_MS)
+    (percentile(&with.latency_ms, part) - percentile(&without.latency_ms, part)).max(MIN_ADDED_MS)
 }
 
-/// Says when the load itself was late.
+/// Prints a warning if the load generator itself sent requests late.
 fn warn_if_late(with: &Outcome, without: &Outcome, rate: u64) {
     let late = percentile(&with.late_ms, 0.99).max(percentile(&without.late_ms, 0.99));
-    if late > LATE_MS {
-        eprintln!("at {rate} requests a second the load itself was {late:.2} ms late at 99 in 100 requests");
+    if late > LATE_WARNING_MS {
+        eprintln!(
+            "at {rate} requests/s the load generator sent requests {late:.2} ms late at the 99th percentile"
+        );
     }
 }
 
-/// Repeats a run in which half of the requests or more were turned away, as the machine was busy with something else,
-/// and takes the one in which most were served; the share of the others is a slope of its own.
+/// Repeats a run if half of its requests or more were rejected because the machine was busy with other work,
+/// and returns the run with the most served requests. The share of unserved requests is reported as a
+/// separate slope.
 fn mostly_served(run: impl Fn() -> Result<Outcome>) -> Result<Outcome> {
     let mut best = run()?;
-    for _ in 1..TRIES {
+    for _ in 1..MAX_ATTEMPTS {
         if best.latency_ms.len() * 2 > best.late_ms.len() {
             break;
         }
-        let again = run()?;
-        if again.latency_ms.len() > best.latency_ms.len() {
-            best = again;
+        let repeated = run()?;
+        if repeated.latency_ms.len() > best.latency_ms.len() {
+            best = repeated;
         }
     }
-    ensure!(!best.latency_ms.is_empty(), "none of {} requests was served", best.late_ms.len());
+    ensure!(!best.latency_ms.is_empty(), "none of the {} requests was served", best.late_ms.len());
     Ok(best)
 }
 
@@ -197,18 +203,20 @@
     Ok(stream)
 }
 
-/// A link to a worker pool on which the first messages have been exchanged.
+/// Connects to a worker pool and exchanges the first messages.
 fn bound(address: SocketAddr) -> Result<TcpStream> {
     let mut stream = connected(address)?;
     stream.write_all(b"{\"op\":\"bind\",\"seq\":0}\n").context("binding to the pool")?;
     let mut line = String::new();
-    BufReader::with_capacity(1, &stream).read_line(&mut line).context("waiting for the pool")?;
-    let answer: Value = serde_json::from_str(&line).context("the pool's first message")?;
-    ensure!(answer["op"] == "bound", "the pool answered `{line}`");
+    BufReader::with_capacity(1, &stream)
+        .read_line(&mut line)
+        .context("waiting for the pool's first message")?;
+    let answer: Value = serde_json::from_str(&line).context("parsing the pool's first message")?;
+    ensure!(answer["op"] == "bound", "the pool responded to `bind` with `{line}`");
     Ok(stream)
 }
 
-/// Callers' MessagePack to the daemon.
+/// MessagePack protocol between callers and the daemon.
 #[derive(Clone)]
 struct DaemonWire;
 
@@ -222,7 +230,7 @@
     }
 }
 
-/// The JSON lines between the daemon and its worker pool.
+/// JSON lines protocol between the daemon and its worker pool.
 #[derive(Clone)]
 struct PoolWire;
 
@@ -236,9 +244,10 @@
     fn next_answer(&self, received: &mut Vec<u8>) -> Result<Option<(u64, bool)>> {
         while let Some(end) = received.iter().position(|byte| *byte == b'\n') {
             let line: Vec<u8> = received.drain(..=end).collect();
-            let message: Value = serde_json::from_slice(&line).context("a line of the pool")?;
+            let message: Value = serde_json::from_slice(&line).context("parsing a line from the pool")?;
             if message["op"] == "finished" {
-                let number = message["id"].as_str().unwrap_or("").parse().context("an id of the pool")?;
+                let number =
+                    message["id"].as_str().unwrap_or("").parse().context("parsing an id from the pool")?;
                 return Ok(Some((number, message["end"] == "good")));
             }
         }
--- a/crates/scale/src/probes/open_loop.rs
+++ b/crates/scale/src/probes/open_loop.rs
@@ -1,6 +1,7 @@
-//! An open-loop load on real sockets: when each request is to be sent is drawn ahead and waits for no answer, and
-//! latency counts from that time. One thread sends, one for each connection receives; both ends of a comparison are
-//! driven by the same code and differ only in their wire format.
+//! An open-loop load generator on real sockets: the due time of each request is drawn in advance and does not
+//! depend on responses, and latency is measured from the due time. One thread sends, and one thread per
+//! connection receives. The same code drives both sides of a comparison, which differ only in their wire
+//! format.
 
 use anyhow::{Context, Result};
 use rand::{RngExt, SeedableRng};
@@ -12,49 +13,51 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Before a request is due, the sender sleeps up to this long before and then watches the clock: a sleep ends late.
-const WATCHED: Duration = Duration::from_micros(150);
-/// How long answers are waited for after the last request.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// How often it is looked whether all answers are there.
-const LOOK: Duration = Duration::from_millis(2);
-/// Bytes read at once.
+/// Time before the due time of a request at which the sender stops sleeping and polls the clock, since a
+/// sleep ends late.
+const SPIN_TIME: Duration = Duration::from_micros(150);
+/// Maximum time to wait for responses after the last request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between checks whether all responses have arrived.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Maximum number of bytes per read.
 const CHUNK: usize = 16 * 1024;
 
-/// The wire format of one end.
+/// Wire format of one side of a comparison.
 pub trait Wire: Clone + Send + 'static {
-    /// The bytes of a request with this number, which is part of its answer.
+    /// Returns the bytes of the request with this number. The response contains the same number.
     fn encode(&self, number: u64) -> Vec<u8>;
 
-    /// Takes the next whole answer from what was received: its number, and whether it was served.
+    /// Removes the next complete response from `received` and returns its number and whether the request was
+    /// served, or `None` if the response is incomplete.
     ///
     /// # Errors
-    /// On what is no message.
+    /// Returns an error if the received bytes are not a valid message.
     fn next_answer(&self, received: &mut Vec<u8>) -> Result<Option<(u64, bool)>>;
 }
 
-/// What is to be sent.
+/// Description of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Requests a second, in the mean.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: usize,
-    /// Where chance comes from.
+    /// Seed of the random due times.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Result of a load.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// The latency of each request that was served, ms, sorted.
+    /// Latencies of the served requests, ms, sorted.
     pub latency_ms: Vec<f64>,
-    /// How late each request was sent, ms, sorted.
+    /// Delays between the due time and the sending of each request, ms, sorted.
     pub late_ms: Vec<f64>,
 }
 
 impl Outcome {
-    /// Adds what came of another load.
+    /// Adds the result of another load.
     pub fn merge(&mut self, other: &Outcome) {
         self.latency_ms.extend(&other.latency_ms);
         self.late_ms.extend(&other.late_ms);
@@ -63,56 +66,61 @@
     }
 }
 
-/// The value that this part of the sorted values does not exceed; 0 of none.
-pub fn percentile(sorted: &[f64], part: f64) -> f64 {
-    let rank = (part * sorted.len() as f64).ceil() as usize;
+/// Returns the smallest value that at least `fraction` of the sorted values do not exceed, or 0 if there are
+/// none.
+pub fn percentile(sorted: &[f64], fraction: f64) -> f64 {
+    let rank = (fraction * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
 }
 
-/// When each request is due, from the beginning.
+/// Returns the due time of each request relative to the start of the load.
 fn schedule(load: Load) -> Vec<Duration> {
     let mut random = ChaCha8Rng::seed_from_u64(load.seed);
-    let mut at = 0.0;
-    let mut due = || {
-        at += -(1.0 - random.random::<f64>()).ln() / load.rate;
-        Duration::from_secs_f64(at)
+    let mut due_seconds = 0.0;
+    let mut next_due = || {
+        due_seconds += -(1.0 - random.random::<f64>()).ln() / load.rate;
+        Duration::from_secs_f64(due_seconds)
     };
-    (0..load.requests).map(|_| due()).collect()
+    (0..load.requests).map(|_| next_due()).collect()
 }
 
-/// Sends a load over these connections in turn, and waits for its answers.
+/// Sends a load over the given connections in turn, and waits for the responses.
 ///
 /// # Errors
-/// If a connection breaks or carries what is no answer.
+/// Returns an error if a connection breaks or delivers bytes that are not a valid response.
 pub fn run<W: Wire>(wire: &W, connections: &[TcpStream], load: Load) -> Result<Outcome> {
     let due = Arc::new(schedule(load));
     let answered = Arc::new(AtomicUsize::new(0));
-    let began = Instant::now() + Duration::from_millis(5);
+    let start = Instant::now() + Duration::from_millis(5);
     let receivers = connections
         .iter()
         .map(|stream| {
             let receiver = Receiver {
                 wire: wire.clone(),
-                stream: stream.try_clone().context("sharing a connection")?,
+                stream: stream.try_clone().context("duplicating the handle of a connection")?,
                 due: due.clone(),
-                began,
+                start,
                 answered: answered.clone(),
             };
             Ok(std::thread::spawn(move || receiver.run()))
         })
         .collect::<Result<Vec<JoinHandle<Result<Received>>>>>()?;
-    let sent = send(wire, connections, &due, began);
+    let sent = send(wire, connections, &due, start);
     let last = Instant::now();
-    while sent.is_ok() && answered.load(Ordering::Relaxed) < load.requests && last.elapsed() < PATIENCE {
-        std::thread::sleep(LOOK);
+    while sent.is_ok()
+        && answered.load(Ordering::Relaxed) < load.requests
+        && last.elapsed() < RESPONSE_TIMEOUT
+    {
+        std::thread::sleep(POLL_INTERVAL);
     }
     for stream in connections {
-        // One that is closed already has no receiver left to end.
+        // Stops the receiver. Shutting down a connection that is already closed fails, but then its receiver
+        // has stopped too.
         let _ = stream.shutdown(Shutdown::Both);
     }
     let mut outcome = Outcome { late_ms: sent?, ..Outcome::default() };
     for receiver in receivers {
-        let Ok(received) = receiver.join() else { anyhow::bail!("a receiver of answers panicked") };
+        let Ok(received) = receiver.join() else { anyhow::bail!("a receiving thread panicked") };
         outcome.latency_ms.extend(received?.latency_ms);
     }
     outcome.latency_ms.sort_by(f64::total_cmp);
@@ -120,13 +128,13 @@
     Ok(outcome)
 }
 
-/// Sends each request when it is due; how late each one was, ms.
-fn send(wire: &impl Wire, connections: &[TcpStream], due: &[Duration], began: Instant) -> Result<Vec<f64>> {
+/// Sends each request at its due time, and returns the delay of each one, ms.
+fn send(wire: &impl Wire, connections: &[TcpStream], due: &[Duration], start: Instant) -> Result<Vec<f64>> {
     let mut late_ms = Vec::with_capacity(due.len());
     for (number, due) in due.iter().enumerate() {
-        let at = began + *due;
+        let at = start + *due;
         let bytes = wire.encode(number as u64 + 1);
-        std::thread::sleep(at.saturating_duration_since(Instant::now()).saturating_sub(WATCHED));
+        std::thread::sleep(at.saturating_duration_since(Instant::now()).saturating_sub(SPIN_TIME));
         while Instant::now() < at {
             std::hint::spin_loop();
         }
@@ -136,35 +144,35 @@
     Ok(late_ms)
 }
 
-/// The receiving side of one connection.
+/// Receiving side of one connection.
 struct Receiver<W> {
     wire: W,
     stream: TcpStream,
     due: Arc<Vec<Duration>>,
-    began: Instant,
+    start: Instant,
     answered: Arc<AtomicUsize>,
 }
 
-/// What one connection received.
+/// Result of receiving on one connection.
 struct Received {
     latency_ms: Vec<f64>,
 }
 
 impl<W: Wire> Receiver<W> {
-    /// Receives until the connection ends.
+    /// Receives responses until the connection ends, and returns their latencies.
     fn run(mut self) -> Result<Received> {
         let (mut bytes, mut chunk, mut latency_ms) = (Vec::new(), vec![0; CHUNK], Vec::new());
         loop {
-            let read = self.stream.read(&mut chunk).context("receiving answers")?;
+            let read = self.stream.read(&mut chunk).context("receiving responses")?;
             let now = Instant::now();
             if read == 0 {
                 return Ok(Received { latency_ms });
             }
             bytes.extend_from_slice(&chunk[..read]);
             while let Some((number, served)) = self.wire.next_answer(&mut bytes)? {
-                let at = (number as usize).checked_sub(1).and_then(|at| self.due.get(at));
-                if let Some(due) = at.filter(|_| served) {
-                    let latency = now.saturating_duration_since(self.began + *due);
+                let due = (number as usize).checked_sub(1).and_then(|index| self.due.get(index));
+                if let Some(due) = due.filter(|_| served) {
+                    let latency = now.saturating_duration_since(self.start + *due);
                     latency_ms.push(latency.as_secs_f64() * 1000.0);
                 }
                 self.answered.fetch_add(1, Ordering::Relaxed);
--- a/crates/scale/src/probes/registry.rs
+++ b/crates/scale/src/probes/registry.rs
@@ -1,5 +1,5 @@
-//! Reports to the registry: as many of the daemon's real reporters as there are servers, each on its kept connection,
-//! against a registry that counts.
+//! Measures reports to the registry: one of the daemon's real reporters per server, each on its persistent
+//! connection, sends to a counting registry.
 
 use super::registry_server::{Counts, Registry};
 use super::{Probe, ProbeOptions, registry_lists};
@@ -18,30 +18,31 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Servers that report.
+/// Numbers of servers that report.
 const SIZES: &[u64] = &[100, 1_000, 3_000, 7_100];
-/// The sizes that show whether the probe works.
+/// Sizes used by quick runs, which only check that the probe works.
 const QUICK_SIZES: &[u64] = &[5, 10];
-/// The reporters begin within this time, at random, ms: the period of their reports.
+/// Interval within which the reporters start at random times, ms; equal to the period of their reports.
 const SPREAD_MS: f64 = 500.0;
-/// From the start until all report steadily.
+/// Time from the start until all servers report steadily.
 const WARM_UP: Duration = Duration::from_millis(900);
-/// How long reports are counted: as long as a connection is kept, so that each is renewed once.
-const WATCHED: Duration = Duration::from_millis(2000);
-/// The same, only to show that the probe works.
-const QUICK_WATCHED: Duration = Duration::from_millis(600);
-/// Descriptors beside the two ends of each connection.
+/// Time during which reports are counted: as long as a connection is kept, so that each one is renewed once.
+const MEASURE_TIME: Duration = Duration::from_millis(2000);
+/// Value for quick runs, which only check that the probe works.
+const QUICK_MEASURE_TIME: Duration = Duration::from_millis(600);
+/// File descriptors needed in addition to the two ends of each connection.
 const OTHER_DESCRIPTORS: u64 = 200;
-/// The step of the reporters' timers, ms.
+/// Tick of the reporters' timer wheel, ms.
 const TICK_MS: f64 = 1.0;
-/// Bytes of the headers of IP and TCP, with time stamps, on each segment.
+/// Bytes of the IP and TCP headers, timestamps included, on each segment.
 const SEGMENT_BYTES: f64 = 52.0;
-/// Segments of a report on a kept connection: the report, the answer that acknowledges it, and its acknowledgement.
+/// TCP segments of a report on a persistent connection: the report, the response that acknowledges it, and
+/// the acknowledgement of the response.
 const SEGMENTS_PER_REPORT: f64 = 3.0;
-/// Segments that open and close a connection.
+/// TCP segments that open and close a connection.
 const SEGMENTS_PER_CONNECTION: f64 = 7.0;
 
-/// What is measured: id, words, unit.
+/// Measured quantities: id, description and unit.
 const FIGURES: [(&str, &str, &str); 5] = [
     ("registry.report_bytes.servers", "a report as sent, with headers and its answer", "bytes"),
     ("registry.reports_per_s.servers", "reports that the registry takes", "reports/s"),
@@ -58,7 +59,7 @@
     ),
 ];
 
-/// The probe of the registry.
+/// Probe of the registry.
 pub struct RegistryProbe;
 
 impl Probe for RegistryProbe {
@@ -76,12 +77,12 @@
 fn reports(options: &ProbeOptions) -> Result<Vec<Slope>> {
     let sizes = options.sizes(SIZES, QUICK_SIZES);
     raise_limit(2 * sizes.last().copied().unwrap_or(0) + OTHER_DESCRIPTORS)?;
-    let watched = if options.quick { QUICK_WATCHED } else { WATCHED };
+    let measure_time = if options.quick { QUICK_MEASURE_TIME } else { MEASURE_TIME };
     let mut points: [Vec<Point>; FIGURES.len()] = Default::default();
     for &size in sizes {
         for &seed in options.seeds() {
-            let figures = measure(size as usize, seed, watched)
-                .with_context(|| format!("with reports of {size} servers"))?;
+            let figures = measure(size as usize, seed, measure_time)
+                .with_context(|| format!("measuring the reports of {size} servers"))?;
             for (points, figure) in points.iter_mut().zip(figures) {
                 points.push(Point::of(size as f64, seed, &[figure]));
             }
@@ -101,16 +102,16 @@
     }
 }
 
-/// The figures with that many servers, in the order of [`FIGURES`].
-fn measure(servers: usize, seed: u64, watched: Duration) -> Result<[f64; FIGURES.len()]> {
+/// Measures the figures with the given number of servers, in the order of [`FIGURES`].
+fn measure(servers: usize, seed: u64, measure_time: Duration) -> Result<[f64; FIGURES.len()]> {
     let registry = Registry::start()?;
     let reporters = Reporters::start(registry.address(), servers, seed)?;
     std::thread::sleep(WARM_UP);
-    let (before, began) = (registry.counts(), Instant::now());
-    std::thread::sleep(watched);
-    let (counts, seconds) = (registry.counts().since(before), began.elapsed().as_secs_f64());
+    let (before, start) = (registry.counts(), Instant::now());
+    std::thread::sleep(measure_time);
+    let (counts, seconds) = (registry.counts().since(before), start.elapsed().as_secs_f64());
     drop(reporters);
-    ensure!(counts.reports > 0, "no report came in {seconds:.1} s; {before:?} before");
+    ensure!(counts.reports > 0, "no report arrived within {seconds:.1} s; counts before that: {before:?}");
     Ok(figures(counts, seconds))
 }
 
@@ -126,7 +127,7 @@
     ]
 }
 
-/// Real reporters on a thread of their own. Dropping it ends them.
+/// The daemon's reporters on a separate thread. Dropping this stops them.
 struct Reporters {
     stop: Option<async_channel::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -139,7 +140,7 @@
             let executor = Rc::new(LocalExecutor::new());
             let mailboxes = report_all(&executor, registry, servers, seed);
             async_io::block_on(executor.run(async {
-                // An error is what is awaited: the owner is gone.
+                // Returns an error as soon as the owner drops its sender, which is the signal to stop.
                 let _ = stopped.recv().await;
             }));
             drop(mailboxes);
@@ -157,7 +158,8 @@
     }
 }
 
-/// Has each server report as the daemon does; the reporters last as long as their mailboxes.
+/// Starts a reporter for each server that reports as the daemon does. The reporters run until their mailboxes
+/// are dropped.
 fn report_all(
     executor: &LocalExecutor<'static>,
     registry: SocketAddr,
@@ -175,9 +177,9 @@
         mailboxes.push(mailbox);
         let name = registry_lists::server_name(number);
         let (wheel, log) = (wheel.clone(), log.clone());
-        let begins_ms = random.random_range(0.0..SPREAD_MS);
+        let start_delay_ms = random.random_range(0.0..SPREAD_MS);
         let reporter = async move {
-            wheel.sleep(begins_ms).await;
+            wheel.sleep(start_delay_ms).await;
             RegistryReporter { address: registry, name, clock, wheel, active: true, log }.run(messages).await;
         };
         executor.spawn(reporter).detach();
--- a/crates/scale/src/probes/registry_lists.rs
+++ b/crates/scale/src/probes/registry_lists.rs
@@ -1,9 +1,11 @@
-//! The lists of servers that callers get from the registry: the bytes of real lists, and from them the bytes a second to
-//! all callers at the target's rate of changes, for each way to send them.
+//! Measures the size of the server lists that callers receive from the registry, and computes from it the
+//! bytes per second sent to all callers at the target's rate of changes, for several methods of sending
+//! lists.
 //!
-//! How callers get lists is the platform's own and not in the protocol, which says only that they see changes a second
-//! or two late. Assumed here: an HTTP/1.1 answer with a JSON array of name, address and status, on a kept connection.
-//! That callers see changes up to two seconds late allows several changes to go out as one list.
+//! The protocol does not define how callers receive lists, which is up to the platform; it only says that
+//! callers see changes one or two seconds late. This module assumes an HTTP/1.1 response with a JSON array of
+//! name, address and status on a persistent connection. Because callers may see changes up to two seconds
+//! late, several changes can be sent as one list.
 
 use super::ProbeOptions;
 use crate::fit::Quantity;
@@ -12,29 +14,29 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-/// Servers in a list.
+/// Numbers of servers in a list.
 const SIZES: &[u64] = &[10, 100, 1_000, 7_100];
-/// The sizes that show whether the probe works.
+/// Sizes used by quick runs, which only check that the probe works.
 const QUICK_SIZES: &[u64] = &[10, 100];
-/// Servers of the target.
+/// Number of servers in the target fleet.
 const SERVERS: u64 = 7_100;
-/// Callers, up to those of the target.
+/// Numbers of callers, up to that of the target fleet.
 const CALLERS: &[u64] = &[150, 1_500, 15_000, 150_000];
-/// The sizes that show whether the probe works.
+/// Sizes used by quick runs, which only check that the probe works.
 const QUICK_CALLERS: &[u64] = &[150, 1_500];
-/// Changes of the list a second at the target: 44,000 a day.
+/// Changes of the list per second in the target fleet: 44,000 per day.
 const CHANGES_PER_S: f64 = 44_000.0 / 86_400.0;
-/// Callers see a change up to so many seconds late.
+/// Maximum delay after which callers see a change, s; also their polling interval.
 const DELAY_S: f64 = 2.0;
-/// Servers that a caller uses, if it uses a subset.
+/// Number of servers that a caller uses if it uses a subset.
 const SUBSET: u64 = 20;
-/// One list in so many seconds is asked for in any case, where nothing changes; answered `304`.
+/// Response to a poll if the list has not changed.
 const UNCHANGED: &[u8] = b"HTTP/1.1 304 Not Modified\r\nETag: \"0000000000000000\"\r\n\r\n";
-/// The request for a list.
+/// Request for a list.
 const REQUEST: &[u8] =
     b"GET /catalog/list HTTP/1.1\r\nHost: 127.0.0.1:40000\r\nIf-None-Match: \"0000000000000000\"\r\n\r\n";
 
-/// One server as a list tells of it.
+/// Entry of one server in a list.
 #[derive(Serialize)]
 struct Entry {
     name: String,
@@ -42,71 +44,71 @@
     status: &'static str,
 }
 
-/// A way to send lists.
-struct Way {
+/// A method of sending lists.
+struct Method {
     id: &'static str,
-    words: &'static str,
-    /// Bytes a second to one caller.
-    bytes_per_s: fn(&Lists) -> f64,
+    label: &'static str,
+    /// Returns the bytes per second sent to one caller.
+    bytes_per_s: fn(&ListSizes) -> f64,
 }
 
-const WAYS: [Way; 4] = [
-    Way {
+const METHODS: [Method; 4] = [
+    Method {
         id: "registry.list_bytes_per_s_each_change.callers",
-        words: "the whole list to every caller for each change (computed from measured lists)",
+        label: "the whole list to every caller for each change (computed from measured lists)",
         bytes_per_s: |lists| CHANGES_PER_S * lists.whole,
     },
-    Way {
+    Method {
         id: "registry.list_bytes_per_s_whole.callers",
-        words: "every caller asks each 2 s: the whole list if it changed, else 304 (computed from measured lists)",
+        label: "every caller asks each 2 s: the whole list if it changed, else 304 (computed from measured lists)",
         bytes_per_s: |lists| polled(CHANGES_PER_S, lists.whole),
     },
-    Way {
+    Method {
         id: "registry.list_bytes_per_s_subset.callers",
-        words: "every caller asks each 2 s for its subset of 20 servers: sent if it changed, else 304 (computed)",
+        label: "every caller asks each 2 s for its subset of 20 servers: sent if it changed, else 304 (computed)",
         bytes_per_s: |lists| polled(CHANGES_PER_S * SUBSET as f64 / SERVERS as f64, lists.subset),
     },
-    Way {
+    Method {
         id: "registry.list_bytes_per_s_delta.callers",
-        words: "only the changed entry to every caller: not in the protocol, for comparison (computed)",
+        label: "only the changed entry to every caller: not in the protocol, for comparison (computed)",
         bytes_per_s: |lists| CHANGES_PER_S * lists.one,
     },
 ];
 
-/// The bytes of lists, with headers.
-struct Lists {
+/// Sizes of responses with lists, headers included, in bytes.
+struct ListSizes {
     whole: f64,
     subset: f64,
     one: f64,
 }
 
-impl Lists {
-    fn measure(seed: u64) -> Lists {
-        let of = |servers| list(servers, seed).len() as f64;
-        Lists { whole: of(SERVERS), subset: of(SUBSET), one: of(1) }
+impl ListSizes {
+    fn measure(seed: u64) -> ListSizes {
+        let size = |servers| list(servers, seed).len() as f64;
+        ListSizes { whole: size(SERVERS), subset: size(SUBSET), one: size(1) }
     }
 }
 
-/// Bytes a second of a caller that asks once in the time by which it may be late.
+/// Returns the bytes per second, requests included, of a caller that polls every [`DELAY_S`] seconds.
 fn polled(changes_per_s: f64, changed_bytes: f64) -> f64 {
     let changed = 1.0 - (-changes_per_s * DELAY_S).exp();
     let answer = changed * changed_bytes + (1.0 - changed) * UNCHANGED.len() as f64;
     (REQUEST.len() as f64 + answer) / DELAY_S
 }
 
-/// The slopes of lists.
+/// Returns the slopes of the server lists.
 pub fn slopes(options: &ProbeOptions) -> Vec<Slope> {
     let mut slopes = vec![list_bytes(options)];
-    slopes.extend(WAYS.iter().map(|way| way.slope(options)));
+    slopes.extend(METHODS.iter().map(|method| method.slope(options)));
     slopes
 }
 
-/// The name of a server.
+/// Returns the name of a server.
 pub fn server_name(number: usize) -> String {
     format!("n{number}")
 }
 
-/// The bytes of a list against its entries.
+/// Returns the slope of the size of a list as a function of its number of entries.
 fn list_bytes(options: &ProbeOptions) -> Slope {
     let mut points = Vec::new();
     for &size in options.sizes(SIZES, QUICK_SIZES) {
@@ -125,18 +127,18 @@
     quantity.slope(points)
 }
 
-impl Way {
+impl Method {
     fn slope(&self, options: &ProbeOptions) -> Slope {
         let mut points = Vec::new();
         for &callers in options.sizes(CALLERS, QUICK_CALLERS) {
             for &seed in options.seeds() {
-                let bytes_per_s = callers as f64 * (self.bytes_per_s)(&Lists::measure(seed));
+                let bytes_per_s = callers as f64 * (self.bytes_per_s)(&ListSizes::measure(seed));
                 points.push(Point::of(callers as f64, seed, &[bytes_per_s]));
             }
         }
         let quantity = Quantity {
             id: self.id,
-            quantity: self.words,
+            quantity: self.label,
             unit: "bytes/s",
             against: "callers",
             fixed: &[
@@ -151,7 +153,7 @@
     }
 }
 
-/// An answer with a list of that many servers, as bytes.
+/// Returns the bytes of a response with a list of the given number of servers.
 fn list(servers: u64, seed: u64) -> Vec<u8> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let entries: Vec<Entry> = (0..servers)
@@ -166,7 +168,7 @@
             status: if random.random::<f64>() < 0.01 { "critical" } else { "passing" },
         })
         .collect();
-    // Strings always have a form in JSON.
+    // Serializing strings to JSON cannot fail.
     let body = serde_json::to_string(&entries).unwrap_or_default();
     let length = body.len();
     format!(
--- a/crates/scale/src/probes/registry_server.rs
+++ b/crates/scale/src/probes/registry_server.rs
@@ -1,5 +1,5 @@
-//! A registry that counts: it takes reports over HTTP/1.1 as the protocol has them, answers each, and counts bytes,
-//! reports, connections and its own processor time.
+//! A counting registry: it receives reports over HTTP/1.1 as defined by the protocol, responds to each, and
+//! counts bytes, reports, connections and its own processor time.
 
 use anyhow::{Context, Result};
 use async_executor::LocalExecutor;
@@ -13,34 +13,34 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The answer to a report.
+/// Response to a report.
 const ANSWER: &[u8] = b"HTTP/1.1 204 No Content\r\n\r\n";
-/// The longest report that is taken, bytes.
+/// Maximum size of a report, bytes.
 const MAX_REPORT: usize = 16 * 1024;
-/// The header that tells the length of the body.
+/// Name of the header that states the length of the body, in lower case.
 const CONTENT_LENGTH: &str = "content-length:";
-/// The pause after a connection that could not be accepted.
+/// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Nanoseconds of a second.
+/// Nanoseconds per second.
 const NS_PER_SECOND: u64 = 1_000_000_000;
 
-/// What was counted so far.
+/// Counts since the start of the registry, or between two readings.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Reports taken.
+    /// Number of reports received.
     pub reports: u64,
-    /// Their bytes, with headers.
+    /// Bytes of the reports, headers included.
     pub report_bytes: u64,
-    /// The bytes of the answers, with headers.
+    /// Bytes of the responses, headers included.
     pub answer_bytes: u64,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub connections: u64,
-    /// Processor time of the registry's thread, ns, as of its last report.
+    /// Processor time of the registry's thread up to its last report, ns.
     pub processor_ns: u64,
 }
 
 impl Counts {
-    /// What came since earlier counts.
+    /// Returns the difference from earlier counts.
     pub fn since(self, before: Counts) -> Counts {
         Counts {
             reports: self.reports - before.reports,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Counters that both threads see.
+/// Counters shared by the registry's thread and its owner.
 #[derive(Default)]
 struct Counters {
     reports: AtomicU64,
@@ -62,7 +62,7 @@
     processor_ns: AtomicU64,
 }
 
-/// A running registry. Dropping it ends its thread.
+/// A running registry. Dropping it stops its thread.
 pub struct Registry {
     address: SocketAddr,
     counters: Arc<Counters>,
@@ -71,12 +71,12 @@
 }
 
 impl Registry {
-    /// Starts one.
+    /// Starts a registry on a free local port.
     ///
     /// # Errors
-    /// If there is no port or thread.
+    /// Returns an error if no port can be bound or no thread can be started.
     pub fn start() -> Result<Registry> {
-        let listener = TcpListener::bind("127.0.0.1:0").context("a port for the registry")?;
+        let listener = TcpListener::bind("127.0.0.1:0").context("binding a port for the registry")?;
         let address = listener.local_addr()?;
         let listener = Async::new(listener)?;
         let counters = Arc::new(Counters::default());
@@ -86,27 +86,27 @@
             let executor = Rc::new(LocalExecutor::new());
             executor.spawn(accept(listener, shared, executor.clone())).detach();
             async_io::block_on(executor.run(async {
-                // An error is what is awaited: the owner is gone.
+                // Returns an error as soon as the owner drops its sender, which is the signal to stop.
                 let _ = stopped.recv().await;
             }));
         })?;
         Ok(Registry { address, counters, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Returns the address on which the registry listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has counted so far.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> Counts {
-        let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Counts {
-            reports: of(&self.counters.reports),
-            report_bytes: of(&self.counters.report_bytes),
-            answer_bytes: of(&self.counters.answer_bytes),
-            connections: of(&self.counters.connections),
-            processor_ns: of(&self.counters.processor_ns),
+            reports: load(&self.counters.reports),
+            report_bytes: load(&self.counters.report_bytes),
+            answer_bytes: load(&self.counters.answer_bytes),
+            connections: load(&self.counters.connections),
+            processor_ns: load(&self.counters.processor_ns),
         }
     }
 }
@@ -127,13 +127,14 @@
                 counters.connections.fetch_add(1, Ordering::Relaxed);
                 executor.spawn(serve(stream, counters.clone())).detach();
             }
-            // One that was reset before it was taken, or no descriptor left: the others go on.
+            // The connection was reset before it was accepted, or no file descriptor is left. The other
+            // connections continue.
             Err(_) => drop(Timer::after(ACCEPT_PAUSE).await),
         }
     }
 }
 
-/// Takes reports until the connection ends or carries what is none.
+/// Receives reports until the connection ends or exceeds the maximum size of a report.
 async fn serve(stream: Async<TcpStream>, counters: Arc<Counters>) {
     let (mut received, mut chunk, mut stream) = (Vec::new(), vec![0; 1024], &stream);
     while let Ok(read) = stream.read(&mut chunk).await {
@@ -154,7 +155,7 @@
     }
 }
 
-/// The length of the whole report at the beginning of these bytes, if it is there.
+/// Returns the length of the report at the beginning of `bytes`, or `None` if it is incomplete.
 fn report_length(bytes: &[u8]) -> Option<usize> {
     let head = bytes.windows(4).position(|four| four == b"\r\n\r\n")? + 4;
     let text = std::str::from_utf8(&bytes[..head]).ok()?.to_ascii_lowercase();
@@ -163,7 +164,7 @@
     (bytes.len() >= whole).then_some(whole)
 }
 
-/// The processor time of this thread, ns.
+/// Returns the processor time of this thread, ns.
 fn processor_ns() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * NS_PER_SECOND + time.tv_nsec as u64
