--- a/crates/scale/src/probes/admission.rs
+++ b/crates/scale/src/probes/admission.rs
@@ -1,5 +1,7 @@
-//! The admission controller: ns of an arrival, an ending and a timer, and its memory, against tenants, classes, queued and
-//! running requests. Each state is built in a process of its own, whose growth in resident memory is the controller's.
+//! Measures the admission controller: the time of an arrival, of the end of a run and of a timer, and its
+//! memory, as a function of the number of tenants, classes, queued requests and running requests. Each state
+//! is built in a separate process, so that the growth of the process's resident memory is the memory of the
+//! controller.
 
 use super::admission_load::{Costs, Length, Load, Shape};
 use crate::child_process::{self, ReportingLoad};
@@ -11,14 +13,14 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The state but for the size that varies.
-const USUAL: Shape = Shape { tenants: 40, classes: 8, queued: 0, running: 8 };
-/// Runs of the load at each size and seed.
+/// Default state, in which one size varies.
+const DEFAULT_SHAPE: Shape = Shape { tenants: 40, classes: 8, queued: 0, running: 8 };
+/// Number of runs of the load at each size and seed.
 const RUNS: usize = 5;
-/// How long a run is.
+/// Length of a run.
 const LENGTH: Length = Length { rounds: 400, time: Duration::from_millis(20) };
 
-/// A size of the state that varies.
+/// A dimension of the state that varies.
 struct Axis {
     name: &'static str,
     words: &'static str,
@@ -29,7 +31,7 @@
     ids: Ids,
 }
 
-/// The ids of an axis.
+/// Ids of the slopes of an axis.
 struct Ids {
     arrival: &'static str,
     ending: &'static str,
@@ -43,7 +45,7 @@
         words: "tenants with an allowance",
         sizes: &[10, 40, 1_000, 10_000, 100_000, 390_000],
         target: 390_000.0,
-        shape: |tenants| Shape { tenants, ..USUAL },
+        shape: |tenants| Shape { tenants, ..DEFAULT_SHAPE },
         fixed: &[("classes", 8.0), ("held", 0.0), ("running", 8.0)],
         ids: Ids {
             arrival: "policy.arrival_ns.tenants",
@@ -57,7 +59,7 @@
         words: "classes of requests (routes)",
         sizes: &[10, 100, 1_000, 10_000, 64_000],
         target: 64_000.0,
-        shape: |classes| Shape { classes, ..USUAL },
+        shape: |classes| Shape { classes, ..DEFAULT_SHAPE },
         fixed: &[("tenants", 40.0), ("held", 0.0), ("running", 8.0)],
         ids: Ids {
             arrival: "policy.arrival_ns.classes",
@@ -71,7 +73,7 @@
         words: "held requests; an arrival adds one, an ending runs the best of them",
         sizes: &[10, 100, 1_000, 10_000],
         target: 10_000.0,
-        shape: |queued| Shape { queued, ..USUAL },
+        shape: |queued| Shape { queued, ..DEFAULT_SHAPE },
         fixed: &[("tenants", 40.0), ("classes", 8.0), ("running", 8.0)],
         ids: Ids {
             arrival: "policy.arrival_ns.held",
@@ -85,7 +87,7 @@
         words: "running requests, none held",
         sizes: &[10, 100, 1_000, 10_000],
         target: 10_000.0,
-        shape: |running| Shape { running, ..USUAL },
+        shape: |running| Shape { running, ..DEFAULT_SHAPE },
         fixed: &[("tenants", 40.0), ("classes", 8.0), ("held", 0.0)],
         ids: Ids {
             arrival: "policy.arrival_ns.running",
@@ -95,10 +97,10 @@
         },
     },
 ];
-/// The sizes that show whether the probe works.
+/// Sizes used by quick runs, which only check that the probe works.
 const QUICK_SIZES: &[u64] = &[10, 40];
 
-/// The probe of the admission controller.
+/// Probe of the admission controller.
 pub struct AdmissionProbe;
 
 impl Probe for AdmissionProbe {
@@ -115,16 +117,16 @@
     }
 }
 
-/// What is measured of one state.
+/// Measurements of one state.
 #[derive(Serialize, Deserialize)]
 struct Figures {
-    /// Growth of the process by settings and state.
+    /// Growth of the process's resident memory caused by the settings and the state, bytes.
     memory_bytes: f64,
-    /// The costs of each run.
+    /// Costs of each run.
     costs: Vec<Costs>,
 }
 
-/// The states that are built in a process of their own.
+/// Returns the loads that build a state in a separate process, by name.
 pub fn reporting_loads() -> [(&'static str, ReportingLoad); AXES.len()] {
     [
         (AXES[0].name, |size, seed| figures(&AXES[0], size, seed)),
@@ -134,7 +136,7 @@
     ]
 }
 
-/// Builds the state and measures it; one run at the beginning is not counted.
+/// Builds the state and measures it. The first run is a warm-up that is not counted.
 fn figures(axis: &Axis, size: u64, seed: u64) -> Result<String> {
     let shape = (axis.shape)(size as usize);
     let growth = Growth::begin();
@@ -142,7 +144,12 @@
     let memory_bytes = growth.bytes();
     load.run(LENGTH);
     let costs = (0..RUNS).map(|_| load.run(LENGTH)).collect();
-    ensure!(load.running() == shape.running, "{} run, not {}", load.running(), shape.running);
+    ensure!(
+        load.running() == shape.running,
+        "{} requests are running instead of {}",
+        load.running(),
+        shape.running
+    );
     Ok(serde_json::to_string(&Figures { memory_bytes, costs })?)
 }
 
@@ -152,10 +159,10 @@
         for &size in options.sizes(self.sizes, QUICK_SIZES) {
             for &seed in options.seeds() {
                 let figures: Figures = child_process::report(self.name, size, seed)?;
-                let of = |pick: fn(&Costs) -> f64| figures.costs.iter().map(pick).collect::<Vec<f64>>();
-                points[0].push(Point::of(size as f64, seed, &of(|costs| costs.arrival)));
-                points[1].push(Point::of(size as f64, seed, &of(|costs| costs.ending)));
-                points[2].push(Point::of(size as f64, seed, &of(|costs| costs.timer)));
+                let values = |pick: fn(&Costs) -> f64| figures.costs.iter().map(pick).collect::<Vec<f64>>();
+                points[0].push(Point::of(size as f64, seed, &values(|costs| costs.arrival)));
+                points[1].push(Point::of(size as f64, seed, &values(|costs| costs.ending)));
+                points[2].push(Point::of(size as f64, seed, &values(|costs| costs.timer)));
                 points[3].push(Point::of(size as f64, seed, &[figures.memory_bytes]));
             }
         }
--- a/crates/scale/src/probes/admission_load.rs
+++ b/crates/scale/src/probes/admission_load.rs
@@ -1,4 +1,4 @@
-//! An admission controller brought to a given state and kept there while events are timed.
+//! Brings an admission controller into a given state and keeps it there while events are timed.
 
 use dunlinspread::{
     Action, AdmissionController, Arrival, Class, Event, Gauges, Outcome, RequestId, RetrySafety, Settings,
@@ -9,55 +9,57 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The step of the virtual clock between two events, ms: so small that nothing is due and no run counts as stalled.
+/// Step of the virtual clock between two events, ms: so small that nothing becomes due and no run counts as
+/// stalled.
 const STEP_MS: f64 = 0.001;
-/// The latency objective of every class, ms: nothing is late.
+/// Latency objective of every class, ms: so long that no request is late.
 const LATENCY_OBJECTIVE_MS: f64 = 1e7;
-/// What a run is said to have taken, ms.
+/// Reported duration of a run, ms.
 const RUN_MS: f64 = 10.0;
-/// The running requests a core that the machine survives; only that it is well over the run limit matters.
+/// Number of running requests per core that the machine survives. The value only has to be well above the run
+/// limit.
 const SURVIVABLE_PER_CORE: f64 = 8.0;
-/// The runs that the controller allows for each core.
+/// Number of runs that the controller allows per core.
 const RUNS_PER_CORE: f64 = 1.25;
-/// Requests that are run and ended before anything is measured, at least, so that run times are known.
+/// Minimum number of requests that are run and ended before the measurement, so that run times are known.
 const WARM_UP: usize = 64;
-/// Pairs of readings of the clock that tell what one costs.
+/// Number of pairs of clock readings from which the cost of a reading is determined.
 const CLOCK_READINGS: usize = 1001;
 
-/// What the state is like.
+/// Size of the controller's state.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Tenants with an allowance.
+    /// Number of tenants with an allowance.
     pub tenants: usize,
-    /// Classes of requests.
+    /// Number of classes of requests.
     pub classes: usize,
-    /// Requests that wait for a run.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
 }
 
-/// The mean cost of each event in one run of the load, ns.
+/// Mean cost of each event in one run of the load, ns.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Costs {
-    /// Of an arrival: with none queued it is run at once, else it is queued.
+    /// Cost of an arrival, which is run at once if no request is queued, and otherwise queued.
     pub arrival: f64,
-    /// Of the end of a run: with some queued, the best of them is run.
+    /// Cost of the end of a run, after which the best queued request is run, if there is one.
     pub ending: f64,
-    /// Of the periodic timer.
+    /// Cost of the periodic timer.
     pub timer: f64,
 }
 
-/// How long one run of the load goes on.
+/// Limits of one run of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct Length {
-    /// Rounds of one event of each kind at most.
+    /// Maximum number of rounds; a round consists of one event of each kind.
     pub rounds: usize,
-    /// No round begins after this.
+    /// Time after which no new round begins.
     pub time: Duration,
 }
 
-/// An admission controller in such a state.
+/// An admission controller in a given state.
 pub struct Load {
     shape: Shape,
     controller: AdmissionController,
@@ -67,11 +69,11 @@
     running: VecDeque<RequestId>,
     actions: Vec<Action>,
     random: ChaCha8Rng,
-    clock: Duration,
+    clock_cost: Duration,
 }
 
 impl Load {
-    /// Builds the state.
+    /// Creates a controller and brings it into the given state.
     pub fn new(shape: Shape, seed: u64) -> Load {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let settings = settings(shape, &mut random);
@@ -84,10 +86,11 @@
             running: VecDeque::new(),
             actions: Vec::new(),
             random,
-            clock: clock_cost(),
+            clock_cost: clock_cost(),
         };
         load.event(Event::Start);
-        // Each tenant sends once, so that the memory kept for it is there and no first touch of it is measured.
+        // Each tenant sends one request, so that its memory is allocated and the first access to it is not
+        // measured.
         for tenant in 0..shape.tenants.max(WARM_UP) {
             load.arrival_of(tenant % shape.tenants.max(1));
             load.ending();
@@ -98,16 +101,17 @@
         load
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// One run: rounds of a timer, an arrival and an ending, so that the state stays as it is.
+    /// Makes one run: rounds of an arrival, the end of a run and a timer, which together leave the state
+    /// unchanged.
     pub fn run(&mut self, length: Length) -> Costs {
         let mut sums = [Duration::ZERO; 3];
-        let (began, mut rounds) = (Instant::now(), 0);
-        while rounds == 0 || rounds < length.rounds && began.elapsed() < length.time {
+        let (start, mut rounds) = (Instant::now(), 0);
+        while rounds == 0 || rounds < length.rounds && start.elapsed() < length.time {
             sums[0] += self.arrival();
             sums[1] += self.ending();
             sums[2] += self.timer();
@@ -150,13 +154,14 @@
         self.event(Event::Timer { token: self.timer, gauges })
     }
 
-    /// Gives an event to the controller and takes its actions. Returns how long it took.
+    /// Passes an event to the controller, processes the resulting actions, and returns how long the
+    /// controller took.
     fn event(&mut self, event: Event) -> Duration {
         self.now += STEP_MS;
         self.actions.clear();
-        let began = Instant::now();
+        let start = Instant::now();
         self.controller.on_event(self.now, event, &mut self.actions);
-        let took = began.elapsed().saturating_sub(self.clock);
+        let elapsed = start.elapsed().saturating_sub(self.clock_cost);
         for action in &self.actions {
             match action {
                 Action::Run(id) => self.running.push_back(*id),
@@ -164,11 +169,11 @@
                 _ => {}
             }
         }
-        took
+        elapsed
     }
 }
 
-/// Settings under which just the wanted number runs and the others are queued.
+/// Returns settings with which exactly the wanted number of requests runs and the others are queued.
 fn settings(shape: Shape, random: &mut ChaCha8Rng) -> Settings {
     let class = Class {
         retry_safety: RetrySafety::Idempotent,
@@ -181,7 +186,7 @@
         makes_upstream_calls: false,
         degraded_weight: 0.0,
     };
-    // With none queued, one more may run: the one that arrives.
+    // If no request is queued, one more may run: the one that arrives.
     let limit = shape.running + usize::from(shape.queued == 0);
     Settings {
         server_count: 7100.0,
@@ -195,7 +200,7 @@
     }
 }
 
-/// What two readings of the clock in a row are apart.
+/// Returns the median time between two consecutive readings of the clock.
 fn clock_cost() -> Duration {
     let mut readings: Vec<Duration> = (0..CLOCK_READINGS).map(|_| Instant::now().elapsed()).collect();
     readings.sort_unstable();
--- a/crates/scale/src/probes/config_sync.rs
+++ b/crates/scale/src/probes/config_sync.rs
@@ -1,5 +1,5 @@
-//! Distribution of configuration: what a table holds, what a change costs, and what snapshots and changes weigh on the
-//! wire.
+//! Measures the distribution of configuration: the memory of a table, the cost of a change, and the size of
+//! snapshots and changes on the wire.
 
 use crate::child_process;
 use crate::fit::Quantity;
@@ -19,33 +19,33 @@
 use std::hint::black_box;
 use std::sync::Arc;
 
-/// Resources of the target: 390,000 tenants, 64,000 routes and some hundred classes.
+/// Number of resources in the target fleet: 390,000 tenants, 64,000 routes and a few hundred classes.
 const TARGET_RESOURCES: u64 = 454_000;
 const SIZES: &[u64] = &[1_000, 10_000, 100_000, TARGET_RESOURCES];
 const QUICK_SIZES: &[u64] = &[100, 1_000];
 
-/// Of this many resources one is a route, the others are tenants.
-const ROUTE_EACH: u64 = 7;
-/// Classes that routes lead to.
+/// One of this many resources is a route; the others are tenants.
+const RESOURCES_PER_ROUTE: u64 = 7;
+/// Number of classes that routes map to.
 const CLASSES: u64 = 200;
 
-/// Changes in a transaction.
+/// Numbers of changes in a transaction.
 const CHANGE_SIZES: &[u64] = &[1, 10, 100, 1_000];
 const QUICK_CHANGE_SIZES: &[u64] = &[1, 10];
 
-/// Changes in a run, and runs.
+/// Number of changes per run, and number of runs.
 const CHANGES: u64 = 1_000;
 const QUICK_CHANGES: u64 = 10;
 const RUNS: usize = 5;
 
-/// Headers of IP and TCP with time stamps on a segment, and the payload of one.
+/// Bytes of the IP and TCP headers, timestamps included, of a segment, and bytes of its payload.
 const SEGMENT_HEADERS: usize = 52;
 const SEGMENT_PAYLOAD: usize = 1_448;
 
-/// A key of the fleet, for probes only.
+/// Key of the fleet, used only by probes.
 const FLEET_KEY: &[u8] = b"a key of the fleet, for probes only";
 
-/// The name of the load whose memory is measured.
+/// Name of the load whose memory is measured.
 pub const LOAD: &str = "config-sync";
 
 const MEMORY: Quantity = Quantity {
@@ -77,7 +77,7 @@
     target_size: 1.0,
 };
 
-/// The probe of `crates/config-sync`.
+/// Probe of `crates/config-sync`.
 pub struct ConfigSyncProbe;
 
 impl Probe for ConfigSyncProbe {
@@ -99,10 +99,10 @@
     }
 }
 
-/// Resident bytes of a table of that size.
+/// Returns the resident memory of a table with the given number of resources, bytes.
 ///
 /// # Errors
-/// None; the form is that of all loads.
+/// Never returns an error; the signature is that of all loads.
 pub fn table_load(size: u64, seed: u64) -> Result<f64> {
     let growth = Growth::begin();
     let table = table(size, seed);
@@ -112,7 +112,7 @@
 }
 
 fn resource(number: u64, rng: &mut ChaCha8Rng) -> Resource {
-    if number % ROUTE_EACH == 0 {
+    if number % RESOURCES_PER_ROUTE == 0 {
         let class = format!("class-{:03}", rng.random_range(0..CLASSES));
         return Resource::Route {
             route: format!("/service-{:04}/operation-{number}", number % 3_000).into(),
@@ -147,7 +147,7 @@
     })
 }
 
-/// Bytes of a message as sent.
+/// Returns the bytes of a message as sent, including the headers of its TCP segments.
 fn wire_bytes(key: &FrameKey, message: &ToClient) -> Result<usize> {
     let frame = key.seal(|out| codec::encode_to_client(message, out))?;
     Ok(frame.len() + frame.len().div_ceil(SEGMENT_PAYLOAD) * SEGMENT_HEADERS)
--- a/crates/scale/src/probes/daemon_client.rs
+++ b/crates/scale/src/probes/daemon_client.rs
@@ -1,5 +1,5 @@
-//! A caller's connection to a round server, written from the protocol's page: one request at a time, and the bytes of
-//! messages for those that have more of them open.
+//! A caller's connection to a round server, implemented from the protocol's specification. It sends one
+//! request at a time; the encoding functions also serve callers with several open requests.
 
 use super::daemon_site::ROUTE;
 use anyhow::{Context, Result, bail, ensure};
@@ -8,94 +8,95 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long an answer may take.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// The body of each request, bytes.
+/// Maximum time to wait for a response.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Size of the body of each request, bytes.
 const BODY: usize = 256;
-/// The memory that a request is said to take while it is held, kB.
-const HELD_KB: &str = "20.0";
+/// Memory that a queued request is stated to occupy, kB.
+const QUEUED_REQUEST_KB: &str = "20.0";
 
-/// A blocking connection.
+/// A blocking connection to a round server.
 pub struct Client {
     stream: TcpStream,
     received: Vec<u8>,
     last_id: u64,
 }
 
-/// An answer.
+/// A response from a round server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// To the message of this id.
+    /// Id of the message that this responds to.
     pub id: u64,
-    /// It is no error.
+    /// Whether the response is not an error.
     pub good: bool,
 }
 
 impl Client {
-    /// Connects.
+    /// Connects to a round server.
     ///
     /// # Errors
-    /// If the connection is refused.
+    /// Returns an error if the connection cannot be established.
     pub fn connect(address: SocketAddr) -> Result<Client> {
         let stream = TcpStream::connect(address).with_context(|| format!("connecting to {address}"))?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(Client { stream, received: Vec::new(), last_id: 0 })
     }
 
-    /// Asks for the daemon's health without waiting for the answer.
+    /// Sends a health check without waiting for the response.
     ///
     /// # Errors
-    /// If it cannot be written.
-    pub fn ask_health(&mut self) -> Result<()> {
+    /// Returns an error if the health check cannot be sent.
+    pub fn send_health_check(&mut self) -> Result<()> {
         self.last_id += 1;
         let fields = Value::Array(vec![Value::Map(Vec::new())]);
         let message = Value::Array(vec![0.into(), self.last_id.into(), "isWell".into(), fields]);
-        self.stream.write_all(&bytes_of(&message)).context("writing a health check")
+        self.stream.write_all(&bytes_of(&message)).context("sending a health check")
     }
 
-    /// Asks for the daemon's health.
+    /// Sends a health check and waits for the response.
     ///
     /// # Errors
-    /// If there is no answer.
+    /// Returns an error if no valid response arrives.
     pub fn check_health(&mut self) -> Result<()> {
-        self.ask_health()?;
+        self.send_health_check()?;
         self.answer().map(|_| ())
     }
 
-    /// Sends a request for a tenant and waits for its answer; whether it was served.
+    /// Sends a request for a tenant, waits for the response, and returns whether the request was served.
     ///
     /// # Errors
-    /// If there is no answer.
+    /// Returns an error if no valid response arrives.
     pub fn request(&mut self, tenant: Option<&str>) -> Result<bool> {
         self.last_id += 1;
         let request = request(self.last_id, tenant);
-        self.stream.write_all(&request).context("writing a request")?;
+        self.stream.write_all(&request).context("sending a request")?;
         Ok(self.answer()?.good)
     }
 
-    /// Waits for the next answer.
+    /// Waits for the next response.
     ///
     /// # Errors
-    /// If there is none in time.
+    /// Returns an error if no valid response arrives in time.
     pub fn answer(&mut self) -> Result<Answer> {
         let mut chunk = [0; 4096];
         loop {
             if let Some(answer) = next_answer(&mut self.received)? {
                 return Ok(answer);
             }
-            let read = self.stream.read(&mut chunk).context("waiting for an answer")?;
-            ensure!(read > 0, "the daemon closed the connection in place of an answer");
+            let read = self.stream.read(&mut chunk).context("waiting for a response")?;
+            ensure!(read > 0, "the daemon closed the connection instead of responding");
             self.received.extend_from_slice(&chunk[..read]);
         }
     }
 }
 
-/// Says if some requests were not served. On a machine that is so busy that the daemon gets no time it rightly turns
-/// requests away; figures of the others stand as long as they are most of them.
+/// Prints a warning if some requests were not served. On a busy machine, where the daemon gets too little
+/// processor time, it correctly rejects requests; the measurement is valid as long as most requests were
+/// served.
 ///
 /// # Errors
-/// If half of them or fewer were served.
+/// Returns an error if half of the requests or fewer were served.
 pub fn check_served(served: usize, requests: usize) -> Result<()> {
     if served < requests {
         eprintln!("{} of {requests} requests were not served", requests - served);
@@ -104,13 +105,13 @@
     Ok(())
 }
 
-/// A request's bytes.
+/// Encodes a request.
 pub fn request(id: u64, tenant: Option<&str>) -> Vec<u8> {
     let mut fields = vec![
         ("call", format!("{id:016x}")),
         ("recv", dunlinspread_fakes::unix_ms().to_string()),
         ("src", "1".to_owned()),
-        ("heap", HELD_KB.to_owned()),
+        ("heap", QUEUED_REQUEST_KB.to_owned()),
         ("crit", "0.5000".to_owned()),
     ];
     fields.extend(tenant.map(|tenant| ("org", tenant.to_owned())));
@@ -119,10 +120,11 @@
     bytes_of(&Value::Array(vec![0.into(), id.into(), ROUTE.into(), arguments]))
 }
 
-/// Takes the next whole answer from what was received; none if more has to come. Notices in between are passed over.
+/// Removes the next complete message from `received` and returns it as a response, or returns `None` if the
+/// message is incomplete.
 ///
 /// # Errors
-/// On what is no message, and on the notice to send nothing more.
+/// Returns an error if the message is not a response, such as the notice to send no more requests.
 pub fn next_answer(received: &mut Vec<u8>) -> Result<Option<Answer>> {
     let mut rest = &received[..];
     let Ok(message) = rmpv::decode::read_value(&mut rest) else { return Ok(None) };
@@ -130,13 +132,13 @@
     received.drain(..used);
     match (message[0].as_u64(), message[1].as_u64()) {
         (Some(1), Some(id)) => Ok(Some(Answer { id, good: message[2].is_nil() })),
-        _ => bail!("the daemon sent `{message}` in place of an answer"),
+        _ => bail!("the daemon sent `{message}` instead of a response"),
     }
 }
 
 fn bytes_of(value: &Value) -> Vec<u8> {
     let mut bytes = Vec::new();
-    // Writing to memory does not fail.
+    // Writing to memory cannot fail.
     let _ = rmpv::encode::write_value(&mut bytes, value);
     bytes
 }
--- a/crates/scale/src/probes/daemon_connections.rs
+++ b/crates/scale/src/probes/daemon_connections.rs
@@ -1,9 +1,9 @@
-//! The daemon against open connections of callers: memory at rest and with traffic, and the processor time of a request
-//! and of the connections alone.
+//! Measures the daemon as a function of its open caller connections: memory at rest and with traffic, and the
+//! processor time of a request and of idle connections.
 
 use super::daemon_client::{Client, check_served};
 use super::daemon_process::{Daemon, Program};
-use super::daemon_site::{Size, Surroundings, TICK_MS, tenant_name};
+use super::daemon_site::{DaemonEnvironment, Size, TICK_MS, tenant_name};
 use crate::descriptors::raise_limit;
 use crate::fit::Quantity;
 use crate::probes::{Probe, ProbeOptions};
@@ -13,28 +13,28 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
 
-/// The sizes; a server of the target is measured up to the last one.
+/// Numbers of connections; the last one is the target size.
 const SIZES: &[u64] = &[100, 1_000, 3_000, 10_000];
-/// The sizes that show whether the probe works.
+/// Sizes used by quick runs, which only check that the probe works.
 const QUICK_SIZES: &[u64] = &[10, 100];
-/// Runs with each daemon.
+/// Number of runs with each daemon.
 const RUNS: usize = 3;
-/// Requests of a run, one at a time, each on a connection by chance.
+/// Number of requests per run, sent one at a time, each on a randomly chosen connection.
 const REQUESTS: usize = 1500;
-/// The same, only to show that the probe works.
+/// Value for quick runs, which only check that the probe works.
 const QUICK_REQUESTS: usize = 50;
-/// For how long a daemon at rest is watched.
-const REST: Duration = Duration::from_millis(1500);
-/// The same, only to show that the probe works.
-const QUICK_REST: Duration = Duration::from_millis(200);
-/// Health checks that are under way at once while connections are opened.
-const OPENING: usize = 256;
-/// Descriptors of this program beside the connections.
+/// Duration of the measurement at rest.
+const REST_TIME: Duration = Duration::from_millis(1500);
+/// Value for quick runs, which only check that the probe works.
+const QUICK_REST_TIME: Duration = Duration::from_millis(200);
+/// Number of concurrent health checks while connections are opened.
+const OPEN_BATCH: usize = 256;
+/// File descriptors that this program needs in addition to the connections.
 const OTHER_DESCRIPTORS: u64 = 100;
-/// Tenants of the requests.
+/// Number of tenants that requests are drawn from.
 const TENANTS: usize = 40;
 
-/// What is measured: id, words, unit.
+/// Measured quantities: id, description and unit.
 const FIGURES: [(&str, &str, &str); 4] = [
     ("daemon.memory_kb.connections", "resident memory with idle connections", "kB"),
     ("daemon.memory_traffic_kb.connections", "resident memory after requests on idle connections", "kB"),
@@ -50,7 +50,7 @@
     ),
 ];
 
-/// The probe of the daemon's connections.
+/// Probe of the daemon's connections.
 pub struct ConnectionsProbe;
 
 impl Probe for ConnectionsProbe {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The figures of one daemon.
+/// Figures of one daemon.
 struct Measured {
     memory_kb: f64,
     memory_traffic_kb: f64,
@@ -98,18 +98,20 @@
 
 impl Measured {
     fn new(program: &Program, size: usize, seed: u64, options: &ProbeOptions) -> Result<Measured> {
-        let around = Surroundings::start(Size { tenants: TENANTS, classes: 8, connections: size }, seed)?;
-        let daemon = Daemon::start(program, &around.config)?;
+        let environment =
+            DaemonEnvironment::start(Size { tenants: TENANTS, classes: 8, connections: size }, seed)?;
+        let daemon = Daemon::start(program, &environment.config)?;
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut clients = connect(&daemon, size)?;
         let memory_kb = daemon.resident_kb()?;
-        let rest_ns_per_s = rest(&daemon, if options.quick { QUICK_REST } else { REST })?;
+        let rest_ns_per_s =
+            processor_ns_at_rest(&daemon, if options.quick { QUICK_REST_TIME } else { REST_TIME })?;
         let requests = if options.quick { QUICK_REQUESTS } else { REQUESTS };
         let mut request_ns = Vec::new();
         for _ in 0..options.runs(RUNS) {
-            let (before, began) = (daemon.processor_ns()?, Instant::now());
+            let (before, start) = (daemon.processor_ns()?, Instant::now());
             serve(&mut clients, requests, &mut random)?;
-            let at_rest = rest_ns_per_s * began.elapsed().as_secs_f64();
+            let at_rest = rest_ns_per_s * start.elapsed().as_secs_f64();
             let used = (daemon.processor_ns()? - before - at_rest).max(0.0);
             request_ns.push(used / requests as f64);
         }
@@ -117,21 +119,22 @@
         Ok(Measured { memory_kb, memory_traffic_kb, rest_ns_per_s, request_ns })
     }
 
-    /// The runs of each figure, in the order of [`FIGURES`].
+    /// Returns the values of all runs for each figure, in the order of [`FIGURES`].
     fn into_runs(self) -> [Vec<f64>; FIGURES.len()] {
         [vec![self.memory_kb], vec![self.memory_traffic_kb], vec![self.rest_ns_per_s], self.request_ns]
     }
 }
 
-/// Opens connections. Each asks for the daemon's health once, since one that never asks for anything is closed; that they
-/// are idle closes none, as the daemon has served a request and its configuration has callers keep connections.
+/// Opens connections. Each sends one health check, since the daemon closes connections that never send a
+/// message. The daemon does not close them for being idle, since it has served a request and its
+/// configuration makes callers keep connections.
 fn connect(daemon: &Daemon, size: usize) -> Result<Vec<Client>> {
     let mut clients: Vec<Client> = Vec::with_capacity(size);
     while clients.len() < size {
         let from = clients.len();
-        for _ in from..size.min(from + OPENING) {
+        for _ in from..size.min(from + OPEN_BATCH) {
             let mut client = Client::connect(daemon.address())?;
-            client.ask_health()?;
+            client.send_health_check()?;
             clients.push(client);
         }
         for client in &mut clients[from..] {
@@ -141,20 +144,20 @@
     Ok(clients)
 }
 
-/// Sends requests one at a time, each on a connection by chance.
+/// Sends requests one at a time, each on a randomly chosen connection.
 fn serve(clients: &mut [Client], requests: usize, random: &mut ChaCha8Rng) -> Result<()> {
     let mut served = 0;
     for _ in 0..requests {
-        let at = random.random_range(0..clients.len());
+        let index = random.random_range(0..clients.len());
         let tenant = tenant_name(random.random_range(0..TENANTS));
-        served += usize::from(clients[at].request(Some(&tenant))?);
+        served += usize::from(clients[index].request(Some(&tenant))?);
     }
     check_served(served, requests)
 }
 
-/// Processor time in a second with nothing to do, ns.
-fn rest(daemon: &Daemon, time: Duration) -> Result<f64> {
-    let (before, began) = (daemon.processor_ns()?, Instant::now());
+/// Returns the processor time per second that the daemon uses without requests, ns.
+fn processor_ns_at_rest(daemon: &Daemon, time: Duration) -> Result<f64> {
+    let (before, start) = (daemon.processor_ns()?, Instant::now());
     std::thread::sleep(time);
-    Ok((daemon.processor_ns()? - before) / began.elapsed().as_secs_f64())
+    Ok((daemon.processor_ns()? - before) / start.elapsed().as_secs_f64())
 }
--- a/crates/scale/src/probes/daemon_site.rs
+++ b/crates/scale/src/probes/daemon_site.rs
@@ -1,5 +1,5 @@
-//! What stands around the measured daemon: the fakes of its worker pool and registry, and its configuration file
-//! with as many tenants and classes as wanted.
+//! The environment of the measured daemon: stand-ins for its worker pool and registry, and its configuration
+//! file with a given number of tenants and classes.
 
 use anyhow::{Context, Result};
 use dunlinspread_fakes::{FakeRegistry, FakeWorkerPool, PlatformSettings, RequestClass, WorkerPoolFaults};
@@ -8,77 +8,78 @@
 use std::path::PathBuf;
 use tempfile::TempDir;
 
-/// The class of all requests: the last one in the list, behind all the others.
+/// Class of all requests: the last one in the list, after all others.
 pub const ROUTE: &str = "measured-route";
-/// The work of a run, ms of one core: next to nothing, so that what is measured is not the work.
+/// Work of a run, ms of one core: almost none, so that the work does not contribute to the measurement.
 const WORK_MS: f64 = 0.05;
-/// The wanted time of a class, ms.
-const AIM_MS: f64 = 1000.0;
-/// When callers give up, ms.
-const GIVE_UP_MS: f64 = 4000.0;
-/// The step of the daemon's timers, ms, as the platform states it.
+/// Latency objective of a class, ms.
+const OBJECTIVE_MS: f64 = 1000.0;
+/// Client timeout, ms.
+const CLIENT_TIMEOUT_MS: f64 = 4000.0;
+/// Tick of the daemon's timer wheel, ms, as configured by the platform.
 pub const TICK_MS: f64 = 5.0;
-/// Cores of the machine of the fake worker pool.
+/// Number of cores of the stand-in worker pool's machine.
 pub const CORES: usize = 8;
-/// After this long idle a connection is closed, ms; with one request in a while none ever is.
+/// Idle time after which a connection is closed, ms: so long that none is closed during a measurement.
 const IDLE_MAX_MS: f64 = 3e9;
-/// Descriptors for each connection of a caller, as the daemon divides them.
+/// File descriptors per caller connection, from the share that the daemon assigns to callers.
 const DESCRIPTORS_PER_CONNECTION: f64 = 16.0 / 9.0;
-/// kB for each connection of a caller, as the daemon divides its memory.
+/// Memory per caller connection, kB, from the share that the daemon assigns to callers.
 const KB_PER_CONNECTION: f64 = 4.0 * 32.0;
-/// Room beside the connections that are opened, so that none is closed to make room: an eighth is kept free.
-const ROOM: f64 = 1.25;
-/// The least limits of a configuration.
-const LEAST_SOCKETS: f64 = 1024.0;
-const LEAST_MEMORY_MB: f64 = 256.0;
+/// Factor by which the limits exceed the opened connections, so that none is closed to make room: the daemon
+/// keeps an eighth free.
+const HEADROOM: f64 = 1.25;
+/// Lower bounds of the limits in a configuration.
+const MIN_SOCKETS: f64 = 1024.0;
+const MIN_MEMORY_MB: f64 = 256.0;
 
-/// How large the configuration is.
+/// Size of the daemon's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Tenants with an allowance.
+    /// Number of tenants with an allowance.
     pub tenants: usize,
-    /// Classes (routes).
+    /// Number of classes (routes).
     pub classes: usize,
-    /// Connections of callers that the limits have room for.
+    /// Number of caller connections that the limits allow.
     pub connections: usize,
 }
 
-/// The fakes and the configuration file.
-pub struct Surroundings {
+/// The stand-ins and the configuration file of a daemon.
+pub struct DaemonEnvironment {
     _pool: FakeWorkerPool,
     _registry: FakeRegistry,
     _folder: TempDir,
-    /// The configuration file.
+    /// Path of the configuration file.
     pub config: PathBuf,
 }
 
-impl Surroundings {
-    /// Starts the fakes and writes the file.
+impl DaemonEnvironment {
+    /// Starts the stand-ins and writes the configuration file.
     ///
     /// # Errors
-    /// If there is no port, thread or room on the disk.
-    pub fn start(size: Size, seed: u64) -> Result<Surroundings> {
+    /// Returns an error if no port can be bound, no thread can be started, or the file cannot be written.
+    pub fn start(size: Size, seed: u64) -> Result<DaemonEnvironment> {
         let pool = start_pool(seed)?;
         let registry = FakeRegistry::start().context("starting the stand-in registry")?;
-        let folder = tempfile::tempdir().context("making a folder")?;
+        let folder = tempfile::tempdir().context("creating a temporary folder")?;
         let config = folder.path().join("daemon.json");
         let text = configuration(size, seed, pool.address(), registry.address());
         std::fs::write(&config, text).with_context(|| format!("writing {}", config.display()))?;
-        Ok(Surroundings { _pool: pool, _registry: registry, _folder: folder, config })
+        Ok(DaemonEnvironment { _pool: pool, _registry: registry, _folder: folder, config })
     }
 }
 
-/// Starts a fake worker pool that knows [`ROUTE`].
+/// Starts a stand-in worker pool that serves [`ROUTE`].
 ///
 /// # Errors
-/// If there is no port or thread.
+/// Returns an error if no port can be bound or no thread can be started.
 pub fn start_pool(seed: u64) -> Result<FakeWorkerPool> {
     let plan = RequestClass {
         name: ROUTE,
         share: 1.0,
         work_ms: WORK_MS,
-        latency_objective_ms: AIM_MS,
-        client_timeout_ms: GIVE_UP_MS,
+        latency_objective_ms: OBJECTIVE_MS,
+        client_timeout_ms: CLIENT_TIMEOUT_MS,
         priority_weight: 1.0,
         makes_upstream_calls: false,
         degraded_weight: 0.0,
@@ -89,16 +90,16 @@
         .context("starting the stand-in worker pool")
 }
 
-/// The name of a tenant.
+/// Returns the name of a tenant.
 pub fn tenant_name(number: usize) -> String {
     format!("tenant-{number:06}")
 }
 
-/// The platform's configuration for a round server of that size.
+/// Returns the platform's configuration for a round server with tables of the given size.
 fn configuration(size: Size, seed: u64, pool: SocketAddr, registry: SocketAddr) -> String {
-    let connections = size.connections as f64 * ROOM;
-    let sockets = (connections * DESCRIPTORS_PER_CONNECTION).max(LEAST_SOCKETS).ceil();
-    let memory_mb = (connections * KB_PER_CONNECTION / 1024.0).max(LEAST_MEMORY_MB).ceil();
+    let connections = size.connections as f64 * HEADROOM;
+    let sockets = (connections * DESCRIPTORS_PER_CONNECTION).max(MIN_SOCKETS).ceil();
+    let memory_mb = (connections * KB_PER_CONNECTION / 1024.0).max(MIN_MEMORY_MB).ceil();
     let others = (1..size.classes).map(|number| class(&format!("route-{number:05}")));
     let classes: Vec<Value> = others.chain([class(ROUTE)]).collect();
     let tenant = |number| json!({"name": tenant_name(number), "allowance_per_s": 5.0});
@@ -122,7 +123,7 @@
 
 fn class(name: &str) -> Value {
     json!({
-        "name": name, "effect": "pure", "target_ms": AIM_MS, "give_up_ms": GIVE_UP_MS, "worth": 1.0,
+        "name": name, "effect": "pure", "target_ms": OBJECTIVE_MS, "give_up_ms": CLIENT_TIMEOUT_MS, "worth": 1.0,
         "late_worth": 0.1,
     })
 }
--- a/crates/scale/src/probes/daemon_tables.rs
+++ b/crates/scale/src/probes/daemon_tables.rs
@@ -1,9 +1,9 @@
-//! The daemon against the tables of its configuration: memory at rest, after requests and at its peak, the time to start
-//! and to reread, against tenants and against classes.
+//! Measures the daemon as a function of the size of its configuration: memory at rest, after requests and at
+//! its peak, and the time to start and to reload, for the number of tenants and the number of classes.
 
 use super::daemon_client::{Client, check_served};
 use super::daemon_process::{Daemon, Program};
-use super::daemon_site::{Size, Surroundings, tenant_name};
+use super::daemon_site::{DaemonEnvironment, Size, tenant_name};
 use crate::fit::Quantity;
 use crate::probes::{Probe, ProbeOptions};
 use crate::slope::{Point, Slope};
@@ -12,29 +12,29 @@
 use rand_chacha::ChaCha8Rng;
 use std::path::Path;
 
-/// Starts, each with one rereading, at each size and seed.
+/// Number of starts, each with one reload, at each size and seed.
 const RUNS: usize = 3;
-/// Requests after which memory counts as that with traffic.
+/// Number of requests after which the memory with traffic is read.
 const REQUESTS: usize = 500;
-/// The same, only to show that the probe works.
+/// Value for quick runs, which only check that the probe works.
 const QUICK_REQUESTS: usize = 20;
-/// Connections of callers that the limits have room for.
+/// Number of caller connections that the limits allow.
 const CONNECTIONS: usize = 1000;
-/// The sizes that show whether the probe works.
+/// Sizes used by quick runs, which only check that the probe works.
 const QUICK_SIZES: &[u64] = &[10, 40];
 
-/// A table that varies.
+/// A dimension of the configuration's size that varies.
 struct Axis {
     words: &'static str,
     sizes: &'static [u64],
     target: f64,
     size: fn(usize) -> Size,
     fixed: &'static [(&'static str, f64)],
-    /// The ids, in the order of the fields of [`Figures`].
+    /// Ids of the slopes, in the order of [`FIGURES`].
     ids: [&'static str; FIGURES.len()],
 }
 
-/// What is measured, in words and unit.
+/// Measured quantities: description and unit.
 const FIGURES: [(&str, &str); 5] = [
     ("from the start of the process until it answers a health check", "ms"),
     ("from SIGHUP until the configuration is reread", "ms"),
@@ -74,10 +74,10 @@
     },
 ];
 
-/// One start's figures, in the order of [`FIGURES`].
+/// Figures of one start, in the order of [`FIGURES`].
 type Figures = [f64; FIGURES.len()];
 
-/// The probe of the daemon's tables.
+/// Probe of the daemon's configuration tables.
 pub struct TablesProbe;
 
 impl Probe for TablesProbe {
@@ -101,26 +101,26 @@
         let requests = if options.quick { QUICK_REQUESTS } else { REQUESTS };
         for &size in options.sizes(self.sizes, QUICK_SIZES) {
             for &seed in options.seeds() {
-                let wanted = (self.size)(size as usize);
-                let around = Surroundings::start(wanted, seed)?;
+                let shape = (self.size)(size as usize);
+                let environment = DaemonEnvironment::start(shape, seed)?;
                 let figures = (0..options.runs(RUNS))
-                    .map(|_| figures(program, &around.config, wanted, seed, requests))
+                    .map(|_| figures(program, &environment.config, shape, seed, requests))
                     .collect::<Result<Vec<Figures>>>()
                     .with_context(|| format!("with {size} {}", self.words))?;
-                for (at, points) in points.iter_mut().enumerate() {
-                    let runs: Vec<f64> = figures.iter().map(|figures| figures[at]).collect();
+                for (index, points) in points.iter_mut().enumerate() {
+                    let runs: Vec<f64> = figures.iter().map(|figures| figures[index]).collect();
                     points.push(Point::of(size as f64, seed, &runs));
                 }
             }
         }
-        let slope = |(at, points): (usize, Vec<Point>)| self.quantity(at).slope(points);
+        let slope = |(index, points): (usize, Vec<Point>)| self.quantity(index).slope(points);
         Ok(points.into_iter().enumerate().map(slope).collect())
     }
 
-    fn quantity(&self, at: usize) -> Quantity {
-        let (quantity, unit) = FIGURES[at];
+    fn quantity(&self, index: usize) -> Quantity {
+        let (quantity, unit) = FIGURES[index];
         Quantity {
-            id: self.ids[at],
+            id: self.ids[index],
             quantity,
             unit,
             against: self.words,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Starts a daemon, sends it requests of tenants by chance, and has it reread its configuration.
+/// Starts a daemon, sends it requests of randomly chosen tenants, and makes it reload its configuration.
 fn figures(program: &Program, config: &Path, size: Size, seed: u64, requests: usize) -> Result<Figures> {
     let daemon = Daemon::start(program, config)?;
     let at_rest = daemon.resident_kb()?;
--- a/crates/scale/src/probes/latency.rs
+++ b/crates/scale/src/probes/latency.rs
@@ -6,7 +6,7 @@
 
 use super::daemon_client;
 use super::daemon_process::{Daemon, Program};
-use super::daemon_site::{ROUTE, Size, Surroundings, start_pool, tenant_name};
+use super::daemon_site::{DaemonEnvironment, ROUTE, Size, start_pool, tenant_name};
 use super::open_loop::{self, Load, Outcome, Wire, percentile};
 use crate::fit::Quantity;
 use crate::probes::{Probe, ProbeOptions};
@@ -114,16 +114,16 @@
 /// A daemon in front of a worker pool, and a second worker pool without a daemon.
 struct Pair {
     daemon: Daemon,
-    _around: Surroundings,
+    _environment: DaemonEnvironment,
     pool: dunlinspread_fakes::FakeWorkerPool,
 }
 
 impl Pair {
     fn start(program: &Program, seed: u64) -> Result<Pair> {
         let size = Size { tenants: TENANTS, classes: 8, connections: 1000 };
-        let around = Surroundings::start(size, seed)?;
-        let daemon = Daemon::start(program, &around.config)?;
-        let pair = Pair { daemon, _around: around, pool: start_pool(seed)? };
+        let environment = DaemonEnvironment::start(size, seed)?;
+        let daemon = Daemon::start(program, &environment.config)?;
+        let pair = Pair { daemon, _environment: environment, pool: start_pool(seed)? };
         pair.through_daemon(WARM_UP)?;
         pair.to_pool(WARM_UP)?;
         Ok(pair)
--- a/crates/scale/src/probes/membership/case.rs
+++ b/crates/scale/src/probes/membership/case.rs
@@ -1,10 +1,10 @@
-//! The cases that the scenarios are measured in.
+//! Parameters of a simulated fleet in which the scenarios are measured.
 
-/// The size and the seed of a fleet that is measured.
+/// Size and seed of a measured fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Case {
-    /// Members of the fleet.
+    /// Number of members in the fleet.
     pub size: u64,
-    /// The seed of the simulated network.
+    /// Seed of the simulated network.
     pub seed: u64,
 }
--- a/crates/scale/src/probes/membership/dissemination.rs
+++ b/crates/scale/src/probes/membership/dissemination.rs
@@ -1,35 +1,38 @@
-//! How word of some members spreads: when each running member first knows that each of them is up, or down.
+//! Measures how fast a change of some members spreads: when each running member first sees each of them as
+//! up, or as down.
 
 use super::node_address::node_of;
 use dunlinspread_membership::{MemberId, MemberState, Membership, Millis, ViewChange};
 use std::collections::HashMap;
 
-/// What is to be known.
+/// State of the watched members that the observers have to learn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wanted {
-    /// That they are up.
+    /// The members are up.
     Up,
-    /// That they are down.
+    /// The members are down.
     Down,
 }
 
-/// A watch over some members.
+/// Records when running members learn the state of some watched members, the subjects.
 pub struct DisseminationWatch {
     wanted: Wanted,
     since: Millis,
-    /// The members by node, with their position and start.
+    /// Position and start of each subject, by node.
     subjects: HashMap<usize, (usize, u64)>,
     nodes: usize,
-    /// Which observer has yet to learn of which subject.
+    /// Whether an observer has yet to learn the state of a subject, at index subject position * `nodes` +
+    /// observer.
     pending: Vec<bool>,
-    left: usize,
-    /// When each of those that know learned it, ms after the beginning.
+    remaining: usize,
+    /// Times at which pairs of observer and subject were completed, ms after the start of the watch.
     learned: Vec<u32>,
 }
 
 impl DisseminationWatch {
-    /// Begins at `now`, ms, in a network of so many `nodes`, for every member of `running` (by node) that does not know it
-    /// yet. `subjects` themselves do not observe.
+    /// Starts a watch at `now`, ms, in a network of `nodes` nodes. The observers are the members in
+    /// `running`, given with their nodes, that do not know the wanted state yet; `subjects` themselves are
+    /// not observers.
     pub fn begin<'a>(
         now: Millis,
         nodes: usize,
@@ -46,7 +49,7 @@
             pending: vec![false; subjects.len() * nodes],
             subjects,
             nodes,
-            left: 0,
+            remaining: 0,
             learned: Vec::new(),
         };
         let observers = running.filter(|(node, _)| !watch.subjects.contains_key(node));
@@ -57,23 +60,24 @@
             }
             for (id, _) in member.members().filter(|(_, state)| *state != MemberState::Down) {
                 if let Some(position) = watch.position(id) {
-                    // Up in this view: known already if that is wanted, to be learned otherwise.
+                    // The subject is up in this view: already known if up is wanted, otherwise still to be
+                    // learned.
                     pending[position * nodes + observer] = wanted == Wanted::Down;
                 }
             }
         }
-        watch.left = pending.iter().filter(|pending| **pending).count();
+        watch.remaining = pending.iter().filter(|pending| **pending).count();
         watch.pending = pending;
         watch
     }
 
-    /// The position of a member among those watched.
+    /// Returns the position of a member among the subjects, if it is one.
     fn position(&self, id: &MemberId) -> Option<usize> {
         let (position, start) = self.subjects.get(&node_of(&id.address))?;
         (id.start == *start).then_some(*position)
     }
 
-    /// A change of an observer's view.
+    /// Records a change of an observer's view.
     pub fn on_change(&mut self, now: Millis, observer: usize, change: &ViewChange) {
         let known = match (self.wanted, change) {
             (Wanted::Up, ViewChange::Up(id) | ViewChange::Replaced { new: id, .. }) => id,
@@ -83,21 +87,22 @@
         let Some(position) = self.position(known) else { return };
         let pending = &mut self.pending[position * self.nodes + observer];
         if std::mem::take(pending) {
-            self.left -= 1;
+            self.remaining -= 1;
             self.learned.push((now - self.since) as u32);
         }
     }
 
-    /// Whether everyone knows of everyone.
+    /// Returns whether every observer knows the wanted state of every subject.
     pub fn is_complete(&self) -> bool {
-        self.left == 0
+        self.remaining == 0
     }
 
-    /// The time, in seconds, by which this part of all pairs of observer and subject knew; none if fewer do so far.
-    pub fn seconds(&mut self, part: f64) -> Option<f64> {
+    /// Returns the time in seconds after which the given fraction of all pairs of observer and subject were
+    /// complete, or `None` if fewer are complete so far.
+    pub fn seconds(&mut self, fraction: f64) -> Option<f64> {
         self.learned.sort_unstable();
-        let all = self.learned.len() + self.left;
-        let rank = (all as f64 * part).ceil().max(1.0) as usize - 1;
+        let all = self.learned.len() + self.remaining;
+        let rank = (all as f64 * fraction).ceil().max(1.0) as usize - 1;
         self.learned.get(rank).map(|milliseconds| f64::from(*milliseconds) / 1000.0)
     }
 }
--- a/crates/scale/src/probes/membership/mod.rs
+++ b/crates/scale/src/probes/membership/mod.rs
@@ -1,4 +1,5 @@
-//! Membership: what a member sends, computes and holds, and how fast word of others reaches it.
+//! Measures membership: the traffic, processor time and memory of a member, and how fast it learns of changes
+//! of other members.
 
 mod case;
 mod dissemination;
@@ -20,34 +21,35 @@
 use scenarios::{Results, SingleResults, TARGET_MEMBERS, settings};
 use series::{SERIES, SINGLE_SERIES};
 
-/// The sizes of a fleet that is simulated, the largest first, since it takes the most time.
+/// Sizes of the simulated fleets, the largest first, since it takes the most time.
 const SIZES: &[u64] = &[3_000, 1_000, 300, 100];
 const QUICK_SIZES: &[u64] = &[40, 20];
 
-/// The sizes of a view whose memory is measured.
+/// Sizes of the views whose memory is measured.
 const VIEW_SIZES: &[u64] = &[100, 1_000, 3_000, TARGET_MEMBERS];
 const QUICK_VIEW_SIZES: &[u64] = &[100, 200];
 
-/// Members in all views whose memory is measured together: enough for a figure well above the grain of a page.
+/// Total number of members in the views whose memory is measured together: enough for a result well above the
+/// size of a memory page.
 const VIEWED_MEMBERS: u64 = 20_000;
 
-/// Views measured together, at least and at most.
-const LEAST_VIEWS: u64 = 8;
-const MOST_VIEWS: u64 = 40;
+/// Minimum and maximum number of views measured together.
+const MIN_VIEWS: u64 = 8;
+const MAX_VIEWS: u64 = 40;
 
-/// The name of the load that runs all scenarios.
+/// Name of the load that runs all scenarios.
 pub const SCENARIOS_LOAD: &str = "fleet";
 
-/// The name of the load that runs the scenarios of the large run.
+/// Name of the load that runs the scenarios of the large run.
 pub const SINGLE_LOAD: &str = "fleet-single";
 
-/// The name of the load that measures the memory of a view.
+/// Name of the load that measures the memory of a view.
 pub const VIEW_LOAD: &str = "fleet-view";
 
-/// The seed of the large run.
+/// Seed of the large run.
 const LARGE_SEED: u64 = 1;
 
-/// The probe of `crates/membership`.
+/// Probe of `crates/membership`.
 pub struct MembershipProbe;
 
 impl Probe for MembershipProbe {
@@ -67,7 +69,7 @@
     }
 }
 
-/// Runs the scenarios at all sizes and seeds, in processes of their own.
+/// Runs the scenarios at all sizes and seeds, each in a separate process.
 fn run_cases(options: &ProbeOptions) -> Result<Vec<(Case, Results)>> {
     let sizes = options.sizes(SIZES, QUICK_SIZES);
     let inputs: Vec<Case> =
@@ -84,23 +86,23 @@
     Ok((case, child_process::report(SINGLE_LOAD, case.size, case.seed)?))
 }
 
-/// A report of all scenarios at one size.
+/// Returns a report of all scenarios at one size.
 ///
 /// # Errors
-/// As [`scenarios::run_all`].
+/// Returns the errors of [`scenarios::run_all`].
 pub fn scenarios_load(size: u64, seed: u64) -> Result<String> {
     Ok(serde_json::to_string(&scenarios::run_all(size, seed)?)?)
 }
 
-/// A report of the scenarios of the large run at one size.
+/// Returns a report of the scenarios of the large run at one size.
 ///
 /// # Errors
-/// As [`scenarios::run_single`].
+/// Returns the errors of [`scenarios::run_single`].
 pub fn single_load(size: u64, seed: u64) -> Result<String> {
     Ok(serde_json::to_string(&scenarios::run_single(size, seed)?)?)
 }
 
-/// The memory of one member's view against its members.
+/// Returns the slope of the memory of one member's view as a function of the number of members.
 fn view_slope(options: &ProbeOptions) -> Result<Slope> {
     let sizes = options.sizes(VIEW_SIZES, QUICK_VIEW_SIZES);
     let points: Vec<Point> = points(sizes, options.seeds(), |size, seed| {
@@ -117,12 +119,13 @@
     Ok(quantity.slope(points))
 }
 
-/// Bytes of resident memory of the view of a member that has heard of all others by their own words.
+/// Returns the resident memory, in bytes, of the view of a member that has received an announcement from
+/// every other member.
 ///
 /// # Errors
-/// If SWIM fails.
+/// Returns an error if the SWIM protocol returns one.
 pub fn view_load(size: u64, seed: u64) -> Result<f64> {
-    let views = (VIEWED_MEMBERS / size).clamp(LEAST_VIEWS, MOST_VIEWS);
+    let views = (VIEWED_MEMBERS / size).clamp(MIN_VIEWS, MAX_VIEWS);
     let node_of_view = |view: u64| (size + view) as usize;
     let member = |node: usize| {
         let id = MemberId { address: address(node), start: 1, incarnation: 0 };
@@ -136,7 +139,7 @@
         announcements.push(other.take_datagrams());
     }
     let growth = Growth::begin();
-    let mut kept = Vec::new();
+    let mut filled = Vec::new();
     for view in 0..views {
         let mut observer = member(node_of_view(view))?;
         for datagrams in &announcements {
@@ -144,7 +147,7 @@
             observer.take_datagrams();
         }
         observer.take_changes();
-        kept.push(observer);
+        filled.push(observer);
     }
-    Ok(growth.bytes() / kept.len() as f64)
+    Ok(growth.bytes() / filled.len() as f64)
 }
--- a/crates/scale/src/probes/membership/network.rs
+++ b/crates/scale/src/probes/membership/network.rs
@@ -1,4 +1,5 @@
-//! A network of members in one process on a virtual clock: an event queue of datagrams under way and of timers.
+//! Simulates a network of members in one process on a virtual clock, with an event queue of datagrams in
+//! transit and of timers.
 
 use super::dissemination::DisseminationWatch;
 use super::node_address::{address, node_of};
@@ -13,48 +14,48 @@
 /// Bytes of the headers of a datagram over IPv4: 20 of IP, 8 of UDP.
 pub const UDP_HEADERS: u64 = 28;
 
-/// The delay of a datagram, ms, drawn evenly.
+/// Delay of a datagram, ms, drawn from a uniform distribution.
 const DELAY: std::ops::RangeInclusive<Millis> = 1..=5;
 
-/// The time over which members that know each other start, ms.
+/// Time over which the starts of members that know each other are spread, ms.
 const START_SPAN: Millis = 1_000;
 
-/// Members that a new one asks to be taken in.
+/// Number of running members that a new member contacts to join.
 const INTRODUCERS: usize = 3;
 
-/// Datagrams and bytes, headers included.
+/// Numbers of datagrams and of bytes, headers included.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// What was sent since `earlier`.
+    /// Returns the traffic since `earlier`.
     pub fn since(self, earlier: Traffic) -> Traffic {
         Traffic { datagrams: self.datagrams - earlier.datagrams, bytes: self.bytes - earlier.bytes }
     }
 }
 
-/// What happens at a member.
+/// Event at a member.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Wake,
     Datagram(Vec<u8>),
 }
 
-/// One node in the network, with the member that runs there, if any.
+/// A node in the network, with the member that runs there, if any.
 struct Node {
     member: Option<Membership>,
-    /// Its newest start.
+    /// Number of the newest start of the node's member.
     start: u64,
-    /// The earliest wake-up in the queue.
+    /// Time of the earliest wake-up in the queue.
     wake: Option<Millis>,
 }
 
-/// The network.
+/// A simulated network.
 pub struct Network {
     rng: ChaCha8Rng,
     settings: Settings,
@@ -69,7 +70,7 @@
 }
 
 impl Network {
-    /// A network of so many nodes, nobody there yet.
+    /// Creates a network with the given number of nodes and no running members.
     pub fn new(seed: u64, nodes: usize, settings: Settings) -> Network {
         Network {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -85,27 +86,27 @@
         }
     }
 
-    /// The time.
+    /// Returns the virtual time, ms.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// What was sent so far.
+    /// Returns the traffic so far.
     pub fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// How often a member declared another one down, or heard of it.
+    /// Returns how often a member declared another one down or learned that it was declared down.
     pub fn downs(&self) -> u64 {
         self.downs
     }
 
-    /// From now on this part of all datagrams is lost.
+    /// Sets the fraction of datagrams that is lost from now on.
     pub fn set_loss(&mut self, loss: f64) {
         self.loss = loss;
     }
 
-    /// A node where a member runs, drawn evenly.
+    /// Returns a node with a running member, drawn from a uniform distribution.
     pub fn any_running(&mut self) -> usize {
         loop {
             let node = self.rng.random_range(0..self.nodes.len());
@@ -115,20 +116,23 @@
         }
     }
 
-    /// Members that run, with their nodes.
+    /// Returns the running members with their nodes.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
-        self.nodes.iter().enumerate().filter_map(|(node, p)| p.member.as_ref().map(|member| (node, member)))
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(index, node)| node.member.as_ref().map(|member| (index, member)))
     }
 
-    /// The member at a node, if one runs there.
+    /// Returns the member at a node, if one is running.
     pub fn member(&self, node: usize) -> Option<&Membership> {
         self.nodes[node].member.as_ref()
     }
 
-    /// Starts a member that asks some of those that run to be taken in, and knows nobody else.
+    /// Starts a member that joins through some of the running members and knows no others.
     ///
     /// # Errors
-    /// If SWIM fails.
+    /// Returns an error if the SWIM protocol returns one.
     pub fn start(&mut self, node: usize) -> Result<()> {
         let introducers: Vec<SocketAddrV4> = (0..INTRODUCERS).map(|_| address(self.any_running())).collect();
         let mut member = self.new_member(node)?;
@@ -138,10 +142,10 @@
         Ok(())
     }
 
-    /// Starts a member at each of these nodes, within a second, all of whom know each other.
+    /// Starts a member at each of these nodes within a second. All of them know each other.
     ///
     /// # Errors
-    /// If SWIM fails.
+    /// Returns an error if the SWIM protocol returns one.
     pub fn start_acquainted(&mut self, nodes: std::ops::Range<usize>) -> Result<()> {
         let first = self.now;
         let all: Vec<MemberId> =
@@ -158,35 +162,35 @@
         Ok(())
     }
 
-    /// The next start of the member of a node.
+    /// Creates a member for the next start of a node.
     fn new_member(&mut self, node: usize) -> Result<Membership> {
         self.nodes[node].start += 1;
         let me = MemberId { address: address(node), start: self.nodes[node].start, incarnation: 0 };
         Ok(Membership::new(me, &self.settings, self.rng.random(), self.now)?)
     }
 
-    /// Ends the member at a node without a word.
+    /// Stops the member at a node without notice to the others, and returns its id.
     pub fn kill(&mut self, node: usize) -> Option<MemberId> {
         self.nodes[node].wake = None;
         self.nodes[node].member.take().map(|member| *member.id())
     }
 
-    /// Watches how word of these members spreads from now on.
+    /// Sets the watch that records changes of views from now on.
     pub fn set_watch(&mut self, watch: DisseminationWatch) {
         self.watch = Some(watch);
     }
 
-    /// The watch, over now.
+    /// Removes the watch and returns it.
     pub fn take_watch(&mut self) -> Option<DisseminationWatch> {
         self.watch.take()
     }
 
-    /// Whether everyone knows what is watched, or nothing is.
+    /// Returns whether the watch is complete, or there is none.
     pub fn is_watch_complete(&self) -> bool {
         self.watch.as_ref().is_none_or(DisseminationWatch::is_complete)
     }
 
-    /// Runs until then.
+    /// Processes all events up to a time.
     pub fn run_until(&mut self, until: Millis) {
         while let Some(Reverse((due, ..))) = self.events.peek() {
             if *due > until {
@@ -202,14 +206,14 @@
 
     fn on_event(&mut self, node: usize, event: Event) {
         let now = self.now;
-        let at = &mut self.nodes[node];
-        let Some(member) = at.member.as_mut() else { return };
+        let slot = &mut self.nodes[node];
+        let Some(member) = slot.member.as_mut() else { return };
         match event {
             Event::Datagram(bytes) => {
                 member.on_datagram(now, &bytes);
             }
-            Event::Wake if at.wake == Some(now) => {
-                at.wake = None;
+            Event::Wake if slot.wake == Some(now) => {
+                slot.wake = None;
                 member.tick(now);
             }
             Event::Wake => return,
@@ -217,7 +221,8 @@
         self.settle(node);
     }
 
-    /// Sends what a member has to send, takes its changes, and sees that it is woken for its next timer.
+    /// Sends a member's pending datagrams, processes the changes of its view, and schedules a wake-up for its
+    /// next timer.
     fn settle(&mut self, node: usize) {
         let Some(member) = self.nodes[node].member.as_mut() else { return };
         let datagrams = member.take_datagrams();
--- a/crates/scale/src/probes/membership/node_address.rs
+++ b/crates/scale/src/probes/membership/node_address.rs
@@ -1,16 +1,16 @@
-//! The addresses of the nodes of a simulated network.
+//! Addresses of the nodes of a simulated network.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The port of every member.
+/// Port of every member.
 const PORT: u16 = 7946;
 
-/// The address of a node.
+/// Returns the address of a node.
 pub fn address(node: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from(0x0a00_0000 + node as u32), PORT)
 }
 
-/// The node of an address.
+/// Returns the node with an address.
 pub fn node_of(address: &SocketAddrV4) -> usize {
     (u32::from(*address.ip()) & 0x00ff_ffff) as usize
 }
--- a/crates/scale/src/probes/membership/scenarios.rs
+++ b/crates/scale/src/probes/membership/scenarios.rs
@@ -1,5 +1,6 @@
-//! The scenarios, one after the other in one simulated network: nothing happens, a member joins, a member fails,
-//! datagrams are lost, members are restarted all the time, a rack fails, a zone fails, and the zone joins again.
+//! The scenarios, which run one after the other in one simulated network: steady state, a member joins, a
+//! member fails, datagrams are lost, members are restarted continuously, a rack fails, a zone fails, and the
+//! zone joins again.
 
 use super::dissemination::{DisseminationWatch, Wanted};
 use super::network::{Network, Traffic};
@@ -8,46 +9,47 @@
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 
-/// Members of the target fleet.
+/// Number of members in the target fleet.
 pub const TARGET_MEMBERS: u64 = 7_100;
 
-/// Members of a rack.
+/// Number of members in a rack.
 const RACK: u64 = 40;
 
-/// Members of a zone of the target fleet.
+/// Number of members in a zone of the target fleet.
 const ZONE: u64 = 444;
 
-/// At most so large a part of a small fleet is a rack.
-const LARGEST_RACK_PART: u64 = 10;
+/// Divisor of the fleet's size that limits the size of a rack in a small fleet.
+const MIN_RACKS: u64 = 10;
 
-/// Restarts a day in the target fleet; the rate is the same at every size, since each restart reaches each member.
+/// Restarts per day in the target fleet. The rate is the same at every size, since each restart reaches each
+/// member.
 pub const RESTARTS_PER_DAY: u64 = 44_000;
 
-/// Milliseconds of a day.
+/// Milliseconds per day.
 const DAY: Millis = 86_400_000;
 
-/// The part of datagrams lost where some are.
+/// Fraction of datagrams that is lost in the scenario with packet loss.
 pub const LOSS: f64 = 0.01;
 
-/// Most time for word to reach everyone, ms.
+/// Maximum time for a change to reach all members, ms.
 const SPREAD_LIMIT: Millis = 120_000;
 
-/// How long the fleet is left alone between two scenarios, ms: a member passes an update on for some two seconds.
+/// Pause between two scenarios, ms: a member forwards an update for about two seconds.
 const REST: Millis = 6_000;
 
-/// How long it is left alone after a zone joined, ms; nothing comes after that.
+/// Pause after a zone has joined, ms; no scenario follows.
 const ZONE_REST: Millis = 2_000;
 
-/// How long a steady state is watched, ms: one period of the announcements that members make now and then.
+/// Duration of the measurement of a steady state, ms: one period of the members' periodic announcements.
 const STEADY: Millis = 30_000;
 
-/// How long members that are restarted are watched, ms.
+/// Duration of the measurement with restarts, ms.
 const CHURN: Millis = 20_000;
 
-/// How often it is looked whether something has come to pass, ms.
+/// Interval between checks of the watched condition, ms.
 const STEP: Millis = 100;
 
-/// Settings of the failure detector, as the target fleet would have them.
+/// Returns the settings of the failure detector that the target fleet would use.
 pub fn settings() -> Settings {
     Settings {
         probe_period: 1_000,
@@ -61,7 +63,7 @@
     }
 }
 
-/// What a stretch of time cost, a second and member.
+/// Cost of a period of time, per second and member.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Cost {
     /// Bytes sent, headers included.
@@ -72,63 +74,65 @@
     pub processor_ns: f64,
 }
 
-/// How long word took to spread, in seconds, over all pairs of an observer and a member told of.
+/// Time that a change took to spread, in seconds, over all pairs of an observer and a changed member.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Dissemination {
-    /// To 99 of 100 pairs.
+    /// Time until 99 of 100 pairs were complete.
     pub p99: f64,
-    /// To all of them.
+    /// Time until all pairs were complete.
     pub all: f64,
-    /// What it cost until then.
+    /// Cost until all pairs were complete.
     pub cost: Cost,
 }
 
-/// What was seen while at most one member came or went.
+/// Results of the scenarios in which at most one member joins or fails.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct SingleResults {
-    /// Nothing happens.
+    /// Cost of the steady state.
     pub steady: Cost,
-    /// One joins.
+    /// Dissemination of a member that joins.
     pub join: Dissemination,
-    /// The part of all members that the one that joined knows once word of it has spread and [`REST`] has passed.
+    /// Fraction of all members that the joined member knows [`REST`] after its join has spread.
     pub joiner_knows: f64,
-    /// One fails.
+    /// Dissemination of a member that fails.
     pub failure: Dissemination,
 }
 
-/// All that was seen.
+/// Results of all scenarios.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Results {
-    /// With at most one that came or went.
+    /// Results of the scenarios in which at most one member joins or fails.
     pub single: SingleResults,
-    /// Nothing happens but datagrams lost.
+    /// Cost of the steady state with packet loss.
     pub lossy: Cost,
-    /// Members declared down meanwhile, by those who declared or heard of it.
+    /// Number of times that a member declared another one down, or learned of it, during the packet loss.
     pub lossy_downs: f64,
-    /// A rack fails.
+    /// Dissemination of a rack that fails.
     pub rack: Dissemination,
-    /// A zone fails.
+    /// Dissemination of a zone that fails.
     pub zone: Dissemination,
-    /// The zone joins again, cold.
+    /// Dissemination of the zone that joins again without state.
     pub zone_join: Dissemination,
-    /// The part of all members that the least knowing one of the zone knows [`ZONE_REST`] after word of them has spread.
+    /// Smallest fraction of all members that a member of the zone knows [`ZONE_REST`] after the join has
+    /// spread.
     pub zone_knows: f64,
-    /// Members are restarted at the target's rate.
+    /// Cost while members are restarted at the target's rate.
     pub churn: Cost,
 }
 
-/// Runs the part that the large run has, at one size.
+/// Runs the scenarios of the large run at one size.
 ///
 /// # Errors
-/// As [`run_all`].
+/// Returns the errors of [`run_all`].
 pub fn run_single(size: u64, seed: u64) -> Result<SingleResults> {
     Simulation::new(size as usize, seed)?.run_single()
 }
 
-/// Runs all of it at one size.
+/// Runs all scenarios at one size.
 ///
 /// # Errors
-/// If SWIM fails, or word does not reach everyone within the limit.
+/// Returns an error if the fleet is too small, the SWIM protocol returns an error, or a change does not reach
+/// all members within the limit.
 pub fn run_all(size: u64, seed: u64) -> Result<Results> {
     Simulation::new(size as usize, seed)?.run_all()
 }
@@ -139,22 +143,22 @@
 }
 
 impl Simulation {
-    /// A network with a node more than the fleet has members.
+    /// Creates a network with one more node than the fleet has members.
     fn new(size: usize, seed: u64) -> Result<Simulation> {
         if size < 20 {
-            bail!("a fleet of {size} has no zone to lose: 20 members at least");
+            bail!("a fleet of {size} members is too small to lose a zone: at least 20 are needed");
         }
         Ok(Simulation { network: Network::new(seed, size + 1, settings()), size })
     }
 
-    /// The scenarios that each member sees alone, which the large run has too.
+    /// Runs the scenarios in which at most one member joins or fails, which the large run has too.
     fn run_single(&mut self) -> Result<SingleResults> {
         self.network.start_acquainted(0..self.size)?;
         self.rest(REST);
         let steady = self.watch_cost(STEADY, |_| Ok(()))?;
         let newcomer = [self.size];
         let join = self.join(&newcomer, REST)?;
-        let joiner_knows = self.least_known(&newcomer);
+        let joiner_knows = self.min_known_fraction(&newcomer);
         let failure = self.fail(&newcomer)?;
         Ok(SingleResults { steady, join, joiner_knows, failure })
     }
@@ -168,14 +172,14 @@
         let lossy_downs = (self.network.downs() - downs) as f64;
         let churn = self.churn()?;
         self.rest(REST);
-        let rack = (RACK as usize).min(self.size / LARGEST_RACK_PART as usize);
+        let rack = (RACK as usize).min(self.size / MIN_RACKS as usize);
         let zone = (self.size as u64 * ZONE).div_ceil(TARGET_MEMBERS) as usize;
         let rack_nodes: Vec<usize> = (0..rack).collect();
         let zone_nodes: Vec<usize> = (rack..rack + zone).collect();
         let rack = self.fail(&rack_nodes)?;
         let zone = self.fail(&zone_nodes)?;
         let zone_join = self.join(&zone_nodes, ZONE_REST)?;
-        let zone_knows = self.least_known(&zone_nodes);
+        let zone_knows = self.min_known_fraction(&zone_nodes);
         Ok(Results { single, lossy, lossy_downs, rack, zone, zone_join, zone_knows, churn })
     }
 
@@ -183,7 +187,7 @@
         self.network.run_until(self.network.now() + time);
     }
 
-    /// The cost of so long a time, in which `each_step` is called.
+    /// Returns the cost of a period of time, in which `each_step` is called every [`STEP`].
     fn watch_cost(
         &mut self,
         time: Millis,
@@ -198,7 +202,7 @@
         Ok(meter.cost(&self.network, self.size))
     }
 
-    /// New members start at once at these nodes, where nobody runs.
+    /// Starts new members at the same time at these nodes, where no member is running.
     fn join(&mut self, nodes: &[usize], rest: Millis) -> Result<Dissemination> {
         for node in nodes {
             self.network.start(*node)?;
@@ -208,13 +212,13 @@
         self.spread(Wanted::Up, &ids, rest)
     }
 
-    /// The members at these nodes end without a word.
+    /// Stops the members at these nodes without notice to the others.
     fn fail(&mut self, nodes: &[usize]) -> Result<Dissemination> {
         let ids: Vec<MemberId> = nodes.iter().filter_map(|node| self.network.kill(*node)).collect();
         self.spread(Wanted::Down, &ids, REST)
     }
 
-    /// How word of these members spreads; then the fleet rests.
+    /// Measures how the change of these members spreads, and then pauses for `rest`.
     fn spread(&mut self, wanted: Wanted, ids: &[MemberId], rest: Millis) -> Result<Dissemination> {
         let watch =
             DisseminationWatch::begin(self.network.now(), self.size + 1, self.network.running(), wanted, ids);
@@ -226,21 +230,24 @@
         }
         let cost = meter.cost(&self.network, self.size);
         self.rest(rest);
-        let Some(mut watch) = self.network.take_watch() else { bail!("no watch") };
+        let Some(mut watch) = self.network.take_watch() else { bail!("the network has no watch") };
         match (watch.seconds(0.99), watch.seconds(1.0)) {
             (Some(p99), Some(all)) => Ok(Dissemination { p99, all, cost }),
-            _ => bail!("word of {} members had not reached all after {SPREAD_LIMIT} ms", ids.len()),
+            _ => bail!(
+                "the change of {} members had not reached all members after {SPREAD_LIMIT} ms",
+                ids.len()
+            ),
         }
     }
 
-    /// The least part of the others that one of these members knows.
-    fn least_known(&self, nodes: &[usize]) -> f64 {
+    /// Returns the smallest fraction of the other members that one of these members knows.
+    fn min_known_fraction(&self, nodes: &[usize]) -> f64 {
         let others = self.network.running().count().saturating_sub(1).max(1);
         let known = |node: &usize| self.network.member(*node).map(|member| member.up_count());
         nodes.iter().filter_map(known).min().unwrap_or(0) as f64 / others as f64
     }
 
-    /// Members are restarted one by one at the target's rate.
+    /// Restarts members one by one at the target's rate, and returns the cost.
     fn churn(&mut self) -> Result<Cost> {
         let interval = DAY / RESTARTS_PER_DAY;
         let mut next = self.network.now();
@@ -256,7 +263,7 @@
     }
 }
 
-/// Measures what a stretch of time costs.
+/// Measures the cost of a period of time.
 struct Meter {
     traffic: Traffic,
     since: Millis,
@@ -270,17 +277,17 @@
 
     fn cost(&self, network: &Network, members: usize) -> Cost {
         let seconds = (network.now() - self.since).max(1) as f64 / 1000.0;
-        let shares = seconds * members as f64;
+        let member_seconds = seconds * members as f64;
         let Traffic { datagrams, bytes } = network.traffic().since(self.traffic);
         Cost {
-            bytes: bytes as f64 / shares,
-            datagrams: datagrams as f64 / shares,
-            processor_ns: (processor_ns() - self.processor_ns) / shares,
+            bytes: bytes as f64 / member_seconds,
+            datagrams: datagrams as f64 / member_seconds,
+            processor_ns: (processor_ns() - self.processor_ns) / member_seconds,
         }
     }
 }
 
-/// The processor time of this process, ns.
+/// Returns the processor time of this process, ns.
 fn processor_ns() -> f64 {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     time.tv_sec as f64 * 1e9 + time.tv_nsec as f64
