--- a/crates/scale/src/probes/daemon_site.rs
+++ b/crates/scale/src/probes/daemon_site.rs
@@ -123,7 +123,7 @@
 
 fn class(name: &str) -> Value {
     json!({
-        "name": name, "effect": "pure", "target_ms": OBJECTIVE_MS, "give_up_ms": CLIENT_TIMEOUT_MS, "worth": 1.0,
-        "late_worth": 0.1,
+        "name": name, "effect": "pure", "target_ms": OBJECTIVE_MS, "give_up_ms": CLIENT_TIMEOUT_MS,
+        "worth": 1.0, "late_worth": 0.1,
     })
 }
--- a/crates/scale/src/probes/idempotency.rs
+++ b/crates/scale/src/probes/idempotency.rs
@@ -1,4 +1,4 @@
-//! The table of idempotency keys: the memory of a key, and the cost of an arrival and of a sweep.
+//! Measures the table of idempotency keys: the memory of a key, and the cost of an arrival and of a sweep.
 
 use crate::child_process;
 use crate::fit::Quantity;
@@ -16,25 +16,25 @@
 const SIZES: &[u64] = &[1_000, 10_000, 100_000, 1_000_000];
 const QUICK_SIZES: &[u64] = &[1_000, 2_000];
 
-/// Keys that the daemon allows with 256 MB: a tenth of them, at 400 bytes each.
+/// Number of keys that the daemon allows with 256 MB: a tenth of the memory, at 400 bytes per key.
 const TARGET_KEYS: f64 = 67_108.0;
 
-/// Bytes of a key, and of a result.
+/// Sizes of a key and of a result, bytes.
 const KEY_BYTES: usize = 16;
 const RESULT_BYTES: usize = 64;
 
-/// The times of the class: no window ends during the measurement.
+/// Key window of the class, so long that no window ends during the measurement.
 const WINDOW: KeyWindow = KeyWindow { window_ms: 60_000.0, max_read_delay_ms: 5_000.0 };
 
-/// Arrivals in a run, and runs.
+/// Number of arrivals per run, and number of runs.
 const ARRIVALS: u64 = 10_000;
 const QUICK_ARRIVALS: u64 = 100;
 const RUNS: usize = 5;
 
-/// A run adds one key for so many that are there, so that their number stays about what it is.
-const KEYS_AN_ADDED_KEY: u64 = 20;
+/// Number of existing keys per key that a run adds, so that the size of the table hardly changes.
+const KEYS_PER_ADDED_KEY: u64 = 20;
 
-/// The name of the load whose memory is measured.
+/// Name of the load whose memory is measured.
 pub const LOAD: &str = "keyed";
 
 const FIXED: &[(&str, f64)] = &[("key_bytes", KEY_BYTES as f64), ("result_bytes", RESULT_BYTES as f64)];
@@ -58,7 +58,7 @@
     ..FIRST
 };
 
-/// The probe of `crates/idempotency`.
+/// Probe of `crates/idempotency`.
 pub struct IdempotencyProbe;
 
 impl Probe for IdempotencyProbe {
@@ -75,7 +75,7 @@
                 let point = |runs: Vec<f64>| Point::of(size as f64, seed, &runs);
                 repeat.push(point(load.repeat_ns(options)));
                 sweep.push(point(nanoseconds(options.runs(RUNS), 1, || load.table.sweep(1.0))));
-                // Last, since it adds keys.
+                // This comes last because it adds keys.
                 first.push(point(load.first_ns(options)));
             }
         }
@@ -85,7 +85,7 @@
     }
 }
 
-/// A table with so many keys that ran, and their results.
+/// A table of idempotency keys whose requests have run, with their results.
 struct Load {
     table: IdempotencyTable<Rc<[u8]>>,
     rng: ChaCha8Rng,
@@ -100,7 +100,7 @@
         let mut load = Load { table, rng: ChaCha8Rng::seed_from_u64(seed), keys: Vec::new(), next: 0 };
         for _ in 0..keys {
             let key = load.new_key();
-            ensure!(load.run(&key), "a new key did not run");
+            ensure!(load.run(&key), "the request of a new key did not run");
             load.keys.push(key);
         }
         Ok(load)
@@ -111,7 +111,7 @@
         Rc::from(&bytes[..])
     }
 
-    /// A new key arrives, runs, and has its result.
+    /// Makes the request of a new key arrive, run and complete, and returns whether it ran.
     fn run(&mut self, key: &Rc<[u8]>) -> bool {
         self.next += 1;
         let id = self.next;
@@ -123,7 +123,7 @@
     }
 
     fn first_ns(&mut self, options: &ProbeOptions) -> Vec<f64> {
-        let arrivals = (self.keys.len() as u64 / KEYS_AN_ADDED_KEY).min(ARRIVALS);
+        let arrivals = (self.keys.len() as u64 / KEYS_PER_ADDED_KEY).min(ARRIVALS);
         let runs = options.runs(RUNS);
         let keys: Vec<Vec<Rc<[u8]>>> =
             (0..runs).map(|_| (0..arrivals).map(|_| self.new_key()).collect()).collect();
@@ -150,14 +150,14 @@
     }
 }
 
-/// Resident bytes of a table of so many keys.
+/// Returns the resident memory of a table with `keys` keys, bytes.
 ///
 /// # Errors
-/// If a key does not run.
+/// Returns an error if the request of a key does not run.
 pub fn table_load(keys: u64, seed: u64) -> Result<f64> {
     let growth = Growth::begin();
     let mut load = Load::new(keys, seed)?;
-    // The table has the keys; the list of them is the probe's.
+    // The table shares the keys with the list, and the list itself belongs to the probe.
     load.keys = Vec::new();
     let bytes = growth.bytes();
     black_box(load.table.len());
--- a/crates/scale/src/probes/ledger.rs
+++ b/crates/scale/src/probes/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger: what an answer costs to bill, what open aggregates hold, and what goes to the disk and to the collector.
+//! Measures the ledger: the cost of billing a response, the memory of open aggregates, and the bytes written
+//! to the disk and sent to the collector.
 
 use crate::fit::Quantity;
 use crate::probes::sample::{nanoseconds, points};
@@ -14,32 +15,32 @@
 use rand_chacha::ChaCha8Rng;
 use std::hint::black_box;
 
-/// Tenants of the target.
+/// Number of tenants in the target fleet.
 const TARGET_TENANTS: u64 = 390_000;
 
 const SIZES: &[u64] = &[10, 1_000, 100_000, TARGET_TENANTS];
 const QUICK_SIZES: &[u64] = &[10, 100];
 
-/// Answers in a run, and runs.
+/// Number of billed responses per run, and number of runs.
 const ANSWERS: u64 = 200_000;
 const QUICK_ANSWERS: u64 = 1_000;
 const RUNS: usize = 5;
 
-/// Requests a second of a server of the target: 2,000,000 on 7,100 servers.
+/// Requests per second of a server in the target fleet: 2,000,000 on 7,100 servers.
 const REQUESTS_PER_SECOND: u64 = 282;
 
-/// How long the disk is watched, s.
+/// Simulated time for which the bytes written to the disk are counted, s.
 const DISK_SECONDS: u64 = 60;
 
-/// The length of a period, and the time between commits.
+/// Length of a period, and time between commits, ms.
 const PERIOD_MS: u64 = 900_000;
 const COMMIT_MS: u64 = 50;
 
-/// Bytes that the store adds to a commit and to a record.
+/// Bytes that the store adds to each commit and to each record.
 const FRAME_BYTES: u64 = 36;
 const RECORD_BYTES: u64 = 8;
 
-/// A time after 2020, at which a period begins.
+/// Unix time at which the measurements start: a time after 2020 at which a period begins, ms.
 const START_MS: u64 = 1_700_000_100_000 - 1_700_000_100_000 % PERIOD_MS;
 
 const AMOUNT: Amount = Amount { requests: 1, pool_us: 20_000, bytes_in: 200, bytes_out: 300 };
@@ -85,7 +86,7 @@
     ..BILL
 };
 
-/// The probe of `crates/ledger`.
+/// Probe of `crates/ledger`.
 pub struct LedgerProbe;
 
 impl Probe for LedgerProbe {
@@ -118,7 +119,7 @@
     UsageKey { period: START_MS, tenant: name, class: 0, outcome: Outcome::Completed }
 }
 
-/// A table with an aggregate for each tenant.
+/// Returns a table with one aggregate for each tenant.
 fn table_of(names: &[String]) -> UsageTable {
     let mut table = UsageTable::new(1 << 24);
     for name in names {
@@ -127,8 +128,8 @@
     table
 }
 
-/// Which tenant each answer is for.
-fn picks(count: u64, tenants: u64, seed: u64) -> Vec<usize> {
+/// Returns the indexes of randomly chosen tenants, one for each response.
+fn tenant_indexes(count: u64, tenants: u64, seed: u64) -> Vec<usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     (0..count).map(|_| rng.random_range(0..tenants) as usize).collect()
 }
@@ -140,15 +141,15 @@
 fn add_ns(options: &ProbeOptions, tenants: u64, seed: u64) -> Vec<f64> {
     let names = names(tenants);
     let mut table = table_of(&names);
-    let picks = picks(answers(options), tenants, seed);
-    nanoseconds(options.runs(RUNS), picks.len() as u64, || {
-        for pick in &picks {
-            black_box(table.add(key(&names[*pick]), &AMOUNT));
+    let indexes = tenant_indexes(answers(options), tenants, seed);
+    nanoseconds(options.runs(RUNS), indexes.len() as u64, || {
+        for index in &indexes {
+            black_box(table.add(key(&names[*index]), &AMOUNT));
         }
     })
 }
 
-/// A ledger whose store is done at once.
+/// A ledger with a simulated store that completes every write at once.
 struct Load {
     accumulator: UsageAccumulator,
     names: Vec<String>,
@@ -179,11 +180,11 @@
         load
     }
 
-    /// An answer is billed at once.
-    fn bill(&mut self, pick: usize) {
+    /// Bills a response to the tenant with the given index.
+    fn bill(&mut self, index: usize) {
         let used = UsageRecord {
             requests: 1,
-            account: AccountName::parse(&self.names[pick]).unwrap_or(AccountName::unattributed()),
+            account: AccountName::parse(&self.names[index]).unwrap_or(AccountName::unattributed()),
             class: 0,
             outcome: Outcome::Completed,
             pool_us: AMOUNT.pool_us,
@@ -195,7 +196,7 @@
         self.store();
     }
 
-    /// What the store does with the records: it counts them, and says that they are durable.
+    /// Simulates the store: counts the appended records and reports them as durable.
     fn store(&mut self) {
         loop {
             let mut records = 0;
@@ -217,34 +218,35 @@
 
 fn bill_ns(options: &ProbeOptions, tenants: u64, seed: u64, mode: DurabilityMode) -> Result<Vec<f64>> {
     let mut load = Load::new(tenants, mode);
-    let picks = picks(answers(options), tenants, seed);
+    let indexes = tenant_indexes(answers(options), tenants, seed);
     let mut billed = 0;
-    let times = nanoseconds(options.runs(RUNS), picks.len() as u64, || {
-        for pick in &picks {
+    let times = nanoseconds(options.runs(RUNS), indexes.len() as u64, || {
+        for index in &indexes {
             billed += 1;
             load.now = START_MS + billed * 1000 / REQUESTS_PER_SECOND;
-            load.bill(*pick);
+            load.bill(*index);
         }
     });
-    ensure!(load.records > 1, "nothing was written");
+    ensure!(load.records > 1, "the ledger wrote no record");
     Ok(times)
 }
 
-/// Bytes a second to the disk.
+/// Returns the bytes per second written to the disk.
 fn disk_rate(tenants: u64, seed: u64, mode: DurabilityMode) -> Result<f64> {
     let mut load = Load::new(tenants, mode);
     (load.bytes, load.records, load.commits) = (0, 0, 0);
-    let picks = picks(DISK_SECONDS * REQUESTS_PER_SECOND, tenants, seed);
-    for (billed, pick) in picks.into_iter().enumerate() {
+    let indexes = tenant_indexes(DISK_SECONDS * REQUESTS_PER_SECOND, tenants, seed);
+    for (billed, index) in indexes.into_iter().enumerate() {
         load.now = START_MS + billed as u64 * 1000 / REQUESTS_PER_SECOND;
-        load.bill(pick);
+        load.bill(index);
     }
-    ensure!(load.records > 0, "nothing was written");
+    ensure!(load.records > 0, "the ledger wrote no record");
     let bytes = load.bytes + load.records * RECORD_BYTES + load.commits * FRAME_BYTES;
     Ok(bytes as f64 / DISK_SECONDS as f64)
 }
 
-/// Bytes of the batches of a period in which each tenant had as much use as its share of the target's rate.
+/// Returns the bytes of the batches of a period in which each tenant has its share of the target's request
+/// rate.
 fn batch_bytes(names: &[String]) -> f64 {
     let requests = (REQUESTS_PER_SECOND * PERIOD_MS / 1000 / names.len() as u64).max(1) as i64;
     let item = |name: &String| UsageItem {
--- a/crates/scale/src/probes/membership/series.rs
+++ b/crates/scale/src/probes/membership/series.rs
@@ -1,11 +1,11 @@
-//! Which figures of the scenarios become slopes.
+//! Definitions of the slopes that are computed from the results of the scenarios.
 
 use super::case::Case;
 use super::scenarios::{LOSS, RESTARTS_PER_DAY, Results, SingleResults, TARGET_MEMBERS};
 use crate::fit::Quantity;
 use crate::slope::{Point, Slope};
 
-/// A figure of the scenarios, which becomes a slope against the members.
+/// A figure of the scenarios that becomes a slope as a function of the number of members.
 pub struct Series<Outcome: 'static> {
     id: &'static str,
     quantity: &'static str,
@@ -15,7 +15,7 @@
 }
 
 impl<Outcome> Series<Outcome> {
-    /// The slope through what was measured, and through the large run if there is one.
+    /// Returns the slope through the measured results, and through the large run if there is one.
     pub fn slope(&self, measured: &[(Case, Outcome)], large: &[(Case, Outcome)]) -> Slope {
         let point = |(case, results): &(Case, Outcome)| {
             Point::of(case.size as f64, case.seed, &[(self.figure)(results)])
@@ -33,7 +33,7 @@
 const SECONDS: &str = "s";
 const PART: &str = "of all members";
 
-/// The settings that the figures hang on, ms.
+/// Parameters that the figures depend on.
 const SETTINGS: &[(&str, f64)] =
     &[("probe_period_ms", 1_000.0), ("suspect_to_down_ms", 4_000.0), ("headers_bytes", 28.0)];
 
@@ -57,7 +57,7 @@
     Series { id, quantity, unit, fixed, figure }
 }
 
-/// Of the scenarios that the large run has as well.
+/// Series of the scenarios that are part of the large run too.
 #[rustfmt::skip]
 pub const SINGLE_SERIES: &[Series<SingleResults>] = &[
     series("fleet.steady_bytes_per_second.members", "sent while nothing happens", BYTES, SETTINGS, |results| results.steady.bytes),
@@ -70,7 +70,7 @@
     series("fleet.failure_p99_seconds.members", "until 99 in 100 know that one failed", SECONDS, SETTINGS, |results| results.failure.p99),
 ];
 
-/// Of the other scenarios.
+/// Series of the other scenarios.
 #[rustfmt::skip]
 pub const SERIES: &[Series<Results>] = &[
     series("fleet.lossy_bytes_per_second.members", "sent while 1% of datagrams is lost", BYTES, LOSSY, |results| results.lossy.bytes),
--- a/crates/scale/src/probes/quota.rs
+++ b/crates/scale/src/probes/quota.rs
@@ -1,4 +1,5 @@
-//! Fleet limits: what a lease request costs the allocator, what it weighs on the wire, and what an allocator holds.
+//! Measures fleet limits: the cost of a lease request at the allocator, its size on the wire, and the memory
+//! of an allocator.
 
 use crate::child_process;
 use crate::fit::Quantity;
@@ -14,51 +15,51 @@
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Members of the target fleet.
+/// Number of members in the target fleet.
 const TARGET_MEMBERS: u64 = 7_100;
 
-/// Budgets at the target if each class has one.
+/// Number of budgets in the target fleet if each class has one.
 const TARGET_BUDGETS: u64 = 64_000;
 
 const MEMBER_SIZES: &[u64] = &[10, 100, 1_000, TARGET_MEMBERS];
 const QUICK_MEMBER_SIZES: &[u64] = &[10, 100];
 
-/// Budgets, one allocator each, of [`BUDGET_MEMBERS`] members.
-const BUDGET_SIZES: &[u64] = &[1, 10, 100, MOST_BUDGETS];
-const MOST_BUDGETS: u64 = 1_000;
+/// Numbers of budgets, each with one allocator of [`BUDGET_MEMBERS`] members.
+const BUDGET_SIZES: &[u64] = &[1, 10, 100, MAX_BUDGETS];
+const MAX_BUDGETS: u64 = 1_000;
 const QUICK_BUDGET_SIZES: &[u64] = &[1, 10];
 const BUDGET_MEMBERS: u64 = 1_000;
 
-/// Budgets of a member whose requests go to one allocator, for what that weighs on the wire.
+/// Numbers of budgets of a member whose requests go to one allocator, for the size of the traffic.
 const WIRE_SIZES: &[u64] = &[1, 10, 100, 1_000, 10_000, TARGET_BUDGETS];
 
-/// How long a grant holds. An assumption: no budget of the fleet is configured yet.
+/// Duration of a lease, ms. This is an assumption: no budget of the fleet is configured yet.
 const LEASE_MS: Millis = 2_000;
 
-/// Lease requests of a holder in a lease.
+/// Number of lease requests of a holder during one lease.
 const REQUESTS_PER_LEASE: u64 = 4;
 
-/// Lease requests in a run, and runs at a size.
+/// Number of lease requests per run, and number of runs at a size.
 const REQUESTS_PER_RUN: u64 = 1_000;
 const RUNS: usize = 5;
 
-/// Bytes of payload in a datagram, the tag included, as in `crates/membership`.
-const DATAGRAM: u64 = 1_400;
+/// Maximum payload of a datagram, bytes, tag included, as in `crates/membership`.
+const DATAGRAM_BYTES: u64 = 1_400;
 
-/// A day, ms.
+/// Milliseconds per day.
 const DAY_MS: Millis = 86_400_000;
 
-/// Bytes of the headers of a datagram over IPv4.
+/// Bytes of the IP and UDP headers of a datagram over IPv4.
 const UDP_HEADERS: u64 = 28;
 
-/// The names of the loads whose memory is measured.
+/// Names of the loads whose memory is measured.
 pub const MEMBERS_LOAD: &str = "quota-members";
 pub const BUDGETS_LOAD: &str = "quota-budgets";
 
-/// Members in all allocators whose memory is measured together.
+/// Total number of members in the allocators whose memory is measured together.
 const MEASURED_MEMBERS: u64 = 200_000;
 
-/// The probe of `crates/quota`.
+/// Probe of `crates/quota`.
 pub struct QuotaProbe;
 
 impl Probe for QuotaProbe {
@@ -130,7 +131,7 @@
     unit: "ns",
     against: "budgets",
     fixed: &[("members", BUDGET_MEMBERS as f64), ("lease_ms", LEASE_MS as f64)],
-    target_size: MOST_BUDGETS as f64,
+    target_size: MAX_BUDGETS as f64,
 };
 
 const MEMORY_BUDGETS: Quantity = Quantity {
@@ -169,7 +170,7 @@
     ..ROUND_BYTES
 };
 
-/// Points of a figure that follows from the size alone, the same for each seed.
+/// Returns the points of a figure that depends on the size alone and is the same for each seed.
 fn exact(seeds: &[u64], sizes: &[u64], figure: impl Fn(u64) -> f64) -> Vec<Point> {
     let point = |size: &u64, seed: &u64| Point::of(*size as f64, *seed, &[figure(*size)]);
     sizes
@@ -179,11 +180,11 @@
         .collect()
 }
 
-/// How often a second what took so many ns can be done.
+/// Converts a point of ns per operation to operations per second.
 fn reciprocal(point: &Point) -> Point {
-    let a_second = |ns: f64| if ns > 0.0 { 1e9 / ns } else { 0.0 };
-    // The least of these figures belongs to the slowest run, which was not kept: the median stands in for it.
-    let median = a_second(point.median);
+    let per_second = |ns: f64| if ns > 0.0 { 1e9 / ns } else { 0.0 };
+    // The smallest rate belongs to the slowest run, whose time is not stored, so the median is used instead.
+    let median = per_second(point.median);
     Point { runs: point.runs, ..Point::of(point.size, point.seed, &[median]) }
 }
 
@@ -197,7 +198,7 @@
     MemberId { address, start: 1, incarnation: 0 }
 }
 
-/// An allocator with its members' clock and numbers.
+/// An allocator with the clock and the request sequence number of its members.
 struct AllocatorLoad {
     allocator: Allocator<MemberId>,
     rng: ChaCha8Rng,
@@ -207,7 +208,7 @@
 }
 
 impl AllocatorLoad {
-    /// An allocator to whom all members have lent their shares, and all of whom hold leases.
+    /// Creates an allocator to which all members have lent their shares, and from which all hold leases.
     fn new(members: u64, seed: u64) -> Result<AllocatorLoad> {
         let config = Config {
             budget: members * 1_000,
@@ -229,7 +230,7 @@
         Ok(load)
     }
 
-    /// Every member requests a lease once, within a quarter of a lease.
+    /// Makes every member request a lease once within a quarter of a lease.
     fn round(&mut self, acknowledged: Option<u64>) -> Result<()> {
         self.sequence += 1;
         let began = self.now;
@@ -241,7 +242,8 @@
         Ok(())
     }
 
-    /// One member requests a lease. What members want is twice the pool in all, so that shares are cut.
+    /// Makes one member request a lease. The members want about twice the budget in total, so that shares are
+    /// reduced.
     fn request(&mut self, member: u64, acknowledged: Option<u64>) -> Result<Grant> {
         let wanted = self.rng.random_range(0..2_000);
         let request = LeaseRequest { sequence: self.sequence, wanted, acknowledged };
@@ -249,7 +251,8 @@
         granted.map_err(|refusal| anyhow!("member {member}: {refusal}"))
     }
 
-    /// The next member in turn requests a lease, as the members of a fleet do: each of them four times a lease.
+    /// Makes the next member in turn request a lease. As in a fleet, each member does so four times per
+    /// lease.
     fn next_request(&mut self, turn: u64) -> Result<Grant> {
         let member = turn % self.members;
         if member == 0 {
@@ -260,7 +263,7 @@
     }
 }
 
-/// Nanoseconds of a lease request with so many members, among so many allocators in turn.
+/// Returns the nanoseconds per lease request with `members` members, sent to `budgets` allocators in turn.
 fn request_ns(options: &ProbeOptions, members: u64, budgets: u64, seed: u64) -> Result<Vec<f64>> {
     let first = AllocatorLoad::new(members, seed)?;
     let mut loads: Vec<AllocatorLoad> = (0..budgets)
@@ -285,24 +288,24 @@
     failed.map_or(Ok(times), Err)
 }
 
-/// Resident bytes of an allocator of so many members.
+/// Returns the resident memory of an allocator with `members` members, bytes.
 ///
 /// # Errors
-/// If a lease request is refused.
+/// Returns an error if a lease request is refused.
 pub fn members_load(members: u64, seed: u64) -> Result<f64> {
     let count = (MEASURED_MEMBERS / members).max(1);
     Ok(clones_bytes(members, count, seed)? / count as f64)
 }
 
-/// Resident bytes of so many allocators of [`BUDGET_MEMBERS`] members.
+/// Returns the resident memory of `budgets` allocators with [`BUDGET_MEMBERS`] members each, bytes.
 ///
 /// # Errors
-/// If a lease request is refused.
+/// Returns an error if a lease request is refused.
 pub fn budgets_load(budgets: u64, seed: u64) -> Result<f64> {
     clones_bytes(BUDGET_MEMBERS, budgets, seed)
 }
 
-/// Resident bytes of so many allocators alike.
+/// Returns the resident memory of `count` identical allocators with `members` members each, bytes.
 fn clones_bytes(members: u64, count: u64, seed: u64) -> Result<f64> {
     let load = AllocatorLoad::new(members, seed)?;
     let growth = Growth::begin();
@@ -312,41 +315,44 @@
     Ok(bytes)
 }
 
-/// Bytes of a field of a prost message: its key, and a varint.
-fn field(value: u64) -> u64 {
+/// Returns the bytes of a varint field of a prost message, including its key.
+fn field_bytes(value: u64) -> u64 {
     let varint = (64 - u64::from((value | 1).leading_zeros())).div_ceil(7);
     1 + varint
 }
 
-/// Datagrams and bytes of a member's round of lease requests and of its grants. A message names its budget by a number,
-/// and is preceded by its length; the figures are those of a number of a member that has requested leases for a day.
+/// Returns the traffic of one round of a member's lease requests and of its grants. A message identifies its
+/// budget by a number and is preceded by its length. The sequence numbers are those of a member that has
+/// requested leases for a day.
 fn round_traffic(budgets: u64) -> Traffic {
     let sequence = DAY_MS / (LEASE_MS / REQUESTS_PER_LEASE);
-    let request = |budget| 1 + field(budget) + field(sequence) + field(1_000) + field(sequence - 1);
-    let grant = |budget| 1 + field(budget) + field(sequence) + field(500);
+    let request = |budget| {
+        1 + field_bytes(budget) + field_bytes(sequence) + field_bytes(1_000) + field_bytes(sequence - 1)
+    };
+    let grant = |budget| 1 + field_bytes(budget) + field_bytes(sequence) + field_bytes(500);
     let requests = packed((0..budgets).map(request));
     let grants = packed((0..budgets).map(grant));
     Traffic { datagrams: requests.datagrams + grants.datagrams, bytes: requests.bytes + grants.bytes }
 }
 
-/// Datagrams and their bytes, tags and headers included.
+/// Number of datagrams and their bytes, tags and headers included.
 #[derive(Clone, Copy, Debug)]
 struct Traffic {
     datagrams: u64,
     bytes: u64,
 }
 
-/// Returns the traffic of messages of these lengths, packed in their order.
+/// Returns the traffic of messages with the given lengths, packed into datagrams in this order.
 fn packed(lengths: impl Iterator<Item = u64>) -> Traffic {
-    let capacity = DATAGRAM - TAG_BYTES as u64;
-    let (mut datagrams, mut bytes, mut left) = (0, 0, 0);
+    let capacity = DATAGRAM_BYTES - TAG_BYTES as u64;
+    let (mut datagrams, mut bytes, mut free) = (0, 0, 0);
     for length in lengths {
-        if length > left {
+        if length > free {
             datagrams += 1;
             bytes += UDP_HEADERS + TAG_BYTES as u64;
-            left = capacity;
+            free = capacity;
         }
-        left -= length;
+        free -= length;
         bytes += length;
     }
     Traffic { datagrams, bytes }
--- a/crates/scale/src/probes/store.rs
+++ b/crates/scale/src/probes/store.rs
@@ -1,4 +1,5 @@
-//! The store: how long recovery takes, what a commit costs, and what goes to the disk at the target's rate.
+//! Measures the store: the duration of recovery, the cost of a commit, and the growth of the files at the
+//! target's request rate.
 
 use crate::fit::Quantity;
 use crate::probes::sample::points;
@@ -12,8 +13,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes of a record.
-const RECORD: usize = 100;
+/// Size of a record, bytes.
+const RECORD_BYTES: usize = 100;
 
 const RECOVERY_SIZES: &[u64] = &[1_000, 10_000, 100_000, 1_000_000];
 const QUICK_RECOVERY_SIZES: &[u64] = &[100, 1_000];
@@ -21,28 +22,29 @@
 const COMMIT_SIZES: &[u64] = &[1, 10, 100, 1_000];
 const QUICK_COMMIT_SIZES: &[u64] = &[1, 10];
 
-/// Requests a second of a server of the target, and around it.
+/// Requests per second of a server in the target fleet, and the rates that are measured.
 const TARGET_RATE: u64 = 282;
 const RATES: &[u64] = &[28, TARGET_RATE, 2_820, 28_200];
 const QUICK_RATES: &[u64] = &[28, TARGET_RATE];
 
-/// An hour of a record a request at the target's rate: how long a ledger goes on between two snapshots is assumed.
+/// Number of records in one hour at the target's rate with one record per request. That a ledger writes a
+/// snapshot once per hour is an assumption.
 const TARGET_RECORDS: f64 = TARGET_RATE as f64 * 3_600.0;
 
-/// The records of a commit at the target's rate.
+/// Number of records per commit at the target's rate.
 const TARGET_COMMIT: f64 = TARGET_RATE as f64 * COMMIT_MS as f64 / 1000.0;
 
-/// The time between commits.
+/// Time between commits, ms.
 const COMMIT_MS: u64 = 50;
 
-/// Records of a commit of a log that is to be recovered.
+/// Number of records per commit in a log that is recovered.
 const RECOVERY_COMMIT: u64 = 1_000;
 
-/// Commits in a run, and runs.
+/// Number of commits per run, and number of runs.
 const COMMITS: u64 = 20;
 const RUNS: usize = 5;
 
-/// Commits that are counted for the bytes of a second.
+/// Number of commits from which the bytes per second are computed.
 const COUNTED_COMMITS: u64 = 40;
 
 const OWNER: &str = "probe";
@@ -52,7 +54,7 @@
     quantity: "a log is opened, its files in the cache of the system",
     unit: "ms",
     against: "records",
-    fixed: &[("record_bytes", RECORD as f64), ("records_per_commit", RECOVERY_COMMIT as f64)],
+    fixed: &[("record_bytes", RECORD_BYTES as f64), ("records_per_commit", RECOVERY_COMMIT as f64)],
     target_size: TARGET_RECORDS,
 };
 const COMMIT: Quantity = Quantity {
@@ -60,7 +62,7 @@
     quantity: "a commit with its sync",
     unit: "us",
     against: "records of the commit",
-    fixed: &[("record_bytes", RECORD as f64)],
+    fixed: &[("record_bytes", RECORD_BYTES as f64)],
     target_size: TARGET_COMMIT,
 };
 const BYTES: Quantity = Quantity {
@@ -68,11 +70,11 @@
     quantity: "growth of the files, a record a request",
     unit: "bytes/s",
     against: "requests a second of a server",
-    fixed: &[("record_bytes", RECORD as f64), ("commit_ms", COMMIT_MS as f64)],
+    fixed: &[("record_bytes", RECORD_BYTES as f64), ("commit_ms", COMMIT_MS as f64)],
     target_size: TARGET_RATE as f64,
 };
 
-/// The probe of `crates/store`.
+/// Probe of `crates/store`.
 pub struct StoreProbe;
 
 impl Probe for StoreProbe {
@@ -98,11 +100,11 @@
     Ok(Log::open(disk, Options::new(OWNER), |_| Ok(()))?.0)
 }
 
-/// A batch of records of chance.
-fn batch(records: u64, rng: &mut ChaCha8Rng) -> Vec<[u8; RECORD]> {
+/// Returns a batch of random records.
+fn batch(records: u64, rng: &mut ChaCha8Rng) -> Vec<[u8; RECORD_BYTES]> {
     (0..records)
         .map(|_| {
-            let mut record = [0; RECORD];
+            let mut record = [0; RECORD_BYTES];
             rng.fill(&mut record);
             record
         })
@@ -113,21 +115,21 @@
     let folder = tempfile::tempdir()?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut log = open(folder.path())?;
-    let mut left = records;
-    while left > 0 {
-        let count = left.min(RECOVERY_COMMIT);
+    let mut remaining = records;
+    while remaining > 0 {
+        let count = remaining.min(RECOVERY_COMMIT);
         log.commit(&batch(count, &mut rng))?;
-        left -= count;
+        remaining -= count;
     }
     drop(log);
     let mut times = Vec::new();
     for _ in 0..options.runs(RUNS) {
         let disk = Arc::new(RealDisk::new(folder.path())?);
-        let began = Instant::now();
+        let start = Instant::now();
         let (log, recovery) = Log::open(disk, Options::new(OWNER), |_| Ok(()))?;
-        times.push(began.elapsed().as_secs_f64() * 1e3);
+        times.push(start.elapsed().as_secs_f64() * 1e3);
         drop(log);
-        ensure!(recovery.records == records, "{} of {records} records were found", recovery.records);
+        ensure!(recovery.records == records, "{} of {records} records were recovered", recovery.records);
     }
     Ok(times)
 }
@@ -138,16 +140,16 @@
     let batch = batch(records, &mut ChaCha8Rng::seed_from_u64(seed));
     let mut times = Vec::new();
     for _ in 0..options.runs(RUNS) {
-        let began = Instant::now();
+        let start = Instant::now();
         for _ in 0..COMMITS {
             log.commit(&batch)?;
         }
-        times.push(began.elapsed().as_secs_f64() * 1e6 / COMMITS as f64);
+        times.push(start.elapsed().as_secs_f64() * 1e6 / COMMITS as f64);
     }
     Ok(times)
 }
 
-/// How fast the files grow at so many requests a second, a record each.
+/// Returns the growth of the files in bytes per second at `rate` requests per second with one record each.
 fn disk_rate(rate: u64, seed: u64) -> Result<f64> {
     let folder = tempfile::tempdir()?;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The capacity page follows from its measurements, and a page or a measurement that was changed alone is noticed.
+//! The capacity page matches its measurements, and a change of only the page or only a measurement is
+//! detected.
 
 use dunlinspread_scale::capacity::{Options, run};
 use std::path::{Path, PathBuf};
@@ -7,8 +8,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
 
-/// A copy of the page and its measurements, to be changed.
-fn copy() -> tempfile::TempDir {
+/// Copies the page and its measurements to a temporary folder, where a test can change them.
+fn copy_docs() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::create_dir(folder.path().join("capacity")).expect("a folder in it");
     for file in ["CAPACITY.md", "capacity/slopes.json", "capacity/propagation.json"] {
@@ -34,7 +35,7 @@
 
 #[test]
 fn a_verdict_that_was_changed_by_hand_is_noticed() {
-    let folder = copy();
+    let folder = copy_docs();
     change(&folder.path().join("CAPACITY.md"), "**does not fit**", "fits");
     let error = check(folder.path()).expect_err("the page was changed");
     assert!(error.contains("does not follow from the measurements"), "{error}");
@@ -42,7 +43,7 @@
 
 #[test]
 fn a_slope_that_was_changed_is_noticed() {
-    let folder = copy();
+    let folder = copy_docs();
     change(&folder.path().join("capacity/slopes.json"), "\"at_target\": ", "\"at_target\": 9");
     let error = check(folder.path()).expect_err("a slope was changed");
     assert!(error.contains("does not follow from the measurements"), "{error}");
@@ -50,7 +51,7 @@
 
 #[test]
 fn a_propagation_run_that_was_changed_is_noticed() {
-    let folder = copy();
+    let folder = copy_docs();
     change(
         &folder.path().join("capacity/propagation.json"),
         "\"in_force_ms_max\": ",
@@ -62,7 +63,7 @@
 
 #[test]
 fn writing_the_page_anew_changes_nothing() {
-    let folder = copy();
+    let folder = copy_docs();
     run(&Options { docs: folder.path().to_owned(), write: true }).expect("written");
     let written = std::fs::read_to_string(folder.path().join("CAPACITY.md")).expect("the page");
     assert_eq!(written, std::fs::read_to_string(docs().join("CAPACITY.md")).expect("the page"));
--- a/crates/scale/tests/command.rs
+++ b/crates/scale/tests/command.rs
@@ -1,14 +1,14 @@
-//! The command `slopes` as it is run: what it prints reads back, every probe of a crate gives its slopes, and a probe
-//! that is not asked for does not run.
+//! Runs the command `slopes`: its output can be parsed, every probe of a crate reports its slopes, and a
+//! probe that is not selected does not run.
 
 use dunlinspread_scale::slope::Report;
 use serde_json::Value;
 use std::process::Command;
 
-/// Runs the program with these arguments; what it prints.
+/// Runs the program with these arguments and returns its standard output.
 fn run(arguments: &[&str]) -> Vec<u8> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunlinspread-scale"));
-    let output = command.args(arguments).output().expect("it runs");
+    let output = command.args(arguments).output().expect("the program starts");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     output.stdout
 }
@@ -19,10 +19,10 @@
     serde_json::from_slice(&run(&all)).expect("a report")
 }
 
-/// Runs one probe quickly and looks at all that must hold of its slopes whatever they measure.
-fn assert_probe(prefix: &str, some_ids: &[&str]) {
+/// Makes a quick run of one probe and checks the properties that all slopes must have.
+fn assert_probe(prefix: &str, required_ids: &[&str]) {
     let report = slopes(&["--quick", "--only", prefix]);
-    for id in some_ids {
+    for id in required_ids {
         assert!(report.slopes.iter().any(|slope| slope.id == *id), "no slope `{id}`");
     }
     for slope in &report.slopes {
@@ -77,7 +77,7 @@
     assert_probe("store", &["store.recovery_ms.records", "store.commit_us.records"]);
 }
 
-/// A report without the processor time, the one figure that hangs on the machine.
+/// Removes the processor time from a report, the only figure that depends on the machine.
 fn without_processor_time(value: &mut Value) {
     if let Value::Object(fields) = value {
         fields.remove("processor_ns");
@@ -94,8 +94,9 @@
     };
     let first = simulate();
     assert_eq!(first, simulate());
-    let seconds = |scene: &str| first[scene]["all"].as_f64().expect("a number");
-    // Nobody is declared down before a probe, its end and the suspicion, and everyone hears of it in the end.
+    let seconds = |scenario: &str| first[scenario]["all"].as_f64().expect("a number");
+    // A member is declared down only after a probe, its timeout and the suspicion, and all members learn of
+    // it.
     assert!((4.0..60.0).contains(&seconds("zone")), "{first}");
     assert!((0.0..30.0).contains(&seconds("zone_join")), "{first}");
     assert_eq!(first["lossy_downs"], 0.0);
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -1,5 +1,5 @@
-//! The fits find the functions that noisy points were made from, keep to the simpler model where it does as well, and a
-//! report reads back from its JSON as it was.
+//! The fits recover the functions that noisy points were generated from and prefer the simpler model if it
+//! fits as well. A report survives a round trip through JSON unchanged.
 
 use dunlinspread_scale::fit::{Quantity, median, spread};
 use dunlinspread_scale::slope::{Fit, Model, Point, Report, Slope};
@@ -9,7 +9,7 @@
 const SIZES: [f64; 4] = [10.0, 100.0, 1_000.0, 10_000.0];
 const TARGET: f64 = 100_000.0;
 
-/// Points of a function at all sizes for three seeds, each off by up to `noise` of its value.
+/// Returns points of a function at all sizes for three seeds, with a relative error of at most `noise`.
 fn points(noise: f64, function: impl Fn(f64) -> f64) -> Vec<Point> {
     let mut points = Vec::new();
     for seed in 1..=3 {
@@ -34,35 +34,35 @@
     }
 }
 
-/// The slope of a function with noise: its model, and its value at the target within `tolerance`.
-fn assert_found(function: impl Fn(f64) -> f64, model: Model, tolerance: f64) {
+/// Checks that the slope of a noisy function has the model, and its value at the target within `tolerance`.
+fn assert_recovered(function: impl Fn(f64) -> f64, model: Model, tolerance: f64) {
     let slope = quantity(TARGET).slope(points(0.05, &function));
     assert_eq!(slope.fit.model, model, "{:?}", slope.fit);
-    let wanted = function(TARGET);
-    let off = (slope.at_target - wanted).abs() / wanted;
-    assert!(off <= tolerance, "{} at the target instead of {wanted}", slope.at_target);
+    let expected = function(TARGET);
+    let relative_error = (slope.at_target - expected).abs() / expected;
+    assert!(relative_error <= tolerance, "{} at the target instead of {expected}", slope.at_target);
     assert!(slope.fit.relative_error <= 0.05, "{:?}", slope.fit);
     assert!(!slope.measured_at_target);
 }
 
 #[test]
 fn a_constant_with_noise_stays_a_constant() {
-    assert_found(|_| 370.0, Model::Constant, 0.03);
+    assert_recovered(|_| 370.0, Model::Constant, 0.03);
 }
 
 #[test]
 fn a_line_with_noise_is_found() {
-    assert_found(|size| 200.0 + 0.5 * size, Model::Linear, 0.05);
+    assert_recovered(|size| 200.0 + 0.5 * size, Model::Linear, 0.05);
 }
 
 #[test]
 fn a_logarithm_with_noise_is_found() {
-    assert_found(|size| 40.0 + 25.0 * size.log2(), Model::Logarithmic, 0.05);
+    assert_recovered(|size| 40.0 + 25.0 * size.log2(), Model::Logarithmic, 0.05);
 }
 
 #[test]
 fn a_power_with_noise_is_found() {
-    assert_found(|size| 3.0 * size.powf(1.5), Model::Power, 0.1);
+    assert_recovered(|size| 3.0 * size.powf(1.5), Model::Power, 0.1);
 }
 
 #[test]
@@ -84,9 +84,10 @@
 fn what_was_measured_at_the_target_is_taken_as_it_is() {
     let slope = quantity(10_000.0).slope(points(0.05, |size| size));
     assert!(slope.measured_at_target);
-    let there: Vec<f64> = slope.points.iter().filter(|p| p.size == 10_000.0).map(|p| p.median).collect();
-    assert_eq!(slope.at_target, median(&there));
-    assert!((slope.at_target_error - spread(&there)).abs() < 1e-6, "{}", slope.at_target_error);
+    let target_medians: Vec<f64> =
+        slope.points.iter().filter(|point| point.size == 10_000.0).map(|point| point.median).collect();
+    assert_eq!(slope.at_target, median(&target_medians));
+    assert!((slope.at_target_error - spread(&target_medians)).abs() < 1e-6, "{}", slope.at_target_error);
 }
 
 #[test]
@@ -101,9 +102,9 @@
 
 #[test]
 fn seeds_that_disagree_show_in_the_error() {
-    let mut apart = points(0.0, |size| size);
-    apart.iter_mut().filter(|point| point.seed == 3).for_each(|point| point.median *= 2.0);
-    let slope = quantity(TARGET).slope(apart);
+    let mut disagreeing = points(0.0, |size| size);
+    disagreeing.iter_mut().filter(|point| point.seed == 3).for_each(|point| point.median *= 2.0);
+    let slope = quantity(TARGET).slope(disagreeing);
     assert!(slope.at_target_error >= 0.4, "{}", slope.at_target_error);
 }
 
--- a/crates/scale/tests/open_loop.rs
+++ b/crates/scale/tests/open_loop.rs
@@ -1,5 +1,5 @@
-//! The open-loop load: latency counts from when a request should have been sent, whatever the other end does, and a
-//! limit on descriptors that cannot be had is named.
+//! The open-loop load: latency is measured from the due time of a request, whatever the other side does. An
+//! unreachable limit on file descriptors is reported in the error.
 
 use anyhow::Result;
 use dunlinspread_scale::descriptors::raise_limit;
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-/// A byte for each request; the answer is the byte.
+/// A wire format in which a request is one byte and the response is the same byte.
 #[derive(Clone)]
 struct Echo;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// A load against a server that keeps all answers back until `requests` have come.
-fn held_back(requests: usize, seed: u64) -> Outcome {
+/// Runs a load against a server that holds back all responses until `requests` requests have arrived.
+fn run_against_delayed_server(requests: usize, seed: u64) -> Outcome {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let server = std::thread::spawn(move || {
@@ -34,7 +34,7 @@
         let mut bytes = vec![0; requests];
         stream.read_exact(&mut bytes).expect("all requests");
         stream.write_all(&bytes).expect("all answers");
-        // Until the other end is through.
+        // Keeps the connection open until the other side closes it.
         let _ = stream.read(&mut [0]);
     });
     let stream = TcpStream::connect(address).expect("a connection");
@@ -46,10 +46,10 @@
 #[test]
 fn latency_counts_from_when_a_request_was_due() {
     let seed = 7;
-    let outcome = held_back(20, seed);
+    let outcome = run_against_delayed_server(20, seed);
     assert_eq!(outcome.late_ms.len(), 20);
-    // Every fifth answer is an error; the others were held back until the last request was sent, which at 200 requests
-    // a second is some 100 ms after the first was due.
+    // Every fifth response is an error. The others were held back until the last request was sent, which at
+    // 200 requests per second is about 100 ms after the first one was due.
     assert_eq!(outcome.latency_ms.len(), 16, "seed {seed}: {outcome:?}");
     let (first, last) = (outcome.latency_ms[15], outcome.latency_ms[0]);
     assert!(first - last > 20.0, "seed {seed}: {outcome:?}");
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_limit_that_cannot_be_had_is_named() {
-    raise_limit(16).expect("far under every limit");
-    let error = raise_limit(1 << 40).expect_err("no system has so many").to_string();
+    raise_limit(16).expect("16 is far below every limit");
+    let error = raise_limit(1 << 40).expect_err("no system allows 2^40").to_string();
     assert!(error.contains("descriptors"), "{error}");
 }
--- a/crates/scale/tests/propagation.rs
+++ b/crates/scale/tests/propagation.rs
@@ -1,10 +1,11 @@
-//! The small form of `propagation`: some 50 subscribers behind real processes, with every fault of the large one.
+//! A small run of `propagation`: 50 subscribers in real processes, with every fault of the large run.
 
 use serde_json::Value;
 use std::process::{Command, Stdio};
 
-/// The limit is not that of the target: this machine may be busy with other tests, and what is judged here is that
-/// nothing is lost, reordered, torn or left behind. The large form, run alone, is held to the target's 6 s.
+/// Limit on the time until a change is in force, ms. It is longer than the target's 6 s because other tests
+/// may keep the machine busy. This test checks that no change is lost, reordered, torn or left behind; the
+/// large run, made alone, is checked against the target's limit.
 const IN_FORCE_LIMIT_MS: &str = "30000";
 
 #[test]
@@ -19,9 +20,10 @@
         assert_eq!((number("subscribers"), number("relays"), number("changes")), (50, 10, 90));
         assert_eq!(number("daemons"), 2);
         assert!(number("refused") >= 1, "seed {seed}: {report}");
-        assert!(number("bad_frames") >= 1, "seed {seed}: no damaged frame was met: {report}");
+        assert!(number("bad_frames") >= 1, "seed {seed}: no damaged frame was received: {report}");
         assert!(number("cold_zone_ms") > 0, "seed {seed}: {report}");
-        // Each subscriber records each change but where several come at once, and those that it missed.
+        // Each subscriber records each change, except those that it missed and those that arrive together
+        // with others.
         assert!(number("updates") >= 50 * 30, "seed {seed}: {report}");
     }
 }
--- a/crates/scale/tests/propagation_judge.rs
+++ b/crates/scale/tests/propagation_judge.rs
@@ -1,4 +1,5 @@
-//! The verdict of `propagation` finds each fault where one is put into the records, and none where there is none.
+//! The verdict of `propagation` detects each fault that is put into the records, and none in faultless
+//! records.
 
 use dunlinspread_config_sync::resource::{Digest, Position};
 use dunlinspread_config_sync::table::Table;
@@ -17,10 +18,10 @@
 const CHANGES: u64 = 30;
 const PLAIN_ZONE: usize = 0;
 const REFUSING_ZONE: usize = 1;
-/// When the first change is proposed, and the time between two.
+/// Time of the first proposed change, and time between two changes.
 const BEGIN_MS: u64 = 1_000;
 const GAP_MS: u64 = 100;
-/// How long each change takes to be in force.
+/// Time from the publication of a change until it is in force.
 const DELAY_MS: u64 = 40;
 const ENDED_MS: u64 = 60_000;
 
@@ -40,7 +41,7 @@
     replay.history().clone()
 }
 
-/// What a subscriber records that puts each change in force after the same delay.
+/// Returns the records of a subscriber that puts each change in force after the same delay.
 fn observations(history: &History, zone: usize) -> Vec<Observation> {
     (0..=history.accepted.len())
         .map(|index| Observation {
@@ -55,13 +56,13 @@
         .collect()
 }
 
-fn judged(history: &History, outages: &[Outage], zone: usize, lives: &[Vec<Observation>]) -> Verdict {
+fn judged(history: &History, outages: &[Outage], zone: usize, incarnations: &[Vec<Observation>]) -> Verdict {
     let mut judge = Judge::new(history, outages, ENDED_MS);
-    judge.subscriber(0, zone, lives);
+    judge.subscriber(0, zone, incarnations);
     judge.into_verdict()
 }
 
-/// The counters in the order lost, reordered, torn, diverged, regressed.
+/// Returns the counters in the order lost, reordered, torn, diverged, regressed.
 fn counters(verdict: &Verdict) -> [u64; 5] {
     [verdict.lost, verdict.reordered, verdict.torn, verdict.diverged, verdict.regressed]
 }
@@ -69,7 +70,7 @@
 #[test]
 fn a_faultless_record_is_clean() {
     let history = history();
-    assert!(history.accepted.iter().any(|accepted| accepted.refused), "the plan refuses something");
+    assert!(history.accepted.iter().any(|accepted| accepted.refused), "the plan has a refused transaction");
     for zone in [PLAIN_ZONE, REFUSING_ZONE] {
         let verdict = judged(&history, &[], zone, &[observations(&history, zone)]);
         assert!(verdict.is_clean(), "{:?}", verdict.faults);
@@ -82,10 +83,10 @@
 #[test]
 fn a_refused_transaction_in_force_is_torn() {
     let history = history();
-    // The refusing zone's server has in force what it had to refuse.
+    // A server of the refusing zone has a transaction in force that it had to refuse.
     let verdict = judged(&history, &[], REFUSING_ZONE, &[observations(&history, PLAIN_ZONE)]);
     assert!(verdict.torn > 0);
-    // And a server of another zone keeps out what it had to take.
+    // A server of another zone lacks a transaction that it had to apply.
     let verdict = judged(&history, &[], PLAIN_ZONE, &[observations(&history, REFUSING_ZONE)]);
     assert!(verdict.torn > 0);
 }
@@ -138,11 +139,11 @@
 fn another_table_at_the_end_is_diverged() {
     let history = history();
     let head = history.head();
-    let wanted = history.expected(PLAIN_ZONE, history.accepted.len());
+    let expected = history.expected(PLAIN_ZONE, history.accepted.len());
     let mut judge = Judge::new(&history, &[], ENDED_MS);
-    judge.final_table(0, PLAIN_ZONE, head, wanted);
-    judge.final_table(1, PLAIN_ZONE, head, Digest(wanted.0 ^ 1));
-    judge.final_table(2, PLAIN_ZONE, BASE, wanted);
+    judge.final_table(0, PLAIN_ZONE, head, expected);
+    judge.final_table(1, PLAIN_ZONE, head, Digest(expected.0 ^ 1));
+    judge.final_table(2, PLAIN_ZONE, BASE, expected);
     judge.no_final_table(3);
     assert_eq!(judge.into_verdict().diverged, 3);
 }
@@ -153,7 +154,8 @@
     let (from, until) = (published_ms(10) - 1, published_ms(15) + 1);
     let heal_ms = 70;
     let mut observations = observations(&history, PLAIN_ZONE);
-    // Nothing comes in force during the outage; all of it does at once afterwards, with what was published meanwhile.
+    // No change comes into force during the outage. Afterwards all of them do at once, including those
+    // published during the outage.
     observations.retain(|observation| !(from..until + heal_ms).contains(&observation.at_unix_ms));
     let index = observations.iter().position(|observation| observation.at_unix_ms > until).unwrap_or(0);
     let caught_up = Observation { at_unix_ms: until + heal_ms, ..observations[index] };
@@ -171,7 +173,7 @@
     let verdict = judged(&history, &down, PLAIN_ZONE, &[observations.clone()]);
     assert_eq!((verdict.heal_ms, verdict.cold_zone_ms), (heal_ms, heal_ms + 300));
 
-    // Of a zone that could be reached all the while, the same records show how long the changes took.
+    // For a zone that was reachable all the time, the same records count as the latency of the changes.
     let elsewhere = [Outage { zones: vec![REFUSING_ZONE], ..cut(Cause::RegionCut)[0].clone() }];
     let verdict = judged(&history, &elsewhere, PLAIN_ZONE, &[observations]);
     assert!(verdict.latency_ms.max() >= until + heal_ms - published_ms(10));
@@ -181,10 +183,13 @@
 fn a_restart_begins_a_new_order() {
     let history = history();
     let all = observations(&history, PLAIN_ZONE);
-    // The state on disk may be a little older than what was in force when the process was killed.
-    let second_life: Vec<Observation> =
-        all[8..].iter().enumerate().map(|(at, o)| Observation { initial: at == 0, ..*o }).collect();
-    let verdict = judged(&history, &[], PLAIN_ZONE, &[all[..=10].to_vec(), second_life]);
+    // The state on disk may be slightly older than the one in force when the process was killed.
+    let second_incarnation: Vec<Observation> = all[8..]
+        .iter()
+        .enumerate()
+        .map(|(index, observation)| Observation { initial: index == 0, ..*observation })
+        .collect();
+    let verdict = judged(&history, &[], PLAIN_ZONE, &[all[..=10].to_vec(), second_incarnation]);
     assert!(verdict.is_clean(), "{:?}", verdict.faults);
 }
 
@@ -197,7 +202,7 @@
     written.iter().for_each(|observation| writer.write(observation).unwrap());
     assert_eq!(read_observations(&path).unwrap(), written);
 
-    // A kill in the middle of a write leaves half a record.
+    // A process killed in the middle of a write leaves an incomplete record.
     let file = std::fs::File::options().write(true).open(&path).unwrap();
     file.set_len(file.metadata().unwrap().len() - 1).unwrap();
     assert_eq!(read_observations(&path).unwrap(), written[..written.len() - 1]);
--- a/crates/scale/tests/propagation_plan.rs
+++ b/crates/scale/tests/propagation_plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a `propagation` run: who takes part, what is published, when, and what goes wrong.
+//! The plan of a `propagation` run: the participants, the published changes with their times, and the faults.
 
 use dunlinspread_config_sync::resource::check;
 use dunlinspread_scale::propagation::changes::planned_transactions;
--- a/crates/scale/tests/propagation_proxy.rs
+++ b/crates/scale/tests/propagation_proxy.rs
@@ -1,4 +1,5 @@
-//! The proxy of a region: what it passes, holds back, refuses and damages.
+//! The fault proxy of a region: which bytes it forwards, holds back and damages, and which connections it
+//! refuses.
 
 use async_executor::Executor;
 use dunlinspread_scale::propagation::control::{CutKind, LinkScope};
@@ -12,13 +13,14 @@
 
 const REGION: usize = 0;
 const OTHER_REGION: usize = 1;
-/// Links by their place: within the region, to another one, and to the publisher.
+/// Indexes of the links: within the region, to another region, and to the publisher.
 const WITHIN: usize = 0;
 const CROSSING: usize = 1;
 const PUBLISHER: usize = 2;
 const LINKS: [Option<usize>; 3] = [Some(REGION), Some(OTHER_REGION), None];
-const ANSWER_LIMIT: Duration = Duration::from_secs(20);
-/// Long enough for bytes that are passed on; what comes later than that is only a weaker check, never a failure.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time for which a cut link is checked for forwarded bytes. Bytes that arrive later make the check weaker
+/// but never make it fail.
 const SILENCE: Duration = Duration::from_millis(200);
 const MESSAGE: [u8; 9] = *b"a message";
 
@@ -31,7 +33,7 @@
     proxy
 }
 
-/// Gives back what it receives.
+/// Starts a server that echoes the bytes that it receives, and returns its address.
 fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("the target listens");
     let address = listener.local_addr().expect("the target's address");
@@ -49,7 +51,7 @@
 
 fn connect(proxy: &FaultProxy, link: usize) -> TcpStream {
     let stream = TcpStream::connect(proxy.addresses()[link]).expect("the proxy accepts");
-    stream.set_read_timeout(Some(ANSWER_LIMIT)).expect("a read timeout");
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).expect("a read timeout");
     stream
 }
 
@@ -87,7 +89,7 @@
             stream.set_read_timeout(Some(SILENCE)).unwrap();
             let error = echoed(stream).unwrap_err();
             assert!(matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut), "{error}");
-            stream.set_read_timeout(Some(ANSWER_LIMIT)).unwrap();
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
         }
         proxy.heal(REGION);
         assert_eq!(read_message(&mut open).unwrap(), MESSAGE);
@@ -116,12 +118,12 @@
     for stream in [&mut within, &mut crossing, &mut publisher] {
         assert_eq!(echoed(stream).unwrap(), MESSAGE);
     }
-    // The region at the other end is cut off: only the link there is.
+    // The other region is cut off, which affects only the link to it.
     proxy.cut(OTHER_REGION, CutKind::Refuse);
     assert_eq!(echoed(&mut within).unwrap(), MESSAGE);
     assert_eq!(echoed(&mut publisher).unwrap(), MESSAGE);
     assert!(echoed(&mut crossing).is_err());
-    // This one is as well: its own links go on.
+    // This region is cut off as well; links within it keep working.
     proxy.cut(REGION, CutKind::Refuse);
     assert_eq!(echoed(&mut within).unwrap(), MESSAGE);
     assert!(echoed(&mut publisher).is_err());
@@ -136,7 +138,7 @@
     assert_eq!(echoed(&mut crossing).unwrap(), MESSAGE);
     proxy.damage(LinkScope::Within);
     let damaged = echoed(&mut within).unwrap();
-    assert_eq!(damaged.iter().zip(MESSAGE).filter(|(found, sent)| **found != *sent).count(), 1);
-    assert_eq!(echoed(&mut within).unwrap(), MESSAGE, "only once");
-    assert_eq!(echoed(&mut crossing).unwrap(), MESSAGE, "not on other links");
+    assert_eq!(damaged.iter().zip(MESSAGE).filter(|(received, sent)| **received != *sent).count(), 1);
+    assert_eq!(echoed(&mut within).unwrap(), MESSAGE, "only one byte is damaged");
+    assert_eq!(echoed(&mut crossing).unwrap(), MESSAGE, "other links are not damaged");
 }
--- a/crates/scale/tests/slopes.rs
+++ b/crates/scale/tests/slopes.rs
@@ -1,10 +1,10 @@
-//! The probes of the decision module, the daemon and the registry, small: each runs, what is printed reads back, and
-//! each slope that the capacity page is made from is there.
+//! Quick runs of the probes of the admission controller, the daemon and the registry: each runs, its output
+//! can be parsed, and it has every slope that the capacity page is computed from.
 
 use dunlinspread_scale::slope::{Report, Slope};
 use std::process::Command;
 
-/// The slopes of the decision module.
+/// Ids of the slopes of the admission controller.
 const POLICY: [&str; 16] = [
     "policy.arrival_ns.classes",
     "policy.arrival_ns.held",
@@ -24,7 +24,7 @@
     "policy.timer_ns.tenants",
 ];
 
-/// The slopes of the daemon.
+/// Ids of the slopes of the daemon.
 const DAEMON: [&str; 22] = [
     "daemon.added_ms_p50.rate",
     "daemon.added_ms_p99.rate",
@@ -50,7 +50,7 @@
     "daemon.unserved_share.rate",
 ];
 
-/// The slopes of the registry.
+/// Ids of the slopes of the registry.
 const REGISTRY: [&str; 10] = [
     "registry.bytes_per_s.servers",
     "registry.list_bytes.entries",
@@ -64,7 +64,7 @@
     "registry.wire_bytes_per_s.servers",
 ];
 
-/// Runs the probes of a part, small, and reads the report.
+/// Makes a quick run of the probes of a part and returns the slopes from the report.
 fn quick(part: &str) -> Vec<Slope> {
     let mut command = Command::new(env!("CARGO_BIN_EXE_dunlinspread-scale"));
     let output =
@@ -74,7 +74,7 @@
     report.slopes
 }
 
-/// Each expected slope is there, with two sizes or more and figures that are numbers.
+/// Checks that exactly the expected slopes exist, each with at least two sizes and finite figures.
 fn assert_slopes(slopes: &[Slope], expected: &[&str]) {
     let ids: Vec<&str> = slopes.iter().map(|slope| slope.id.as_str()).collect();
     assert_eq!(ids, expected);
@@ -103,9 +103,12 @@
 fn the_registry_has_its_slopes() {
     let slopes = quick("registry");
     assert_slopes(&slopes, &REGISTRY);
-    // A report and its answer are the same bytes whatever the number of servers of one digit.
-    let report = slopes.iter().find(|slope| slope.id == "registry.report_bytes.servers").expect("is there");
+    // The size of a report and its response does not depend on the number of servers as long as it has one
+    // digit.
+    let report =
+        slopes.iter().find(|slope| slope.id == "registry.report_bytes.servers").expect("the slope exists");
     assert!(report.points.iter().all(|point| (100.0..300.0).contains(&point.median)), "{report:?}");
-    let lists = slopes.iter().find(|slope| slope.id == "registry.list_bytes.entries").expect("is there");
+    let lists =
+        slopes.iter().find(|slope| slope.id == "registry.list_bytes.entries").expect("the slope exists");
     assert!(lists.points.windows(2).all(|pair| pair[0].median < pair[1].median), "{lists:?}");
 }
--- a/crates/scale/tests/verdict.rs
+++ b/crates/scale/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts follow from figures, errors and limits.
+//! The verdict of a figure depends on its value, its error and its limit.
 
 use dunlinspread_scale::capacity::estimate::{Basis, Estimate, Verdict};
 
