--- a/crates/scale/src/capacity/render.rs
+++ b/crates/scale/src/capacity/render.rs
@@ -102,7 +102,7 @@
         let _ = writeln!(
             out,
             "| {} | {} | {} | {} | {} | {} | {} | {} |",
-            row.what,
+            row.name,
             row.when.words(),
             row.unit.text(row.estimate.value),
             basis(row),
--- a/crates/scale/src/capacity/roles/control_machines.rs
+++ b/crates/scale/src/capacity/roles/control_machines.rs
@@ -24,8 +24,8 @@
     // One relay can carry the measured load with the other relay of its zone lost, as long as its thread needs at
     // most one core.
     let relay_core_share = book.propagated("cpu_share_relay")?;
-    let count = |what, number, formula: &str| {
-        Row::new(what, When::Steady, Unit::Count, Estimate::assumed(number), formula)
+    let count = |name, number, formula: &str| {
+        Row::new(name, When::Steady, Unit::Count, Estimate::assumed(number), formula)
     };
     let rows = vec![
         count(
--- a/crates/scale/src/capacity/roles/missing.rs
+++ b/crates/scale/src/capacity/roles/missing.rs
@@ -18,7 +18,7 @@
                 out,
                 "| {} | {} | {} | {} | {} | {verdict} | {} |",
                 role.id.replace('_', " "),
-                row.what,
+                row.name,
                 row.when.words(),
                 row.unit.text(row.estimate.value),
                 row.limit.map_or_else(|| "none".to_owned(), |limit| row.unit.text(limit)),
--- a/crates/scale/src/capacity/roles/registry.rs
+++ b/crates/scale/src/capacity/roles/registry.rs
@@ -13,9 +13,9 @@
 /// # Errors
 /// Returns an error if a measurement is missing.
 pub fn role(book: &Book) -> Result<Role> {
-    let bytes_row = |what, id: &str| -> Result<Row> {
+    let bytes_row = |name, id: &str| -> Result<Row> {
         let estimate = book.at_target(id)?;
-        Ok(Row::new(what, When::Steady, Unit::BytesPerSecond, estimate, format!("`{id}`"))
+        Ok(Row::new(name, When::Steady, Unit::BytesPerSecond, estimate, format!("`{id}`"))
             .limit(CONTROL_MACHINE_BYTES_PER_SECOND))
     };
     let rows = vec![
--- a/crates/scale/src/capacity/row.rs
+++ b/crates/scale/src/capacity/row.rs
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug)]
 pub struct Row {
     /// Name of the measured figure.
-    pub what: &'static str,
+    pub name: &'static str,
     /// Condition under which the figure holds.
     pub when: When,
     /// Formula of the figure, in words and slope ids.
@@ -126,13 +126,13 @@
 impl Row {
     /// Creates a row with no limit and an implemented mechanism without a name.
     pub fn new(
-        what: &'static str,
+        name: &'static str,
         when: When,
         unit: Unit,
         estimate: Estimate,
         formula: impl Into<String>,
     ) -> Row {
-        Row { what, when, formula: formula.into(), estimate, unit, limit: None, mechanism: "", built: true }
+        Row { name, when, formula: formula.into(), estimate, unit, limit: None, mechanism: "", built: true }
     }
 
     /// Sets the upper limit of the figure.
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -166,20 +166,20 @@
     (samples.iter().map(square).sum::<f64>() / samples.len().max(1) as f64).sqrt()
 }
 
-/// What is measured: everything of a [`Slope`] that does not follow from its points.
+/// Description of a measured quantity: every part of a [`Slope`] that is not computed from its points.
 #[derive(Clone, Debug)]
 pub struct Quantity {
-    /// `part.quantity.size`.
+    /// Id of the slope, as `part.quantity.size`.
     pub id: &'static str,
-    /// In words.
+    /// Description of the measured quantity.
     pub quantity: &'static str,
-    /// The unit.
+    /// Unit of the quantity.
     pub unit: &'static str,
     /// Description of the size that varies.
     pub against: &'static str,
     /// Parameters that are held constant, by name.
     pub fixed: &'static [(&'static str, f64)],
-    /// The size in the target fleet.
+    /// Size in the target fleet.
     pub target_size: f64,
 }
 
--- a/crates/scale/src/probes/quota.rs
+++ b/crates/scale/src/probes/quota.rs
@@ -316,7 +316,7 @@
 }
 
 /// Returns the bytes of a varint field of a prost message, including its key.
-fn field_bytes(value: u64) -> u64 {
+fn encoded(value: u64) -> u64 {
     let varint = (64 - u64::from((value | 1).leading_zeros())).div_ceil(7);
     1 + varint
 }
@@ -326,10 +326,8 @@
 /// requested leases for a day.
 fn round_traffic(budgets: u64) -> Traffic {
     let sequence = DAY_MS / (LEASE_MS / REQUESTS_PER_LEASE);
-    let request = |budget| {
-        1 + field_bytes(budget) + field_bytes(sequence) + field_bytes(1_000) + field_bytes(sequence - 1)
-    };
-    let grant = |budget| 1 + field_bytes(budget) + field_bytes(sequence) + field_bytes(500);
+    let request = |budget| 1 + encoded(budget) + encoded(sequence) + encoded(1_000) + encoded(sequence - 1);
+    let grant = |budget| 1 + encoded(budget) + encoded(sequence) + encoded(500);
     let requests = packed((0..budgets).map(request));
     let grants = packed((0..budgets).map(grant));
     Traffic { datagrams: requests.datagrams + grants.datagrams, bytes: requests.bytes + grants.bytes }
--- a/crates/scale/src/slope.rs
+++ b/crates/scale/src/slope.rs
@@ -62,7 +62,7 @@
     pub points: Vec<Point>,
     /// Fit to the points.
     pub fit: Fit,
-    /// The size in the target fleet.
+    /// Size in the target fleet.
     pub target_size: f64,
     /// Value at the target size: the measured one if the target size was measured, otherwise the value of the
     /// fit.
--- a/crates/scale/tests/propagation_proxy.rs
+++ b/crates/scale/tests/propagation_proxy.rs
@@ -139,6 +139,6 @@
     proxy.damage(LinkScope::Within);
     let damaged = echoed(&mut within).unwrap();
     assert_eq!(damaged.iter().zip(MESSAGE).filter(|(received, sent)| **received != *sent).count(), 1);
-    assert_eq!(echoed(&mut within).unwrap(), MESSAGE, "only one byte is damaged");
+    assert_eq!(echoed(&mut within).unwrap(), MESSAGE, "only one message is damaged");
     assert_eq!(echoed(&mut crossing).unwrap(), MESSAGE, "other links are not damaged");
 }
