--- a/crates/ctl/tests/ledger_recovery.rs
+++ b/crates/ctl/tests/ledger_recovery.rs
@@ -184,7 +184,7 @@
     let logged = server.wait_for_log("export digest mismatch");
     let mismatch = logged["mismatch"].as_str();
     assert!(
-        mismatch.is_some_and(|text| text.contains("n2 knows batch") || text.contains("of n1 has one")),
+        mismatch.is_some_and(|text| text.contains("n2 reports batch") || text.contains("of n1: the digests")),
         "{logged}"
     );
     // The collector also detects the old copy, by its watermark or by the content of a batch.
